--- a/stackwheel/balance.py
+++ b/stackwheel/balance.py
@@ -14,7 +14,7 @@
 
 from stackwheel import interface as face
 from stackwheel import peers
-from stackwheel.interface import Action, Event, Retry, Server, ServerEntry, Settings
+from stackwheel.interface import Action, EndpointEntry, Event, Retry, Server, Settings
 
 # Estimates
 SMOOTHING, EVIDENCE = 0.5, 10.0  # step of a rate or load to its newest; tries for half an answer time
@@ -42,7 +42,7 @@
 SLOW_AIMS, SLOW_CALM, FULL_USE = 0.3, 1.7, 0.92  # half of the traffic as slow; of what is answered
 SHED_GAIN, SHED_BACK, SHED_MOST = 0.5, 0.2, 0.95  # step to there; share back in a calm slot; limit
 LEAST_LEVEL, ALL, NO_LIMIT = 0.05, 0.99, 1e6  # least share let in; what counts as all; no rate limit
-FURTHER_TRY = Retry.ONCE_IF_UNTRIED  # safe for any class; after any failure it doubled the work under strain
+FURTHER_TRY = Retry.ONCE_IF_NOT_EXECUTED  # safe for any class; after any failure it doubled the work under strain
 PEERS_MOST, ASK_MOST = 128, 0.4  # messages of peers in a cycle; of the time to ask again in
 SLOT_TOKEN, LIST_TOKEN, HELD_TOKEN, NOW, COLD, SOON, NEW, LATER = 1 << 32, 2 << 32, 3 << 32, *range(5)
 Key = tuple[int, int]  # zone and class: what a table is for
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class ServerView:
-    entry: ServerEntry
+    entry: EndpointEntry
     capacity: float = 0.0  # requests a second when warm
     rates: dict[int, float] = field(default_factory=dict)  # tries a second of our proxies, by their zone
     delay: dict[int, float] = field(default_factory=dict)  # answer time by zone, errors counted as slow ones
@@ -74,7 +74,7 @@
 
     @property
     def size(self) -> float:
-        return self.entry.size if 1 / NO_LIMIT < self.entry.size < NO_LIMIT else 1.0
+        return self.entry.weight if 1 / NO_LIMIT < self.entry.weight < NO_LIMIT else 1.0
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
     members: list[Server] = field(default_factory=list)  # of a short table: the servers that it may hold
     shares: Rates = field(default_factory=dict)
     sent: Rates = field(default_factory=dict)
-    levels: dict[int, face.Level] = field(default_factory=dict)  # by class
+    levels: dict[int, face.AdmissionLevel] = field(default_factory=dict)  # by class
 
     def scale(self) -> float:  # of the weights sent to the shares wanted, over lines that stay
         both = [s for s in self.sent if s in self.shares]
@@ -119,11 +119,11 @@
     """Owns the channel: its queue, as acknowledgements show it, each proxy's messages, what still fits."""
 
     def __init__(self, settings: Settings) -> None:
-        self.settings, self.backlog, self.marks = settings, settings.backlog or math.inf, 0
+        self.settings, self.backlog, self.marks = settings, settings.queue_limit or math.inf, 0
         self.queued = self.at = self.heard_at = 0.0
-        self.head = settings.overhead + 1.0  # with the mark
+        self.head = settings.message_overhead + 1.0  # with the mark
         self.pace = PACE * settings.channel_rate / 1000.0  # lines a millisecond for changes
-        self.allowance = self.span = PACE_SPAN * settings.cycle * self.pace
+        self.allowance = self.span = PACE_SPAN * settings.report_interval * self.pace
         self.crowd = self.span / PACE_SPAN / (HEADS * self.head)  # of one group: else most lines are heads
         self.written: dict[int, list[float]] = {}  # when messages went to a proxy, whatever stream it had
         self.unacked: dict[int, tuple[float, dict[int, float]]] = {}  # by mark: when sent, lines by proxy
@@ -131,7 +131,7 @@
     def advance(self, now: float, proxies: dict[int, ProxyView]) -> None:
         owed = ((p, at) for at, lines in self.unacked.values() for p in lines)
         owing = any(p in proxies and proxies[p].joined <= at for p, at in owed)
-        if not owing or now > self.heard_at + SILENT * self.settings.cycle:  # else acknowledgements tell
+        if not owing or now > self.heard_at + SILENT * self.settings.report_interval:  # else acknowledgements tell
             self.queued -= min(self.queued, (now - self.at) / 1000.0 * self.settings.channel_rate * SLOWEST)
         self.allowance, self.at = min(self.span, self.allowance + (now - self.at) * self.pace), now
 
@@ -161,16 +161,16 @@
         self.heard_at = self.heard_at if any(owed for _, owed in self.unacked.values()) else self.at
         self.queued, self.marks = self.queued + cost, (self.marks + 1) % MARKS
         self.unacked[self.marks] = self.at, {number: count + self.head for number, count in lines.items()}
-        return [face.Mark(self.marks, False)]
+        return [face.AttachNonce(self.marks, False)]
 
 
 class Planner:
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random, self.outbox = settings, random.Random(seed), Outbox(settings)
         self.places = range(len(settings.classes))
-        bounds = [(c.open_zones, c.open_kinds, c.zone_bound) for c in settings.classes]
+        bounds = [(c.allowed_zones, c.allowed_kinds, c.zone_local) for c in settings.classes]
         self.alike = [tuple(p for p in self.places if bounds[p] == one) for one in dict.fromkeys(bounds)]
-        self.mean_aim = sum(c.aim for c in settings.classes) / max(1, len(settings.classes))
+        self.mean_aim = sum(c.latency_objective for c in settings.classes) / max(1, len(settings.classes))
         self.now, self.slot, self.slot_at = 0.0, 0, -math.inf
         self.reported = self.urgent = self.held = False  # figures came; a line must go at once; it waits
         self.actions: list[Action] = []
@@ -188,11 +188,11 @@
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         starting, self.now, self.actions, self.lines = self.slot_at == -math.inf, now, [], {}
         self.outbox.advance(now, self.proxies)
-        if self.settings.slices:  # tables there belong to slices, which this policy does not serve
+        if self.settings.key_range_count:  # tables there belong to slices, which this policy does not serve
             return []
-        self.actions += [face.Subscribe()] if starting and self.settings.list_on_request else []
+        self.actions += [face.WatchEndpoints()] if starting and self.settings.endpoint_list_on_request else []
         due = [self.take(event) for event in events].count(True) > 0 or starting
-        if due or (self.reported and now - self.slot_at >= 0.6 * self.settings.cycle):
+        if due or (self.reported and now - self.slot_at >= 0.6 * self.settings.report_interval):
             self.run_slot()
         elif (self.urgent or (self.held and now >= self.again)) and self.outbox.room(self.lines, BUSY) > 0:
             if self.urgent:  # once for its cause: a step each batch that finds no room is no capped step
@@ -203,9 +203,9 @@
 
     def take(self, event: Event) -> bool:  # true if the slot timer fired
         match event:
-            case face.ServerList():
+            case face.EndpointUpdate():
                 self.take_list(event)
-            case face.ServerReport():
+            case face.LoadReport():
                 self.take_report(event)
             case face.DemandReport():
                 self.take_demand(event)
@@ -219,42 +219,45 @@
                 gone.group.users.pop(proxy, None)
                 for told, rate, due in zip(self.told(gone.zone), gone.demand, gone.due, strict=True):
                     told[1] = max(0.0, told[1] - rate * (not due))
-            case face.ProbeResult(server, outcome, _, load) if server in self.servers:
-                view, full = self.servers[server], outcome in (face.Probed.TURNED_AWAY, face.Probed.NO_ANSWER)
+            case face.HealthCheckResult(server, outcome, _, load) if server in self.servers:
+                view, full = (
+                    self.servers[server],
+                    outcome in (face.HealthCheckOutcome.REJECTED, face.HealthCheckOutcome.TIMEOUT),
+                )
                 if load or full:
                     view.full, view.looked_at = full, self.now
                     self.take_load(view, load)
             case face.Acknowledged(proxy, mark, _):
                 self.outbox.acknowledge(proxy, mark)
-            case face.PeerMessage(sender, payload) if (found := peers.unpack(payload)) is not None:
+            case face.GossipReceived(sender, payload) if (found := peers.unpack(payload)) is not None:
                 sent = {**self.peers.get(sender, (0.0, 0, {}))[2], **found[1]} if found[0] else {}
                 self.peers[sender] = self.now, found[0], {s: x for s, x in sent.items() if s in self.servers}
             case face.TimerFired(token) if token == LIST_TOKEN:
-                self.actions.append(face.Subscribe())
+                self.actions.append(face.WatchEndpoints())
         return event == face.TimerFired(SLOT_TOKEN + self.slot)
 
-    def take_list(self, update: face.ServerList) -> None:
+    def take_list(self, update: face.EndpointUpdate) -> None:
         """Follow the list; a server it drops is gone, unless only draining binds: then health judges it."""
-        if update.scope is face.ListScope.FAILED:
+        if update.kind is face.UpdateKind.FAILED:
             self.failures += 1  # all may ask at once: each time waits longer, by its own draw
-            wait = self.settings.cycle * 2 ** min(9, self.failures - 1) * (0.5 + self.random.random())
-            self.actions.append(face.SetTimer(min(ASK_MOST * self.settings.ask_within, wait), LIST_TOKEN))
+            wait = self.settings.report_interval * 2 ** min(9, self.failures - 1) * (0.5 + self.random.random())
+            self.actions.append(face.SetTimer(min(ASK_MOST * self.settings.list_poll_deadline, wait), LIST_TOKEN))
             return
         self.failures, entries = 0, {entry.server: entry for entry in update.entries}
-        gone = {s for s, entry in entries.items() if entry.availability is face.Availability.GONE}
+        gone = {s for s, entry in entries.items() if entry.availability is face.Availability.REMOVED}
         for entry in [entry for s, entry in entries.items() if s not in gone]:
             self.take_entry(entry)
-        if update.scope is not face.ListScope.CHANGES:
+        if update.kind is not face.UpdateKind.DELTA:
             gone |= self.servers.keys() - entries.keys()
-        for server in [s for s in self.servers if s in gone and not self.settings.only_draining_binds]:
+        for server in [s for s in self.servers if s in gone and not self.settings.removal_is_advisory]:
             del self.servers[server]
             self.urgent = True
 
-    def take_entry(self, entry: ServerEntry) -> None:
+    def take_entry(self, entry: EndpointEntry) -> None:
         known = self.servers.setdefault(entry.server, ServerView(entry, draw=self.random.uniform(0.05, 1.0)))
-        if entry.started > known.entry.started:  # same id, new process: what was measured no longer holds
+        if entry.started_at > known.entry.started_at:  # same id, new process: what was measured no longer holds
             self.servers[entry.server] = ServerView(entry, known.capacity, known.rates, draw=known.draw)
-        self.urgent |= (entry.started, entry.availability) != (known.entry.started, known.entry.availability)
+        self.urgent |= (entry.started_at, entry.availability) != (known.entry.started_at, known.entry.availability)
         self.servers[entry.server].entry = entry
 
     def ready(self) -> list[ServerView]:
@@ -262,16 +265,19 @@
 
     def open_to(self, place: int, zone: int | None = None) -> list[ServerView]:
         wanted = self.settings.classes[place]
-        return [view for view in self.ready()
-                if (not wanted.open_zones or view.entry.zone in wanted.open_zones)
-                and (not wanted.open_kinds or view.entry.kind in wanted.open_kinds)
-                and (not wanted.zone_bound or zone in (None, view.entry.zone))]
+        return [
+            view
+            for view in self.ready()
+            if (not wanted.allowed_zones or view.entry.zone in wanted.allowed_zones)
+            and (not wanted.allowed_kinds or view.entry.kind in wanted.allowed_kinds)
+            and (not wanted.zone_local or zone in (None, view.entry.zone))
+        ]
 
     def warmth(self, view: ServerView) -> float:  # the share of its capacity that it surely has by now
-        if view.entry.started <= 0 or self.settings.cold_time <= 0:
+        if view.entry.started_at <= 0 or self.settings.slow_start_duration <= 0:
             return 1.0
-        age = bounded((self.now - view.entry.started) / self.settings.cold_time, 0.0, 1.0)
-        return self.settings.cold_share + (1.0 - self.settings.cold_share) * age
+        age = bounded((self.now - view.entry.started_at) / self.settings.slow_start_duration, 0.0, 1.0)
+        return self.settings.slow_start_min_share + (1.0 - self.settings.slow_start_min_share) * age
 
     def ejected(self, view: ServerView) -> bool:
         return view.ejected_until > self.now
@@ -279,14 +285,14 @@
     def sound(self, view: ServerView) -> bool:  # fit to take any share at once, while it is ready
         return self.warmth(view) >= 1.0 and not self.ejected(view)
 
-    def take_report(self, report: face.ServerReport) -> None:  # an error counts as slow
-        view, tries = self.servers.get(report.server), report.tries
+    def take_report(self, report: face.LoadReport) -> None:  # an error counts as slow
+        view, tries = self.servers.get(report.server), report.attempts
         if view is None or tries <= 0 or not 0 < report.window < math.inf:
             return
         self.reported, bad = True, min(report.failures, tries) / tries
         self.span = blend(self.span, min(report.window, 1e6), SPAN_GAIN)
         slow = ERROR_AIMS * self.mean_aim
-        good = bounded(report.mean_time, 0.0, slow)
+        good = bounded(report.mean_latency, 0.0, slow)
         answer, gain = good * (1 - bad) + slow * bad, tries / (tries + EVIDENCE)
         view.answer = blend(view.answer, answer, gain)
         view.delay[report.zone] = blend(view.delay.get(report.zone), answer, gain)
@@ -316,7 +322,7 @@
         return [self.flow.setdefault((zone, place), [0.0, 0.0]) for place in self.places]
 
     def demand(self, zone: int | None = None) -> list[float]:  # by class; silence is none, a join its promise
-        new = self.now - EXPECTED * self.settings.cycle
+        new = self.now - EXPECTED * self.settings.report_interval
         due = [p.due for p in self.proxies.values() if zone in (None, p.zone) and p.joined > new]
         rates = [[rate for _, rate in self.told(z)] for z in range(self.settings.zones) if zone in (None, z)]
         return [sum(by_class) for by_class in zip(*rates, *due, strict=True)]
@@ -327,15 +333,15 @@
             self.update_estimates()
             self.judge_health()
             self.set_shedding()
-            late = self.span > LATE_SPAN * self.settings.cycle  # else reports tell as well, for nothing
-            if late and self.settings.probes_allowed and "outstanding" in self.settings.load_columns:
+            late = self.span > LATE_SPAN * self.settings.report_interval  # else reports tell as well, for nothing
+            if late and self.settings.health_checks_enabled and "outstanding" in self.settings.load_columns:
                 self.probe()
         if told or not self.proxies:  # who has none says so, else its part of what is cold lies idle
             self.tell_peers()
         self.forget_groups()
         self.move_tables()
         self.send_changes()
-        self.actions.append(face.SetTimer(1.25 * self.settings.cycle, SLOT_TOKEN + self.slot))
+        self.actions.append(face.SetTimer(1.25 * self.settings.report_interval, SLOT_TOKEN + self.slot))
 
     def update_estimates(self) -> None:
         usual, since, self.counted = self.usual_answer(), self.now - self.counted, self.now
@@ -365,7 +371,7 @@
         self.level = bounded(self.level, load / TARGET_USE, load / LEAST_USE)
 
     def expect_capacity(self) -> None:  # who is not measured yet counts as its kind's average by listed size
-        guess = sum(self.demand()) * self.settings.planners / TARGET_USE
+        guess = sum(self.demand()) * self.settings.planner_count / TARGET_USE
         guess /= max(1.0, sum(v.size for v in self.servers.values()))
         kinds: dict[int, list[float]] = {}
         for view in [v for v in self.servers.values() if v.rate > 0 and v.capacity > 0]:
@@ -382,31 +388,31 @@
         view.capacity = blend(view.capacity, seen, CAPACITY_GAIN)
 
     def fresh_peers(self) -> list[tuple[float, int, Rates]]:
-        return [told for told in self.peers.values() if told[0] > self.now - PEER_LIFE * self.settings.cycle]
+        return [told for told in self.peers.values() if told[0] > self.now - PEER_LIFE * self.settings.report_interval]
 
     def others_rate(self, view: ServerView) -> float:
         """What other planners' proxies send there: from peers, else from the server's own load report."""
         fresh = self.fresh_peers()
         heard = sum(rates.get(view.entry.server, 0.0) for _, _, rates in fresh)
-        if len(fresh) >= self.settings.planners - 1:
+        if len(fresh) >= self.settings.planner_count - 1:
             return heard
-        total = view.rate * self.settings.planners
+        total = view.rate * self.settings.planner_count
         if "outstanding" in view.load and view.answer is not None:
             total = view.load["outstanding"] * 1000.0 / max(1.0, view.answer)
         return max(heard, total - view.rate)
 
     def tell_peers(self) -> None:  # what we send to each server, none left out
         told = peers.pack(len(self.proxies), {s: v.rate for s, v in self.servers.items()})
-        others = self.settings.planners - 1 if self.settings.peers_allowed else 0
+        others = self.settings.planner_count - 1 if self.settings.gossip_enabled else 0
         if 0 < others * len(told) <= PEERS_MOST:  # what each would have to read
-            self.actions += [face.TellPeers(payload) for payload in told]
+            self.actions += [face.SendGossip(payload) for payload in told]
 
     def probe(self) -> None:  # the longest unseen first: reports come late
         used = {s for group in self.all_groups() for t in group.tables for s in t.sent if s in self.servers}
-        budget = int(min(len(used), PROBES * sum(self.demand()) * self.settings.cycle / 1000.0))
+        budget = int(min(len(used), PROBES * sum(self.demand()) * self.settings.report_interval / 1000.0))
         for server in sorted(used, key=lambda s: (self.servers[s].asked_at, s))[:budget]:
             self.servers[server].asked_at = self.now
-            self.actions.append(face.Probe(server))
+            self.actions.append(face.StartHealthCheck(server))
 
     def judge_health(self) -> None:  # never past the panic share
         ready = self.ready()
@@ -416,25 +422,35 @@
             if view.ejected_until and not self.ejected(view):  # back: the slot's steps let it in slowly
                 view.ejected_until, view.failing, view.answer, view.good = 0.0, 0.0, None, None
                 view.delay = dict.fromkeys(view.delay, self.usual_answer())
-            elif (not self.ejected(view) and view.failing > max(EJECT_AT, 3 * usual) and self.sick(view)
-                  and out + 1 <= PANIC_SHARE * len(ready)):
+            elif (
+                not self.ejected(view)
+                and view.failing > max(EJECT_AT, 3 * usual)
+                and self.sick(view)
+                and out + 1 <= PANIC_SHARE * len(ready)
+            ):
                 view.hold = min(HOLD_MOST, max(HOLD, 2 * view.hold))
-                view.ejected_until = self.now + view.hold * self.settings.cycle
+                view.ejected_until = self.now + view.hold * self.settings.report_interval
                 self.urgent = True
                 out += 1
 
     def sick(self, view: ServerView) -> bool:  # its good answers are quick: the crowded just get less
-        return (view.failing > DEAD or view.good is None
-                or view.good < CROWDED * median([v.good for v in self.servers.values() if v.good]))
+        return (
+            view.failing > DEAD
+            or view.good is None
+            or view.good < CROWDED * median([v.good for v in self.servers.values() if v.good])
+        )
 
     def spread(self) -> dict[Key, Rates]:
         """Each zone's demand per class over servers, as requests a second: the design's mechanism."""
         heard, own = self.fresh_peers(), max(1e-3, sum(self.demand()))
         part = own / (own + sum(sum(rates.values()) for _, _, rates in heard))
         joined = len(self.proxies) + sum(proxies for _, proxies, _ in heard)
-        self.part = part * min(1.0, joined / self.settings.proxies)  # the unheard count as their average
+        self.part = part * min(1.0, joined / self.settings.proxy_count)  # the unheard count as their average
         present = {s: v.capacity * self.warmth(v) for s, v in self.servers.items()}
-        rank = {p: (len(self.open_to(p)), c.aim, c.worth) for p, c in enumerate(self.settings.classes)}
+        rank = {
+            p: (len(self.open_to(p)), c.latency_objective, c.priority_weight)
+            for p, c in enumerate(self.settings.classes)
+        }
         keys = [(zone, place) for place in self.places for zone in sorted(self.groups)]
         pull = {key: self.attraction(*key) for key in keys}
         left = {(zone, place): max(1e-3, self.demand(zone)[place]) for zone, place in keys}
@@ -456,7 +472,7 @@
     def room(self, view: ServerView, present: float, use: float) -> float:
         """What we may send there before it is used beyond `use`; of a cold one's lower limit our part."""
         if self.warmth(view) < 1.0:
-            return self.part * min(use, COLD_USE * self.settings.fall_multiple) * present
+            return self.part * min(use, COLD_USE * self.settings.overload_multiple) * present
         return max(LEAST_ROOM * present, use * present - self.others_rate(view))
 
     def attraction(self, zone: int, place: int) -> Rates:
@@ -464,7 +480,7 @@
         found, jam, usual = {}, self.jammed(place, zone), self.usual_answer()
         for view in self.open_to(place, zone):
             if not jam or self.warmth(view) >= 1.0:
-                cost = self.settings.cross_zone_price if view.entry.zone != zone else 0.0
+                cost = self.settings.cross_zone_cost if view.entry.zone != zone else 0.0
                 score = 1.0 + view.delay.get(zone, view.answer or usual) / self.mean_aim + COST_V * cost
                 found[view.entry.server] = 0.0 if self.ejected(view) else score**-SCORE_POWER
         return found
@@ -473,7 +489,7 @@
         warm = [v for v in self.open_to(place, zone) if self.warmth(v) >= 1.0]
         slow = self.usual_answer() > JAM_SLOW * min(self.calm, SLOW_AIMS * self.mean_aim)
         unheard = sum(v.rate for v in self.servers.values()) < HEARD * (1 - self.shed) * sum(self.demand())
-        return bool(warm) and (unheard or (self.settings.strikes > 0 and slow))
+        return bool(warm) and (unheard or (self.settings.consecutive_failure_limit > 0 and slow))
 
     def move_tables(self) -> None:
         """Move every table a capped step towards the spread; what is cold or fails jumps to its safe goal."""
@@ -505,7 +521,7 @@
                 continue
             missing = wanted.keys() - {s for table in tables for s in table.members}
             fits = 2 * size * len(groups) - sum(len(table.members) for table in tables)
-            for server in sorted(missing, key=lambda s: (-wanted[s], s))[:max(0, fits)]:
+            for server in sorted(missing, key=lambda s: (-wanted[s], s))[: max(0, fits)]:
                 min(tables, key=lambda t: sum(wanted.get(s, 0.0) for s in t.members)).members.append(server)
             for table in tables:
                 table.members = [s for s in table.members if s in wanted]
@@ -519,19 +535,22 @@
         total, trickle = sum(placed.values()) or 1.0, TRICKLE / max(1, len(placed))
         views = {s: self.servers[s] for s in placed}
         shares = {s: trickle if self.ejected(views[s]) else rate / total for s, rate in placed.items()}
-        return {s: max(share, LEAST_SHARE) if self.sound(views[s]) else share for s, share in shares.items()
-                if self.ejected(views[s]) or share >= LEAST_SHARE * views[s].draw} or shares
+        return {
+            s: max(share, LEAST_SHARE) if self.sound(views[s]) else share
+            for s, share in shares.items()
+            if self.ejected(views[s]) or share >= LEAST_SHARE * views[s].draw
+        } or shares
 
     def send_changes(self) -> None:
         """What went leaves all tables before anything else is sent; the least lately written go first."""
         if self.waiting and self.lines_each(1) < 0:  # for so long that it is the changes' turn to wait
             self.bind_joined()
-        self.urgent, self.held, self.again = False, False, self.now + AGAIN * self.settings.cycle
+        self.urgent, self.held, self.again = False, False, self.now + AGAIN * self.settings.report_interval
         ready = {view.entry.server for view in self.ready()}
         groups = sorted(self.all_groups(), key=lambda group: group.written)
         for group in [g for g in groups if g.users and any(s not in ready for t in g.tables for s in t.sent)]:
             self.send_group(group, list(group.users), True)
-        self.actions += [face.SetTimer(AGAIN * self.settings.cycle, HELD_TOKEN)] if self.held else []
+        self.actions += [face.SetTimer(AGAIN * self.settings.report_interval, HELD_TOKEN)] if self.held else []
         strict = self.held or bool(self.waiting)
         for group in groups:
             self.send_group(group, list(group.users), strict)
@@ -539,11 +558,19 @@
     def send_group(self, group: Group, users: list[int], strict: bool) -> None:
         """Send a group in one message what must not wait, then the largest moves, as many as fit."""
         tables, each, head, settings = group.tables, max(1, len(users)), self.outbox.head, self.settings
-        moves = sorted(move for place, table in enumerate(tables) for move in self.moves(place, table)
-                       if not strict or move[0] <= COLD)
+        moves = sorted(
+            move
+            for place, table in enumerate(tables)
+            for move in self.moves(place, table)
+            if not strict or move[0] <= COLD
+        )
         levels = [self.wanted_levels(table) for table in tables]
-        news = sum(1 for table, wanted in zip(tables, levels, strict=True) for place, level in wanted.items()
-                   if differs(level, table.levels.get(place)))
+        news = sum(
+            1
+            for table, wanted in zip(tables, levels, strict=True)
+            for place, level in wanted.items()
+            if differs(level, table.levels.get(place))
+        )
         pressing = sum(1 for move in moves if move[0] < NEW)
         lacks = any(move[0] == NEW for move in moves)  # it takes what of the channel nobody else does
         spent = self.outbox.allowance <= 0 and not (lacks and self.outbox.room(self.lines, BUSY / 2) > 0)
@@ -553,8 +580,12 @@
         since = self.now - group.written  # for what rules need there is a reserve of the cap
         share = 1.0 if moves and moves[0][0] <= COLD and since >= self.outbox.apart() else DELTA_MESSAGES
         close = settings.message_cap and self.slot_at < self.now and 0 < since < CLOSE * settings.drain_grace
-        fits = full > 0 and not close and self.outbox.room(self.lines, BUSY) > 0 and all(
-            self.outbox.may_write(u, share) for u in users if u not in self.lines)
+        fits = (
+            full > 0
+            and not close
+            and self.outbox.room(self.lines, BUSY) > 0
+            and all(self.outbox.may_write(u, share) for u in users if u not in self.lines)
+        )
         chosen = moves[:most] if fits else []
         self.held |= lacks or (news > 0 and not fits) or sum(1 for move in chosen if move[0] < NEW) < pressing
         if chosen or (news and fits and not strict):
@@ -577,7 +608,7 @@
                 found.append((wait, -abs(new - old), place, server, new))
         return found
 
-    def write(self, table: Table, users: list[int], changes: Rates, levels: dict[int, face.Level]) -> None:
+    def write(self, table: Table, users: list[int], changes: Rates, levels: dict[int, face.AdmissionLevel]) -> None:
         orders: list[Action] = [face.SetWeight(table.number, s, weight) for s, weight in changes.items()]
         table.sent = {s: weight for s, weight in {**table.sent, **changes}.items() if weight > 0}
         for place, level in levels.items():
@@ -592,8 +623,11 @@
         late = self.waiting and self.lines_each(1) < 0  # else many at once, as each look costs
         if not self.waiting or self.outbox.room(self.lines, BUSY if late else BUSY - GROW) < 0:
             return None if self.waiting or self.held else self.grow_tables()
-        waiting = [(-sum(self.proxies[n].demand), n) for n in self.waiting if self.outbox.may_write(
-            n, DELTA_MESSAGES) or self.outbox.may_write(n, 1.0, self.outbox.apart())]
+        waiting = [
+            (-sum(self.proxies[n].demand), n)
+            for n in self.waiting
+            if self.outbox.may_write(n, DELTA_MESSAGES) or self.outbox.may_write(n, 1.0, self.outbox.apart())
+        ]
         self.lay_tables({self.proxies[number].zone for _, number in waiting})
         each = self.lines_each(len(waiting))
         for _, number in sorted(waiting):
@@ -626,7 +660,7 @@
         return found
 
     def crowded(self) -> bool:  # the channel can't replace a whole table for each class in the drain grace
-        mine = self.settings.proxies / self.settings.planners * len(self.places) * len(self.ready())
+        mine = self.settings.proxy_count / self.settings.planner_count * len(self.places) * len(self.ready())
         return 1000.0 * mine > self.settings.channel_rate * self.settings.drain_grace
 
     def all_groups(self) -> list[Group]:
@@ -645,8 +679,11 @@
     def grow_tables(self) -> None:
         if self.outbox.room(self.lines, GROW) < 0:
             return
-        short = [(-sum(p.demand), number) for number, p in self.proxies.items()
-                 if p.group not in self.groups[p.zone][0] and self.outbox.may_write(number, DELTA_MESSAGES)]
+        short = [
+            (-sum(p.demand), number)
+            for number, p in self.proxies.items()
+            if p.group not in self.groups[p.zone][0] and self.outbox.may_write(number, DELTA_MESSAGES)
+        ]
         all(self.bind(n, self.group_for(self.proxies[n], math.inf), GROW) for _, n in sorted(short))
 
     def forget_groups(self) -> None:  # short tables unused, whole ones too many, zones without proxies
@@ -654,7 +691,7 @@
         for zone, sizes in self.groups.items():
             for size, groups in sizes.items():
                 used = [group for group in groups if group.users]
-                sizes[size] = groups if size and used else used or groups[:zone in zones and not size]
+                sizes[size] = groups if size and used else used or groups[: zone in zones and not size]
             self.groups[zone] = {size: groups for size, groups in sizes.items() if groups}
         self.groups = {zone: sizes for zone, sizes in self.groups.items() if sizes}
         kept = self.all_groups()
@@ -671,10 +708,14 @@
         """Shed what is beyond known capacity, and while half of the traffic is slow what is not answered."""
         met = [heard for v in self.servers.values() if not self.ejected(v) for heard in v.heard.values()]
         middle = median([answer for _, answer, _, _ in met], [tries for _, _, tries, _ in met])
-        seen = [v for v in self.ready() if v.looked_at > self.now - LOOKED * self.settings.cycle]
+        seen = [v for v in self.ready() if v.looked_at > self.now - LOOKED * self.settings.report_interval]
         if seen:  # what waits there now, in time at its capacity
-            middle = median([math.inf if v.full else v.load.get("outstanding", 0.0) * 1000.0
-                             / (v.capacity * self.warmth(v)) for v in seen])
+            middle = median(
+                [
+                    math.inf if v.full else v.load.get("outstanding", 0.0) * 1000.0 / (v.capacity * self.warmth(v))
+                    for v in seen
+                ]
+            )
         answered = sum(rate for _, _, _, rate in met)  # by the newest reports: an average lags a jam's end
         demand = max(1e-3, sum(self.demand()))
         if middle > max(SLOW_AIMS * self.mean_aim, SLOW_CALM * self.calm):
@@ -689,24 +730,25 @@
         return spare if any("utilization" in v.load for v in sound) else math.inf
 
     def admitted(self, place: int) -> float:  # the share let in: the least worth goes first, equals alike
-        worth, demand = [wanted.worth for wanted in self.settings.classes], self.demand()
+        worth, demand = [wanted.priority_weight for wanted in self.settings.classes], self.demand()
         lesser = sum(rate for other, rate in zip(worth, demand, strict=True) if other < worth[place])
         equal = sum(rate for other, rate in zip(worth, demand, strict=True) if other == worth[place])
         cut = self.shed * sum(demand) - (1 - LEAST_LEVEL) * lesser
         return 1.0 - bounded(cut, 0.0, (1 - LEAST_LEVEL) * equal) / equal if equal > 0 else 1.0
 
-    def wanted_levels(self, table: Table) -> dict[int, face.Level]:
-        return {place: (self.wanted_level(table.zone, place), FURTHER_TRY) for place in table.places}
+    def wanted_levels(self, table: Table) -> dict[int, face.AdmissionLevel]:
+        return {place: face.AdmissionLevel(self.wanted_level(table.zone, place), FURTHER_TRY) for place in table.places}
 
     def wanted_level(self, zone: int, place: int) -> float:
-        share, by_rate = self.admitted(place), self.settings.admission == "rate"
+        share, by_rate = self.admitted(place), self.settings.admission_mode == "rate"
         if share >= ALL or not by_rate:
             return share if share < ALL else NO_LIMIT if by_rate else 1.0
         return rate_cap([p.demand[place] for p in self.proxies.values() if p.zone == zone], share)
 
 
-def fill(keys: list[Key], left: dict[Key, float], pull: dict[Key, Rates], room: Rates,
-         placed: dict[Key, Rates]) -> None:
+def fill(
+    keys: list[Key], left: dict[Key, float], pull: dict[Key, Rates], room: Rates, placed: dict[Key, Rates]
+) -> None:
     asks: dict[Key, Rates] = {}
     asked = dict.fromkeys(room, 0.0)
     for key in keys:
@@ -741,9 +783,13 @@
     return 0.0
 
 
-def differs(new: face.Level, old: face.Level | None) -> bool:
-    return (old is None or new[1] != old[1] or (new[0] == 1.0) != (old[0] == 1.0)
-            or abs(new[0] - old[0]) > WORTH_SENDING * max(new[0], old[0]))
+def differs(new: face.AdmissionLevel, old: face.AdmissionLevel | None) -> bool:
+    return (
+        old is None
+        or new[1] != old[1]
+        or (new[0] == 1.0) != (old[0] == 1.0)
+        or abs(new[0] - old[0]) > WORTH_SENDING * max(new[0], old[0])
+    )
 
 
 def rate_cap(rates: list[float], share: float) -> float:  # at each, large callers cut first
--- a/stackwheel/cli/cells.py
+++ b/stackwheel/cli/cells.py
@@ -165,7 +165,7 @@
     return [
         ListedServer(instance.name, instance.zone)
         for instance in listing.instances
-        if instance.availability is not Availability.GONE
+        if instance.availability is not Availability.REMOVED
     ]
 
 
--- a/stackwheel/drill/wire.py
+++ b/stackwheel/drill/wire.py
@@ -8,7 +8,7 @@
 from typing import BinaryIO, TypeAlias
 
 from stackwheel import interface as face
-from stackwheel.interface import Action, Availability, Event, ListScope, Server, ServerEntry
+from stackwheel.interface import Action, Availability, EndpointEntry, Event, Server, UpdateKind
 
 BATCH_HEADER = struct.Struct(">dIII")
 REPLY_HEADER = struct.Struct(">III")
@@ -16,7 +16,7 @@
 ENTRY = struct.Struct(">6sHHHBfd")
 MOST_BYTES = 1 << 28  # a batch may be megabytes long; more than this is a broken length
 EVERYONE = 0xFFFF
-SCOPES = {0: ListScope.CACHED, 1: ListScope.WHOLE, 2: ListScope.FAILED, 3: ListScope.CHANGES}
+SCOPES = {0: UpdateKind.CACHED, 1: UpdateKind.FULL, 2: UpdateKind.FAILED, 3: UpdateKind.DELTA}
 
 
 class WireError(ValueError):
@@ -90,13 +90,13 @@
     """Turns frames into batches; keeps the process-wide numbered server lists."""
 
     def __init__(self) -> None:
-        self.pages: dict[int, tuple[ServerEntry, ...]] = {}
+        self.pages: dict[int, tuple[EndpointEntry, ...]] = {}
         self.readers: dict[int, tuple[str, Callable[[Cursor], Item]]] = {
             1: ("create", read_create),
             2: ("directory_update", self.read_directory),
             3: ("reminder", lambda c: face.TimerFired(c.whole("Q"))),
             4: ("probed", read_probed),
-            5: ("whisper", lambda c: face.PeerMessage(c.whole("I"), c.raw(c.whole("H")))),
+            5: ("whisper", lambda c: face.GossipReceived(c.whole("I"), c.raw(c.whole("H")))),
             6: ("down", lambda c: Down()),
             7: ("joined", read_joined),
             8: ("disconnected", lambda c: face.ProxyLeft(c.whole("H"))),
@@ -104,7 +104,7 @@
             10: ("digest", read_digest),
             11: ("usage", read_usage),
             12: ("weight_seen", read_weight_seen),
-            13: ("tenure", lambda c: face.SliceGranted(c.whole("H"), c.flag())),
+            13: ("tenure", lambda c: face.KeyRangeGranted(c.whole("H"), c.flag())),
             14: ("held", read_held),
         }
 
@@ -154,18 +154,18 @@
         scope, version, page = cursor.whole("B"), cursor.whole("Q"), cursor.whole("B")
         if scope not in SCOPES:
             raise WireError(f"{cursor.where}: unknown scope {scope}")
-        if SCOPES[scope] is ListScope.FAILED:
-            return face.ServerList(ListScope.FAILED, version)
+        if SCOPES[scope] is UpdateKind.FAILED:
+            return face.EndpointUpdate(UpdateKind.FAILED, version)
         if page not in self.pages:
             raise WireError(f"{cursor.where}: list {page} was never defined")
-        return face.ServerList(SCOPES[scope], version, self.pages[page])
+        return face.EndpointUpdate(SCOPES[scope], version, self.pages[page])
 
 
-def read_entry(cursor: Cursor) -> ServerEntry:
+def read_entry(cursor: Cursor) -> EndpointEntry:
     server, zone, kind, cell, state, size, started = ENTRY.unpack(cursor.raw(ENTRY.size))
     if state > max(Availability):
         raise WireError(f"{cursor.where}: availability {state} is reserved")
-    return ServerEntry(Server(server), zone, kind, cell, Availability(state), size, started)
+    return EndpointEntry(Server(server), zone, kind, cell, Availability(state), size, started)
 
 
 def read_create(cursor: Cursor) -> Create:
@@ -177,7 +177,7 @@
     server, outcome = cursor.server(), cursor.whole("H")
     if outcome > 7:
         raise WireError(f"{cursor.where}: outcome {outcome} is reserved")
-    return face.ProbeResult(server, outcome, cursor.real(), cursor.load())
+    return face.HealthCheckResult(server, outcome, cursor.real(), cursor.load())
 
 
 def read_joined(cursor: Cursor) -> Event:
@@ -188,7 +188,7 @@
     zone, server = cursor.whole("H"), cursor.server()
     tries, failures = cursor.whole("I"), cursor.whole("I")
     mean, window = cursor.real(), cursor.real()
-    return face.ServerReport(zone, server, tries, failures, mean, window, cursor.load())
+    return face.LoadReport(zone, server, tries, failures, mean, window, cursor.load())
 
 
 def read_usage(cursor: Cursor) -> Event:
@@ -200,12 +200,12 @@
 def read_weight_seen(cursor: Cursor) -> Event:
     unanswered, place = cursor.whole("I"), cursor.whole("H")
     window, requests, table = cursor.real(), cursor.whole("I"), cursor.whole("H")
-    return face.SliceDemand(table, place, requests, unanswered, window)
+    return face.KeyRangeDemand(table, place, requests, unanswered, window)
 
 
 def read_held(cursor: Cursor) -> Event:
     weight, table = cursor.real("f"), cursor.whole("H")
-    return face.SliceLine(table, cursor.server(), weight)
+    return face.KeyRangeWeight(table, cursor.server(), weight)
 
 
 def class_bits(classes: tuple[int, ...]) -> int:
@@ -222,19 +222,19 @@
             return record(76, ">HHHfB", instance, table, class_bits(classes), level, retry)
         case face.ClearTable(table):
             return record(73, ">HH", instance, table)
-        case face.Withdraw(server, out):
+        case face.SetEjection(server, out):
             return record(74, ">H6sB", instance, server, out)
-        case face.Mark(mark, everyone):
+        case face.AttachNonce(mark, everyone):
             return record(77, ">HQB", instance, mark, everyone)
         case face.SetTimer(delay, token):
             return record(65, ">HdQ", instance, delay, token)
-        case face.Probe(server):
+        case face.StartHealthCheck(server):
             return record(66, ">H6s", instance, server)
-        case face.Subscribe(on):
+        case face.WatchEndpoints(on):
             return record(70, ">HB", instance, on)
-        case face.FetchList():
+        case face.FetchEndpoints():
             return record(71, ">H", instance)
-        case face.TellPeers(payload, peer):
+        case face.SendGossip(payload, peer):
             to = EVERYONE if peer is None else peer
             return record(67, f">HHH{len(payload)}s", instance, to, len(payload), payload)
         case face.Log(text):
--- a/stackwheel/files/ledger.py
+++ b/stackwheel/files/ledger.py
@@ -277,7 +277,7 @@
             server = digest(met.server)
             if self.name_of(server) is not None and met.failures <= met.tries:
                 load = tuple(met.load.get(column, float("nan")) for column in self.names.columns) if met.load else ()
-                yield face.ServerReport(zone, server, met.tries, met.failures, met.mean, answer.over, load)
+                yield face.LoadReport(zone, server, met.tries, met.failures, met.mean, answer.over, load)
 
     def silent(self, now: float) -> Iterator[Item]:
         """Forwarders that have not answered for long count as left, and are forgotten."""
--- a/stackwheel/interface.py
+++ b/stackwheel/interface.py
@@ -8,38 +8,38 @@
 
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import NewType, TypeAlias
+from typing import NamedTuple, NewType, TypeAlias
 
 Server = NewType("Server", bytes)  # an opaque id: compare it, sort it, give it back unchanged
 
 
 class Availability(IntEnum):
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class ListScope(IntEnum):
+class UpdateKind(IntEnum):
     CACHED = 0  # the whole list as last held, perhaps old
-    CHANGES = 1
-    WHOLE = 2
+    DELTA = 1
+    FULL = 2
     FAILED = 3  # a call failed or the subscription broke; the old list stands
 
 
 class Retry(IntEnum):
     NEVER = 0
-    ONCE_IF_UNTRIED = 1  # only after proof that the first try never ran
+    ONCE_IF_NOT_EXECUTED = 1  # only after proof that the first try never ran
     ONCE = 2
     TWICE = 3
 
 
-class Probed(IntEnum):
+class HealthCheckOutcome(IntEnum):
     """How a probe ended; other figures that an adapter may give count as an error."""
 
     ERROR = 0
     OK = 1
-    TURNED_AWAY = 2  # by a server that is full, draining or probed too often at once
-    NO_ANSWER = 3  # in time
+    REJECTED = 2  # by a server that is full, draining or probed too often at once
+    TIMEOUT = 3  # in time
     UNREACHABLE = 4
     RESET = 5
 
@@ -47,71 +47,71 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str = ""
-    aim: float = 1000.0
+    latency_objective: float = 1000.0
     deadline: float = 3000.0
-    worth: float = 1.0
-    effect: str = "once"  # repeatable, by_key or once
-    group: str = "all"  # which servers drop a repeat: all, zone or cell
-    key_window: float = 0.0
-    open_zones: tuple[int, ...] = ()  # empty: every zone
-    open_kinds: tuple[int, ...] = ()  # empty: every kind
-    zone_bound: bool = False  # only servers in the proxy's own zone
+    priority_weight: float = 1.0
+    idempotency: str = "once"  # repeatable, by_key or once
+    deduplication_scope: str = "all"  # which servers drop a repeat: all, zone or cell
+    idempotency_key_ttl: float = 0.0
+    allowed_zones: tuple[int, ...] = ()  # empty: every zone
+    allowed_kinds: tuple[int, ...] = ()  # empty: every kind
+    zone_local: bool = False  # only servers in the proxy's own zone
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    planner: int = 0
-    planners: int = 1
+    planner_index: int = 0
+    planner_count: int = 1
     home_zone: int = 0
     zones: int = 1
     classes: tuple[RequestClass, ...] = ()
     load_columns: tuple[str, ...] = ()
-    weights_listed: bool = False
-    list_on_request: bool = False
-    ask_within: float = 10000.0
-    peers_allowed: bool = False
-    probes_allowed: bool = False
-    cross_zone_price: float = 0.0
-    proxies: int = 1
-    cycle: float = 1000.0
-    overhead: float = 0.0  # lines each message costs besides its own
+    endpoint_weights_enabled: bool = False
+    endpoint_list_on_request: bool = False
+    list_poll_deadline: float = 10000.0
+    gossip_enabled: bool = False
+    health_checks_enabled: bool = False
+    cross_zone_cost: float = 0.0
+    proxy_count: int = 1
+    report_interval: float = 1000.0
+    message_overhead: float = 0.0  # lines each message costs besides its own
     channel_rate: float = 1000.0
-    backlog: float = 1000.0  # lines that may wait in the channel; 0: no such limit
+    queue_limit: float = 1000.0  # lines that may wait in the channel; 0: no such limit
     message_cap: int = 0  # messages to one proxy within message_window; 0: no such limit
     message_window: float = 10000.0
-    unserved_max: float = 5000.0
-    transit: float = 300.0
-    admission: str = "off"  # share, rate or off
-    pick: str = "weighted"  # weighted, round or two
-    usual_retry: Retry = Retry.ONCE_IF_UNTRIED
-    try_factor: float = 1.0
-    strikes: int = 0  # failures in a row after which a proxy avoids a server for a while; 0: never
-    slices: int = 0  # 0: tables are bound to proxies; else a table per slice
-    exclusive: bool = False
+    max_unserved_time: float = 5000.0
+    transit_time: float = 300.0
+    admission_mode: str = "off"  # share, rate or off
+    load_balancing_policy: str = "weighted"  # weighted, round or two
+    default_retry: Retry = Retry.ONCE_IF_NOT_EXECUTED
+    retry_factor: float = 1.0
+    consecutive_failure_limit: int = 0  # failures in a row after which a proxy avoids a server for a while; 0: never
+    key_range_count: int = 0  # 0: tables are bound to proxies; else a table per slice
+    exclusive_key_ranges: bool = False
     drain_grace: float = 2000.0
-    only_draining_binds: bool = False
-    cold_share: float = 0.2
-    cold_time: float = 10000.0
-    fall_multiple: float = 2.0
-    overload_for: float = 2000.0
+    removal_is_advisory: bool = False
+    slow_start_min_share: float = 0.2
+    slow_start_duration: float = 10000.0
+    overload_multiple: float = 2.0
+    overload_duration: float = 2000.0
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
+class EndpointEntry:
     server: Server
     zone: int
     kind: int
     cell: int
     availability: Availability
-    size: float
-    started: float  # 0: long ago
+    weight: float
+    started_at: float  # 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
-    scope: ListScope
+class EndpointUpdate:
+    kind: UpdateKind
     version: int
-    entries: tuple[ServerEntry, ...] = ()
+    entries: tuple[EndpointEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
+class HealthCheckResult:
     server: Server
     outcome: int  # of Probed
     elapsed: float
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMessage:
+class GossipReceived:
     sender: int
     payload: bytes
 
@@ -137,8 +137,8 @@
 class ProxyJoined:
     proxy: int
     zone: int
-    usual_rate: float
-    fresh: bool  # it holds only its standing tables
+    expected_rate: float
+    newly_started: bool  # it holds only its standing tables
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,19 +149,19 @@
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
     proxy: int
-    mark: int
+    nonce: int
     elapsed: float
 
 
 @dataclass(frozen=True, slots=True)
-class ServerReport:
+class LoadReport:
     """What the joined proxies of one zone met at a server."""
 
     zone: int
     server: Server
-    tries: int
+    attempts: int
     failures: int
-    mean_time: float  # of the good answers
+    mean_latency: float  # of the good answers
     window: float
     load: tuple[float, ...] = ()
 
@@ -178,7 +178,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SliceDemand:
+class KeyRangeDemand:
     table: int
     request_class: int
     requests: int
@@ -187,31 +187,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SliceGranted:
+class KeyRangeGranted:
     table: int
     granted: bool
 
 
 @dataclass(frozen=True, slots=True)
-class SliceLine:
+class KeyRangeWeight:
     table: int
     server: Server
     weight: float
 
 
 Event: TypeAlias = (
-    ServerList
+    EndpointUpdate
     | TimerFired
-    | ProbeResult
-    | PeerMessage
+    | HealthCheckResult
+    | GossipReceived
     | ProxyJoined
     | ProxyLeft
     | Acknowledged
-    | ServerReport
+    | LoadReport
     | DemandReport
-    | SliceDemand
-    | SliceGranted
-    | SliceLine
+    | KeyRangeDemand
+    | KeyRangeGranted
+    | KeyRangeWeight
 )
 
 
@@ -237,12 +237,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class SetEjection:
     server: Server
-    out: bool
+    ejected: bool
+
 
+class AdmissionLevel(NamedTuple):
+    """How much of a class is admitted, and when a failed attempt may be retried."""
 
-Level: TypeAlias = tuple[float, Retry]  # how much is let in, and when it is tried again
+    admitted: float  # share of requests, or requests per second and proxy where the admission mode is "rate"
+    retry: Retry
 
 
 @dataclass(frozen=True, slots=True)
@@ -254,9 +258,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
-    mark: int
-    everyone: bool
+class AttachNonce:
+    nonce: int
+    to_all_proxies: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -266,22 +270,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class StartHealthCheck:
     server: Server
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
-    on: bool = True
+class WatchEndpoints:
+    enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchEndpoints:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeers:
+class SendGossip:
     payload: bytes
     peer: int | None = None  # None: all
 
@@ -295,13 +299,13 @@
     SetWeight
     | AssignTable
     | ClearTable
-    | Withdraw
+    | SetEjection
     | SetAdmission
-    | Mark
+    | AttachNonce
     | SetTimer
-    | Probe
-    | Subscribe
-    | FetchList
-    | TellPeers
+    | StartHealthCheck
+    | WatchEndpoints
+    | FetchEndpoints
+    | SendGossip
     | Log
 )
--- a/stackwheel/relay/cache.py
+++ b/stackwheel/relay/cache.py
@@ -138,7 +138,7 @@
 
     def _begin(self, listing: Listing) -> tuple[Action, ...]:
         """The first list: a watch that knows nothing is told all, in whatever form."""
-        present = [one for one in listing.instances if one.availability is not Availability.GONE]
+        present = [one for one in listing.instances if one.availability is not Availability.REMOVED]
         self._hold(listing, present)
         return ()
 
@@ -148,7 +148,7 @@
         self.former = max(self.former, self.generation or 0)
         named = {one.name for one in listing.instances}
         kept = [one for name, one in self.known.items() if name not in named and may_be_in(name, listing.unreadable)]
-        present = [one for one in listing.instances if one.availability is not Availability.GONE]
+        present = [one for one in listing.instances if one.availability is not Availability.REMOVED]
         self._hold(listing, kept + present)
         return tuple(TellWhole(cell) for cell in self.parts)
 
@@ -175,7 +175,7 @@
         if listing.whole:
             named = {one.name for one in listing.instances}
             changed += [
-                replace(one, availability=Availability.GONE)
+                replace(one, availability=Availability.REMOVED)
                 for name, one in self.known.items()
                 if name not in named and not may_be_in(name, listing.unreadable)
             ]
@@ -213,7 +213,7 @@
             if drains and one.availability is Availability.READY and one.started <= known.started:  # type: ignore[union-attr]
                 return True
             left = self._departed_process(one)
-            if left is not None and one.availability is not Availability.GONE and one.started <= left:
+            if left is not None and one.availability is not Availability.REMOVED and one.started <= left:
                 return True
         return False
 
@@ -237,7 +237,7 @@
     def _note(self, one: Instance, late: bool) -> Iterator[tuple[str, bytes]]:
         """Note a change; each cell that it concerns, with the entry to tell there."""
         generation, name = self.generation or 0, one.name
-        here = one.availability is not Availability.GONE
+        here = one.availability is not Availability.REMOVED
         former, cell = self.homes.pop(name, None), self._cell(one)
         if here:
             self.known[name] = one
--- a/stackwheel/relay/encoding.py
+++ b/stackwheel/relay/encoding.py
@@ -11,7 +11,7 @@
 LIFECYCLES = {
     Availability.READY: "in_service",
     Availability.DRAINING: "terminating",
-    Availability.GONE: "terminated",
+    Availability.REMOVED: "terminated",
 }
 
 
--- a/stackwheel/relay/part.py
+++ b/stackwheel/relay/part.py
@@ -49,7 +49,7 @@
         change = Change(instance, encode_instance(instance), generation, late)
         self.present.pop(name, None)
         self.departed.pop(name, None)
-        kept = self.departed if instance.availability is Availability.GONE else self.present
+        kept = self.departed if instance.availability is Availability.REMOVED else self.present
         kept[name] = change
         self._forget_departed()
         self._changed()
@@ -59,7 +59,7 @@
         """Note that a server has left the cell; the encoded entry, None if it was not here."""
         if name not in self.present:
             return None
-        return self.put(replace(self.present[name].instance, availability=Availability.GONE), generation, late)
+        return self.put(replace(self.present[name].instance, availability=Availability.REMOVED), generation, late)
 
     def begin(self, instances: Iterable[Instance], generation: int, former: int = -1) -> None:
         """Hold these entries alone, with a log that begins here; `former` as the attribute."""
--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -140,7 +140,7 @@
         self.note(now, f"told {listed.availability.name}", f"planner-{planner}", server)
         view.started[server] = listed.started
         known = view.listed.get(server)
-        if listed.availability is Availability.GONE:
+        if listed.availability is Availability.REMOVED:
             view.listed.pop(server, None)
             view.since.pop(server, None)
             if known is not None and not self.limits.only_draining_binds:
@@ -166,11 +166,11 @@
             fit = [
                 s
                 for s in warm
-                if (not wanted.open_zones or s.zone in wanted.open_zones)
-                and (not wanted.open_kinds or s.kind in wanted.open_kinds)
+                if (not wanted.allowed_zones or s.zone in wanted.allowed_zones)
+                and (not wanted.allowed_kinds or s.kind in wanted.allowed_kinds)
             ]
             for zone in range(self.zones):
-                if any(s.zone == zone for s in fit) if wanted.zone_bound else fit:
+                if any(s.zone == zone for s in fit) if wanted.zone_local else fit:
                     able[zone, place] = view.able.get((zone, place), now)
         grown = able.keys() - view.able.keys()
         view.able = able
@@ -269,7 +269,7 @@
             self.effects[request] = [(group, now)]
             return
         wanted = self.classes[place]
-        if wanted.effect == "repeatable":
+        if wanted.idempotency == "repeatable":
             return
         self.checks += 1
         done.append((group, now))
--- a/stackwheel/rules/verdicts.py
+++ b/stackwheel/rules/verdicts.py
@@ -46,14 +46,14 @@
     @classmethod
     def of(cls, settings: Settings) -> Limits:
         return cls(
-            settings.unserved_max + ALLOWANCE,
+            settings.max_unserved_time + ALLOWANCE,
             settings.drain_grace + ALLOWANCE,
-            settings.overload_for + ALLOWANCE,
-            settings.fall_multiple,
-            settings.backlog,
+            settings.overload_duration + ALLOWANCE,
+            settings.overload_multiple,
+            settings.queue_limit,
             settings.message_cap,
             settings.message_window,
-            settings.only_draining_binds,
+            settings.removal_is_advisory,
         )
 
 
--- a/stackwheel/scale/holding.py
+++ b/stackwheel/scale/holding.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from stackwheel.interface import Availability, ListScope, Server, ServerEntry
+from stackwheel.interface import Availability, EndpointEntry, Server, UpdateKind
 from stackwheel.state.ids import Ids, digest
 from stackwheel.state.roster import Instance, Listing, Roster
 
@@ -19,10 +19,10 @@
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones, self.kinds, self.ids = zones, kinds, Ids()
-        self.entries: dict[ServerEntry, ServerEntry] = {}
+        self.entries: dict[EndpointEntry, EndpointEntry] = {}
         self.addresses: dict[str, str] = {}
 
-    def entry(self, entry: ServerEntry) -> ServerEntry:
+    def entry(self, entry: EndpointEntry) -> EndpointEntry:
         """The one object for all entries equal to this one."""
         return self.entries.setdefault(entry, entry)
 
@@ -44,7 +44,7 @@
         super().__init__(shared.zones, shared.kinds, shared.ids)
         self.shared = shared
 
-    def entry(self, instance: Instance) -> ServerEntry | None:
+    def entry(self, instance: Instance) -> EndpointEntry | None:
         """As the roster reads it, but one object for all who hold the same."""
         read = super().entry(instance)
         if read is None:
@@ -56,18 +56,18 @@
         """Drop a server that has gone here; its id may be another planner's."""
         self.gone.pop(server, None)
 
-    def take(self, listing: Listing, now: float) -> list[ServerEntry]:
+    def take(self, listing: Listing, now: float) -> list[EndpointEntry]:
         """Take a listing in; what it changed here. A server that a whole list leaves out is told as gone."""
         former = self.concerned(listing)
         told = self.apply(listing, now)
         for server in self.outdated():
             self.forget(server)
-        if told.scope is not ListScope.WHOLE:
+        if told.kind is not UpdateKind.FULL:
             return [entry for entry in told.entries if former.get(entry.server) != entry]
         changed = [entry for server, entry in self.entries.items() if former.get(server) != entry]
         return changed + [gone(entry) for server, entry in former.items() if server not in self.entries]
 
-    def concerned(self, listing: Listing) -> dict[Server, ServerEntry]:
+    def concerned(self, listing: Listing) -> dict[Server, EndpointEntry]:
         """The present entries that a listing may change; the roster changes its own in place."""
         if listing.whole:
             return dict(self.entries)
@@ -82,16 +82,16 @@
         }
 
 
-def gone(entry: ServerEntry) -> ServerEntry:
+def gone(entry: EndpointEntry) -> EndpointEntry:
     """The same process, as having left."""
-    return replace(entry, availability=Availability.GONE)
+    return replace(entry, availability=Availability.REMOVED)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEntry:
     """Every field of an entry, as held: with the address beside what the policy is told."""
 
-    entry: ServerEntry
+    entry: EndpointEntry
     address: str
 
 
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -15,7 +15,7 @@
 
 from loguru import logger
 
-from stackwheel.interface import ServerEntry
+from stackwheel.interface import EndpointEntry
 from stackwheel.scale.control import (
     AskHeld,
     AskRecords,
@@ -235,7 +235,7 @@
 
 def listed_entry(entry: Entry, zones: dict[str, int], shared: Shared) -> ListedEntry:
     """One entry in a planner's terms."""
-    read = ServerEntry(
+    read = EndpointEntry(
         digest(entry.instance_id),
         zones[entry.zone],
         shared.kinds.index(entry.machine_type),
--- a/stackwheel/scale/records.py
+++ b/stackwheel/scale/records.py
@@ -5,7 +5,7 @@
 from array import array
 from collections.abc import Callable, Iterable
 
-from stackwheel.interface import Server, ServerEntry
+from stackwheel.interface import EndpointEntry, Server
 from stackwheel.scale.control import EntryRecord, Records, RestartRecord
 
 RECORDS_MOST = 4_000_000  # of a process: 12 bytes each, 48 MB; 1,000 planners see 4,000 changes each
@@ -17,14 +17,14 @@
     def __init__(self) -> None:
         self.on = False
         self.count = self.dropped = 0
-        self.times: dict[ServerEntry, tuple[array[int], array[float]]] = {}
+        self.times: dict[EndpointEntry, tuple[array[int], array[float]]] = {}
         self.restarts: list[RestartRecord] = []
 
     def begin(self) -> None:
         """What came before was the start, which no change caused."""
         self.on = True
 
-    def add(self, planner: int, changed: Iterable[ServerEntry], now: float) -> None:
+    def add(self, planner: int, changed: Iterable[EndpointEntry], now: float) -> None:
         """Those entries came into force at a planner. `now`: s on the monotonic clock."""
         if not self.on:
             return
@@ -44,7 +44,7 @@
     def message(self, name: Callable[[Server], str | None]) -> Records:
         """All of it, with the servers' names."""
         entries = [
-            EntryRecord(name(e.server) or "", int(e.availability), e.started, planners.tolist(), times.tolist())
+            EntryRecord(name(e.server) or "", int(e.availability), e.started_at, planners.tolist(), times.tolist())
             for e, (planners, times) in self.times.items()
         ]
         return Records(entries, self.restarts, self.dropped)
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -30,7 +30,9 @@
 
 
 def silence(settings: Settings) -> float:
-    return stream_silence(settings.cycle, 1000.0 * settings.backlog / settings.channel_rate, settings.transit)
+    return stream_silence(
+        settings.report_interval, 1000.0 * settings.queue_limit / settings.channel_rate, settings.transit_time
+    )
 
 
 def on_sockets(settings: Settings) -> Settings:
@@ -104,7 +106,7 @@
     def __init__(self, config: Config, around: Surroundings = PROCESS) -> None:
         self.config, self.around = config, around
         self.clock = Clock(around.wall, around.steady)
-        self.roster = Roster(config.names.zones, config.names.kinds, Ids(), config.settings.only_draining_binds)
+        self.roster = Roster(config.names.zones, config.names.kinds, Ids(), config.settings.removal_is_advisory)
         self.roster.apply(config.known)
         self.links = Links(
             config.addresses, config.settings, config.names, self.roster, self.clock, around.listen_at, config.seed
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -82,10 +82,10 @@
         min(int(limit(limits, "sockets")), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         limit(limits, "memory_mb"),
     )
-    if built.planner >= built.planners:
-        raise ValueError(f"settings.me is {built.planner}, of {built.planners} instances")
-    if addresses.peers and len(addresses.peers) != built.planners:
-        raise ValueError(f"{len(addresses.peers)} peers for {built.planners} instances")
+    if built.planner_index >= built.planner_count:
+        raise ValueError(f"settings.me is {built.planner_index}, of {built.planner_count} instances")
+    if addresses.peers and len(addresses.peers) != built.planner_count:
+        raise ValueError(f"{len(addresses.peers)} peers for {built.planner_count} instances")
     known = found.get("known")
     return Config(
         str(found.get("name", "planner")),
--- a/stackwheel/service/extras.py
+++ b/stackwheel/service/extras.py
@@ -35,8 +35,8 @@
     ledger = Ledger(
         config.name,
         config.names,
-        config.settings.proxies,
-        Terms(files.life, files.whole_every, config.settings.cycle),
+        config.settings.proxy_count,
+        Terms(files.life, files.whole_every, config.settings.report_interval),
         context.roster.ids.name,
         random.Random(config.seed).getrandbits(48),
     )
--- a/stackwheel/settings.py
+++ b/stackwheel/settings.py
@@ -152,40 +152,42 @@
 def collect_settings(read: _Reader) -> Settings:
     defaults = Settings()
     return Settings(
-        planner=read.whole("me", defaults.planner),
-        planners=max(1, read.whole("instances", defaults.planners)),
+        planner_index=read.whole("me", defaults.planner_index),
+        planner_count=max(1, read.whole("instances", defaults.planner_count)),
         home_zone=read.whole("zone", defaults.home_zone),
         zones=max(1, len(read.words("zones"))),
         classes=read_classes(read),
         load_columns=tuple(COLUMNS.get(name, name) for name in read.words("load_report.columns")),
-        weights_listed=(read.find("weight_kind") or "off") != "off",
-        list_on_request=read.word("discovery", "pushed", ("pushed", "on_request")) == "on_request",
-        ask_within=read.number("obligations.ask_within", defaults.ask_within),
-        peers_allowed=read.flag("bounds.peers", defaults.peers_allowed),
-        probes_allowed=read.flag("bounds.probes", defaults.probes_allowed),
-        cross_zone_price=read.number("deductions.cross_zone", defaults.cross_zone_price),
-        proxies=read.whole("family_info.agents", defaults.proxies),
-        cycle=read.number("family_info.cycle", defaults.cycle) or defaults.cycle,
-        overhead=read.number("family_info.overhead", defaults.overhead),
+        endpoint_weights_enabled=(read.find("weight_kind") or "off") != "off",
+        endpoint_list_on_request=read.word("discovery", "pushed", ("pushed", "on_request")) == "on_request",
+        list_poll_deadline=read.number("obligations.ask_within", defaults.list_poll_deadline),
+        gossip_enabled=read.flag("bounds.peers", defaults.gossip_enabled),
+        health_checks_enabled=read.flag("bounds.probes", defaults.health_checks_enabled),
+        cross_zone_cost=read.number("deductions.cross_zone", defaults.cross_zone_cost),
+        proxy_count=read.whole("family_info.agents", defaults.proxy_count),
+        report_interval=read.number("family_info.cycle", defaults.report_interval) or defaults.report_interval,
+        message_overhead=read.number("family_info.overhead", defaults.message_overhead),
         channel_rate=read.number("family_info.channel_rate", defaults.channel_rate) or defaults.channel_rate,
-        backlog=read.number("family_info.backlog", defaults.backlog),
+        queue_limit=read.number("family_info.backlog", defaults.queue_limit),
         message_cap=read.whole("family_info.update_cap", defaults.message_cap),
         message_window=read.number("family_info.messages_over", defaults.message_window),
-        unserved_max=read.number("family_info.unserved_max", defaults.unserved_max),
-        transit=read.number("family_info.transit", defaults.transit),
-        admission=read.word("family_info.level_kind", defaults.admission, ("share", "rate", "off")),
-        pick=read.word("family_info.lb_method", defaults.pick, ("weighted", "round", "two")),
-        usual_retry=read_retry(read, defaults),
-        try_factor=read.number("family_info.try_factor", defaults.try_factor),
-        strikes=read.whole("family_info.strikes", defaults.strikes),
-        slices=read.whole("family_info.key_ranges", defaults.slices),
-        exclusive=read.flag("family_info.exclusive", defaults.exclusive),
+        max_unserved_time=read.number("family_info.unserved_max", defaults.max_unserved_time),
+        transit_time=read.number("family_info.transit", defaults.transit_time),
+        admission_mode=read.word("family_info.level_kind", defaults.admission_mode, ("share", "rate", "off")),
+        load_balancing_policy=read.word(
+            "family_info.lb_method", defaults.load_balancing_policy, ("weighted", "round", "two")
+        ),
+        default_retry=read_retry(read, defaults),
+        retry_factor=read.number("family_info.try_factor", defaults.retry_factor),
+        consecutive_failure_limit=read.whole("family_info.strikes", defaults.consecutive_failure_limit),
+        key_range_count=read.whole("family_info.key_ranges", defaults.key_range_count),
+        exclusive_key_ranges=read.flag("family_info.exclusive", defaults.exclusive_key_ranges),
         drain_grace=read.number("obligations.drain_grace", defaults.drain_grace),
-        only_draining_binds=read.flag("obligations.only_draining_binds", defaults.only_draining_binds),
-        cold_share=read.number("obligations.cold_share", defaults.cold_share),
-        cold_time=read.number("obligations.cold", defaults.cold_time),
-        fall_multiple=read.number("obligations.fall_multiple", defaults.fall_multiple),
-        overload_for=read.number("obligations.overload_for", defaults.overload_for),
+        removal_is_advisory=read.flag("obligations.only_draining_binds", defaults.removal_is_advisory),
+        slow_start_min_share=read.number("obligations.cold_share", defaults.slow_start_min_share),
+        slow_start_duration=read.number("obligations.cold", defaults.slow_start_duration),
+        overload_multiple=read.number("obligations.fall_multiple", defaults.overload_multiple),
+        overload_duration=read.number("obligations.overload_for", defaults.overload_duration),
     )
 
 
@@ -202,7 +204,7 @@
 
 
 def read_retry(read: _Reader, defaults: Settings) -> Retry:
-    value = read.whole("family_info.usual_how", int(defaults.usual_retry))
+    value = read.whole("family_info.usual_how", int(defaults.default_retry))
     if value > max(Retry):
         raise SettingsError(f"family_info.usual_how is out of range: {value}")
     return Retry(value)
@@ -219,16 +221,16 @@
 def read_class(read: _Reader, place: int, zone_bound: bool) -> RequestClass:
     path = f"services.{place}."
     defaults = RequestClass()
-    aim = read.number(path + "target", defaults.aim) or defaults.aim
+    aim = read.number(path + "target", defaults.latency_objective) or defaults.latency_objective
     return RequestClass(
         name=read.find(path + "name") or "",
-        aim=aim,
+        latency_objective=aim,
         deadline=max(aim, read.number(path + "deadline", defaults.deadline)),
-        worth=read.number(path + "worth", defaults.worth),
-        effect=read.word(path + "effect", defaults.effect, ("repeatable", "by_key", "once")),
-        group=read.word(path + "group", defaults.group, ("all", "zone", "cell")),
-        key_window=read.number(path + "key_ttl", defaults.key_window),
-        open_zones=read.places(path + "only_zones"),
-        open_kinds=read.places(path + "only_kinds"),
-        zone_bound=zone_bound,
+        priority_weight=read.number(path + "worth", defaults.priority_weight),
+        idempotency=read.word(path + "effect", defaults.idempotency, ("repeatable", "by_key", "once")),
+        deduplication_scope=read.word(path + "group", defaults.deduplication_scope, ("all", "zone", "cell")),
+        idempotency_key_ttl=read.number(path + "key_ttl", defaults.idempotency_key_ttl),
+        allowed_zones=read.places(path + "only_zones"),
+        allowed_kinds=read.places(path + "only_kinds"),
+        zone_local=zone_bound,
     )
--- a/stackwheel/state/module.py
+++ b/stackwheel/state/module.py
@@ -55,11 +55,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class HealthCheckCompleted:
     """How a probe ended. It counts only for the policy that asked and the process that was meant."""
 
     asked: Asked
-    result: face.ProbeResult
+    result: face.HealthCheckResult
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,8 +70,8 @@
     token: int
 
 
-Report: TypeAlias = face.ServerReport | face.DemandReport | face.PeerMessage
-Item: TypeAlias = Stream | Ended | Said | Listing | ListFailed | Probed | Elapsed | Report
+Report: TypeAlias = face.LoadReport | face.DemandReport | face.GossipReceived
+Item: TypeAlias = Stream | Ended | Said | Listing | ListFailed | HealthCheckCompleted | Elapsed | Report
 
 
 class Outside(Protocol):
@@ -172,36 +172,36 @@
                 return [self.roster.apply(item, self.clock.now())]
             case ListFailed():
                 return [self.roster.failed()]
-            case Probed(asked, result):
+            case HealthCheckCompleted(asked, result):
                 return [result] if asked == self.asked(result.server) else []
             case Elapsed(life, token):
                 return [face.TimerFired(token)] if life == self.life else []
-            case face.ServerReport():  # its span may reach back to a former process under that id
+            case face.LoadReport():  # its span may reach back to a former process under that id
                 return [] if self.roster.past(item.server, self.clock.now() - item.window) else [item]
             case face.DemandReport(proxy):
                 return [item] if proxy in self.streams.by_proxy else []
-            case face.PeerMessage():
+            case face.GossipReceived():
                 return [item]
         return []
 
     def asked(self, server: face.Server) -> Asked:
         """Whom a probe of that server is meant for now."""
         entry = self.roster.entries.get(server)
-        return Asked(self.life, entry.started if entry is not None else -1.0, self.roster.addresses.get(server, ""))
+        return Asked(self.life, entry.started_at if entry is not None else -1.0, self.roster.addresses.get(server, ""))
 
     def current(self, event: face.Acknowledged | face.DemandReport | None) -> Iterable[Event]:
         """What a proxy said, unless it answers a mark of an earlier policy, or what can't be."""
         if not isinstance(event, face.Acknowledged):
             return [] if event is None else [event]
-        if not self.streams.answered(event.proxy, event.mark, event.elapsed, self.clock.now()):
+        if not self.streams.answered(event.proxy, event.nonce, event.elapsed, self.clock.now()):
             logger.warning(
                 "proxy {}: answer to mark {} after {:g} ms left out: no such mark went out then",
                 event.proxy,
-                event.mark,
+                event.nonce,
                 event.elapsed,
             )
             return []
-        own = self.orders.own_mark(event.mark)
+        own = self.orders.own_mark(event.nonce)
         return [] if own is None else [face.Acknowledged(event.proxy, own, event.elapsed)]
 
     @staticmethod
@@ -223,13 +223,13 @@
             match action:
                 case face.SetTimer(delay, token):
                     self.set_timer(delay, token)
-                case face.Subscribe(on):
+                case face.WatchEndpoints(on):
                     self.outside.watch_list(on)
-                case face.FetchList():
+                case face.FetchEndpoints():
                     self.outside.fetch_list()
-                case face.Probe(server):
+                case face.StartHealthCheck(server):
                     self.outside.probe(server, self.asked(server))
-                case face.TellPeers(payload, peer):
+                case face.SendGossip(payload, peer):
                     self.outside.tell_peers(payload, peer)
                 case face.Log(text):
                     logger.info("module: {}", text)
--- a/stackwheel/state/orders.py
+++ b/stackwheel/state/orders.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from stackwheel import interface as face
-from stackwheel.interface import Action, Level, Server
+from stackwheel.interface import Action, AdmissionLevel, Server
 from stackwheel.state.roster import Roster
 from stackwheel.state.streams import Stream, Streams
 
@@ -22,7 +22,7 @@
     classes: tuple[int, ...]
     whole: bool
     lines: tuple[tuple[Server, float], ...] = ()
-    level: Level | None = None
+    level: AdmissionLevel | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,14 +50,14 @@
     cleared: set[int] = field(default_factory=set)
     assigned: dict[int, set[int]] = field(default_factory=dict)  # by proxy: classes
     health: dict[Server, None] = field(default_factory=dict)
-    mark: face.Mark | None = None
+    mark: face.AttachNonce | None = None
 
 
 class Orders:
     def __init__(self, classes: int, streams: Streams, roster: Roster) -> None:
         self.classes, self.streams, self.roster = range(classes), streams, roster
         self.tables: dict[int, Lines] = {}
-        self.levels: dict[int, dict[int, Level]] = {}  # by table and class
+        self.levels: dict[int, dict[int, AdmissionLevel]] = {}  # by table and class
         self.withdrawn: dict[Server, None] = {}
         self.doubt: dict[Server, None] = {}  # withdrawn at some time: who comes with tables may have it ejected
         self.first_mark = 0
@@ -87,7 +87,7 @@
             return []
         parts: dict[tuple[object, ...], tuple[Part, ...]] = {}  # proxies of a table share its parts
         messages = [self.message(stream, touched, parts) for stream in self.streams.by_proxy.values()]
-        everyone = touched.mark is not None and touched.mark.everyone
+        everyone = touched.mark is not None and touched.mark.to_all_proxies
         return [m for m in messages if everyone or m.parts or m.eject or m.restore]
 
     def apply(self, action: Action, touched: Touched) -> None:
@@ -108,37 +108,37 @@
                     touched.assigned.setdefault(proxy, set()).update(named)
             case face.SetAdmission(table, classes, level, retry):
                 for place in classes or self.classes:
-                    self.levels.setdefault(table, {})[place] = level, retry
+                    self.levels.setdefault(table, {})[place] = AdmissionLevel(level, retry)
                     touched.levels.setdefault(table, set()).add(place)
-            case face.Withdraw(server, out):
+            case face.SetEjection(server, out):
                 self.withdrawn.pop(server, None)
                 if out:
                     self.withdrawn[server] = self.doubt[server] = None
                 touched.health[server] = None
-            case face.Mark():
+            case face.AttachNonce():
                 touched.mark = action
             case _:
                 pass
 
-    def level(self, place: int, table: int | None) -> Level | None:
+    def level(self, place: int, table: int | None) -> AdmissionLevel | None:
         """Where a table and all tables have a level, the lower holds, and the table's way of trying again."""
         everywhere = self.levels.get(EVERY_TABLE, {}).get(place)
         own = self.levels.get(table, {}).get(place) if table is not None else None
         if own is None or everywhere is None:
             return own or everywhere
-        return min(own[0], everywhere[0]), own[1]
+        return AdmissionLevel(min(own.admitted, everywhere.admitted), own.retry)
 
     def message(self, stream: Stream, touched: Touched, parts: dict[tuple[object, ...], tuple[Part, ...]]) -> Message:
         mine = tuple(self.parts(stream, touched, parts))
         eject, restore = self.health(stream, touched, mine)
-        mark = self.first_mark + touched.mark.mark if touched.mark is not None else None
+        mark = self.first_mark + touched.mark.nonce if touched.mark is not None else None
         return Message(stream.proxy, mine, eject, restore, mark)
 
     def parts(
         self, stream: Stream, touched: Touched, known: dict[tuple[object, ...], tuple[Part, ...]]
     ) -> Iterator[Part]:
         """Classes that share a table share its lines, and those with one level a part that tells it."""
-        groups: dict[tuple[int | None, bool], dict[int, Level | None]] = {}
+        groups: dict[tuple[int | None, bool], dict[int, AdmissionLevel | None]] = {}
         for place in self.classes:
             table = stream.bound.get(place)
             whole = place in touched.assigned.get(stream.proxy, ()) or table in touched.cleared
@@ -153,7 +153,7 @@
             yield from known[key]
 
     def parts_of(
-        self, table: int | None, whole: bool, levels: dict[int, Level | None], touched: Touched
+        self, table: int | None, whole: bool, levels: dict[int, AdmissionLevel | None], touched: Touched
     ) -> Iterator[Part]:
         """A table's lines for its classes; their levels with them if they are alike, else in parts that follow."""
         lines = self.tables.get(table, {}) if table is not None else {}
--- a/stackwheel/state/roster.py
+++ b/stackwheel/state/roster.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from stackwheel import interface as face
-from stackwheel.interface import Availability, ListScope, Server, ServerEntry
+from stackwheel.interface import Availability, EndpointEntry, Server, UpdateKind
 from stackwheel.state.ids import Ids, digest
 
 GONE_LEAST, GONE_SHARE = 64, 2  # gone servers kept: this times the listed, as the policy does
@@ -94,25 +94,25 @@
         self.zones, self.kinds, self.ids = zones, kinds, ids
         self.only_draining_binds = only_draining_binds  # then the policy goes on with what has left
         self.generation = 0
-        self.entries: dict[Server, ServerEntry] = {}
+        self.entries: dict[Server, EndpointEntry] = {}
         self.addresses: dict[Server, str] = {}  # where this planner reaches them
         self.gone: dict[Server, float] = {}  # when each had started, the first to go first; each may return
         self.renewed: dict[Server, None] = {}  # the present ones that had an earlier process under the same id
         self.doubt: Doubt | None = None
         self.unresolved = False  # changes passed a doubted list: if it had begun anew, who left by it is not known
 
-    def apply(self, listing: Listing, now: float = 0.0) -> face.ServerList:
+    def apply(self, listing: Listing, now: float = 0.0) -> face.EndpointUpdate:
         """Take a listing in; the event that tells the policy of it. Changes cost by what they name, not by the list."""
         listing = replace(listing, instances=latest(listing.instances))
         late_drains = self.late_drains(listing) if self.only_draining_binds else []
         listing = self.newer(listing, now)
         entries = [entry for instance in listing.instances if (entry := self.entry(instance)) is not None]
-        here = {e.server: e for e in entries if e.availability is not Availability.GONE}
-        gone = {e.server: e.started for e in entries if e.availability is Availability.GONE}
-        self.renewed |= dict.fromkeys(s for s, e in here.items() if e.started > self.last_start(s, e.started))
+        here = {e.server: e for e in entries if e.availability is not Availability.REMOVED}
+        gone = {e.server: e.started_at for e in entries if e.availability is Availability.REMOVED}
+        self.renewed |= dict.fromkeys(s for s, e in here.items() if e.started_at > self.last_start(s, e.started_at))
         if listing.whole:
             kept = self.unread(listing, {e.server for e in entries})
-            gone |= {s: e.started for s, e in self.entries.items() if s not in here and s not in kept}
+            gone |= {s: e.started_at for s, e in self.entries.items() if s not in here and s not in kept}
             entries += kept.values()
             self.entries = {**kept, **here}
         else:
@@ -125,10 +125,10 @@
         for server in here:
             self.gone.pop(server, None)
         self.generation = listing.generation
-        scope = ListScope.WHOLE if listing.whole else ListScope.CHANGES
-        return face.ServerList(scope, listing.generation, (*entries, *late_drains))
+        scope = UpdateKind.FULL if listing.whole else UpdateKind.DELTA
+        return face.EndpointUpdate(scope, listing.generation, (*entries, *late_drains))
 
-    def late_drains(self, listing: Listing) -> list[ServerEntry]:
+    def late_drains(self, listing: Listing) -> list[EndpointEntry]:
         """Drains that an older generation tells of processes that have left: they bind, where departures do not.
 
         They are for the policy alone, which may still send there; what has left is not listed again.
@@ -142,7 +142,7 @@
             self.addresses.pop(entry.server, None)
         return entries
 
-    def unread(self, listing: Listing, read: set[Server]) -> dict[Server, ServerEntry]:
+    def unread(self, listing: Listing, read: set[Server]) -> dict[Server, EndpointEntry]:
         """Known servers that a whole list may name in an entry which could not be read: that is no departure."""
         named = {digest(name) for name in listing.unreadable}
         named |= {digest(one.name) for one in listing.instances}  # an unknown zone, say
@@ -190,7 +190,7 @@
     def last_start(self, server: Server, default: float) -> float:
         """When the process last known under that id had started, whether it is here or gone."""
         known = self.entries.get(server)
-        return known.started if known is not None else self.gone.get(server, default)
+        return known.started_at if known is not None else self.gone.get(server, default)
 
     def word(self, instance: Instance) -> Word:
         """What an older generation's entry still tells beside what is known."""
@@ -199,17 +199,17 @@
         if (known is None and server not in self.gone) or instance.started > self.last_start(server, 0.0):
             return Word.NEWS
         if known is None:
-            return Word.NOTHING if instance.availability is Availability.GONE else Word.REVIVAL
+            return Word.NOTHING if instance.availability is Availability.REMOVED else Word.REVIVAL
         if instance.availability is Availability.READY:
             return Word.REVIVAL if known.availability is Availability.DRAINING else Word.NOTHING
-        return Word.NEWS if instance.started == known.started else Word.NOTHING
+        return Word.NEWS if instance.started == known.started_at else Word.NOTHING
 
     def past(self, server: Server, began: float) -> bool:
         """Whether what was met since then may be of a former process under that id."""
         entry = self.entries.get(server)
-        return entry is not None and server in self.renewed and began < entry.started
+        return entry is not None and server in self.renewed and began < entry.started_at
 
-    def entry(self, instance: Instance) -> ServerEntry | None:
+    def entry(self, instance: Instance) -> EndpointEntry | None:
         if instance.zone not in self.zones:
             logger.warning("discovery lists {} in unknown zone {}; left out", instance.name, instance.zone[:40])
             return None
@@ -218,7 +218,7 @@
             return None
         self.addresses[server] = instance.address
         kind = self.kinds.index(instance.kind) if instance.kind in self.kinds else len(self.kinds)
-        return ServerEntry(
+        return EndpointEntry(
             server,
             self.zones.index(instance.zone),
             kind,
@@ -237,9 +237,9 @@
         self.gone.pop(server, None)
         self.ids.forget(server)
 
-    def cached(self) -> face.ServerList:
+    def cached(self) -> face.EndpointUpdate:
         """The present list, for a policy that starts from it."""
-        return face.ServerList(ListScope.CACHED, self.generation, tuple(self.entries.values()))
+        return face.EndpointUpdate(UpdateKind.CACHED, self.generation, tuple(self.entries.values()))
 
-    def failed(self) -> face.ServerList:
-        return face.ServerList(ListScope.FAILED, self.generation)
+    def failed(self) -> face.EndpointUpdate:
+        return face.EndpointUpdate(UpdateKind.FAILED, self.generation)
--- a/stackwheel/trials/discovery.py
+++ b/stackwheel/trials/discovery.py
@@ -12,7 +12,11 @@
 from stackwheel.trials.loop import Machine, VirtualLoop
 from stackwheel.trials.network import Address, Network, Transport
 
-LIFECYCLES = {Availability.READY: "in_service", Availability.DRAINING: "terminating", Availability.GONE: "terminated"}
+LIFECYCLES = {
+    Availability.READY: "in_service",
+    Availability.DRAINING: "terminating",
+    Availability.REMOVED: "terminated",
+}
 BEAT = 2.0  # s: an empty line so often on a watch while nothing changes
 CALL = 0.002  # s that a call takes; they are handled one after another
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -182,7 +186,7 @@
         for record in records:
             self.log.append((self.generation, record, self.records.get(record.name)))
             self.records[record.name] = record
-            if record.state is Availability.GONE:
+            if record.state is Availability.REMOVED:
                 del self.records[record.name]
         late = self.late if self.trouble == "late" else 0.0
         held_up = self.in_order and self.told_until > self.loop.now
--- a/stackwheel/trials/events.py
+++ b/stackwheel/trials/events.py
@@ -198,7 +198,7 @@
 
 def die(world: World, server: Server, back: float) -> None:
     server.stop()
-    server.state = Availability.GONE
+    server.state = Availability.REMOVED
     world.list_soon(server)
     if back:
         soon(world, back, come_back, world, server, server.life)
--- a/stackwheel/trials/exchange.py
+++ b/stackwheel/trials/exchange.py
@@ -99,8 +99,8 @@
         ledger = Ledger(
             config.name,
             config.names,
-            config.settings.proxies,
-            Terms(LIFE, 10, config.settings.cycle),
+            config.settings.proxy_count,
+            Terms(LIFE, 10, config.settings.report_interval),
             context.roster.ids.name,
             config.seed & 0xFFFF,
         )
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -160,7 +160,7 @@
         if before.state is Availability.READY:
             now = replace(before, state=Availability.DRAINING)
         elif before.state is Availability.DRAINING:
-            now = replace(before, state=Availability.GONE)
+            now = replace(before, state=Availability.REMOVED)
         else:
             now = self.other(number, (EPOCH + self.world.loop.now) * 1000.0)
         self.others[number] = now
--- a/stackwheel/wire/datagrams.py
+++ b/stackwheel/wire/datagrams.py
@@ -14,7 +14,9 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, peers: Sequence[str], everyone: str, own: int, post: Callable[[face.PeerMessage], None]) -> None:
+    def __init__(
+        self, peers: Sequence[str], everyone: str, own: int, post: Callable[[face.GossipReceived], None]
+    ) -> None:
         self.own, self.post = own, post
         self.readdress(peers, everyone)
         self.transport: asyncio.DatagramTransport | None = None
@@ -32,7 +34,7 @@
         if len(data) > MOST_BYTES or sender is None:
             logger.warning("datagram of {} bytes from {}:{} dropped", len(data), *address[:2])
         elif sender != self.own:
-            self.post(face.PeerMessage(sender, data))
+            self.post(face.GossipReceived(sender, data))
 
     def error_received(self, error: Exception) -> None:
         logger.debug("datagram not delivered: {}", error)  # a peer that is down: nothing to do
--- a/stackwheel/wire/discovery.py
+++ b/stackwheel/wire/discovery.py
@@ -21,7 +21,11 @@
 
 PATH = "/registry/instances"
 UNWRITABLE = re.compile(r"[\s,\x00-\x1f\x7f]")  # in a line of an order it would end the name
-LIFECYCLES = {"in_service": Availability.READY, "terminating": Availability.DRAINING, "terminated": Availability.GONE}
+LIFECYCLES = {
+    "in_service": Availability.READY,
+    "terminating": Availability.DRAINING,
+    "terminated": Availability.REMOVED,
+}
 
 
 def parse_listing(data: bytes) -> Listing | CallFailed:
--- a/stackwheel/wire/links.py
+++ b/stackwheel/wire/links.py
@@ -15,7 +15,7 @@
 from stackwheel.interface import Server, Settings
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
-from stackwheel.state.module import Asked, Item, Probed
+from stackwheel.state.module import Asked, HealthCheckCompleted, Item
 from stackwheel.state.orders import Message
 from stackwheel.state.roster import Roster
 from stackwheel.state.streams import Line
@@ -68,13 +68,15 @@
         self.discovery = Discovery(
             addresses.discovery,
             roster.generation,
-            not settings.list_on_request,
+            not settings.endpoint_list_on_request,
             lambda item: self.post(item),
             Random(seed),
-            settings.ask_within,
-            timing.renewal(settings.planners),
+            settings.list_poll_deadline,
+            timing.renewal(settings.planner_count),
+        )
+        self.datagrams = Datagrams(
+            addresses.peers, addresses.peers_all, settings.planner_index, lambda item: self.post(item)
         )
-        self.datagrams = Datagrams(addresses.peers, addresses.peers_all, settings.planner, lambda item: self.post(item))
         self.unidentified: dict[Peer, None] = {}  # the first to come first
         self.arriving = 0  # connections taken, but not attended yet
         self.probing = 0  # probes that hold a descriptor
@@ -91,7 +93,7 @@
         """Start everything, the listener last; `post` gets what arrives. OSError if an address can't be bound."""
         self.post = post
         loop = asyncio.get_running_loop()
-        if self.settings.peers_allowed and self.addresses.peer_listen:
+        if self.settings.gossip_enabled and self.addresses.peer_listen:
             await loop.create_datagram_endpoint(
                 lambda: self.datagrams, local_addr=split_address(self.addresses.peer_listen)
             )
@@ -217,7 +219,7 @@
             reader,
             writer,
             self.names,
-            self.settings.proxies,
+            self.settings.proxy_count,
             self.post,
             self.on_identified,
             self.limiter,
@@ -290,7 +292,7 @@
         async def ask() -> None:
             call = probe_call(asked.address, self.names)
             try:
-                self.post(Probed(asked, await probe(server, call, self.names, self.clock)))
+                self.post(HealthCheckCompleted(asked, await probe(server, call, self.names, self.clock)))
             finally:
                 await call.closed()
                 self.probing -= 1
@@ -302,7 +304,9 @@
             self.probing += 1  # from now on: many may be asked for in one turn
             self.start_task(ask())
         else:  # no list has told where it is
-            self.post(Probed(asked, face.ProbeResult(server, face.Probed.UNREACHABLE, 0.0)))
+            self.post(
+                HealthCheckCompleted(asked, face.HealthCheckResult(server, face.HealthCheckOutcome.UNREACHABLE, 0.0))
+            )
 
     def tell_peers(self, payload: bytes, peer: int | None) -> None:
         self.datagrams.send(payload, peer)
--- a/stackwheel/wire/peer.py
+++ b/stackwheel/wire/peer.py
@@ -192,7 +192,7 @@
                 if not self.is_listed(server):
                     return Spoilt(f"LOAD: unknown target={target[:40]!r}")
                 values = columns_in_order(load, self.names.columns)
-                self.post(face.ServerReport(zone, server, count, failed, mean, over, values))
+                self.post(face.LoadReport(zone, server, count, failed, mean, over, values))
             case Rate(proxy, place, count, failed, over) if self.zone is not None and proxy < self.proxies:
                 self.post(face.DemandReport(proxy, place, count, failed, over))
             case Rate(proxy, place, count, failed, over) if self.proxy == proxy:
--- a/stackwheel/wire/probes.py
+++ b/stackwheel/wire/probes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stackwheel import interface as face
-from stackwheel.interface import Probed, Server
+from stackwheel.interface import HealthCheckOutcome, Server
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
 from stackwheel.wire import timing
@@ -17,23 +17,23 @@
     return Call(address, "/stats" if names.load_on_probe else "/health/live")
 
 
-async def probe(server: Server, call: Call, names: Names, clock: Clock) -> face.ProbeResult:
+async def probe(server: Server, call: Call, names: Names, clock: Clock) -> face.HealthCheckResult:
     """Make the call, and tell what came of it."""
     began = clock.now()
     body = await exchange(call, timing.PROBE, timing.PROBE, timing.PROBE_MOST)
     elapsed = clock.now() - began
     if isinstance(body, CallFailed):
-        return face.ProbeResult(server, outcome(body), elapsed)
+        return face.HealthCheckResult(server, outcome(body), elapsed)
     try:
         load = read_load(body.decode().strip(), "=") if names.load_on_probe else ()
     except (UnicodeDecodeError, FieldError):
-        return face.ProbeResult(server, Probed.ERROR, elapsed)
-    return face.ProbeResult(server, Probed.OK, elapsed, columns_in_order(load, names.columns))
+        return face.HealthCheckResult(server, HealthCheckOutcome.ERROR, elapsed)
+    return face.HealthCheckResult(server, HealthCheckOutcome.OK, elapsed, columns_in_order(load, names.columns))
 
 
-def outcome(failed: CallFailed) -> Probed:
+def outcome(failed: CallFailed) -> HealthCheckOutcome:
     if failed.stage is Stage.STATUS:
-        return Probed.TURNED_AWAY if failed.status == 503 else Probed.ERROR
+        return HealthCheckOutcome.REJECTED if failed.status == 503 else HealthCheckOutcome.ERROR
     if failed.stage is Stage.DIAL:
-        return Probed.UNREACHABLE
-    return Probed.NO_ANSWER if failed.timed_out else Probed.RESET
+        return HealthCheckOutcome.UNREACHABLE
+    return HealthCheckOutcome.TIMEOUT if failed.timed_out else HealthCheckOutcome.RESET
