--- a/stackwheel/cells/assignment.py
+++ b/stackwheel/cells/assignment.py
@@ -13,10 +13,10 @@
 
 from xxhash import xxh3_64_intdigest
 
-from stackwheel.cells.plan import PARTS_MOST, REPLICAS, Cell, Plan, Relay
+from stackwheel.cells.plan import MAX_PARTS, REPLICAS, Cell, Plan, Relay
 
-SERVER_SEEDS: Final = tuple(xxh3_64_intdigest(b"server-part-%d" % part) for part in range(PARTS_MOST))
-PLANNER_SEEDS: Final = tuple(xxh3_64_intdigest(b"planner-part-%d" % part) for part in range(PARTS_MOST))
+SERVER_SEEDS: Final = tuple(xxh3_64_intdigest(b"server-part-%d" % part) for part in range(MAX_PARTS))
+PLANNER_SEEDS: Final = tuple(xxh3_64_intdigest(b"planner-part-%d" % part) for part in range(MAX_PARTS))
 ORDER_SEED: Final = xxh3_64_intdigest(b"replica-order")
 
 
@@ -31,8 +31,8 @@
     """The part, from 0 to `parts` - 1, that a server belongs to; O(parts). ValueError over PARTS_MOST parts."""
     if parts == 1:
         return 0
-    if not 1 <= parts <= PARTS_MOST:
-        raise ValueError(f"{parts} parts, 1 to {PARTS_MOST} are possible")
+    if not 1 <= parts <= MAX_PARTS:
+        raise ValueError(f"{parts} parts, 1 to {MAX_PARTS} are possible")
     key = _bytes(instance_name)
     scores = [xxh3_64_intdigest(key, seed) for seed in SERVER_SEEDS[:parts]]
     return scores.index(max(scores))
@@ -46,8 +46,8 @@
     parts without any: of 6 a part on average, one part in 400. Equal names count once.
     ValueError over PARTS_MOST parts.
     """
-    if not 1 <= parts <= PARTS_MOST:
-        raise ValueError(f"{parts} parts, 1 to {PARTS_MOST} are possible")
+    if not 1 <= parts <= MAX_PARTS:
+        raise ValueError(f"{parts} parts, 1 to {MAX_PARTS} are possible")
     keys = {name: _bytes(name) for name in planner_names}
     order = sorted(keys, key=lambda name: (xxh3_64_intdigest(keys[name], ORDER_SEED), name))
     least, fuller = divmod(len(order), parts)  # `fuller` parts get one planner more
--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -16,7 +16,7 @@
 from stackwheel.cells.assignment import part_of, service_of
 from stackwheel.cells.check import ListedServer
 from stackwheel.cells.plan import (
-    PARTS_MOST,
+    MAX_PARTS,
     PORT_MOST,
     VERSION,
     Cell,
@@ -137,10 +137,10 @@
     """
     if servers <= most:
         return 1
-    for parts in range(-(-servers // most), PARTS_MOST + 1):
+    for parts in range(-(-servers // most), MAX_PARTS + 1):
         if parts * _tail(servers, most + 1, 1 / parts) <= OVERFLOW_RISK:
             return parts
-    return PARTS_MOST + 1
+    return MAX_PARTS + 1
 
 
 def _tail(count: int, least: int, chance: float) -> float:
@@ -191,10 +191,10 @@
     if _is_regional(everywhere, by_region, regional, limits, former):
         return regional
     whole = _parts(everywhere, limits, former.get((), 0))
-    if whole > min(PARTS_MOST, everywhere.planners):
+    if whole > min(MAX_PARTS, everywhere.planners):
         raise CellPlanError(
             f"service {service!r}",
-            f"{everywhere.servers} servers need {whole} parts, {everywhere.planners} planners and at most {PARTS_MOST} "
+            f"{everywhere.servers} servers need {whole} parts, {everywhere.planners} planners and at most {MAX_PARTS} "
             "parts are possible",
         )
     return {(): whole}
@@ -213,7 +213,7 @@
         return False
     least = PLANNERS_LEAST * (SHRINK_FACTOR if former.get((), 1) > 1 else 1)
     return all(
-        parts[(region,)] <= PARTS_MOST and need.planners >= least * parts[(region,)]
+        parts[(region,)] <= MAX_PARTS and need.planners >= least * parts[(region,)]
         for region, need in by_region.items()
     )
 
@@ -226,7 +226,7 @@
     while kept > least and need.server_names and min(_held(need.server_names, kept)) == 0:
         kept -= 1
     parts = max(least, kept)
-    while parts <= PARTS_MOST and max(_held(need.server_names, parts)) > limits.servers:
+    while parts <= MAX_PARTS and max(_held(need.server_names, parts)) > limits.servers:
         parts += 1
     return parts
 
--- a/stackwheel/cells/plan.py
+++ b/stackwheel/cells/plan.py
@@ -19,7 +19,7 @@
 
 VERSION = 1
 REPLICAS = 2  # relays that serve each cell: one may fail
-PARTS_MOST = 1_024  # of one service and set of regions; at 512 servers each that is 524,288 servers
+MAX_PARTS = 1_024  # of one service and set of regions; at 512 servers each that is 524,288 servers
 LIMIT_MOST = 65_536  # of servers or planners a cell; over this a limit limits nothing in a fleet of 48,000 servers
 PORT_MOST = 65_535  # of TCP
 
@@ -56,8 +56,8 @@
     name: Name
     service: Name
     regions: tuple[Name, ...]
-    part: Annotated[int, Meta(ge=0, lt=PARTS_MOST)]
-    parts: Annotated[int, Meta(ge=1, le=PARTS_MOST)]
+    part: Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
+    parts: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
     port: Annotated[int, Meta(ge=1, le=PORT_MOST)]
 
 
--- a/stackwheel/cli/cells.py
+++ b/stackwheel/cli/cells.py
@@ -148,7 +148,7 @@
 
 def load_servers(path: Path) -> list[ListedServer]:
     """The servers of a list that may still be asked; ClickException with the place where it can't be read whole."""
-    from stackwheel.wire.discovery import read_listing
+    from stackwheel.wire.discovery_client import read_listing
 
     faults: list[str] = []
     try:
@@ -160,7 +160,7 @@
         raise click.ClickException(f"{path}: no list of servers: {reason}") from None
     if faults:
         raise click.ClickException(f"{path}: {faults[0]}")
-    if not listing.whole:
+    if not listing.complete:
         raise click.ClickException(f"{path}: reset: false, so it holds changes and not the whole list")
     return [
         ListedServer(instance.name, instance.zone)
--- a/stackwheel/cli/config.py
+++ b/stackwheel/cli/config.py
@@ -7,9 +7,9 @@
 
 import click
 
-from stackwheel.operators.load import Loaded, OperatorsError, load
-from stackwheel.operators.schema import SCHEMA
-from stackwheel.operators.unify import shown, values
+from stackwheel.config_language.load import Loaded, OperatorsError, load
+from stackwheel.config_language.schema import SCHEMA
+from stackwheel.config_language.unify import shown, values
 
 paths = click.argument("files", nargs=-1, type=click.Path(dir_okay=False, path_type=Path))
 as_json_flag = click.option("--json", "as_json", is_flag=True, help="End with one JSON object.")
--- a/stackwheel/cli/files.py
+++ b/stackwheel/cli/files.py
@@ -206,7 +206,7 @@
     import contextlib
     import tempfile
 
-    from stackwheel.files.prevail import Terms
+    from stackwheel.files.precedence import Terms
     from stackwheel.files.reader import Place
     from stackwheel.files.serve import Server
 
--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -12,7 +12,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from stackwheel.rules.verdicts import Rule
+from stackwheel.rules.violations import Rule
 from stackwheel.trials import measure as sizes
 from stackwheel.trials.defects import ALL_DEFECTS, named, planted, search_all
 from stackwheel.trials.draw import draw
--- a/stackwheel/operators/load.py
+++ b/stackwheel/config_language/load.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from stackwheel.operators.notation import SIZE_MOST, NotationError, parse
-from stackwheel.operators.schema import SCHEMA, Operators
-from stackwheel.operators.unify import Plain, Source, Tree, Unifier, UnifyError, origins, values
+from stackwheel.config_language.notation import SIZE_MOST, NotationError, parse
+from stackwheel.config_language.schema import SCHEMA, Operators
+from stackwheel.config_language.unify import Plain, Source, Tree, Unifier, UnifyError, origins, values
 
 
 class OperatorsError(ValueError):
--- a/stackwheel/operators/unify.py
+++ b/stackwheel/config_language/unify.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, TypeAlias
 
-from stackwheel.operators.notation import (
+from stackwheel.config_language.notation import (
     All,
     Bound,
     Either,
--- a/stackwheel/files/ledger.py
+++ b/stackwheel/files/ledger.py
@@ -14,10 +14,10 @@
 from stackwheel.files.records import Answer, Booking, Incarnation, Level, Orders, Table
 from stackwheel.interface import Server
 from stackwheel.settings import Names
-from stackwheel.state.ids import digest
-from stackwheel.state.module import Ended, Item, Said
-from stackwheel.state.orders import Message
-from stackwheel.state.streams import Stream
+from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.server_ids import server_id
+from stackwheel.state.streams import ProxyStream
+from stackwheel.state.table_updates import ProxyUpdate
 
 SILENT_ANSWERS = 6.0  # cycles without an answer after which a forwarder counts as left
 BOOKINGS_MOST = 1_000  # orders for bookings that go along until they are over
@@ -101,7 +101,7 @@
 
     # orders
 
-    def order(self, message: Message) -> bool:
+    def order(self, message: ProxyUpdate) -> bool:
         """Bring a forwarder's content to what a message says; False if it is spoken to otherwise."""
         forwarder = self.forwarders.get(message.proxy)
         if forwarder is None:
@@ -111,21 +111,21 @@
             lines = {name: weight for server, weight in part.lines if (name := self.name_of(server)) is not None}
             for place in part.classes:
                 route = self.names.classes[place]
-                old = {} if part.whole else content.tables.get(route, {})
+                old = {} if part.complete else content.tables.get(route, {})
                 content.tables[route] = {s: w for s, w in {**old, **lines}.items() if w > 0}
                 if part.level is not None:
                     content.levels[route] = Level(part.level[0], int(part.level[1]))
-                elif part.whole:
+                elif part.complete:
                     content.levels[route] = None
-                forwarder.ordered |= part.whole
+                forwarder.ordered |= part.complete
         for server in message.eject:
             if (name := self.name_of(server)) is not None:
                 forwarder.out[name] = None
         for server in message.restore:
             forwarder.out.pop(self.name_of(server) or "", None)
         content.withdrawn = tuple(forwarder.out)
-        if message.mark is not None:
-            forwarder.marks[message.mark] = None
+        if message.nonce is not None:
+            forwarder.marks[message.nonce] = None
         return True
 
     def book(self, order: Booking, now: float) -> bool:
@@ -243,9 +243,9 @@
             known = self.forwarders[answer.proxy] = Forwarder(
                 answer.proxy, answer.zone, FileLine(answer.proxy), answer.life, answer.sequence, now
             )
-            yield Stream(answer.proxy, self.names.zones.index(answer.zone), answer.rate, answer.fresh, known.line)
+            yield ProxyStream(answer.proxy, self.names.zones.index(answer.zone), answer.rate, answer.fresh, known.line)
         known.sequence, known.heard = answer.sequence, now
-        yield Said(known.proxy, None, known.line)  # it lives
+        yield StreamMessage(known.proxy, None, known.line)  # it lives
         if answer.planner == self.planner and answer.incarnation == self.incarnation:
             yield from self.confirmed(known, answer)
         elif (
@@ -262,7 +262,9 @@
         for mark in done:
             del forwarder.marks[mark]
         if done:  # who answers the last has applied those before
-            yield Said(forwarder.proxy, face.Acknowledged(forwarder.proxy, done[-1], answer.took), forwarder.line)
+            yield StreamMessage(
+                forwarder.proxy, face.Acknowledged(forwarder.proxy, done[-1], answer.took), forwarder.line
+            )
 
     def reports(self, forwarder: Forwarder, answer: Answer) -> Iterator[Item]:
         if answer.over <= 0:
@@ -271,10 +273,10 @@
             if came.route in self.names.classes:
                 place = self.names.classes.index(came.route)
                 report = face.DemandReport(forwarder.proxy, place, came.requests, came.unanswered, answer.over)
-                yield Said(forwarder.proxy, report, forwarder.line)
+                yield StreamMessage(forwarder.proxy, report, forwarder.line)
         zone = self.names.zones.index(forwarder.zone)
         for met in answer.met:
-            server = digest(met.server)
+            server = server_id(met.server)
             if self.name_of(server) is not None and met.failures <= met.tries:
                 load = tuple(met.load.get(column, float("nan")) for column in self.names.columns) if met.load else ()
                 yield face.LoadReport(zone, server, met.tries, met.failures, met.mean, answer.over, load)
@@ -285,4 +287,4 @@
         for forwarder in [f for f in self.forwarders.values() if f.heard < late]:
             del self.forwarders[forwarder.proxy]
             self.targets.pop((forwarder.zone, forwarder.proxy), None)
-            yield Ended(forwarder.proxy, forwarder.line)
+            yield StreamEnded(forwarder.proxy, forwarder.line)
--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -12,17 +12,17 @@
 
 from stackwheel.files.accept import Content, difference
 from stackwheel.files.codec import KeyRing, decode, encode
-from stackwheel.files.desk import FileDesk, Folders
 from stackwheel.files.disk import Disk, SystemDisk, swap
 from stackwheel.files.ledger import Ledger, Terms
+from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.push import Pace, Pusher
 from stackwheel.files.reader import Place, Reader
 from stackwheel.files.records import Answer, Incarnation, Level, Orders, Table
 from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.settings import Names
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.module import Item
-from stackwheel.state.orders import Message, Part
+from stackwheel.state.planner_actor import Item
+from stackwheel.state.server_ids import ServerIds, server_id
+from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
 SERVERS, FORWARDERS = (10, 150, 1000), (24, 500, 5000)
 CLASSES = ("a", "b", "c")
@@ -117,15 +117,15 @@
     return time.time() * 1000.0
 
 
-def build(folder: Path, disk: Disk, servers: int) -> tuple[FileDesk, Reader]:
+def build(folder: Path, disk: Disk, servers: int) -> tuple[FilePublisher, Reader]:
     for name in ("out/zone-east", "answers", "state"):
         (folder / name).mkdir(parents=True, exist_ok=True)
-    ids = Ids()
+    ids = ServerIds()
     for number in range(servers):
         ids.learn(f"s-{number}")
     ledger = Ledger("n0", Names(CLASSES, ("east",), ("k",), ()), 4, Terms(3e4, 20, 1e6), ids.name, 1)
     posted: list[Item] = []
-    desk = FileDesk(
+    desk = FilePublisher(
         ledger,
         Pusher(Pace(), 1),
         Folders(str(folder / "out"), str(folder / "answers")),
@@ -155,16 +155,16 @@
     line, took = desk.ledger.forwarders[0].line, []
     watching = asyncio.create_task(stalls())
     for number in range(rounds):
-        lines = tuple((digest(f"s-{n}"), 1.0 + number + n) for n in range(servers))
+        lines = tuple((server_id(f"s-{n}"), 1.0 + number + n) for n in range(servers))
         began = time.perf_counter()
         desk.deliver(
             [
                 (
                     line,
-                    Message(
+                    ProxyUpdate(
                         0,
                         (
-                            Part(
+                            UpdatePart(
                                 tuple(range(len(CLASSES))),
                                 number == 0,
                                 lines,
--- a/stackwheel/files/prevail.py
+++ b/stackwheel/files/precedence.py
@@ -72,7 +72,7 @@
     until: float = 0.0  # when this has to be looked at again; 0: only at news
 
 
-class Prevailing:
+class SourcePrecedence:
     """Keeps what the sources said; `choose` answers from it alone."""
 
     def __init__(self, terms: Terms) -> None:
--- a/stackwheel/files/desk.py
+++ b/stackwheel/files/publisher.py
@@ -18,9 +18,9 @@
 from stackwheel.files.ledger import FileLine, Ledger
 from stackwheel.files.push import Attempt, Pusher
 from stackwheel.files.records import Answer, Incarnation, Orders
-from stackwheel.state.module import Item
-from stackwheel.state.orders import Message
-from stackwheel.state.streams import Line
+from stackwheel.state.planner_actor import Item
+from stackwheel.state.streams import StreamConnection
+from stackwheel.state.table_updates import ProxyUpdate
 
 T = TypeVar("T")
 Aside = Callable[..., Awaitable[Any]]  # runs something that may block, out of the loop's way
@@ -34,7 +34,7 @@
     answers: str
 
 
-class FileDesk:
+class FilePublisher:
     def __init__(
         self,
         ledger: Ledger,
@@ -54,7 +54,7 @@
         self.answers: dict[str, bytes] = {}  # name: bytes as last taken, so that what stands is not read anew
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def deliver(self, messages: Sequence[tuple[Line, Message]]) -> None:
+    def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
         for line, message in messages:
             if isinstance(line, FileLine) and self.ledger.order(message):
                 self.woken.set()
--- a/stackwheel/files/reader.py
+++ b/stackwheel/files/reader.py
@@ -16,9 +16,9 @@
 
 from stackwheel.files.accept import Accepted, Acceptor, Held, Known, Memory, target
 from stackwheel.files.codec import NO_KEYS, KeyRing, Refusal, Stage, decode, encode
-from stackwheel.files.desk import Aside, names_of
 from stackwheel.files.disk import SUFFIX, Disk, SwapFailed, read_file, swap
 from stackwheel.files.memory import keep, recall
+from stackwheel.files.publisher import Aside, names_of
 from stackwheel.files.records import Answer, Booking, Came, Incarnation, Met, Orders
 
 SEEN_MOST = 4096  # files of a folder whose last bytes are remembered
--- a/stackwheel/files/serve.py
+++ b/stackwheel/files/serve.py
@@ -15,7 +15,7 @@
 from stackwheel.files.accept import Content, target
 from stackwheel.files.codec import KeyRing
 from stackwheel.files.disk import SystemDisk, swap
-from stackwheel.files.prevail import Choice, Prevailing, Terms
+from stackwheel.files.precedence import Choice, SourcePrecedence, Terms
 from stackwheel.files.reader import News, Place, Reader, Taken, described
 from stackwheel.files.watch import wakes
 
@@ -57,7 +57,7 @@
         poll: float = 1.0,
     ) -> None:
         self.reader = Reader(place, SystemDisk(), unix_ms, keys)
-        self.prevailing, self.sinks, self.tell, self.poll = Prevailing(terms), sinks, tell, poll
+        self.prevailing, self.sinks, self.tell, self.poll = SourcePrecedence(terms), sinks, tell, poll
         self.shown: dict[str, Any] | None = None
 
     async def run(self, once: bool = False) -> bool:
--- a/stackwheel/forwarder/holdings.py
+++ b/stackwheel/forwarder/state.py
@@ -7,12 +7,12 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from stackwheel.forwarder.orders import Order, OrderPart, Unusable
+from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdatePart, InvalidUpdate
 from stackwheel.interface import Retry
 
 
 @dataclass(slots=True)
-class Held:
+class ClassTable:
     """The table and level of one class."""
 
     lines: dict[str, float] = field(default_factory=dict)
@@ -22,25 +22,25 @@
     credit: dict[str, float] = field(default_factory=dict)  # of an even round: what each line is owed
 
 
-class Holdings:
+class ForwarderState:
     """Applies whole orders; nothing of an order that can't be used is applied.
 
     Ejected servers stay so when streams change. `listed` holds all that discovery ever listed.
     """
 
     def __init__(self, routes: Iterable[str], listed: Collection[str]) -> None:
-        self.routes: dict[str, Held] = {name: Held() for name in routes}
-        self.listed = listed
+        self.routes: dict[str, ClassTable] = {name: ClassTable() for name in routes}
+        self.known_servers = listed
         self.ejected: dict[str, None] = {}
 
-    def bring(self, servers: Iterable[str]) -> None:
+    def install_standing_table(self, servers: Iterable[str]) -> None:
         """The standing table that a fresh forwarder starts with: even weights, for every class."""
         lines = dict.fromkeys(servers, 1.0)
         for held in self.routes.values():
             held.lines = dict(lines)
             self.refresh(held)
 
-    def apply(self, order: Order) -> None:
+    def apply(self, order: ConfigUpdate) -> None:
         for part in order.parts:
             self.check(part)
         for part in order.parts:
@@ -48,18 +48,18 @@
         for held in self.routes.values():
             self.refresh(held)
 
-    def check(self, part: OrderPart) -> None:
+    def check(self, part: ConfigUpdatePart) -> None:
         unknown = [name for name in part.routes if name not in self.routes]
         if unknown:
-            raise Unusable(f"unknown class {unknown[0][:40]!r}")
+            raise InvalidUpdate(f"unknown class {unknown[0][:40]!r}")
         for name in (*(name for name, _ in part.lines), *part.eject, *part.restore):
-            if name not in self.listed:
-                raise Unusable(f"server {name[:40]!r} was never listed")
+            if name not in self.known_servers:
+                raise InvalidUpdate(f"server {name[:40]!r} was never listed")
 
-    def apply_part(self, part: OrderPart) -> None:
+    def apply_part(self, part: ConfigUpdatePart) -> None:
         for name in part.routes or self.routes:
             held = self.routes[name]
-            if part.whole:
+            if part.complete:
                 held.lines, held.level = {}, None
             held.lines.update(part.lines)
             held.lines = {server: weight for server, weight in held.lines.items() if weight > 0}
@@ -68,14 +68,14 @@
         for server in part.restore:
             self.ejected.pop(server, None)
 
-    def refresh(self, held: Held) -> None:
+    def refresh(self, held: ClassTable) -> None:
         held.open = [server for server in held.lines if server not in self.ejected]
         held.sums, total = [], 0.0
         for server in held.open:
             total += held.lines[server]
             held.sums.append(total)
 
-    def bare(self, route: str) -> bool:
+    def has_no_servers(self, route: str) -> bool:
         """Without a line to pick."""
         return not self.routes[route].open
 
@@ -94,12 +94,12 @@
         share = level[0] if kind == "share" else level[0] / rate if rate > 0 else 1.0
         return share >= 1.0 or chance.random() < share
 
-    def further(self, route: str, usual: Retry) -> Retry:
+    def retry_mode(self, route: str, usual: Retry) -> Retry:
         level = self.routes[route].level
         return usual if level is None else Retry(level[1])
 
 
-def draw(held: Held, chance: random.Random, without: Collection[str]) -> str | None:
+def draw(held: ClassTable, chance: random.Random, without: Collection[str]) -> str | None:
     """A line by weight, none of those left out."""
     if not without:
         if not held.open:
@@ -116,7 +116,7 @@
     return lines[-1]
 
 
-def next_in_round(held: Held, without: Collection[str]) -> str | None:
+def next_in_round(held: ClassTable, without: Collection[str]) -> str | None:
     """An even round by weight: each line gains its weight, the one owed most pays for all."""
     lines = [server for server in held.open if server not in without]
     if not lines:
@@ -130,7 +130,7 @@
 
 
 def choose(
-    held: Held,
+    held: ClassTable,
     pick: str,
     chance: random.Random,
     under_way: Mapping[str, int],
--- a/stackwheel/forwarder/orders.py
+++ b/stackwheel/forwarder/updates.py
@@ -7,25 +7,25 @@
 from dataclasses import dataclass
 
 FIELDS = frozenset(("routes", "full", "endpoints", "admit", "policy", "eject", "restore", "nonce_out", "continued"))
-PARTS_MOST = 64  # the protocol: so many parts make a message at most
+MAX_PARTS = 64  # the protocol: so many parts make a message at most
 FIGURE = re.compile(r"[0-9]+(\.[0-9]+)?")
 
 
-class Unusable(ValueError):
+class InvalidUpdate(ValueError):
     """An order that a forwarder must answer with a reset; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class OrderPart:
+class ConfigUpdatePart:
     """One line of an order. `routes` is empty where it is meant for all classes."""
 
     routes: tuple[str, ...] = ()
-    whole: bool = False
+    complete: bool = False
     lines: tuple[tuple[str, float], ...] = ()
     level: tuple[float, int] | None = None  # what is let in, and the way of trying again
     eject: tuple[str, ...] = ()
     restore: tuple[str, ...] = ()
-    mark: int | None = None
+    nonce: int | None = None
 
     def cost(self) -> int:
         """Lines, as the channel counts them."""
@@ -33,58 +33,58 @@
             len(self.lines)
             + len(self.eject)
             + len(self.restore)
-            + self.whole
+            + self.complete
             + (self.level is not None)
-            + (self.mark is not None)
+            + (self.nonce is not None)
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class ConfigUpdate:
     """One message, to be applied as one."""
 
-    parts: tuple[OrderPart, ...]
+    parts: tuple[ConfigUpdatePart, ...]
 
     def cost(self) -> int:
         return sum(part.cost() for part in self.parts)
 
-    def marks(self) -> tuple[int, ...]:
-        return tuple(part.mark for part in self.parts if part.mark is not None)
+    def nonces(self) -> tuple[int, ...]:
+        return tuple(part.nonce for part in self.parts if part.nonce is not None)
 
 
-class OrderReader:
+class ConfigUpdateReader:
     """Gathers parts until a message is whole; one reader serves one stream."""
 
     def __init__(self) -> None:
-        self.parts: list[OrderPart] = []
+        self.parts: list[ConfigUpdatePart] = []
 
-    def take(self, line: str) -> Order | None:
+    def take(self, line: str) -> ConfigUpdate | None:
         """A whole message, or None while more parts are to come; Unusable if it can't be read."""
         part, continued = read_part(line)
         self.parts.append(part)
         if continued:
-            if len(self.parts) >= PARTS_MOST:
-                raise Unusable(f"a message of over {PARTS_MOST} parts")
+            if len(self.parts) >= MAX_PARTS:
+                raise InvalidUpdate(f"a message of over {MAX_PARTS} parts")
             return None
-        order, self.parts = Order(tuple(self.parts)), []
+        order, self.parts = ConfigUpdate(tuple(self.parts)), []
         return order
 
 
-def read_part(line: str) -> tuple[OrderPart, bool]:
+def read_part(line: str) -> tuple[ConfigUpdatePart, bool]:
     kind, *words = line.split(" ")
     if kind != "CONFIG":
-        raise Unusable(f"kind {kind[:40]!r}")
+        raise InvalidUpdate(f"kind {kind[:40]!r}")
     fields: dict[str, str] = {}
     for word in words:
         name, equals, value = word.partition("=")
         if not equals or name not in FIELDS or name in fields:
-            raise Unusable(f"word {word[:40]!r}")
+            raise InvalidUpdate(f"word {word[:40]!r}")
         fields[name] = value
     if ("admit" in fields) != ("policy" in fields):
-        raise Unusable("a level without its way of trying again, or the other way round")
+        raise InvalidUpdate("a level without its way of trying again, or the other way round")
     level = (figure(fields["admit"]), way(fields["policy"])) if "admit" in fields else None
     mark = int(whole(fields["nonce_out"])) if "nonce_out" in fields else None
-    part = OrderPart(
+    part = ConfigUpdatePart(
         tuple(fields["routes"].split("+")) if "routes" in fields else (),
         flag(fields, "full"),
         tuple(pair(text) for text in fields["endpoints"].split(",")) if fields.get("endpoints") else (),
@@ -103,29 +103,29 @@
 def pair(text: str) -> tuple[str, float]:
     name, colon, weight = text.rpartition(":")
     if not colon or not name:
-        raise Unusable(f"line {text[:40]!r}")
+        raise InvalidUpdate(f"line {text[:40]!r}")
     return name, figure(weight)
 
 
 def figure(text: str) -> float:
     if not FIGURE.fullmatch(text) or not math.isfinite(float(text)):
-        raise Unusable(f"figure {text[:40]!r}")
+        raise InvalidUpdate(f"figure {text[:40]!r}")
     return float(text)
 
 
 def whole(text: str) -> str:
     if not text.isdecimal():
-        raise Unusable(f"mark {text[:40]!r}")
+        raise InvalidUpdate(f"mark {text[:40]!r}")
     return text
 
 
 def way(text: str) -> int:
     if text not in ("0", "1", "2", "3"):
-        raise Unusable(f"policy {text[:40]!r}")
+        raise InvalidUpdate(f"policy {text[:40]!r}")
     return int(text)
 
 
 def flag(fields: dict[str, str], name: str) -> bool:
     if fields.get(name, "0") not in ("0", "1"):
-        raise Unusable(f"{name} {fields[name][:40]!r}")
+        raise InvalidUpdate(f"{name} {fields[name][:40]!r}")
     return fields.get(name) == "1"
--- a/stackwheel/relay/cache.py
+++ b/stackwheel/relay/cache.py
@@ -14,7 +14,7 @@
 from stackwheel.relay.encoding import encode_line
 from stackwheel.relay.messages import Action, Answer, EndWatches, Resumed, TellChanges, TellWhole, Unavailable, WholeDue
 from stackwheel.relay.part import Part
-from stackwheel.state.roster import STALE_MOST, Instance, Listing, latest, merge
+from stackwheel.state.endpoint_cache import MAX_LIST_AGE, EndpointList, Instance, latest_by_name, merge
 
 Locate = Callable[[str, str], str | None]  # name and zone of a server: the served cell that holds it
 
@@ -26,7 +26,7 @@
 class Doubted:
     """A whole list of an older generation, held until it must be the registry's present word."""
 
-    listing: Listing
+    listing: EndpointList
     since: float
     patience: float  # ms
 
@@ -65,13 +65,13 @@
 
     # Events
 
-    def take(self, listing: Listing, now: float) -> tuple[Action, ...]:
+    def take(self, listing: EndpointList, now: float) -> tuple[Action, ...]:
         """The registry has told a list or changes. It counts as heard."""
         self.contact.heard(now)
-        listing = replace(listing, instances=latest(listing.instances))
+        listing = replace(listing, instances=latest_by_name(listing.instances))
         if self.generation is None:
             return self._begin(listing)
-        if listing.anew:
+        if listing.generations_restarted:
             return self._begin_anew(listing)
         if listing.generation < self.generation:
             return self._take_older(listing, now)
@@ -136,13 +136,13 @@
 
     # Listings
 
-    def _begin(self, listing: Listing) -> tuple[Action, ...]:
+    def _begin(self, listing: EndpointList) -> tuple[Action, ...]:
         """The first list: a watch that knows nothing is told all, in whatever form."""
         present = [one for one in listing.instances if one.availability is not Availability.REMOVED]
         self._hold(listing, present)
         return ()
 
-    def _begin_anew(self, listing: Listing) -> tuple[Action, ...]:
+    def _begin_anew(self, listing: EndpointList) -> tuple[Action, ...]:
         """The registry's numbers, or its word, say nothing of those known: all are told the whole part."""
         self.doubted = None
         self.former = max(self.former, self.generation or 0)
@@ -152,7 +152,7 @@
         self._hold(listing, kept + present)
         return tuple(TellWhole(cell) for cell in self.parts)
 
-    def _hold(self, listing: Listing, present: Iterable[Instance]) -> None:
+    def _hold(self, listing: EndpointList, present: Iterable[Instance]) -> None:
         self.generation = listing.generation
         self.known = {one.name: one for one in present}
         self.unreadable = ()
@@ -167,12 +167,12 @@
         for cell, part in self.parts.items():
             part.begin(members[cell], self.generation, self.former)
 
-    def _advance(self, listing: Listing) -> tuple[Action, ...]:
+    def _advance(self, listing: EndpointList) -> tuple[Action, ...]:
         assert self.generation is not None
         late = listing.generation == self.generation
         former, self.generation = self.generation, listing.generation
         changed = [one for one in listing.instances if self.known.get(one.name) != one]
-        if listing.whole:
+        if listing.complete:
             named = {one.name for one in listing.instances}
             changed += [
                 replace(one, availability=Availability.REMOVED)
@@ -186,13 +186,13 @@
         self._note_unreadable(listing)
         return actions
 
-    def _take_older(self, listing: Listing, now: float) -> tuple[Action, ...]:
+    def _take_older(self, listing: EndpointList, now: float) -> tuple[Action, ...]:
         """Of an older generation what still tells something counts at once. A whole list may be the word of a
         registry that counts anew: it holds once nothing newer comes. Two watches may cross within a beat; a list
         that brings back what has left or drains gets the longest that any list can be old."""
-        if listing.whole:
+        if listing.complete:
             since = now if self.doubted is None else self.doubted.since
-            self.doubted = Doubted(listing, since, STALE_MOST if self._revives(listing) else self.beat)
+            self.doubted = Doubted(listing, since, MAX_LIST_AGE if self._revives(listing) else self.beat)
         elif self.doubted is not None:
             self.doubted.listing = merge(self.doubted.listing, listing)
         return self._tell([one for one in listing.instances if self._counts(one)], late=True)
@@ -200,20 +200,20 @@
     def _counts(self, one: Instance) -> bool:
         """As `Roster.counts`: a newer process, a server not known yet, or the known process drains or has left."""
         known = self.known.get(one.name)
-        if known is not None and one.started == known.started:
+        if known is not None and one.started_at == known.started_at:
             return one.availability not in (Availability.READY, known.availability)
-        started = known.started if known is not None else self._departed_process(one)
-        return started is None or one.started > started
+        started = known.started_at if known is not None else self._departed_process(one)
+        return started is None or one.started_at > started
 
-    def _revives(self, listing: Listing) -> bool:
+    def _revives(self, listing: EndpointList) -> bool:
         """Whether it has a process ready that is known to drain, or present that is known to have left."""
         for one in listing.instances:
             known = self.known.get(one.name)
             drains = known is not None and known.availability is Availability.DRAINING
-            if drains and one.availability is Availability.READY and one.started <= known.started:  # type: ignore[union-attr]
+            if drains and one.availability is Availability.READY and one.started_at <= known.started_at:  # type: ignore[union-attr]
                 return True
             left = self._departed_process(one)
-            if left is not None and one.availability is not Availability.REMOVED and one.started <= left:
+            if left is not None and one.availability is not Availability.REMOVED and one.started_at <= left:
                 return True
         return False
 
@@ -221,7 +221,7 @@
         """When the process that departed under that name had started; None if none is known to have departed."""
         cell = self._cell(one)
         change = None if cell is None else self.parts[cell].departed.get(one.name)
-        return None if change is None or one.name in self.known else change.instance.started
+        return None if change is None or one.name in self.known else change.instance.started_at
 
     # Changes
 
@@ -261,7 +261,7 @@
         cell = self.locate(one.name, one.zone)
         return cell if cell in self.parts else None
 
-    def _note_unreadable(self, listing: Listing) -> None:
+    def _note_unreadable(self, listing: EndpointList) -> None:
         """Keep the names of entries that could not be read and are of no known server."""
         names = {*self.unreadable, *listing.unreadable}
         if not names:
--- a/stackwheel/relay/encoding.py
+++ b/stackwheel/relay/encoding.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from stackwheel.interface import Availability
-from stackwheel.state.roster import Instance
+from stackwheel.state.endpoint_cache import Instance
 
 LIFECYCLES = {
     Availability.READY: "in_service",
@@ -26,7 +26,7 @@
             "cell": instance.cell,
             "lifecycle": LIFECYCLES[instance.availability],
             "weight": _plain(instance.weight),
-            "startedAtMs": _plain(instance.started),
+            "startedAtMs": _plain(instance.started_at),
         }
     )
 
--- a/stackwheel/relay/part.py
+++ b/stackwheel/relay/part.py
@@ -12,10 +12,10 @@
 
 from stackwheel.interface import Availability
 from stackwheel.relay.encoding import encode_instance, encode_line, encode_unreadable
-from stackwheel.state.roster import GONE_LEAST, GONE_SHARE, STALE_MOST, Instance
+from stackwheel.state.endpoint_cache import MAX_LIST_AGE, MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO, Instance
 
-DEPARTED_LEAST = GONE_LEAST  # departed servers kept whatever the size: as many as a planner remembers
-DEPARTED_SHARE = GONE_SHARE  # and this times the present ones, so that a log is never longer than three lists
+DEPARTED_LEAST = MIN_REMOVED_KEPT  # departed servers kept whatever the size: as many as a planner remembers
+DEPARTED_SHARE = REMOVED_KEPT_RATIO  # and this times the present ones, so that a log is never longer than three lists
 AHEAD_MOST = 64  # generations ahead of this relay that are remembered: four a planner of a cell of 16
 ANSWERS_MOST = 16  # encoded answers kept, one a generation that is asked for: one a planner of the cell
 
@@ -101,7 +101,7 @@
             if len(self.ahead) >= AHEAD_MOST:
                 self.ahead.pop(next(iter(self.ahead)))
             first = self.ahead[since] = now
-        return now < first + STALE_MOST
+        return now < first + MAX_LIST_AGE
 
     def _changed_after(self, since: int) -> list[bytes]:
         return [
--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from stackwheel.interface import Availability, RequestClass
-from stackwheel.rules.verdicts import AFTER_READY, Limits, Rule, Verdict
+from stackwheel.rules.violations import AFTER_READY, Limits, Rule, Violation
 
 TRAIL = 12  # last events told with a verdict
 RECENT = 400  # events remembered at all
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedEndpoint:
     """A server as a planner has been told of it."""
 
     availability: Availability
@@ -38,14 +38,14 @@
 
     ready_at: float
     holds_from: float  # no limit runs before
-    listed: dict[str, Listed] = field(default_factory=dict)
+    listed: dict[str, ListedEndpoint] = field(default_factory=dict)
     away: dict[str, float] = field(default_factory=dict)  # told that it drains or is gone, and when
     started: dict[str, float] = field(default_factory=dict)  # of the process told of last
     since: dict[str, float] = field(default_factory=dict)  # of a listed server: when its start was told
     able: dict[tuple[int, int], float] = field(default_factory=dict)  # zone and class: a warm server since
     written: dict[int, deque[float]] = field(default_factory=dict)  # messages to a proxy within the window
 
-    def superseded(self, server: str, listed: Listed) -> bool:
+    def superseded(self, server: str, listed: ListedEndpoint) -> bool:
         """Whether a word of an older generation says nothing any more: it is of a process that a later one has
         followed under the same name, or has one ready that was told to drain or to be gone since."""
         latest = self.started.get(server, listed.started)
@@ -73,7 +73,7 @@
         self.due: list[tuple[float, int, int, int]] = []  # when, kind, proxy or planner, class
         self.effects: dict[int, list[tuple[int, float]]] = {}  # request: groups that it had an effect in
         self.over: dict[str, float] = {}  # cold server: sent too much since
-        self.verdicts: list[Verdict] = []
+        self.verdicts: list[Violation] = []
         self.told: set[tuple[object, ...]] = set()
         self.recent: deque[tuple[float, str, tuple[object, ...]]] = deque(maxlen=RECENT)
         self.checks = 0
@@ -102,7 +102,7 @@
             for at, what, about in self.recent
             if not concerned or concerned & set(about) or not about
         ]
-        self.verdicts.append(Verdict(now, rule, planner, proxy, server, detail, tuple(trail[-TRAIL:])))
+        self.verdicts.append(Violation(now, rule, planner, proxy, server, detail, tuple(trail[-TRAIL:])))
 
     # planners
 
@@ -132,7 +132,7 @@
         for place in state.bare:
             self.watch(proxy, state, place)
 
-    def tell(self, planner: int, now: float, server: str, listed: Listed) -> None:
+    def tell(self, planner: int, now: float, server: str, listed: ListedEndpoint) -> None:
         """Discovery has told a planner of a server, and nothing newer before."""
         view = self.planners.get(planner)
         if view is None:
@@ -143,7 +143,7 @@
         if listed.availability is Availability.REMOVED:
             view.listed.pop(server, None)
             view.since.pop(server, None)
-            if known is not None and not self.limits.only_draining_binds:
+            if known is not None and not self.limits.removal_is_advisory:
                 view.away.setdefault(server, now)
         else:
             if known is None or known.warm_at != listed.warm_at:
@@ -303,7 +303,7 @@
     def cold_load(self, server: str, load: float, bears: float, now: float) -> None:
         """What all joined proxies together send to a cold server, and what it can do, in the same unit."""
         self.checks += 1
-        if load <= self.limits.fall_multiple * bears:
+        if load <= self.limits.overload_multiple * bears:
             self.over.pop(server, None)
             return
         since = self.over.setdefault(server, now)
--- a/stackwheel/rules/verdicts.py
+++ b/stackwheel/rules/violations.py
@@ -37,11 +37,11 @@
     unserved: float
     drain: float
     overload: float
-    fall_multiple: float
+    overload_multiple: float
     backlog: float  # 0: no limit
     cap: int  # 0: no limit
     cap_window: float
-    only_draining_binds: bool
+    removal_is_advisory: bool
 
     @classmethod
     def of(cls, settings: Settings) -> Limits:
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class Violation:
     """A rule that was broken: when (ms), by whom, and the last events that led there."""
 
     at: float
--- a/stackwheel/scale/capacity.py
+++ b/stackwheel/scale/capacity.py
@@ -19,13 +19,13 @@
 SHOWN = ("core", "rss_mb", "control_bytes_in", "control_bytes_out", "data_bytes_in", "data_bytes_out")
 MISSING = "*missing*"
 NOT_MEASURED = "computed"
-WATCH = "`wire/discovery.py` `Discovery.watch`"
-ORDERS = "`wire/links.py` `Links.deliver`"
+WATCH = "`wire/discovery_client.py` `DiscoveryClient.watch`"
+ORDERS = "`wire/transport.py` `SocketTransport.deliver`"
 PEERS = "`balance.py` `Planner.tell_peers`"
 RELAY = "`relay/cache.py` `ListingCache.take`, `wire/listing_server.py` `ListingServer.perform`"
 SCOPE = "`cells/assignment.py` `CellIndex.cell_of` and a relay, where they are configured"
-CHOICE = "`forwarder/holdings.py` `choose`"
-PROBE = "`wire/probes.py` `probe`"
+CHOICE = "`forwarder/state.py` `choose`"
+PROBE = "`wire/health_checks.py` `probe`"
 
 
 @dataclass(frozen=True, slots=True)
--- a/stackwheel/scale/capacity_edge.py
+++ b/stackwheel/scale/capacity_edge.py
@@ -148,7 +148,8 @@
         f"{planners:.0f} planners with servers in its zone",
         cost,
         "mean cell's reports",
-        f"{MISSING}: which planners a collector connects to with cells; read by `wire/peer.py` `Peer.dispatch`",
+        f"{MISSING}: which planners a collector connects to with cells; read by "
+        "`wire/connection.py` `Connection.dispatch`",
     )
 
 
--- a/stackwheel/scale/choice.py
+++ b/stackwheel/scale/choice.py
@@ -6,8 +6,8 @@
 import time
 from random import Random
 
-from stackwheel.forwarder.holdings import Holdings, choose
-from stackwheel.forwarder.orders import Order, OrderPart
+from stackwheel.forwarder.state import ForwarderState, choose
+from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdatePart
 from stackwheel.scale.slopes import Choice
 
 ROUTE = "read"
@@ -18,12 +18,14 @@
 REPEATS = 15
 
 
-def table(lines: int) -> Holdings:
+def table(lines: int) -> ForwarderState:
     """A forwarder that holds one table of so many lines."""
     names = [f"svc-0001-{number:08x}" for number in range(lines)]
-    holdings = Holdings((ROUTE,), frozenset(names))
+    holdings = ForwarderState((ROUTE,), frozenset(names))
     weights = Random(lines)
-    holdings.apply(Order((OrderPart((ROUTE,), True, tuple((name, weights.uniform(0.5, 1.5)) for name in names)),)))
+    holdings.apply(
+        ConfigUpdate((ConfigUpdatePart((ROUTE,), True, tuple((name, weights.uniform(0.5, 1.5)) for name in names)),))
+    )
     return holdings
 
 
--- a/stackwheel/scale/holding.py
+++ b/stackwheel/scale/holding.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, replace
 
 from stackwheel.interface import Availability, EndpointEntry, Server, UpdateKind
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.roster import Instance, Listing, Roster
+from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.server_ids import ServerIds, server_id
 
 
 class Shared:
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
-        self.zones, self.kinds, self.ids = zones, kinds, Ids()
+        self.zones, self.kinds, self.ids = zones, kinds, ServerIds()
         self.entries: dict[EndpointEntry, EndpointEntry] = {}
         self.addresses: dict[str, str] = {}
 
@@ -37,7 +37,7 @@
         self.addresses = {address: address for holding in held for address in holding.addresses.values()}
 
 
-class Holding(Roster):
+class Holding(EndpointCache):
     """A planner's roster whose entries are shared; ids stay known, as others of the process hold them."""
 
     def __init__(self, shared: Shared) -> None:
@@ -54,9 +54,9 @@
 
     def forget(self, server: Server) -> None:
         """Drop a server that has gone here; its id may be another planner's."""
-        self.gone.pop(server, None)
+        self.removed.pop(server, None)
 
-    def take(self, listing: Listing, now: float) -> list[EndpointEntry]:
+    def take(self, listing: EndpointList, now: float) -> list[EndpointEntry]:
         """Take a listing in; what it changed here. A server that a whole list leaves out is told as gone."""
         former = self.concerned(listing)
         told = self.apply(listing, now)
@@ -67,17 +67,17 @@
         changed = [entry for server, entry in self.entries.items() if former.get(server) != entry]
         return changed + [gone(entry) for server, entry in former.items() if server not in self.entries]
 
-    def concerned(self, listing: Listing) -> dict[Server, EndpointEntry]:
+    def concerned(self, listing: EndpointList) -> dict[Server, EndpointEntry]:
         """The present entries that a listing may change; the roster changes its own in place."""
-        if listing.whole:
+        if listing.complete:
             return dict(self.entries)
-        named = [digest(one.name) for one in listing.instances]
+        named = [server_id(one.name) for one in listing.instances]
         return {server: self.entries[server] for server in named if server in self.entries}
 
     def listed(self) -> dict[str, ListedEntry]:
         """All that is held, by the servers' names."""
         return {
-            self.ids.names[server]: ListedEntry(entry, self.addresses.get(server, ""))
+            self.server_ids.names[server]: ListedEntry(entry, self.addresses.get(server, ""))
             for server, entry in self.entries.items()
         }
 
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -40,10 +40,10 @@
 from stackwheel.scale.holding import Holding, ListedEntry, Shared, compare, digest_of
 from stackwheel.scale.peers import PeerTraffic
 from stackwheel.scale.records import InForceRecords
-from stackwheel.state.ids import digest
-from stackwheel.state.module import ListFailed
-from stackwheel.state.roster import Listing
-from stackwheel.wire.discovery import LIFECYCLES, Discovery
+from stackwheel.state.endpoint_cache import EndpointList
+from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.server_ids import server_id
+from stackwheel.wire.discovery_client import LIFECYCLES, DiscoveryClient
 from stackwheel.wire.http import CallFailed
 
 ASK_WITHIN = 10_000.0  # ms: `obligations.ask_within` of the example configuration; it bounds the back-off
@@ -89,7 +89,7 @@
         transport.write = counted_write
 
 
-class CountedDiscovery(Discovery):
+class CountedDiscovery(DiscoveryClient):
     """The planner's own client, which counts the calls and watches that ended: each of them is a failure."""
 
     failures = 0
@@ -143,8 +143,8 @@
         """Calls and watches that ended, in all its lives; not those that it ended itself."""
         return self.former_failures + self.discovery.failures
 
-    def told(self, item: Listing | ListFailed) -> None:
-        if isinstance(item, ListFailed):
+    def told(self, item: EndpointList | EndpointListFailed) -> None:
+        if isinstance(item, EndpointListFailed):
             return
         changed = self.holding.take(item, 1000.0 * time.monotonic())
         now = time.monotonic()
@@ -190,7 +190,7 @@
         while True:
             await asyncio.sleep(SETTLE_EVERY)
             for follower in self.followers.values():
-                if follower.holding.doubt is not None:
+                if follower.holding.stale_snapshot is not None:
                     follower.settle(time.monotonic())
             if len(self.shared.entries) > self.sweep_at:
                 self.shared.sweep(follower.holding for follower in self.followers.values())
@@ -236,7 +236,7 @@
 def listed_entry(entry: Entry, zones: dict[str, int], shared: Shared) -> ListedEntry:
     """One entry in a planner's terms."""
     read = EndpointEntry(
-        digest(entry.instance_id),
+        server_id(entry.instance_id),
         zones[entry.zone],
         shared.kinds.index(entry.machine_type),
         entry.cell,
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from stackwheel.forwarder.holdings import Holdings
-from stackwheel.forwarder.orders import Order, OrderReader, Unusable
+from stackwheel.forwarder.state import ForwarderState
+from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdate
 from stackwheel.scale.accounting import Traffic
 from stackwheel.wire.http import split_address
 
@@ -49,7 +49,7 @@
     def __init__(self, number: int, zone: str, settings: ProxySettings, traffic: Traffic, random: Random) -> None:
         self.number, self.zone, self.settings = number, zone, settings
         self.traffic, self.random = traffic, random
-        self.holdings = Holdings(settings.routes, settings.listed)
+        self.holdings = ForwarderState(settings.routes, settings.listed)
         self.state = ProxyState()
         self.writer: asyncio.StreamWriter | None = None
 
@@ -58,8 +58,8 @@
         while True:
             try:
                 await self.stream()
-            except (OSError, Unusable, asyncio.LimitOverrunError, asyncio.IncompleteReadError) as error:
-                self.state.resets += isinstance(error, Unusable)
+            except (OSError, InvalidUpdate, asyncio.LimitOverrunError, asyncio.IncompleteReadError) as error:
+                self.state.resets += isinstance(error, InvalidUpdate)
             finally:
                 self.close()
             await asyncio.sleep(self.random.uniform(*REDIAL_SECONDS))
@@ -79,7 +79,7 @@
             reports.cancel()
 
     async def read_orders(self, reader: asyncio.StreamReader) -> None:
-        orders = OrderReader()
+        orders = ConfigUpdateReader()
         while True:
             line = await reader.readuntil(LINE_END)
             self.traffic.sent(len(line))
@@ -87,10 +87,10 @@
             if order is not None:
                 self.apply(order)
 
-    def apply(self, order: Order) -> None:
+    def apply(self, order: ConfigUpdate) -> None:
         self.holdings.apply(order)
         self.state.orders += 1
-        marks = order.marks()
+        marks = order.nonces()
         if marks:
             elapsed = self.random.lognormvariate(math.log(APPLY_MEDIAN_MS), APPLY_SIGMA)
             self.state.marks += marks
@@ -132,7 +132,7 @@
 
     def holds_table(self) -> bool:
         """Whether it has a line to pick for every route."""
-        return not any(self.holdings.bare(route) for route in self.settings.routes)
+        return not any(self.holdings.has_no_servers(route) for route in self.settings.routes)
 
 
 class HollowCollector:
--- a/stackwheel/scale/relays.py
+++ b/stackwheel/scale/relays.py
@@ -15,7 +15,7 @@
 from stackwheel.scale.children import Child, Children, Role
 from stackwheel.scale.fleet import DrawnPlanner, DrawnServer, Fleet
 from stackwheel.scale.layout import Layout, Placed
-from stackwheel.wire.discovery import PATH
+from stackwheel.wire.discovery_client import PATH
 from stackwheel.wire.http import CallFailed, get
 
 PLAN_FILE = "cells.json"
--- a/stackwheel/scale/surroundings.py
+++ b/stackwheel/scale/surroundings.py
@@ -15,7 +15,7 @@
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING, Entry
 from stackwheel.scale.listing import RegistryList
 from stackwheel.scale.ports import HOST
-from stackwheel.state.ids import digest
+from stackwheel.state.server_ids import server_id
 from stackwheel.wire import timing
 from stackwheel.wire.datagrams import MOST_BYTES
 
@@ -170,7 +170,7 @@
     """The other planners of a tier: each tells its load once a cycle, as long as the policy would send so much."""
 
     def __init__(self, servers: Sequence[str], datagrams_most: int, traffic: Traffic) -> None:
-        self.payloads = peers.pack(PEER_PROXIES, {digest(name): RATE_OF_A_PEER for name in servers})
+        self.payloads = peers.pack(PEER_PROXIES, {server_id(name): RATE_OF_A_PEER for name in servers})
         self.datagrams_most, self.traffic = datagrams_most, traffic
         self.everyone = PeerEnd(traffic)
         self.ends: list[PeerEnd] = []
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -15,16 +15,16 @@
 
 from stackwheel.interface import Settings
 from stackwheel.service.config import Config, ConfigError, load_config
-from stackwheel.service.ports import Extra, PlannerContext
+from stackwheel.service.ports import PlannerContext, ProxyTransport
 from stackwheel.service.reload import Reload
 from stackwheel.state.clock import Clock
-from stackwheel.state.ids import Ids
-from stackwheel.state.module import Module
-from stackwheel.state.orders import Message
-from stackwheel.state.roster import Roster
-from stackwheel.state.streams import Line
-from stackwheel.wire.links import Links, open_listener
+from stackwheel.state.endpoint_cache import EndpointCache
+from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.server_ids import ServerIds
+from stackwheel.state.streams import StreamConnection
+from stackwheel.state.table_updates import ProxyUpdate
 from stackwheel.wire.timing import JITTER, stream_silence
+from stackwheel.wire.transport import SocketTransport, open_listener
 
 OPERATORS = "STACKWHEEL_OPERATORS"  # names the operators' own file
 
@@ -35,7 +35,7 @@
     )
 
 
-def on_sockets(settings: Settings) -> Settings:
+def with_slot_jitter(settings: Settings) -> Settings:
     """Slots come some ms early or late: what leaves the span after so many cycles shall have left it.
 
     The connection keeps the limit itself, over the whole span and as messages are written.
@@ -43,24 +43,24 @@
     return replace(settings, message_window=max(0.0, settings.message_window - JITTER))
 
 
-def no_extras(context: PlannerContext) -> list[Extra]:
+def no_transports(context: PlannerContext) -> list[ProxyTransport]:
     return []
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class ProcessEnvironment:
     """What the process stands in: clocks, listener, configuration and signals, as the system gives them.
 
     A trial hands in its own, so that what runs there is this very service.
     """
 
-    wall: Callable[[], float] = time.time  # s
-    steady: Callable[[], float] = time.monotonic  # s
+    wall_clock: Callable[[], float] = time.time  # s
+    steady_clock: Callable[[], float] = time.monotonic  # s
     listen_at: Callable[[str], socket.socket] = open_listener
-    load: Callable[[], Config | ConfigError] = load_config
-    extras: Callable[[PlannerContext], list[Extra]] = no_extras
-    settle: Callable[[], None] = lambda: None  # once all that stays has been made
-    signals_on: Callable[[], None] = lambda: None  # once signals find somebody who hears them
+    load_config: Callable[[], Config | ConfigError] = load_config
+    transports: Callable[[PlannerContext], list[ProxyTransport]] = no_transports
+    freeze_memory: Callable[[], None] = lambda: None  # once all that stays has been made
+    unblock_signals: Callable[[], None] = lambda: None  # once signals find somebody who hears them
 
 
 def settle_memory() -> None:
@@ -73,78 +73,88 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
 
-def operators_extras(context: PlannerContext) -> list[Extra]:
+def configured_transports(context: PlannerContext) -> list[ProxyTransport]:
     """What the operators' file turns on; without the variable nothing of it is even imported."""
     path = os.environ.get(OPERATORS)
     if not path:
         return []
-    from stackwheel.service.extras import build
+    from stackwheel.service.file_transport import build
 
     return build(context, path)
 
 
-PROCESS = Surroundings(extras=operators_extras, settle=settle_memory, signals_on=unblock_reload)
+PROCESS = ProcessEnvironment(
+    transports=configured_transports, freeze_memory=settle_memory, unblock_signals=unblock_reload
+)
 
 
-class Outsides:
-    """The sockets and what speaks beside them; lists, probes and peers are the sockets' alone."""
+class CompositePorts:
+    """The planner's ports where further transports stand beside the sockets.
 
-    def __init__(self, links: Links, extras: Sequence[Extra]) -> None:
-        self.links, self.extras = links, extras
-        self.watch_list, self.fetch_list = links.watch_list, links.fetch_list
-        self.probe, self.tell_peers = links.probe, links.tell_peers
+    Updates go to all of them; endpoint lists, health checks and gossip are the sockets' alone.
+    """
+
+    def __init__(self, sockets: SocketTransport, transports: Sequence[ProxyTransport]) -> None:
+        self.sockets = sockets
+        self.transports = transports
+        self.watch_endpoints = sockets.watch_endpoints
+        self.fetch_endpoints = sockets.fetch_endpoints
+        self.start_health_check = sockets.start_health_check
+        self.send_gossip = sockets.send_gossip
 
-    def deliver(self, messages: Sequence[tuple[Line, Message]]) -> None:
-        self.links.deliver(messages)
-        for extra in self.extras:
-            extra.deliver(messages)
+    def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
+        self.sockets.deliver(messages)
+        for transport in self.transports:
+            transport.deliver(messages)
 
 
 class Service:
     """One planner's parts, put together and not yet started."""
 
-    def __init__(self, config: Config, around: Surroundings = PROCESS) -> None:
-        self.config, self.around = config, around
-        self.clock = Clock(around.wall, around.steady)
-        self.roster = Roster(config.names.zones, config.names.kinds, Ids(), config.settings.removal_is_advisory)
-        self.roster.apply(config.known)
-        self.links = Links(
-            config.addresses, config.settings, config.names, self.roster, self.clock, around.listen_at, config.seed
+    def __init__(self, config: Config, around: ProcessEnvironment = PROCESS) -> None:
+        self.config, self.environment = config, around
+        self.clock = Clock(around.wall_clock, around.steady_clock)
+        self.endpoints = EndpointCache(
+            config.names.zones, config.names.kinds, ServerIds(), config.settings.removal_is_advisory
+        )
+        self.endpoints.apply(config.known)
+        self.transport = SocketTransport(
+            config.addresses, config.settings, config.names, self.endpoints, self.clock, around.listen_at, config.seed
         )
-        self.extras = around.extras(
-            PlannerContext(config, self.clock, self.roster, lambda item: self.module.post(item))
+        self.transports = around.transports(
+            PlannerContext(config, self.clock, self.endpoints, lambda item: self.planner.post(item))
         )
-        outside = Outsides(self.links, self.extras) if self.extras else self.links
-        self.module = Module(
-            on_sockets(config.settings),
+        outside = CompositePorts(self.transport, self.transports) if self.transports else self.transport
+        self.planner = PlannerActor(
+            with_slot_jitter(config.settings),
             config.names.tick,
             config.seed,
             self.clock,
-            self.roster,
+            self.endpoints,
             outside,
             silence(config.settings),
         )
-        self.reload = Reload(config, self.links.readdress, around.load)
+        self.reload = Reload(config, self.transport.readdress, around.load_config)
 
     async def run(self) -> None:
         """Answer and decide until cancelled; OSError if an address can't be had."""
         if self.config.absent:
             logger.warning("settings not given, so at their defaults: {}", ", ".join(self.config.absent))
-        self.module.decide([self.roster.cached()])  # known first; who connects finds a planner that is ready
-        self.around.settle()
-        await self.links.open(self.module.post)
+        self.planner.decide([self.endpoints.cached()])  # known first; who connects finds a planner that is ready
+        self.environment.freeze_memory()
+        await self.transport.open(self.planner.post)
         logger.info(
             "ready on {}, {} servers known of list {}",
             self.config.addresses.listen,
-            len(self.roster.entries),
-            self.roster.generation,
+            len(self.endpoints.entries),
+            self.endpoints.generation,
         )
-        self.links.start_task(self.reload.run())
-        for extra in self.extras:
-            self.links.start_task(extra.run())
+        self.transport.start_task(self.reload.run())
+        for extra in self.transports:
+            self.transport.start_task(extra.run())
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload.ask)
-        self.around.signals_on()  # one that came during the start counts now
-        await self.module.run()
+        self.environment.unblock_signals()  # one that came during the start counts now
+        await self.planner.run()
 
 
 async def serve(config: Config) -> None:
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -12,10 +12,10 @@
 
 from stackwheel.interface import Settings
 from stackwheel.settings import Names, SettingsError, build_all, flatten
-from stackwheel.state.roster import Listing
-from stackwheel.wire.discovery import read_listing, replicas
+from stackwheel.state.endpoint_cache import EndpointList
+from stackwheel.wire.discovery_client import read_listing, replicas
 from stackwheel.wire.http import split_address
-from stackwheel.wire.links import Addresses
+from stackwheel.wire.transport import Addresses
 
 VARIABLE = "ROUTER_CONFIG"
 OVERRIDES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
@@ -29,7 +29,7 @@
     seed: int
     settings: Settings
     names: Names
-    known: Listing
+    known: EndpointList
     absent: tuple[str, ...] = ()  # settings that have their default
 
 
@@ -93,7 +93,7 @@
         read_seed(found.get("seed", "0")),
         built,
         names,
-        Listing(0, True, ()) if known is None else read_listing(known, refuse),
+        EndpointList(0, True, ()) if known is None else read_listing(known, refuse),
         absent,
     )
 
--- a/stackwheel/service/extras.py
+++ b/stackwheel/service/file_transport.py
@@ -5,22 +5,22 @@
 import random
 from pathlib import Path
 
+from stackwheel.config_language.load import OperatorsError, load
+from stackwheel.config_language.schema import Files
 from stackwheel.files.codec import NO_KEYS
-from stackwheel.files.desk import FileDesk, Folders
 from stackwheel.files.disk import SystemDisk
 from stackwheel.files.keys import KeyFileError, load_keys
 from stackwheel.files.ledger import Ledger, Terms
+from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.push import Pace, Pusher
-from stackwheel.operators.load import OperatorsError, load
-from stackwheel.operators.schema import Files
-from stackwheel.service.ports import Extra, PlannerContext
+from stackwheel.service.ports import PlannerContext, ProxyTransport
 
 
 class ExtrasError(OSError):
     """The operators' file can't be used; a start ends with this one line."""
 
 
-def build(context: PlannerContext, path: str) -> list[Extra]:
+def build(context: PlannerContext, path: str) -> list[ProxyTransport]:
     """ExtrasError where the file, or one that it names, can't be used."""
     try:
         found = load(Path(path)).records
@@ -29,7 +29,7 @@
         raise ExtrasError(str(error)) from None
 
 
-def file_desk(context: PlannerContext, files: Files) -> FileDesk:
+def file_desk(context: PlannerContext, files: Files) -> FilePublisher:
     config = context.config
     keys = load_keys(Path(files.keys)) if files.keys else NO_KEYS
     ledger = Ledger(
@@ -37,11 +37,11 @@
         config.names,
         config.settings.proxy_count,
         Terms(files.life, files.whole_every, config.settings.report_interval),
-        context.roster.ids.name,
+        context.endpoints.server_ids.name,
         random.Random(config.seed).getrandbits(48),
     )
     pusher = Pusher(Pace(files.pace.cap, files.pace.span, files.pace.least), config.seed, files.under_way)
-    return FileDesk(
+    return FilePublisher(
         ledger,
         pusher,
         Folders(files.out, files.answers),
--- a/stackwheel/service/ports.py
+++ b/stackwheel/service/ports.py
@@ -8,16 +8,16 @@
 
 from stackwheel.service.config import Config
 from stackwheel.state.clock import Clock
-from stackwheel.state.module import Item
-from stackwheel.state.orders import Message
-from stackwheel.state.roster import Roster
-from stackwheel.state.streams import Line
+from stackwheel.state.endpoint_cache import EndpointCache
+from stackwheel.state.planner_actor import Item
+from stackwheel.state.streams import StreamConnection
+from stackwheel.state.table_updates import ProxyUpdate
 
 
-class Extra(Protocol):
+class ProxyTransport(Protocol):
     """A transport beside the sockets: it gets all orders, and takes those of its own proxies."""
 
-    def deliver(self, messages: Sequence[tuple[Line, Message]]) -> None: ...
+    def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None: ...
 
     async def run(self) -> None: ...
 
@@ -28,5 +28,5 @@
 
     config: Config
     clock: Clock
-    roster: Roster
+    endpoints: EndpointCache
     post: Callable[[Item], None]  # into the module's mailbox; never blocks
--- a/stackwheel/service/process.py
+++ b/stackwheel/service/process.py
@@ -22,7 +22,7 @@
 
     from stackwheel.service.app import serve
     from stackwheel.service.config import ConfigError, load_config
-    from stackwheel.service.logs import start_logging
+    from stackwheel.service.logging_setup import start_logging
 
     config = load_config()
     if isinstance(config, ConfigError):
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -17,14 +17,14 @@
 
 from stackwheel.cells.assignment import CellIndex, replicas
 from stackwheel.cells.plan import CellPlanError, Plan, load_plan
-from stackwheel.operators.load import OperatorsError, load
+from stackwheel.config_language.load import OperatorsError, load
 from stackwheel.relay.cache import ListingCache
 from stackwheel.service.config import replicated
-from stackwheel.service.logs import start_logging
-from stackwheel.state.module import ListFailed
-from stackwheel.state.roster import STALE_MOST, Listing
+from stackwheel.service.logging_setup import start_logging
+from stackwheel.state.endpoint_cache import MAX_LIST_AGE, EndpointList
+from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import timing
-from stackwheel.wire.discovery import Discovery
+from stackwheel.wire.discovery_client import DiscoveryClient
 from stackwheel.wire.listing_server import ListingServer, stand_open
 
 CONNECTIONS_MOST = 20_000  # descriptors that one process may hold, whatever the system would allow
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelaySurroundings:
+class RelayEnvironment:
     """Listeners, plan and signals as the system gives them; a trial hands in its own."""
 
     listen_at: Callable[[str], socket.socket] = stand_open
@@ -108,7 +108,7 @@
     signals_on: Callable[[], None] = unblock_reload  # once signals find somebody who hears them
 
 
-PROCESS = RelaySurroundings()
+PROCESS = RelayEnvironment()
 
 
 class RelayService:
@@ -119,25 +119,25 @@
         config: RelayConfig,
         serving: Serving,
         connections: int,
-        around: RelaySurroundings = PROCESS,
+        around: RelayEnvironment = PROCESS,
     ) -> None:
         self.config, self.serving, self.around = config, serving, around
         self.cache = ListingCache(serving.locate, serving.cells, timing.SILENCE, timing.BEAT)
         self.server = ListingServer(self.cache, connections, listen_at=around.listen_at)
-        self.upstream = Discovery(
+        self.upstream = DiscoveryClient(
             config.upstream,
             0,
             True,
             self.take,
             Random(config.name),
-            STALE_MOST,  # asked again at the latest after a part of the time that any list may be old
+            MAX_LIST_AGE,  # asked again at the latest after a part of the time that any list may be old
             timing.renewal(len(serving.plan.relays)),
             self.heard,
         )
         self.reload_asked = asyncio.Event()
 
-    def take(self, item: Listing | ListFailed) -> None:
-        if isinstance(item, Listing):
+    def take(self, item: EndpointList | EndpointListFailed) -> None:
+        if isinstance(item, EndpointList):
             self.server.perform(self.cache.take(item, self.server.now()))
 
     def heard(self) -> None:
--- a/stackwheel/service/reload.py
+++ b/stackwheel/service/reload.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from stackwheel.service.config import Config, ConfigError, load_config
-from stackwheel.wire.links import Addresses
+from stackwheel.wire.transport import Addresses
 
 LOOKS, LOOK_AGAIN = 4, 0.5  # a file that can't be used is looked at so often, so many s apart: it may be half written
 AT_START = ("listen", "peer_listen")  # of the addresses: what stands open
--- a/stackwheel/drill/__main__.py
+++ b/stackwheel/simulator/__main__.py
@@ -1,12 +1,12 @@
-"""`python -m stackwheel.drill`: read batches on standard input, write replies on standard output."""
+"""`python -m stackwheel.simulator`: read batches on standard input, write replies on standard output."""
 
 from __future__ import annotations
 
 import sys
 from typing import BinaryIO
 
-from stackwheel.drill.host import Host
-from stackwheel.drill.wire import WireError, read_frame
+from stackwheel.simulator.host import Host
+from stackwheel.simulator.wire import WireError, read_frame
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
@@ -20,7 +20,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"stackwheel.drill: {error}", file=sys.stderr)
+        print(f"stackwheel.simulator: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/stackwheel/drill/host.py
+++ b/stackwheel/simulator/host.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from stackwheel.balance import Planner
-from stackwheel.drill import wire
-from stackwheel.drill.wire import Batch, Create, Decoder, Down, WireError
 from stackwheel.interface import Event
 from stackwheel.settings import SettingsError, parse_settings
+from stackwheel.simulator import wire
+from stackwheel.simulator.wire import Batch, Create, Decoder, Down, WireError
 
 
 class Host:
--- a/stackwheel/state/roster.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -11,10 +11,10 @@
 
 from stackwheel import interface as face
 from stackwheel.interface import Availability, EndpointEntry, Server, UpdateKind
-from stackwheel.state.ids import Ids, digest
+from stackwheel.state.server_ids import ServerIds, server_id
 
-GONE_LEAST, GONE_SHARE = 64, 2  # gone servers kept: this times the listed, as the policy does
-STALE_MOST = 6000.0  # ms: the protocol says that whatever discovery tells counts as told after it; no list is older
+MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO = 64, 2  # gone servers kept: this times the listed, as the policy does
+MAX_LIST_AGE = 6000.0  # ms: the protocol says that whatever discovery tells counts as told after it; no list is older
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,45 +28,47 @@
     cell: int
     availability: Availability
     weight: float
-    started: float  # Unix ms; 0: long ago
+    started_at: float  # Unix ms; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointList:
     """An answer of discovery: the whole list, or what has changed."""
 
     generation: int
-    whole: bool
+    complete: bool
     instances: tuple[Instance, ...]
     unreadable: frozenset[str] = frozenset()  # names of entries that were left out; "" for one without a name
-    anew: bool = False  # of a discovery whose generations say nothing of those known: it moved, or began anew
+    generations_restarted: bool = (
+        False  # of a discovery whose generations say nothing of those known: it moved, or began anew
+    )
 
 
-def merge(held: Listing, changes: Listing) -> Listing:
+def merge(held: EndpointList, changes: EndpointList) -> EndpointList:
     """A whole list brought forward by what changed since."""
     found = {instance.name: instance for instance in (*held.instances, *changes.instances)}
-    return Listing(changes.generation, True, tuple(found.values()), held.unreadable | changes.unreadable)
+    return EndpointList(changes.generation, True, tuple(found.values()), held.unreadable | changes.unreadable)
 
 
-def latest(instances: Iterable[Instance]) -> tuple[Instance, ...]:
+def latest_by_name(instances: Iterable[Instance]) -> tuple[Instance, ...]:
     """One entry a server: of doubled ones the later process counts, of one process the last word."""
     found: dict[str, Instance] = {}
     for instance in instances:
-        if instance.name not in found or instance.started >= found[instance.name].started:
+        if instance.name not in found or instance.started_at >= found[instance.name].started_at:
             found[instance.name] = instance
     return tuple(found.values())
 
 
-class Word(Enum):
+class EntryFreshness(Enum):
     """What an older generation's entry says beside the process known under its name."""
 
-    NEWS = auto()  # a process not known yet, or that the one known drains or has left
-    REVIVAL = auto()  # of a process that drains or has left since, that it is there as before
-    NOTHING = auto()  # what is known already, or of a process that a later one has followed
+    NEW = auto()  # a process not known yet, or that the one known drains or has left
+    REVIVED = auto()  # of a process that drains or has left since, that it is there as before
+    KNOWN = auto()  # what is known already, or of a process that a later one has followed
 
 
 @dataclass(slots=True)
-class Doubt:
+class StaleSnapshot:
     """A whole list of older state that revives something, brought forward by the changes since."""
 
     since: float  # ms: when the first such list came
@@ -75,42 +77,48 @@
     unreadable: set[str]
 
     @classmethod
-    def of(cls, listing: Listing, since: float) -> Doubt:
+    def of(cls, listing: EndpointList, since: float) -> StaleSnapshot:
         return cls(since, listing.generation, {one.name: one for one in listing.instances}, set(listing.unreadable))
 
-    def advance(self, changes: Listing) -> None:
+    def advance(self, changes: EndpointList) -> None:
         self.generation = changes.generation
         self.instances.update((one.name, one) for one in changes.instances)
         self.unreadable |= changes.unreadable
 
-    def listing(self) -> Listing:
-        return Listing(self.generation, True, tuple(self.instances.values()), frozenset(self.unreadable), anew=True)
+    def listing(self) -> EndpointList:
+        return EndpointList(
+            self.generation,
+            True,
+            tuple(self.instances.values()),
+            frozenset(self.unreadable),
+            generations_restarted=True,
+        )
 
 
-class Roster:
+class EndpointCache:
     def __init__(
-        self, zones: tuple[str, ...], kinds: tuple[str, ...], ids: Ids, only_draining_binds: bool = False
+        self, zones: tuple[str, ...], kinds: tuple[str, ...], ids: ServerIds, removal_is_advisory: bool = False
     ) -> None:
-        self.zones, self.kinds, self.ids = zones, kinds, ids
-        self.only_draining_binds = only_draining_binds  # then the policy goes on with what has left
+        self.zones, self.kinds, self.server_ids = zones, kinds, ids
+        self.removal_is_advisory = removal_is_advisory  # then the policy goes on with what has left
         self.generation = 0
         self.entries: dict[Server, EndpointEntry] = {}
         self.addresses: dict[Server, str] = {}  # where this planner reaches them
-        self.gone: dict[Server, float] = {}  # when each had started, the first to go first; each may return
+        self.removed: dict[Server, float] = {}  # when each had started, the first to go first; each may return
         self.renewed: dict[Server, None] = {}  # the present ones that had an earlier process under the same id
-        self.doubt: Doubt | None = None
+        self.stale_snapshot: StaleSnapshot | None = None
         self.unresolved = False  # changes passed a doubted list: if it had begun anew, who left by it is not known
 
-    def apply(self, listing: Listing, now: float = 0.0) -> face.EndpointUpdate:
+    def apply(self, listing: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
         """Take a listing in; the event that tells the policy of it. Changes cost by what they name, not by the list."""
-        listing = replace(listing, instances=latest(listing.instances))
-        late_drains = self.late_drains(listing) if self.only_draining_binds else []
+        listing = replace(listing, instances=latest_by_name(listing.instances))
+        late_drains = self.late_drains(listing) if self.removal_is_advisory else []
         listing = self.newer(listing, now)
         entries = [entry for instance in listing.instances if (entry := self.entry(instance)) is not None]
         here = {e.server: e for e in entries if e.availability is not Availability.REMOVED}
         gone = {e.server: e.started_at for e in entries if e.availability is Availability.REMOVED}
         self.renewed |= dict.fromkeys(s for s, e in here.items() if e.started_at > self.last_start(s, e.started_at))
-        if listing.whole:
+        if listing.complete:
             kept = self.unread(listing, {e.server for e in entries})
             gone |= {s: e.started_at for s, e in self.entries.items() if s not in here and s not in kept}
             entries += kept.values()
@@ -119,36 +127,36 @@
             self.entries |= here
         for server, started in gone.items():
             self.entries.pop(server, None)
-            self.gone[server] = started
+            self.removed[server] = started
             self.addresses.pop(server, None)
             self.renewed.pop(server, None)
         for server in here:
-            self.gone.pop(server, None)
+            self.removed.pop(server, None)
         self.generation = listing.generation
-        scope = UpdateKind.FULL if listing.whole else UpdateKind.DELTA
+        scope = UpdateKind.FULL if listing.complete else UpdateKind.DELTA
         return face.EndpointUpdate(scope, listing.generation, (*entries, *late_drains))
 
-    def late_drains(self, listing: Listing) -> list[EndpointEntry]:
+    def late_drains(self, listing: EndpointList) -> list[EndpointEntry]:
         """Drains that an older generation tells of processes that have left: they bind, where departures do not.
 
         They are for the policy alone, which may still send there; what has left is not listed again.
         """
-        if listing.anew or listing.whole or listing.generation >= self.generation:
+        if listing.generations_restarted or listing.complete or listing.generation >= self.generation:
             return []
         drains = [one for one in listing.instances if one.availability is Availability.DRAINING]
-        found = [self.entry(one) for one in drains if self.gone.get(digest(one.name)) == one.started]
+        found = [self.entry(one) for one in drains if self.removed.get(server_id(one.name)) == one.started_at]
         entries = [entry for entry in found if entry is not None]
         for entry in entries:
             self.addresses.pop(entry.server, None)
         return entries
 
-    def unread(self, listing: Listing, read: set[Server]) -> dict[Server, EndpointEntry]:
+    def unread(self, listing: EndpointList, read: set[Server]) -> dict[Server, EndpointEntry]:
         """Known servers that a whole list may name in an entry which could not be read: that is no departure."""
-        named = {digest(name) for name in listing.unreadable}
-        named |= {digest(one.name) for one in listing.instances}  # an unknown zone, say
+        named = {server_id(name) for name in listing.unreadable}
+        named |= {server_id(one.name) for one in listing.instances}  # an unknown zone, say
         return {s: e for s, e in self.entries.items() if s not in read and ("" in listing.unreadable or s in named)}
 
-    def newer(self, listing: Listing, now: float) -> Listing:
+    def newer(self, listing: EndpointList, now: float) -> EndpointList:
         """Of an older generation than is known, what still counts.
 
         Of changes that is what is `Word.NEWS`: anything else would bring back what has left since. A whole list
@@ -156,31 +164,33 @@
         tells it: it counts like changes. Where no newer word comes while a list can be that old, discovery
         has begun anew, and what it says holds.
         """
-        if listing.anew or listing.generation >= self.generation:
-            self.unresolved = not listing.whole and (self.unresolved or self.doubt is not None)
-            self.doubt = None
+        if listing.generations_restarted or listing.generation >= self.generation:
+            self.unresolved = not listing.complete and (self.unresolved or self.stale_snapshot is not None)
+            self.stale_snapshot = None
             return listing
         words = [(one, self.word(one)) for one in listing.instances]
-        if self.doubt is not None and not listing.whole:
-            self.doubt.advance(listing)
-        elif listing.whole and all(word is not Word.REVIVAL for _, word in words):
-            self.doubt = None
+        if self.stale_snapshot is not None and not listing.complete:
+            self.stale_snapshot.advance(listing)
+        elif listing.complete and all(word is not EntryFreshness.REVIVED for _, word in words):
+            self.stale_snapshot = None
             return listing
-        elif listing.whole:
+        elif listing.complete:
             logger.warning(
                 "list {} revives what left by list {}: it is believed only if nothing newer comes for {:g} s",
                 listing.generation,
                 self.generation,
-                STALE_MOST / 1000.0,
+                MAX_LIST_AGE / 1000.0,
+            )
+            self.stale_snapshot = StaleSnapshot.of(
+                listing, now if self.stale_snapshot is None else self.stale_snapshot.since
             )
-            self.doubt = Doubt.of(listing, now if self.doubt is None else self.doubt.since)
-        return Listing(self.generation, False, tuple(one for one, word in words if word is Word.NEWS))
+        return EndpointList(self.generation, False, tuple(one for one, word in words if word is EntryFreshness.NEW))
 
-    def settled(self, now: float) -> Listing | None:
+    def settled(self, now: float) -> EndpointList | None:
         """A whole list that was held for an older state, once nothing newer can be on its way."""
-        if self.doubt is None or now < self.doubt.since + STALE_MOST:
+        if self.stale_snapshot is None or now < self.stale_snapshot.since + MAX_LIST_AGE:
             return None
-        return self.doubt.listing()
+        return self.stale_snapshot.listing()
 
     def lacks_whole(self) -> bool:
         """Whether a whole list has to be asked for; true once for each time that there is need."""
@@ -190,19 +200,19 @@
     def last_start(self, server: Server, default: float) -> float:
         """When the process last known under that id had started, whether it is here or gone."""
         known = self.entries.get(server)
-        return known.started_at if known is not None else self.gone.get(server, default)
+        return known.started_at if known is not None else self.removed.get(server, default)
 
-    def word(self, instance: Instance) -> Word:
+    def word(self, instance: Instance) -> EntryFreshness:
         """What an older generation's entry still tells beside what is known."""
-        server = digest(instance.name)
+        server = server_id(instance.name)
         known = self.entries.get(server)
-        if (known is None and server not in self.gone) or instance.started > self.last_start(server, 0.0):
-            return Word.NEWS
+        if (known is None and server not in self.removed) or instance.started_at > self.last_start(server, 0.0):
+            return EntryFreshness.NEW
         if known is None:
-            return Word.NOTHING if instance.availability is Availability.REMOVED else Word.REVIVAL
+            return EntryFreshness.KNOWN if instance.availability is Availability.REMOVED else EntryFreshness.REVIVED
         if instance.availability is Availability.READY:
-            return Word.REVIVAL if known.availability is Availability.DRAINING else Word.NOTHING
-        return Word.NEWS if instance.started == known.started_at else Word.NOTHING
+            return EntryFreshness.REVIVED if known.availability is Availability.DRAINING else EntryFreshness.KNOWN
+        return EntryFreshness.NEW if instance.started_at == known.started_at else EntryFreshness.KNOWN
 
     def past(self, server: Server, began: float) -> bool:
         """Whether what was met since then may be of a former process under that id."""
@@ -213,7 +223,7 @@
         if instance.zone not in self.zones:
             logger.warning("discovery lists {} in unknown zone {}; left out", instance.name, instance.zone[:40])
             return None
-        server = self.ids.learn(instance.name)
+        server = self.server_ids.learn(instance.name)
         if server is None:
             return None
         self.addresses[server] = instance.address
@@ -225,17 +235,17 @@
             instance.cell,
             instance.availability,
             instance.weight,
-            instance.started,
+            instance.started_at,
         )
 
     def outdated(self) -> list[Server]:
         """The gone servers beyond the bound, which are forgotten once nothing names them."""
-        most = max(GONE_LEAST, GONE_SHARE * len(self.entries))
-        return list(islice(self.gone, max(0, len(self.gone) - most)))
+        most = max(MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO * len(self.entries))
+        return list(islice(self.removed, max(0, len(self.removed) - most)))
 
     def forget(self, server: Server) -> None:
-        self.gone.pop(server, None)
-        self.ids.forget(server)
+        self.removed.pop(server, None)
+        self.server_ids.forget(server)
 
     def cached(self) -> face.EndpointUpdate:
         """The present list, for a policy that starts from it."""
--- a/stackwheel/state/ids.py
+++ b/stackwheel/state/server_ids.py
@@ -11,11 +11,11 @@
 ID_BYTES = 6
 
 
-def digest(name: str) -> Server:
+def server_id(name: str) -> Server:
     return Server(hashlib.blake2b(name.encode(), digest_size=ID_BYTES).digest())
 
 
-class Ids:
+class ServerIds:
     """Names by id. What was listed stays known while a table or proxy may name it."""
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
 
     def learn(self, name: str) -> Server | None:
         """The id of a listed instance; None if another instance has it: that one would get its orders."""
-        server = digest(name)
+        server = server_id(name)
         if self.names.setdefault(server, name) != name:
             logger.error("instances {} and {} share an id; {} is left out", self.names[server], name, name)
             return None
--- a/stackwheel/trials/defects.py
+++ b/stackwheel/trials/defects.py
@@ -17,7 +17,7 @@
 from stackwheel import balance
 from stackwheel import interface as face
 from stackwheel.balance import Outbox, Planner
-from stackwheel.files import codec, desk
+from stackwheel.files import codec, publisher
 from stackwheel.files.accept import Acceptor
 from stackwheel.files.disk import SwapFailed
 from stackwheel.files.reader import Reader
@@ -25,21 +25,21 @@
 from stackwheel.relay import cache
 from stackwheel.relay.contact import Contact
 from stackwheel.relay.part import Part
-from stackwheel.rules.verdicts import Rule
-from stackwheel.state.module import Module
-from stackwheel.state.roster import Listing, Roster
-from stackwheel.state.streams import Streams, carried
+from stackwheel.rules.violations import Rule
+from stackwheel.state.endpoint_cache import EndpointCache, EndpointList
+from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.streams import ProxyStreams, carried
 from stackwheel.trials.proxies import Proxy
 from stackwheel.trials.runner import SeedResult, leave_interrupts, run_seed
 from stackwheel.trials.world import World
-from stackwheel.wire import lines
-from stackwheel.wire.discovery import Discovery
-from stackwheel.wire.lines import Encoder
-from stackwheel.wire.links import Links
+from stackwheel.wire import connection, line_codec
+from stackwheel.wire.connection import BufferBudget, Connection, RateLimiter
+from stackwheel.wire.discovery_client import DiscoveryClient
+from stackwheel.wire.line_codec import Encoder
 from stackwheel.wire.listing_server import ListingServer
 from stackwheel.wire.listing_watch import UNREAD_MOST, ListingWatch
-from stackwheel.wire.peer import BufferBudget, Peer, RateLimiter
-from stackwheel.wire.values import Spoilt
+from stackwheel.wire.messages import MalformedMessage
+from stackwheel.wire.transport import SocketTransport
 
 Patch = tuple[Any, str, Any]
 
@@ -152,7 +152,7 @@
 
 def whole_not_said() -> Sequence[Patch]:
     honest = Encoder.part
-    return [(Encoder, "part", lambda self, part: honest(self, replace(part, whole=False)))]
+    return [(Encoder, "part", lambda self, part: honest(self, replace(part, complete=False)))]
 
 
 def zero_lines_dropped() -> Sequence[Patch]:
@@ -167,70 +167,74 @@
 
 
 def end_of_another() -> Sequence[Patch]:
-    def leave(self: Streams, proxy: int, line: Any) -> Iterable[face.Event]:
+    def leave(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event]:
         self.silent.pop(proxy, None)
         if self.by_proxy.pop(proxy, None) is not None:
             yield face.ProxyLeft(proxy)
 
-    return [(Streams, "leave", leave)]
+    return [(ProxyStreams, "leave", leave)]
 
 
 def words_of_another() -> Sequence[Patch]:
     """The older stream of a proxy takes it over again with its late words."""
 
-    def heard(self: Streams, proxy: int, line: Any) -> Iterable[face.Event] | None:
+    def heard(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
         stream = self.by_proxy.get(proxy)
         if stream is not None and not carried(self.by_proxy, proxy, line):
-            stream.line = line
+            stream.connection = line
         return ()
 
-    return [(Streams, "heard", heard)]
+    return [(ProxyStreams, "heard", heard)]
 
 
 def whole_list_as_changes() -> Sequence[Patch]:
-    honest = Roster.apply
-    return [(Roster, "apply", lambda self, listing, now=0.0: honest(self, replace(listing, whole=False), now))]
+    honest = EndpointCache.apply
+
+    def apply(self: EndpointCache, listing: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
+        return honest(self, replace(listing, complete=False), now)
+
+    return [(EndpointCache, "apply", apply)]
 
 
 def older_believed() -> Sequence[Patch]:
     """Generations are not compared: an older state brings back what drains."""
 
-    def newer(self: Roster, listing: Listing, now: float) -> Listing:
+    def newer(self: EndpointCache, listing: EndpointList, now: float) -> EndpointList:
         return listing
 
-    return [(Roster, "newer", newer)]
+    return [(EndpointCache, "newer", newer)]
 
 
 def batch_cut() -> Sequence[Patch]:
-    honest = Module.turn
+    honest = PlannerActor.process_batch
 
-    def turn(self: Module) -> None:
+    def process_batch(self: PlannerActor) -> None:
         self.mailbox = self.mailbox[-3:]
         honest(self)
 
-    return [(Module, "turn", turn)]
+    return [(PlannerActor, "process_batch", process_batch)]
 
 
 def watch_ends() -> Sequence[Patch]:
-    return [(Discovery, "failed", lambda self, failed, address: None)]
+    return [(DiscoveryClient, "failed", lambda self, failed, address: None)]
 
 
 def message_lost() -> Sequence[Patch]:
-    honest = Peer.send
+    honest = Connection.send
 
-    def send(self: Peer, data: bytes) -> None:
+    def send(self: Connection, data: bytes) -> None:
         if not (data.startswith(b"CONFIG") and len(data) % 17 == 0):
             honest(self, data)
 
-    return [(Peer, "send", send)]
+    return [(Connection, "send", send)]
 
 
 def exponents() -> Sequence[Patch]:
-    return [(lines, "number", lambda value: f"{value:.5e}")]
+    return [(line_codec, "number", lambda value: f"{value:.5e}")]
 
 
 def never_forgotten() -> Sequence[Patch]:
-    def account(self: BufferBudget, peer: Peer, count: int) -> None:
+    def account(self: BufferBudget, peer: Connection, count: int) -> None:
         self.total += count
         self.held[peer] = count
 
@@ -242,27 +246,25 @@
         def pop(self, *about: Any) -> Any:
             return None
 
-    honest = Links.__init__
+    honest = SocketTransport.__init__
 
-    def begin(self: Links, *about: Any, **more: Any) -> None:
+    def begin(self: SocketTransport, *about: Any, **more: Any) -> None:
         honest(self, *about, **more)
         self.unidentified = Keeping()
 
-    return [(Links, "__init__", begin)]
+    return [(SocketTransport, "__init__", begin)]
 
 
 def spoilt_kills() -> Sequence[Patch]:
-    honest = lines.decode
+    honest = line_codec.decode
 
     def decode(line: bytes, names: Any) -> Any:
         found = honest(line, names)
-        if isinstance(found, Spoilt):
+        if isinstance(found, MalformedMessage):
             raise KeyError(found.reason)
         return found
 
-    from stackwheel.wire import peer
-
-    return [(peer, "decode", decode)]
+    return [(connection, "decode", decode)]
 
 
 def held_back() -> Sequence[Patch]:
@@ -282,10 +284,10 @@
 
 
 def capped_by_stream() -> Sequence[Patch]:
-    def limiter(self: Links, proxy: int) -> RateLimiter:
+    def limiter(self: SocketTransport, proxy: int) -> RateLimiter:
         return RateLimiter(self.settings.message_cap, self.settings.message_window)
 
-    return [(Links, "limiter", limiter), (Outbox, "may_write", lambda self, proxy, share: True)]
+    return [(SocketTransport, "limiter", limiter), (Outbox, "may_write", lambda self, proxy, share: True)]
 
 
 def written_in_place() -> Sequence[Patch]:
@@ -299,7 +301,7 @@
             return SwapFailed("write", str(error))
         return None
 
-    return [(desk, "swap", swap)]
+    return [(publisher, "swap", swap)]
 
 
 def sequence_unchecked() -> Sequence[Patch]:
--- a/stackwheel/trials/events.py
+++ b/stackwheel/trials/events.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stackwheel.interface import Availability
-from stackwheel.rules.verdicts import AFTER_RELOAD
+from stackwheel.rules.violations import AFTER_RELOAD
 from stackwheel.trials import script as s
 from stackwheel.trials.exchange import PushTrouble
 from stackwheel.trials.loop import Machine
--- a/stackwheel/trials/exchange.py
+++ b/stackwheel/trials/exchange.py
@@ -14,17 +14,17 @@
 
 from stackwheel.files.accept import Content, target
 from stackwheel.files.codec import KeyRing, encode
-from stackwheel.files.desk import FileDesk, Folders
 from stackwheel.files.ledger import Ledger, Terms
-from stackwheel.files.prevail import Prevailing, Source
-from stackwheel.files.prevail import Terms as Allowed
+from stackwheel.files.precedence import Source, SourcePrecedence
+from stackwheel.files.precedence import Terms as Allowed
+from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.push import Pace, Pusher
 from stackwheel.files.reader import Place, Reader, Taken
 from stackwheel.files.records import Booking, Came, Incarnation, Met
-from stackwheel.rules.verdicts import Rule
+from stackwheel.rules.violations import Rule
 from stackwheel.service.ports import PlannerContext
-from stackwheel.state.module import Item
-from stackwheel.state.streams import Stream
+from stackwheel.state.planner_actor import Item
+from stackwheel.state.streams import ProxyStream
 from stackwheel.trials.disks import TrialDisk
 from stackwheel.trials.loop import Machine
 from stackwheel.trials.planners import EPOCH
@@ -101,12 +101,12 @@
             config.names,
             config.settings.proxy_count,
             Terms(LIFE, 10, config.settings.report_interval),
-            context.roster.ids.name,
+            context.endpoints.server_ids.name,
             config.seed & 0xFFFF,
         )
         cap = config.settings.message_cap
         pusher = Pusher(Pace(cap, config.settings.message_window, 50.0), config.seed)
-        desk = FileDesk(
+        desk = FilePublisher(
             ledger,
             pusher,
             Folders("/out", "/answers"),
@@ -122,7 +122,7 @@
 
     def heard(self, host: PlannerHost, context: PlannerContext, item: Item) -> None:
         """What the desk posts: a forwarder that joins by files counts as joined."""
-        if isinstance(item, Stream):
+        if isinstance(item, ProxyStream):
             self.joined[item.proxy] = host.number
             self.world.checker.joined(item.proxy, host.number, self.world.ms())
         context.post(item)
@@ -277,7 +277,7 @@
             exchange.aside(self.disk),
             int(exchange.world.loop.now * 1000) & 0xFFFF,
         )
-        self.prevailing = Prevailing(Allowed(keep=KEEP))
+        self.prevailing = SourcePrecedence(Allowed(keep=KEEP))
         self.shown: tuple[Source, Content] | None = None
         self.reported = exchange.world.loop.now
 
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -8,12 +8,12 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any, cast
 
-from stackwheel.files.desk import FileDesk
-from stackwheel.service.app import Service, Surroundings, no_extras
+from stackwheel.files.publisher import FilePublisher
+from stackwheel.service.app import ProcessEnvironment, Service, no_transports
 from stackwheel.service.config import Config, ConfigError, read_config
 from stackwheel.trials.loop import Machine
 from stackwheel.trials.network import Address
-from stackwheel.wire.peer import Peer
+from stackwheel.wire.connection import Connection
 
 if TYPE_CHECKING:
     from stackwheel.trials.world import World
@@ -91,7 +91,7 @@
         self.address: Address = (self.host, 8081)
         self.machine = Machine(f"planner-{number}")
         self.service: Service | None = None
-        self.desk: FileDesk | None = None
+        self.desk: FilePublisher | None = None
         self.lives = 0
         self.discovery = world.discovery_of(number)
 
@@ -135,13 +135,13 @@
         assert not isinstance(config, ConfigError), config.reason
         loop = world.loop
         exchange = world.exchange
-        around = Surroundings(
-            extras=partial(exchange.extras, self) if exchange is not None else no_extras,
-            wall=lambda: EPOCH + loop.now,
-            steady=lambda: loop.now,
-            load=self.load,
+        around = ProcessEnvironment(
+            transports=partial(exchange.extras, self) if exchange is not None else no_transports,
+            wall_clock=lambda: EPOCH + loop.now,
+            steady_clock=lambda: loop.now,
+            load_config=self.load,
             listen_at=lambda address: cast(socket.socket, world.network.listen(self.machine, self.address)),
-            signals_on=lambda: world.planner_up(self),
+            unblock_signals=lambda: world.planner_up(self),
         )
         previous, loop.machine = loop.machine, self.machine
         try:
@@ -170,19 +170,19 @@
         """By class the lines and the level that it believes a proxy to hold, and what it has ejected there;
         None while something it sent is unanswered, or there is no stream."""
         assert self.service is not None
-        module, ids = self.service.module, self.service.roster.ids
+        module, ids = self.service.planner, self.service.endpoints.server_ids
         stream = module.streams.by_proxy.get(proxy)
         if stream is None:
             return None
         lines: dict[int, dict[str, float]] = {}
         levels: dict[int, tuple[float, int] | None] = {}
-        for place, table in stream.bound.items():
+        for place, table in stream.table_by_class.items():
             lines[place] = {
                 name: weight
-                for server, weight in module.orders.tables.get(table, {}).items()
+                for server, weight in module.tables.tables.get(table, {}).items()
                 if (name := ids.name(server)) is not None
             }
-            level = module.orders.level(place, table)
+            level = module.tables.level(place, table)
             levels[place] = None if level is None else (level[0], int(level[1]))
         ejected = {name: out for server, out in stream.ejected.items() if (name := ids.name(server)) is not None}
         return lines, levels, ejected
@@ -190,32 +190,40 @@
     def last_mark(self, proxy: int) -> int | None:
         """The newest mark that it has sent a proxy and heard no answer to."""
         assert self.service is not None
-        stream = self.service.module.streams.by_proxy.get(proxy)
-        return next(reversed(stream.marks), None) if stream is not None else None
+        stream = self.service.planner.streams.by_proxy.get(proxy)
+        return next(reversed(stream.pending_nonces), None) if stream is not None else None
 
     def unsent(self, proxy: int) -> int:
         """Bytes for a proxy that still wait in the planner."""
         assert self.service is not None
-        stream = self.service.module.streams.by_proxy.get(proxy)
-        return stream.line.unsent if stream is not None and isinstance(stream.line, Peer) else 0
+        stream = self.service.planner.streams.by_proxy.get(proxy)
+        return stream.connection.unsent if stream is not None and isinstance(stream.connection, Connection) else 0
 
     def figures(self) -> Iterator[tuple[str, float, float]]:
         """What it keeps for others, and the most there may be of it."""
         assert self.service is not None
-        links, module, roster = self.service.links, self.service.module, self.service.roster
+        links, module, roster = self.service.transport, self.service.planner, self.service.endpoints
         proxies = self.world.shape.proxies
         yield "streams", len(module.streams.by_proxy) + len(module.streams.silent), proxies
         yield "limiters", len(links.limiters), proxies
-        yield "bytes that wait", links.waiting.total, links.waiting.most
-        yield "bytes that wait, beside their sum", abs(links.waiting.total - sum(links.waiting.held.values())), 0
-        yield "peers that hold bytes, not attended", sum(p not in links.peers for p in links.waiting.held), 0
-        yield "unidentified not attended", sum(p not in links.peers for p in links.unidentified), 0
-        yield "connections", len(links.peers) + links.arriving, 1024
-        yield "tasks", len(links.tasks), 8 + 2 * len(links.peers) + 4 * self.world.shape.servers
+        yield "bytes that wait", links.buffer_budget.total, links.buffer_budget.most
+        yield (
+            "bytes that wait, beside their sum",
+            abs(links.buffer_budget.total - sum(links.buffer_budget.held.values())),
+            0,
+        )
+        yield (
+            "peers that hold bytes, not attended",
+            sum(p not in links.connections for p in links.buffer_budget.held),
+            0,
+        )
+        yield "unidentified not attended", sum(p not in links.connections for p in links.unidentified), 0
+        yield "connections", len(links.connections) + links.arriving, 1024
+        yield "tasks", len(links.tasks), 8 + 2 * len(links.connections) + 4 * self.world.shape.servers
         yield "calls for the list", len(links.discovery.fetching), 16
-        yield "gone servers", len(roster.gone), 64 + 3 * len(roster.entries) + 8
-        yield "names", len(roster.ids.names), len(roster.entries) + len(roster.gone) + 8
+        yield "gone servers", len(roster.removed), 64 + 3 * len(roster.entries) + 8
+        yield "names", len(roster.server_ids.names), len(roster.entries) + len(roster.removed) + 8
         yield "mailbox", len(module.mailbox), 20_000
         yield "timers", len(module.timers), 256
         for stream in module.streams.by_proxy.values():
-            yield f"marks of proxy {stream.proxy}", len(stream.marks), 64
+            yield f"marks of proxy {stream.proxy}", len(stream.pending_nonces), 64
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from stackwheel.forwarder.holdings import Holdings, choose
-from stackwheel.forwarder.orders import Order, OrderReader, Unusable
+from stackwheel.forwarder.state import ForwarderState, choose
+from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdate
 from stackwheel.interface import Retry
-from stackwheel.rules.verdicts import Rule
+from stackwheel.rules.violations import Rule
 from stackwheel.trials.loop import Machine
 from stackwheel.trials.network import Transport
 from stackwheel.trials.servers import Outcome, Proof
@@ -74,7 +74,7 @@
     def __init__(self, proxy: Proxy, planner: int) -> None:
         super().__init__()
         self.proxy, self.planner = proxy, planner
-        self.reader = OrderReader()
+        self.reader = ConfigUpdateReader()
         self.taken = b""  # of a line that the planner has taken in part
         self.counted = False  # joined, as the rules see it
         self.broken = False  # by the network or its own proxy: it counts as left
@@ -92,7 +92,7 @@
             return
         try:
             order = self.reader.take(line)
-        except Unusable as error:
+        except InvalidUpdate as error:
             self.proxy.refuse(self, str(error))
             return
         if order is not None:
@@ -124,7 +124,7 @@
         self.chance = random.Random(f"proxy {number} {world.script.seed}")
         shape = world.shape
         self.routes = tuple(c.name for c in shape.classes)
-        self.holdings = Holdings(self.routes, world.ever_listed)
+        self.holdings = ForwarderState(self.routes, world.ever_listed)
         self.stream: Stream | None = None
         self.dialling: Stream | None = None
         self.fresh = True
@@ -243,8 +243,8 @@
         """A new life of the process: only its standing table."""
         self.stream = self.dialling = None
         self.fresh = True
-        self.holdings = Holdings(self.routes, self.world.ever_listed)
-        self.holdings.bring(self.world.standing_table(self.zone, self.chance))
+        self.holdings = ForwarderState(self.routes, self.world.ever_listed)
+        self.holdings.install_standing_table(self.world.standing_table(self.zone, self.chance))
         self.under_way, self.strikes, self.kept_off, self.met = {}, {}, {}, {}
         self.came, self.unserved = [0] * len(self.routes), [0] * len(self.routes)
         self.tell_lines()
@@ -259,13 +259,13 @@
 
     # orders
 
-    def apply(self, stream: Stream, order: Order, entered: float) -> None:
+    def apply(self, stream: Stream, order: ConfigUpdate, entered: float) -> None:
         """A message has come out of the channel: it counts whole, or not at all."""
         if self.stream is not stream or stream.transport is None or stream.transport.closing:
             return
         try:
             self.holdings.apply(order)
-        except Unusable as error:
+        except InvalidUpdate as error:
             self.refuse(stream, str(error))
             return
         self.fresh = False
@@ -274,13 +274,13 @@
         )
         self.tell_lines()
         took = (self.world.loop.now - entered) * 1000.0
-        for mark in order.marks():
+        for mark in order.nonces():
             stream.say(f"ACK id={self.number} seq={mark} ms={took:.1f}")
 
     def tell_lines(self) -> None:
         now = self.world.ms()
         for place, name in enumerate(self.routes):
-            self.world.checker.lines(self.number, place, not self.holdings.bare(name), now)
+            self.world.checker.lines(self.number, place, not self.holdings.has_no_servers(name), now)
 
     # reports
 
@@ -328,7 +328,7 @@
             return
         self.under_way[name] = self.under_way.get(name, 0) + 1
         world.checker.sent(self.number, name, now * 1000.0)
-        retry = self.holdings.further(self.routes[place], Retry(world.shape.usual_retry))
+        retry = self.holdings.retry_mode(self.routes[place], Retry(world.shape.usual_retry))
         until = request.until
         if retry >= Retry.ONCE and request.further < retry - Retry.ONCE_IF_NOT_EXECUTED:
             until = min(until, now + 0.8 * world.shape.classes[place].aim / 1000.0)
--- a/stackwheel/trials/relay_views.py
+++ b/stackwheel/trials/relay_views.py
@@ -9,7 +9,7 @@
 
 from stackwheel.cells.assignment import service_of
 from stackwheel.interface import Availability
-from stackwheel.rules.verdicts import TOLD_AT_LAST, Rule
+from stackwheel.rules.violations import TOLD_AT_LAST, Rule
 from stackwheel.trials.discovery import LIFECYCLES, Record
 from stackwheel.trials.network import Transport
 
@@ -181,8 +181,8 @@
     def lacks(self, planner: PlannerHost) -> dict[str, str]:
         """By server, what is wrong with it in a planner's list."""
         assert planner.service is not None
-        roster, registry = planner.service.roster, self.world.discovery.records
-        held = {roster.ids.name(server) or "": entry for server, entry in roster.entries.items()}
+        roster, registry = planner.service.endpoints, self.world.discovery.records
+        held = {roster.server_ids.name(server) or "": entry for server, entry in roster.entries.items()}
         told = self.world.checker.planners[planner.number].listed
         found: dict[str, str] = {}
         for name, listed in told.items():
@@ -206,7 +206,7 @@
             self.compare(part, self.held_by(planner), planner.number, str(planner.machine))
         for relay in relays:
             assert relay.service is not None
-            held = {one.name: (one.availability, one.started) for one in relay.service.cache.known.values()}
+            held = {one.name: (one.availability, one.started_at) for one in relay.service.cache.known.values()}
             everything = {r.name: (r.state, r.started) for r in self.world.discovery.records.values()}
             for name in sorted(name for name in {*held, *everything} if held.get(name) != everything.get(name)):
                 self.break_part(
@@ -216,9 +216,9 @@
     def held_by(self, planner: PlannerHost) -> dict[str, tuple[object, ...]]:
         if planner.service is None:
             return {}
-        roster = planner.service.roster
+        roster = planner.service.endpoints
         return {
-            roster.ids.name(server) or str(server): (
+            roster.server_ids.name(server) or str(server): (
                 entry.availability,
                 entry.started_at,
                 entry.zone,
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -14,8 +14,8 @@
 from stackwheel.cells.assignment import addresses, service_of
 from stackwheel.cells.plan import VERSION, Cell, Limits, Plan, Relay
 from stackwheel.interface import Availability
-from stackwheel.rules.verdicts import Rule
-from stackwheel.service.relay import RelayConfig, RelayService, RelaySurroundings, Serving, serving_of
+from stackwheel.rules.violations import Rule
+from stackwheel.service.relay import RelayConfig, RelayEnvironment, RelayService, Serving, serving_of
 from stackwheel.trials.discovery import Call, Record
 from stackwheel.trials.loop import Machine
 from stackwheel.trials.network import Conditions, Transport
@@ -68,7 +68,7 @@
         world.network.return_of(old)
         self.lives += 1
         config = RelayConfig(self.machine.name, "{}:{}".format(*world.discovery.address), Path("plan"))
-        around = RelaySurroundings(self.listen_at, self.load, lambda: None)
+        around = RelayEnvironment(self.listen_at, self.load, lambda: None)
         previous, world.loop.machine = world.loop.machine, self.machine
         try:
             self.service = RelayService(config, self.load(config.name, config.plan), CONNECTIONS, around)
--- a/stackwheel/trials/runner.py
+++ b/stackwheel/trials/runner.py
@@ -11,7 +11,7 @@
 from concurrent.futures import FIRST_COMPLETED, Future, ProcessPoolExecutor, wait
 from dataclasses import dataclass, field
 
-from stackwheel.rules.verdicts import Rule, Verdict
+from stackwheel.rules.violations import Rule, Violation
 from stackwheel.trials.draw import draw
 from stackwheel.trials.script import Script
 from stackwheel.trials.world import run_script
@@ -26,7 +26,7 @@
 
     seed: int
     digest: str
-    verdicts: tuple[Verdict, ...]
+    verdicts: tuple[Violation, ...]
     virtual_seconds: float
     cpu: float  # s that it took
     service: float
--- a/stackwheel/trials/shrink.py
+++ b/stackwheel/trials/shrink.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from stackwheel.rules.verdicts import Rule
+from stackwheel.rules.violations import Rule
 from stackwheel.trials.script import Fault, Script, ScriptError, check, machines
 from stackwheel.trials.world import run_script
 
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -14,11 +14,11 @@
 
 from loguru import logger
 
-from stackwheel.forwarder.orders import Order
+from stackwheel.forwarder.updates import ConfigUpdate
 from stackwheel.interface import Availability, Settings
-from stackwheel.rules.checker import Checker, Listed
+from stackwheel.rules.checker import Checker, ListedEndpoint
 from stackwheel.rules.invariants import disagreement, level_disagreement, over_bounds
-from stackwheel.rules.verdicts import TOLD_AT_LAST, Limits, Rule, Verdict
+from stackwheel.rules.violations import TOLD_AT_LAST, Limits, Rule, Violation
 from stackwheel.service.config import Config
 from stackwheel.trials import events
 from stackwheel.trials.discovery import Call, Discovery, News, Record
@@ -46,7 +46,7 @@
 
     seed: int
     digest: str
-    verdicts: list[Verdict]
+    verdicts: list[Violation]
     virtual_seconds: float
     steps: int
     requests: int
@@ -345,8 +345,8 @@
         )
 
     @staticmethod
-    def listed(record: Record) -> Listed:
-        return Listed(record.state, record.zone, record.kind, record.warm_at * 1000.0, record.started)
+    def listed(record: Record) -> ListedEndpoint:
+        return ListedEndpoint(record.state, record.zone, record.kind, record.warm_at * 1000.0, record.started)
 
     def list_soon(self, *servers: Server) -> None:
         """Discovery hears of changes seconds late."""
@@ -417,7 +417,7 @@
 
     # orders
 
-    def channel_takes(self, stream: Stream, order: Order) -> None:
+    def channel_takes(self, stream: Stream, order: ConfigUpdate) -> None:
         """A message's last byte has arrived: it enters its planner's channel."""
         shape, proxy = self.shape, stream.proxy
         cost = order.cost() + shape.overhead
--- a/stackwheel/wire/peer.py
+++ b/stackwheel/wire/connection.py
@@ -10,21 +10,21 @@
 
 from stackwheel import interface as face
 from stackwheel.settings import Names
-from stackwheel.state.ids import digest
-from stackwheel.state.module import Ended, Item, Said
-from stackwheel.state.streams import Stream
+from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.server_ids import server_id
+from stackwheel.state.streams import ProxyStream
 from stackwheel.wire import timing
-from stackwheel.wire.lines import FIRST_BYTES, MOST_BYTES, NACK, PONG, Splitter, begun, decode
-from stackwheel.wire.values import (
+from stackwheel.wire.line_codec import FIRST_BYTES, MOST_BYTES, NACK, PONG, Splitter, begun, decode
+from stackwheel.wire.messages import (
     Ack,
     Join,
     Load,
+    MalformedMessage,
     Message,
     Ping,
+    ProtocolViolation,
     Rate,
     Source,
-    Spoilt,
-    Unreadable,
     columns_in_order,
 )
 
@@ -53,9 +53,9 @@
 
     def __init__(self, most: int) -> None:
         self.most, self.total = most, 0
-        self.held: dict[Peer, int] = {}
+        self.held: dict[Connection, int] = {}
 
-    def account(self, peer: Peer, count: int) -> None:
+    def account(self, peer: Connection, count: int) -> None:
         """Set the bytes that a peer holds; closes peers until the total is within the bound."""
         self.total += count - self.held.pop(peer, 0)
         if count:
@@ -66,7 +66,7 @@
             worst.end(f"as most of {self.most} bytes that may wait are its own")
 
 
-class Peer:
+class Connection:
     """One connection: a proxy's stream, a collector, or a peer that has not identified itself yet."""
 
     def __init__(
@@ -76,7 +76,7 @@
         names: Names,
         proxies: int,
         post: Callable[[Item], None],
-        on_identified: Callable[[Peer, bool], None],
+        on_identified: Callable[[Connection, bool], None],
         limiter: Callable[[int], RateLimiter],
         waiting: BufferBudget,
         is_listed: Callable[[face.Server], bool],
@@ -118,7 +118,7 @@
             self.ended = True
             self.waiting.account(self, 0)
             if self.proxy is not None:
-                self.post(Ended(self.proxy, self))
+                self.post(StreamEnded(self.proxy, self))
 
     async def read(self) -> None:
         while data := await self.reader.read(timing.READ_BYTES):
@@ -138,15 +138,15 @@
         if (held := len(self.splitter.held)) and not self.ended:
             logger.warning("{}: ended inside a line, {} bytes after message {}", self, held, self.messages_received)
 
-    def handle(self, message: Message | Spoilt | Unreadable) -> Unreadable | None:
+    def handle(self, message: Message | MalformedMessage | ProtocolViolation) -> ProtocolViolation | None:
         """Process one message; the reason if the connection has to be closed for it."""
-        if isinstance(message, Unreadable):
+        if isinstance(message, ProtocolViolation):
             return message
-        said = message if isinstance(message, Spoilt) else self.dispatch(message)
+        said = message if isinstance(message, MalformedMessage) else self.dispatch(message)
         if self.unidentified:
             if said is None and self.splitter.taken > FIRST_BYTES:
-                return Unreadable(f"over {FIRST_BYTES} bytes and no word of what it is")
-            return None if said is None else Unreadable(said.reason)
+                return ProtocolViolation(f"over {FIRST_BYTES} bytes and no word of what it is")
+            return None if said is None else ProtocolViolation(said.reason)
         if said is not None:
             self.messages_rejected += 1
             logger.warning(
@@ -157,7 +157,7 @@
                 said.reason,
             )
             if self.proxy is not None:
-                self.post(Said(self.proxy, None, self))
+                self.post(StreamMessage(self.proxy, None, self))
         return None
 
     @property
@@ -178,7 +178,7 @@
         self.ended = True
         self.writer.transport.abort()
 
-    def dispatch(self, message: Message) -> Spoilt | None:
+    def dispatch(self, message: Message) -> MalformedMessage | None:
         """Post a message to the module; the reason if this peer may not send it."""
         match message:
             case Ping():
@@ -188,27 +188,27 @@
                     self.zone = message.zone
                     self.mark_identified()
             case Load(zone, target, count, failed, mean, over, load) if self.zone is not None:
-                server = digest(target)
+                server = server_id(target)
                 if not self.is_listed(server):
-                    return Spoilt(f"LOAD: unknown target={target[:40]!r}")
+                    return MalformedMessage(f"LOAD: unknown target={target[:40]!r}")
                 values = columns_in_order(load, self.names.columns)
                 self.post(face.LoadReport(zone, server, count, failed, mean, over, values))
             case Rate(proxy, place, count, failed, over) if self.zone is not None and proxy < self.proxies:
                 self.post(face.DemandReport(proxy, place, count, failed, over))
             case Rate(proxy, place, count, failed, over) if self.proxy == proxy:
-                self.post(Said(proxy, face.DemandReport(proxy, place, count, failed, over), self))
+                self.post(StreamMessage(proxy, face.DemandReport(proxy, place, count, failed, over), self))
             case Ack(proxy, mark, elapsed) if self.proxy == proxy:
-                self.post(Said(proxy, face.Acknowledged(proxy, mark, elapsed), self))
+                self.post(StreamMessage(proxy, face.Acknowledged(proxy, mark, elapsed), self))
             case Rate() | Ack() if not self.unidentified:
-                return Spoilt(f"{type(message).__name__} speaks for proxy {message.proxy}")
+                return MalformedMessage(f"{type(message).__name__} speaks for proxy {message.proxy}")
             case Join(proxy, zone, rate, fresh) if self.zone is None and self.proxy in (None, proxy):
                 if proxy >= self.proxies:
-                    return Spoilt(f"proxy {proxy} of {self.proxies}")
+                    return MalformedMessage(f"proxy {proxy} of {self.proxies}")
                 self.proxy = proxy
                 self.mark_identified()
-                self.post(Stream(proxy, zone, rate, fresh, self))
+                self.post(ProxyStream(proxy, zone, rate, fresh, self))
             case _:
-                return Spoilt(f"{type(message).__name__} is out of place here")
+                return MalformedMessage(f"{type(message).__name__} is out of place here")
         return None
 
     def mark_identified(self) -> None:
--- a/stackwheel/wire/discovery.py
+++ b/stackwheel/wire/discovery_client.py
@@ -13,8 +13,8 @@
 from loguru import logger
 
 from stackwheel.interface import Availability
-from stackwheel.state.module import ListFailed
-from stackwheel.state.roster import Instance, Listing, merge
+from stackwheel.state.endpoint_cache import EndpointList, Instance, merge
+from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.backoff import Backoff
 from stackwheel.wire.http import Call, CallFailed, Stage, get
@@ -28,14 +28,14 @@
 }
 
 
-def parse_listing(data: bytes) -> Listing | CallFailed:
+def parse_listing(data: bytes) -> EndpointList | CallFailed:
     try:
         return read_listing(json.loads(data), lambda what: logger.warning("{}; left out", what))
     except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
         return CallFailed(Stage.CONTENT, f"{type(error).__name__}: {error}"[:200])
 
 
-def read_listing(found: object, report: Callable[[str], None]) -> Listing:
+def read_listing(found: object, report: Callable[[str], None]) -> EndpointList:
     """The typed list of a JSON object; ValueError and its like where it is none.
 
     An entry that can't be read is reported and left out, its neighbours count: no list fails for one of them.
@@ -54,7 +54,7 @@
             name = item.get("instanceId") if isinstance(item, dict) else None
             unreadable.add(name if isinstance(name, str) else "")
             report(f"list {generation}: entry {place} ({str(name)[:40]!r}): {type(error).__name__}: {error}"[:200])
-    return Listing(generation, whole, tuple(read), frozenset(unreadable))
+    return EndpointList(generation, whole, tuple(read), frozenset(unreadable))
 
 
 def read_instance(item: dict[str, object]) -> Instance:
@@ -82,7 +82,7 @@
     return float(value)
 
 
-async def whole_list(address: str) -> Listing | CallFailed:
+async def whole_list(address: str) -> EndpointList | CallFailed:
     body = await get(address, PATH, timing.DIAL, timing.ANSWER)
     return body if isinstance(body, CallFailed) else parse_listing(body)
 
@@ -100,7 +100,7 @@
     address: str
 
 
-class Discovery:
+class DiscoveryClient:
     """Its mailbox holds what the policy asks for, and moves; each call ends in one item for the module.
 
     After a move the old address is watched until the new one has answered. That answer is taken for the
@@ -115,7 +115,7 @@
         address: str,
         generation: int,
         follow_always: bool,
-        post: Callable[[Listing | ListFailed], None],
+        post: Callable[[EndpointList | EndpointListFailed], None],
         random: Random | None = None,
         ask_within: float = math.inf,
         renewal: float = math.inf,
@@ -179,7 +179,7 @@
 
     async def fetch(self) -> None:
         """The whole list. Where discovery moves meanwhile it is asked for again, so that an answer always comes."""
-        found: Listing | CallFailed | None = None
+        found: EndpointList | CallFailed | None = None
         while found is None:
             address = self.asked()
             try:
@@ -193,10 +193,10 @@
             self.failed(found, address)
             return
         if self.watching is not None and found.generation < self.generation:  # the watch has overtaken it
-            found = replace(found, whole=False)
+            found = replace(found, complete=False)
         self.settle(found, address)
 
-    async def fetch_newest(self, address: str) -> Listing | CallFailed:
+    async def fetch_newest(self, address: str) -> EndpointList | CallFailed:
         """The whole list of the first replica that is not behind what is known; else the newest of them all."""
         names, newest = replicas(address), None
         failed: CallFailed | None = None
@@ -280,29 +280,29 @@
         if self.successor is None and self.source != self.address:
             asyncio.get_running_loop().call_later(self.backoff.next() / 1000.0, self.mailbox.put_nowait, "again")
 
-    async def whole(self, call: Call, address: str) -> AsyncIterator[Listing | CallFailed | None]:
+    async def whole(self, call: Call, address: str) -> AsyncIterator[EndpointList | CallFailed | None]:
         """The lists of a watch at a new address, the first of them whole.
 
         The old address may have told more by then: a list behind that waits for what changed since, but no
         longer than a beat, as its numbers may also be others.
         """
-        held: Listing | None = None
+        held: EndpointList | None = None
         async for found in self.lines(call):
             if isinstance(found, CallFailed) or self.source == address:
                 yield found
-            elif found is not None and not found.whole and held is None:
+            elif found is not None and not found.complete and held is None:
                 fetched = await whole_list(call.address)
                 if isinstance(fetched, CallFailed):
                     yield fetched
                     return
                 held = fetched
             elif found is not None:
-                held = found if held is None or found.whole else merge(held, found)
+                held = found if held is None or found.complete else merge(held, found)
             if held is not None and (found is None or held.generation >= self.generation):
                 yield held
                 held = None
 
-    async def lines(self, call: Call) -> AsyncIterator[Listing | CallFailed | None]:
+    async def lines(self, call: Call) -> AsyncIterator[EndpointList | CallFailed | None]:
         """The lists of a watch, one JSON object a line, None for an empty line; a last failure ends it."""
         loop = asyncio.get_running_loop()
         held, limit, line_due = bytearray(), timing.ANSWER, loop.time() * 1000.0 + timing.LINE
@@ -329,18 +329,18 @@
                 yield CallFailed(Stage.BODY, f"line over {timing.BODY_MOST} bytes")
                 return
 
-    def settle(self, found: Listing, address: str) -> None:
+    def settle(self, found: EndpointList, address: str) -> None:
         self.backoff.reset()
         if address != self.source:
             logger.info("discovery {} takes the place of {}", address, self.source)
-            self.source, found = address, replace(found, anew=True)
+            self.source, found = address, replace(found, generations_restarted=True)
         if self.successor is asyncio.current_task():
             if self.watching is not None:
                 self.watching.cancel()
             self.watching, self.successor = self.successor, None
-        self.generation = found.generation if found.whole else max(self.generation, found.generation)
+        self.generation = found.generation if found.complete else max(self.generation, found.generation)
         logger.info(
-            "list {}: {} {} instances", found.generation, "all" if found.whole else "changed", len(found.instances)
+            "list {}: {} {} instances", found.generation, "all" if found.complete else "changed", len(found.instances)
         )
         self.post(found)
 
@@ -350,4 +350,4 @@
         if self.follow_always:
             asyncio.get_running_loop().call_later(self.backoff.next() / 1000.0, self.mailbox.put_nowait, "watch")
         else:
-            self.post(ListFailed())
+            self.post(EndpointListFailed())
--- a/stackwheel/wire/probes.py
+++ b/stackwheel/wire/health_checks.py
@@ -8,8 +8,8 @@
 from stackwheel.state.clock import Clock
 from stackwheel.wire import timing
 from stackwheel.wire.http import Call, CallFailed, Stage, exchange
-from stackwheel.wire.lines import FieldError, read_load
-from stackwheel.wire.values import columns_in_order
+from stackwheel.wire.line_codec import FieldError, read_load
+from stackwheel.wire.messages import columns_in_order
 
 
 def probe_call(address: str, names: Names) -> Call:
--- a/stackwheel/wire/lines.py
+++ b/stackwheel/wire/line_codec.py
@@ -8,10 +8,9 @@
 
 from stackwheel.interface import Server
 from stackwheel.settings import COLUMNS, Names
-from stackwheel.state.ids import Ids
-from stackwheel.state.orders import Message as Order
-from stackwheel.state.orders import Part
-from stackwheel.wire.values import Ack, Join, Load, Message, Ping, Rate, Source, Spoilt, Unreadable
+from stackwheel.state.server_ids import ServerIds
+from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
+from stackwheel.wire.messages import Ack, Join, Load, MalformedMessage, Message, Ping, ProtocolViolation, Rate, Source
 
 END = b"\r\n"
 PONG = b"PONG" + END
@@ -141,31 +140,31 @@
 }
 
 
-def decode(line: bytes, names: Names) -> Message | Spoilt | Unreadable:
+def decode(line: bytes, names: Names) -> Message | MalformedMessage | ProtocolViolation:
     try:
         kind, *words = line.decode("utf-8").split(" ")
     except UnicodeDecodeError as error:
-        return Unreadable(f"not UTF-8 at byte {error.start}")
+        return ProtocolViolation(f"not UTF-8 at byte {error.start}")
     if kind not in READERS:
-        return Unreadable(f"unknown kind {kind[:40]!r}")
+        return ProtocolViolation(f"unknown kind {kind[:40]!r}")
     try:
         return READERS[kind](Fields([word for word in words if word], names))
     except GrammarError as error:
-        return Unreadable(f"{kind}: {error}")
+        return ProtocolViolation(f"{kind}: {error}")
     except FieldError as error:
-        return Spoilt(f"{kind}: {error}")
+        return MalformedMessage(f"{kind}: {error}")
 
 
 KINDS = tuple(name.encode() for name in READERS)
 
 
-def begun(held: bytes | bytearray) -> Unreadable | None:
+def begun(held: bytes | bytearray) -> ProtocolViolation | None:
     """Whether the start of a line may become a message; who sends no end of it is not waited for."""
     kind, space, _ = bytes(held[:64]).removesuffix(b"\r").partition(b" ")
     if kind not in KINDS if space else not any(name.startswith(kind) for name in KINDS):
-        return Unreadable(f"unknown kind {kind[:40].decode(errors='replace')!r}")
+        return ProtocolViolation(f"unknown kind {kind[:40].decode(errors='replace')!r}")
     if found := NO_TEXT.search(held, 0, len(held) - held.endswith(b"\r")):
-        return Unreadable(f"no text at byte {found.start()}")
+        return ProtocolViolation(f"no text at byte {found.start()}")
     return None
 
 
@@ -181,10 +180,10 @@
 class Encoder:
     """Messages as lines. Proxies share parts, so each part of a reply is written out once."""
 
-    def __init__(self, names: Names, ids: Ids) -> None:
+    def __init__(self, names: Names, ids: ServerIds) -> None:
         self.names, self.ids = names, ids
 
-    def encode(self, orders: Sequence[Order]) -> Iterator[bytes]:
+    def encode(self, orders: Sequence[ProxyUpdate]) -> Iterator[bytes]:
         written: dict[int, str] = {}
         for order in orders:
             for part in order.parts:
@@ -193,16 +192,16 @@
             bodies = [written[id(part)] for part in order.parts]
             yield self.message(order, bodies)
 
-    def message(self, order: Order, bodies: list[str]) -> bytes:
+    def message(self, order: ProxyUpdate, bodies: list[str]) -> bytes:
         if order.eject or order.restore or not bodies:
             health = self.servers("eject", order.eject) + self.servers("restore", order.restore)
             bodies = [*bodies, "CONFIG" + health]
-        last = "" if order.mark is None else f" nonce_out={order.mark}"
+        last = "" if order.nonce is None else f" nonce_out={order.nonce}"
         return (" continued=1\r\n".join(bodies) + last + "\r\n").encode()
 
-    def part(self, part: Part) -> str:
+    def part(self, part: UpdatePart) -> str:
         words = ["CONFIG", "routes=" + "+".join(self.names.classes[place] for place in part.classes)]
-        if part.whole:
+        if part.complete:
             words.append("full=1")
         lines = [(self.ids.name(server), weight) for server, weight in part.lines]
         pairs = ",".join(f"{name}:{number(weight)}" for name, weight in lines if name is not None)
--- a/stackwheel/wire/listing_requests.py
+++ b/stackwheel/wire/listing_requests.py
@@ -9,7 +9,7 @@
 import h11
 
 from stackwheel.wire import timing
-from stackwheel.wire.discovery import PATH
+from stackwheel.wire.discovery_client import PATH
 from stackwheel.wire.http import within
 
 HEAD_MOST = 8 << 10  # bytes of a request's head: a planner's has some 150
--- a/stackwheel/wire/values.py
+++ b/stackwheel/wire/messages.py
@@ -54,7 +54,7 @@
 @dataclass(frozen=True, slots=True)
 class Ack:
     proxy: int
-    mark: int
+    nonce: int
     elapsed: float
 
 
@@ -62,14 +62,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spoilt:
+class MalformedMessage:
     """A message of a known kind that can't be used, and why: it is left out whole, those around it count."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class ProtocolViolation:
     """Bytes that are no message, and where that showed: nothing that follows can be trusted."""
 
     reason: str
--- a/stackwheel/wire/links.py
+++ b/stackwheel/wire/transport.py
@@ -15,17 +15,17 @@
 from stackwheel.interface import Server, Settings
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
-from stackwheel.state.module import Asked, HealthCheckCompleted, Item
-from stackwheel.state.orders import Message
-from stackwheel.state.roster import Roster
-from stackwheel.state.streams import Line
+from stackwheel.state.endpoint_cache import EndpointCache
+from stackwheel.state.planner_actor import HealthCheckCompleted, HealthCheckTarget, Item
+from stackwheel.state.streams import StreamConnection
+from stackwheel.state.table_updates import ProxyUpdate
 from stackwheel.wire import timing
+from stackwheel.wire.connection import BufferBudget, Connection, RateLimiter
 from stackwheel.wire.datagrams import Datagrams
-from stackwheel.wire.discovery import Discovery, Move
+from stackwheel.wire.discovery_client import DiscoveryClient, Move
+from stackwheel.wire.health_checks import probe, probe_call
 from stackwheel.wire.http import socket_closed, split_address
-from stackwheel.wire.lines import Encoder
-from stackwheel.wire.peer import BufferBudget, Peer, RateLimiter
-from stackwheel.wire.probes import probe, probe_call
+from stackwheel.wire.line_codec import Encoder
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     return listener
 
 
-class Links:
+class SocketTransport:
     """The module's `Outside` on sockets. Owns all connections and keeps them within the limit on descriptors."""
 
     def __init__(
@@ -57,15 +57,15 @@
         addresses: Addresses,
         settings: Settings,
         names: Names,
-        roster: Roster,
+        roster: EndpointCache,
         clock: Clock,
         listen_at: Callable[[str], socket.socket] = open_listener,
         seed: int = 0,
     ) -> None:
         self.addresses, self.settings, self.names = addresses, settings, names
-        self.roster, self.clock, self.listen_at = roster, clock, listen_at
-        self.encoder = Encoder(names, roster.ids)
-        self.discovery = Discovery(
+        self.endpoints, self.clock, self.listen_at = roster, clock, listen_at
+        self.encoder = Encoder(names, roster.server_ids)
+        self.discovery = DiscoveryClient(
             addresses.discovery,
             roster.generation,
             not settings.endpoint_list_on_request,
@@ -77,15 +77,17 @@
         self.datagrams = Datagrams(
             addresses.peers, addresses.peers_all, settings.planner_index, lambda item: self.post(item)
         )
-        self.unidentified: dict[Peer, None] = {}  # the first to come first
+        self.unidentified: dict[Connection, None] = {}  # the first to come first
         self.arriving = 0  # connections taken, but not attended yet
-        self.probing = 0  # probes that hold a descriptor
-        self.peers: dict[Peer, None] = {}  # attended, until their sockets are closed; the first to come first
-        self.closing: set[Peer] = set()  # of the peers, those that ended or were told to
+        self.health_checks_in_flight = 0  # probes that hold a descriptor
+        self.connections: dict[
+            Connection, None
+        ] = {}  # attended, until their sockets are closed; the first to come first
+        self.closing: set[Connection] = set()  # of the peers, those that ended or were told to
         self.released = asyncio.Event()  # set whenever one of these has given its descriptor back
-        self.collectors: dict[int, list[Peer]] = {}  # of each zone; the older ones are heard too
+        self.collectors: dict[int, list[Connection]] = {}  # of each zone; the older ones are heard too
         self.limiters: dict[int, RateLimiter] = {}  # of proxies, whatever connection they have
-        self.waiting = BufferBudget(timing.waiting_most(addresses.memory_mb))
+        self.buffer_budget = BufferBudget(timing.waiting_most(addresses.memory_mb))
         self.post: Callable[[Item], None] = lambda item: None
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -105,7 +107,7 @@
     def readdress(self, addresses: Addresses) -> None:
         """Apply a reloaded configuration; connections that are open stay."""
         self.addresses = addresses
-        self.waiting.most = timing.waiting_most(addresses.memory_mb)
+        self.buffer_budget.most = timing.waiting_most(addresses.memory_mb)
         self.datagrams.readdress(addresses.peers, addresses.peers_all)
         self.discovery.mailbox.put_nowait(Move(addresses.discovery))
 
@@ -169,7 +171,7 @@
     @property
     def held(self) -> int:
         """Descriptors that connections and probes hold, those being closed among them."""
-        return self.arriving + len(self.peers) + self.probing
+        return self.arriving + len(self.connections) + self.health_checks_in_flight
 
     @property
     def capacity(self) -> int:
@@ -199,7 +201,7 @@
                 return False
             self.close_unidentified(first, "as no descriptor is left")
             return True
-        quiet = min(self.peers, key=lambda peer: peer.last_received_at, default=None)
+        quiet = min(self.connections, key=lambda peer: peer.last_received_at, default=None)
         if quiet is None or quiet.ended or quiet.last_received_at > now - timing.QUIET / 1000.0:
             return False
         quiet.end("as no descriptor is left and it says nothing")
@@ -215,7 +217,7 @@
             return
         finally:
             self.arriving -= 1
-        peer = Peer(
+        peer = Connection(
             reader,
             writer,
             self.names,
@@ -223,10 +225,10 @@
             self.post,
             self.on_identified,
             self.limiter,
-            self.waiting,
-            lambda server: self.roster.ids.name(server) is not None,
+            self.buffer_budget,
+            lambda server: self.endpoints.server_ids.name(server) is not None,
         )
-        self.peers[peer] = None
+        self.connections[peer] = None
         self.on_identified(peer, False)
         try:
             await peer.run()
@@ -238,7 +240,7 @@
             if peer.zone is not None:
                 self.collectors[peer.zone].remove(peer)
         await socket_closed(writer)
-        self.peers.pop(peer, None)
+        self.connections.pop(peer, None)
         self.closing.discard(peer)
         self.released.set()
 
@@ -248,7 +250,7 @@
             self.limiters[proxy] = RateLimiter(self.settings.message_cap, self.settings.message_window + timing.JITTER)
         return self.limiters[proxy]
 
-    def on_identified(self, peer: Peer, identified: bool) -> None:
+    def on_identified(self, peer: Connection, identified: bool) -> None:
         """Track unidentified peers, and each zone's collectors: over COLLECTORS_MOST the longest quiet is closed."""
         self.unidentified.pop(peer, None)
         if not identified:
@@ -259,7 +261,7 @@
             if len(others) >= timing.COLLECTORS_MOST:
                 min(others, key=lambda other: other.last_received_at).end("as its zone has newer collectors")
 
-    def close_unidentified(self, peer: Peer, why: str) -> None:
+    def close_unidentified(self, peer: Connection, why: str) -> None:
         self.unidentified.pop(peer, None)
         self.closing.add(peer)
         peer.end(why)
@@ -276,37 +278,37 @@
             for peer in [peer for peer in self.unidentified if peer.unidentified_since < until]:
                 self.close_unidentified(peer, f"as it has not said what it is for {timing.IDENTIFY / 1000.0:g} s")
 
-    def deliver(self, messages: Sequence[tuple[Line, Message]]) -> None:
+    def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
         encoded = self.encoder.encode([message for _, message in messages])
         for (line, _), data in zip(messages, encoded, strict=True):
-            if isinstance(line, Peer):
+            if isinstance(line, Connection):
                 line.send(data)
 
-    def watch_list(self, on: bool) -> None:
+    def watch_endpoints(self, on: bool) -> None:
         self.discovery.mailbox.put_nowait("watch" if on else "stop")
 
-    def fetch_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         self.discovery.mailbox.put_nowait("fetch")
 
-    def probe(self, server: Server, asked: Asked) -> None:
+    def start_health_check(self, server: Server, asked: HealthCheckTarget) -> None:
         async def ask() -> None:
             call = probe_call(asked.address, self.names)
             try:
                 self.post(HealthCheckCompleted(asked, await probe(server, call, self.names, self.clock)))
             finally:
                 await call.closed()
-                self.probing -= 1
+                self.health_checks_in_flight -= 1
                 self.released.set()
 
         if self.full():  # connections that come need the descriptors
             return
         if asked.address:
-            self.probing += 1  # from now on: many may be asked for in one turn
+            self.health_checks_in_flight += 1  # from now on: many may be asked for in one turn
             self.start_task(ask())
         else:  # no list has told where it is
             self.post(
                 HealthCheckCompleted(asked, face.HealthCheckResult(server, face.HealthCheckOutcome.UNREACHABLE, 0.0))
             )
 
-    def tell_peers(self, payload: bytes, peer: int | None) -> None:
+    def send_gossip(self, payload: bytes, peer: int | None) -> None:
         self.datagrams.send(payload, peer)
--- a/tests/cells/test_cell_assignment.py
+++ b/tests/cells/test_cell_assignment.py
@@ -16,7 +16,7 @@
 from xxhash import xxh3_64_intdigest
 
 from stackwheel.cells.assignment import CellIndex, addresses, part_of, planner_parts, replicas, service_of
-from stackwheel.cells.plan import PARTS_MOST, Cell, Limits, Plan
+from stackwheel.cells.plan import MAX_PARTS, Cell, Limits, Plan
 from tests.cells import fleet
 
 ROOT = Path(__file__).parents[2]
@@ -132,7 +132,7 @@
     assert 0 <= part_of("\ud800-1", 5) < 5 and planner_parts(["\ud800"], 1) == {"\ud800": 0}
 
 
-@pytest.mark.parametrize("parts", [0, -1, PARTS_MOST + 1])
+@pytest.mark.parametrize("parts", [0, -1, MAX_PARTS + 1])
 def test_parts_out_of_range_are_refused(parts: int) -> None:
     with pytest.raises(ValueError, match="parts, 1 to 1024"):
         part_of("a", parts)
--- a/tests/cells/test_cell_design.py
+++ b/tests/cells/test_cell_design.py
@@ -15,7 +15,7 @@
 from stackwheel.cells.check import ListedServer, check_against
 from stackwheel.cells.design import OVERFLOW_RISK, Demand, apportion, demand_of, design, parts_needed
 from stackwheel.cells.movement import movement, spread
-from stackwheel.cells.plan import PARTS_MOST, Cell, CellPlanError, Limits, Plan, decode_plan, encode_plan
+from stackwheel.cells.plan import MAX_PARTS, Cell, CellPlanError, Limits, Plan, decode_plan, encode_plan
 from tests.cells import fleet
 
 REGIONS = {"zone-0": "east", "zone-1": "west", "zone-2": "west"}
@@ -93,7 +93,7 @@
 
 def test_one_cell_holds_up_to_the_limit_and_no_number_holds_all() -> None:
     assert parts_needed(0, 1) == parts_needed(512, 512) == 1 and parts_needed(513, 512) == 2
-    assert parts_needed(10**7, 512) == PARTS_MOST + 1
+    assert parts_needed(10**7, 512) == MAX_PARTS + 1
 
 
 def test_parts_grow_until_no_named_server_is_over() -> None:
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -124,7 +124,7 @@
     """As light as before: no library but h11 and loguru, and no package of the trials or the command line."""
     code = (
         "import sys, runpy\nsys.argv = ['stackwheel']\nfrom stackwheel import __main__\n"
-        "import stackwheel.service.app, stackwheel.service.logs\nprint(*sorted(sys.modules))"
+        "import stackwheel.service.app, stackwheel.service.logging_setup\nprint(*sorted(sys.modules))"
     )
     loaded = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
@@ -145,6 +145,6 @@
 
 
 def test_defects_cover_all_rules() -> None:
-    from stackwheel.rules.verdicts import Rule
+    from stackwheel.rules.violations import Rule
 
     assert len(ALL_DEFECTS) >= 15 and {rule for defect in ALL_DEFECTS for rule in defect.shows} == set(Rule)
--- a/tests/operators/test_operators.py
+++ b/tests/config_language/test_config_language.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from stackwheel.cli import root
-from stackwheel.operators.load import OperatorsError, combine, load
-from stackwheel.operators.notation import NotationError, parse
-from stackwheel.operators.schema import SCHEMA
-from stackwheel.operators.unify import Source, Unifier, UnifyError, values
+from stackwheel.config_language.load import OperatorsError, combine, load
+from stackwheel.config_language.notation import NotationError, parse
+from stackwheel.config_language.schema import SCHEMA
+from stackwheel.config_language.unify import Source, Unifier, UnifyError, values
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/files/test_ledger.py
+++ b/tests/files/test_ledger.py
@@ -8,21 +8,21 @@
 from stackwheel.files.records import Answer, Booking, Came, Incarnation, Met, Orders
 from stackwheel.interface import Retry
 from stackwheel.settings import Names
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.module import Ended, Item, Said
-from stackwheel.state.orders import Message, Part
-from stackwheel.state.streams import Stream
+from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.server_ids import ServerIds, server_id
+from stackwheel.state.streams import ProxyStream
+from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
 NAMES = Names(("read", "book"), ("east", "west"), ("small",), ("outstanding",))
 LIFE = Incarnation(0, 50, 1)
 NOW = 10_000.0
 
 
-class Desk:
+class PolicyHarness:
     """A ledger beside readers that take what it writes."""
 
     def __init__(self, whole_every: int = 20) -> None:
-        self.ids = Ids()
+        self.ids = ServerIds()
         for name in ("a", "b", "c"):
             self.ids.learn(name)
         self.ledger = Ledger("n0", NAMES, 8, Terms(30_000.0, whole_every, 1000.0), self.ids.name, 7)
@@ -52,9 +52,16 @@
         )
 
     def order(
-        self, proxy: int, *parts: Part, mark: int | None = None, shut: tuple[str, ...] = (), back: tuple[str, ...] = ()
+        self,
+        proxy: int,
+        *parts: UpdatePart,
+        mark: int | None = None,
+        shut: tuple[str, ...] = (),
+        back: tuple[str, ...] = (),
     ) -> None:
-        assert self.ledger.order(Message(proxy, parts, tuple(map(digest, shut)), tuple(map(digest, back)), mark))
+        assert self.ledger.order(
+            ProxyUpdate(proxy, parts, tuple(map(server_id, shut)), tuple(map(server_id, back)), mark)
+        )
 
     def push(self) -> list[Orders]:
         """All files go out, and every reader finds them."""
@@ -69,25 +76,25 @@
 
 def table(
     lines: dict[str, float], whole: bool = True, places: tuple[int, ...] = (0,), level: float | None = None
-) -> Part:
-    return Part(
+) -> UpdatePart:
+    return UpdatePart(
         places,
         whole,
-        tuple((digest(s), w) for s, w in lines.items()),
+        tuple((server_id(s), w) for s, w in lines.items()),
         None if level is None else (level, Retry.ONCE_IF_NOT_EXECUTED),
     )
 
 
 def test_a_first_answer_joins_and_says_that_it_lives() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     stream, said = desk.join(3, "west")
-    assert isinstance(stream, Stream) and (stream.proxy, stream.zone, stream.fresh) == (3, 1, True)
-    assert said == Said(3, None, stream.line)
-    assert [type(item) for item in desk.answer(3)] == [Said]
+    assert isinstance(stream, ProxyStream) and (stream.proxy, stream.zone, stream.newly_started) == (3, 1, True)
+    assert said == StreamMessage(3, None, stream.connection)
+    assert [type(item) for item in desk.answer(3)] == [StreamMessage]
 
 
 def test_forwarders_of_a_zone_that_hold_the_same_share_a_file() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     for proxy in (0, 1, 2):
         desk.join(proxy)
         desk.order(proxy, table({"a": 1.0, "b": 0.5}, level=0.9))
@@ -104,7 +111,7 @@
 
 def test_who_had_a_file_of_its_own_is_not_left_with_it_when_it_holds_what_the_zone_does() -> None:
     """Else the zone's file does not move, the own one stays the newest, and what was ordered is never told."""
-    desk = Desk()
+    desk = PolicyHarness()
     for proxy in (0, 1, 2):
         desk.join(proxy)
         desk.order(proxy, table({"a": 1.0, "b": 0.5}))
@@ -125,7 +132,7 @@
 
 
 def test_changes_go_on_the_whole_file_until_the_next_one_is_due() -> None:
-    desk, kinds = Desk(whole_every=3), []
+    desk, kinds = PolicyHarness(whole_every=3), []
     desk.join(0)
     desk.order(0, table({"a": 1.0}))
     for step in range(9):
@@ -136,21 +143,21 @@
 
 
 def test_a_mark_is_answered_once_its_file_is_applied() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.join(0)
     desk.order(0, table({"a": 1.0}), mark=5)
     assert desk.answer(0)[1:] == []
     desk.push()
     _, told = desk.answer(0, took=120.0)
-    assert isinstance(told, Said) and told.event == face.Acknowledged(0, 5, 120.0)
+    assert isinstance(told, StreamMessage) and told.event == face.Acknowledged(0, 5, 120.0)
     assert len(desk.answer(0)) == 1
     desk.order(0, mark=6)  # nothing moves, and yet it has to be answered
     desk.push()
-    assert any(isinstance(i, Said) and i.event == face.Acknowledged(0, 6, 0.0) for i in desk.answer(0))
+    assert any(isinstance(i, StreamMessage) and i.event == face.Acknowledged(0, 6, 0.0) for i in desk.answer(0))
 
 
 def test_withdrawals_and_their_end_reach_the_reader() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.join(0)
     desk.order(0, table({"a": 1.0, "b": 1.0}), shut=("a",))
     desk.push()
@@ -161,7 +168,7 @@
 
 
 def test_files_are_made_again_before_they_are_over_and_not_sooner() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.join(0)
     desk.order(0, table({"a": 1.0}))
     desk.push()
@@ -173,7 +180,7 @@
 
 
 def test_reports_become_what_the_module_hears_and_spoilt_ones_nothing() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     stream, *_ = desk.join(0)
     heard = desk.answer(
         0,
@@ -181,16 +188,16 @@
         came=(Came("read", 12, 1), Came("nothing", 5)),
         met=(Met("a", 9, 1, 80.0, {"outstanding": 3.0}), Met("unknown", 9), Met("b", 1, 2)),
     )
-    assert isinstance(stream, Stream)
+    assert isinstance(stream, ProxyStream)
     assert heard[1:] == [
-        Said(0, face.DemandReport(0, 0, 12, 1, 1000.0), stream.line),
-        face.LoadReport(0, digest("a"), 9, 1, 80.0, 1000.0, (3.0,)),
+        StreamMessage(0, face.DemandReport(0, 0, 12, 1, 1000.0), stream.connection),
+        face.LoadReport(0, server_id("a"), 9, 1, 80.0, 1000.0, (3.0,)),
     ]
     assert desk.answer(0, over=0.0, came=(Came("read", 12, 1),))[1:] == []
 
 
 def test_an_answer_that_comes_twice_or_late_or_from_nobody_changes_nothing() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.join(0)
     one = Answer(0, "east", LIFE, 9, NOW, over=1000.0, came=(Came("read", 1),))
     assert len(list(desk.ledger.answer(one, NOW))) == 2
@@ -201,24 +208,26 @@
 
 
 def test_a_forwarder_that_starts_over_joins_anew_and_has_lost_its_tables() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.join(0)
     desk.order(0, table({"a": 1.0}))
     found = list(desk.ledger.answer(Answer(0, "east", Incarnation(0, 60, 1), 1, NOW), NOW))
-    assert isinstance(found[0], Stream) and not desk.ledger.forwarders[0].ordered
+    assert isinstance(found[0], ProxyStream) and not desk.ledger.forwarders[0].ordered
 
 
 def test_who_does_not_answer_counts_as_left_and_is_forgotten() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     stream, *_ = desk.join(0)
     desk.now += SILENT_ANSWERS * 1000.0
     assert list(desk.ledger.silent(desk.now)) == []
     (gone,) = desk.ledger.silent(desk.now + 1.0)
-    assert isinstance(stream, Stream) and gone == Ended(0, stream.line) and desk.ledger.forwarders == {}
+    assert (
+        isinstance(stream, ProxyStream) and gone == StreamEnded(0, stream.connection) and desk.ledger.forwarders == {}
+    )
 
 
 def test_a_planner_whose_clock_was_stepped_back_learns_its_former_life_from_an_answer() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.join(0)
     desk.order(0, table({"a": 1.0}))
     desk.push()
@@ -230,7 +239,7 @@
 
 
 def test_an_order_for_bookings_goes_along_until_it_is_over() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.join(0)
     desk.order(0, table({"a": 1.0}))
     assert desk.ledger.book(Booking("n0.1", "book", 3, NOW + 5000.0), NOW)
@@ -243,7 +252,7 @@
 
 
 def test_a_reader_that_misses_the_base_gets_a_whole_file() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.join(0)
     desk.order(0, table({"a": 1.0}))
     desk.push()
--- a/tests/files/test_prevail.py
+++ b/tests/files/test_precedence.py
@@ -6,7 +6,7 @@
 import pytest
 
 from stackwheel.files.accept import Content, Held, content_of
-from stackwheel.files.prevail import Prevailing, Source, Terms
+from stackwheel.files.precedence import Source, SourcePrecedence, Terms
 from stackwheel.files.records import Incarnation, Orders, Table
 
 TERMS = Terms(silence=3000.0, life=10_000.0, keep=5000.0, after="even")
@@ -24,8 +24,8 @@
     return Content({"read": lines}, {"read": None}, withdrawn)
 
 
-def streaming(lines: dict[str, float], now: float = 1000.0, terms: Terms = TERMS) -> Prevailing:
-    found = Prevailing(terms)
+def streaming(lines: dict[str, float], now: float = 1000.0, terms: Terms = TERMS) -> SourcePrecedence:
+    found = SourcePrecedence(terms)
     found.stream_up("n0", now)
     found.stream_ordered(content(lines), True, now)
     return found
@@ -83,7 +83,7 @@
 
 
 def test_of_two_planners_files_the_one_that_prevails_stays_while_it_is_fresh() -> None:
-    found = Prevailing(TERMS)
+    found = SourcePrecedence(TERMS)
     found.file("n0", held("n0", 1000.0, {"a": 1.0}, until=5000.0), 1000.0)
     assert found.choose(1000.0).planner == "n0"
     found.file("n1", held("n1", 2000.0, {"b": 1.0}), 2000.0)
@@ -92,12 +92,12 @@
 
 
 def test_over_its_time_a_table_is_kept_no_longer_than_allowed() -> None:
-    found = Prevailing(TERMS)
+    found = SourcePrecedence(TERMS)
     found.file("n0", held("n0", 1000.0, {"a": 3.0, "b": 1.0}, ("c",), until=5000.0), 1000.0)
     assert found.choose(9999.0).source is Source.KEPT
     choice = found.choose(10_000.0)
     assert choice.source is Source.EVEN and choice.content.tables == {"read": {"a": 1.0, "b": 1.0}}
-    refusing = Prevailing(
+    refusing = SourcePrecedence(
         msgspec.structs.replace(TERMS, after="refuse")
         if isinstance(TERMS, msgspec.Struct)
         else Terms(TERMS.silence, TERMS.life, TERMS.keep, "refuse")
--- a/tests/files/test_real.py
+++ b/tests/files/test_real.py
@@ -11,19 +11,19 @@
 
 from stackwheel.cli import root
 from stackwheel.files.codec import KeyRing, encode
-from stackwheel.files.desk import FileDesk, Folders
 from stackwheel.files.disk import SystemDisk
 from stackwheel.files.ledger import Ledger, Terms
 from stackwheel.files.memory import NAME, keep, recall
+from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.push import Pace, Pusher
 from stackwheel.files.reader import Place, Reader, Taken
 from stackwheel.files.records import Booking, Incarnation, Orders, Table
 from stackwheel.interface import Retry
 from stackwheel.settings import Names
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.module import Item
-from stackwheel.state.orders import Message, Part
-from stackwheel.state.streams import Stream
+from stackwheel.state.planner_actor import Item
+from stackwheel.state.server_ids import ServerIds, server_id
+from stackwheel.state.streams import ProxyStream
+from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
 NAMES = Names(("read",), ("east",), ("small",), ("outstanding",))
 KEYS = KeyRing({"k1": b"k" * 32}, "k1")
@@ -46,14 +46,14 @@
     return Folders(str(tmp_path / "out"), str(tmp_path / "answers"))
 
 
-def desk_at(places: Folders, posted: list[Item], ids: Ids) -> FileDesk:
+def desk_at(places: Folders, posted: list[Item], ids: ServerIds) -> FilePublisher:
     ledger = Ledger("n0", NAMES, 4, Terms(30_000.0, 20, 1000.0), ids.name, 7)
-    return FileDesk(ledger, Pusher(Pace(), 1), places, SystemDisk(), unix, posted.append, KEYS, look=0.02)
+    return FilePublisher(ledger, Pusher(Pace(), 1), places, SystemDisk(), unix, posted.append, KEYS, look=0.02)
 
 
 def test_from_decision_to_application_and_back(tmp_path: Path) -> None:
     async def main() -> None:
-        places, posted, ids = folders(tmp_path), [], Ids()
+        places, posted, ids = folders(tmp_path), [], ServerIds()
         ids.learn("a")
         desk = desk_at(places, posted, ids)
         running = asyncio.create_task(desk.run())
@@ -65,10 +65,10 @@
         )
         await reader.start()
         assert await reader.answer(5.0, 0.0, (), (), True) is None
-        await until(lambda: any(isinstance(item, Stream) for item in posted))
-        stream = next(item for item in posted if isinstance(item, Stream))
-        part = Part((0,), True, ((digest("a"), 1.5),), (0.9, Retry.ONCE_IF_NOT_EXECUTED))
-        desk.deliver([(stream.line, Message(0, (part,), mark=3))])
+        await until(lambda: any(isinstance(item, ProxyStream) for item in posted))
+        stream = next(item for item in posted if isinstance(item, ProxyStream))
+        part = UpdatePart((0,), True, ((server_id("a"), 1.5),), (0.9, Retry.ONCE_IF_NOT_EXECUTED))
+        desk.deliver([(stream.connection, ProxyUpdate(0, (part,), nonce=3))])
         await until(lambda: (tmp_path / "out/zone-east/orders-n0.table").exists())
         (taken,) = await reader.look()
         assert isinstance(taken, Taken) and taken.held.content.tables == {"read": {"a": 1.5}}
@@ -82,7 +82,7 @@
 
 def test_a_folder_that_vanishes_stalls_nothing_and_is_written_when_it_is_back(tmp_path: Path) -> None:
     async def main() -> None:
-        places, posted, ids = folders(tmp_path), [], Ids()
+        places, posted, ids = folders(tmp_path), [], ServerIds()
         ids.learn("a")
         (tmp_path / "out/zone-east").rmdir()
         desk = desk_at(places, posted, ids)
@@ -90,9 +90,9 @@
         reader = Reader(Place("east", 0, (), places.answers, str(tmp_path / "state")), SystemDisk(), unix, lambda: KEYS)
         await reader.start()
         await reader.answer(5.0, 0.0, (), (), True)
-        await until(lambda: any(isinstance(item, Stream) for item in posted))
-        stream = next(item for item in posted if isinstance(item, Stream))
-        desk.deliver([(stream.line, Message(0, (Part((0,), True, ((digest("a"), 1.5),)),)))])
+        await until(lambda: any(isinstance(item, ProxyStream) for item in posted))
+        stream = next(item for item in posted if isinstance(item, ProxyStream))
+        desk.deliver([(stream.connection, ProxyUpdate(0, (UpdatePart((0,), True, ((server_id("a"), 1.5),)),)))])
         await until(lambda: bool(desk.failing))
         (tmp_path / "out/zone-east").mkdir()
         await until(lambda: (tmp_path / "out/zone-east/orders-n0.table").exists())
@@ -109,7 +109,7 @@
         (tmp_path / "out/zone-east/orders-n0.table").write_bytes(
             encode(Orders("n0", later, 9, unix(), unix() + 1000.0, "east"), KEYS)
         )
-        desk = desk_at(places, [], Ids())
+        desk = desk_at(places, [], ServerIds())
         running = asyncio.create_task(desk.run())
         await until(lambda: desk.ledger.incarnation is not None)
         assert desk.ledger.incarnation is not None and desk.ledger.incarnation > later
--- a/tests/forwarder/test_forwarder.py
+++ b/tests/forwarder/test_forwarder.py
@@ -9,35 +9,35 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stackwheel.forwarder.holdings import Holdings, choose
-from stackwheel.forwarder.orders import Order, OrderReader, Unusable
+from stackwheel.forwarder.state import ForwarderState, choose
+from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdate
 from stackwheel.interface import Retry
 
 LISTED = {"a": None, "b": None, "c": None}
 
 
-def order(*lines: str) -> Order:
-    reader = OrderReader()
+def order(*lines: str) -> ConfigUpdate:
+    reader = ConfigUpdateReader()
     for line in lines:
         found = reader.take(line)
     assert found is not None
     return found
 
 
-def holdings(*lines: str) -> Holdings:
-    held = Holdings(("read", "write"), LISTED)
-    held.bring(("a", "b"))
+def holdings(*lines: str) -> ForwarderState:
+    held = ForwarderState(("read", "write"), LISTED)
+    held.install_standing_table(("a", "b"))
     for line in lines:
         held.apply(order(line))
     return held
 
 
 def test_a_message_is_whole_with_its_last_part() -> None:
-    reader = OrderReader()
+    reader = ConfigUpdateReader()
     assert reader.take("CONFIG routes=read full=1 endpoints=a:1,b:0.5 continued=1") is None
     whole = reader.take("CONFIG routes=write admit=0.5 policy=1 nonce_out=7")
-    assert whole is not None and whole.marks() == (7,) and whole.cost() == 5
-    assert reader.take("CONFIG nonce_out=8") == Order((whole.parts[1].__class__(mark=8),))
+    assert whole is not None and whole.nonces() == (7,) and whole.cost() == 5
+    assert reader.take("CONFIG nonce_out=8") == ConfigUpdate((whole.parts[1].__class__(nonce=8),))
 
 
 @pytest.mark.parametrize(
@@ -60,22 +60,22 @@
     ],
 )
 def test_what_cannot_be_read_is_unusable(line: str) -> None:
-    with pytest.raises(Unusable):
-        OrderReader().take(line)
+    with pytest.raises(InvalidUpdate):
+        ConfigUpdateReader().take(line)
 
 
 def test_a_message_of_too_many_parts_is_unusable() -> None:
-    reader = OrderReader()
+    reader = ConfigUpdateReader()
     for _ in range(63):
         assert reader.take("CONFIG endpoints=a:1 continued=1") is None
-    with pytest.raises(Unusable):
+    with pytest.raises(InvalidUpdate):
         reader.take("CONFIG endpoints=a:1 continued=1")
 
 
 @pytest.mark.parametrize("bad", ["CONFIG routes=other endpoints=a:1", "CONFIG endpoints=z:1", "CONFIG eject=z"])
 def test_nothing_of_an_unusable_message_is_applied(bad: str) -> None:
     held = holdings()
-    with pytest.raises(Unusable):
+    with pytest.raises(InvalidUpdate):
         held.apply(order("CONFIG routes=read full=1 endpoints=c:1 continued=1", bad))
     assert held.routes["read"].lines == {"a": 1.0, "b": 1.0}
 
@@ -83,9 +83,9 @@
 def test_changes_whole_tables_levels_and_withdrawals() -> None:
     held = holdings("CONFIG routes=read endpoints=a:0,c:2", "CONFIG routes=read admit=0.5 policy=2")
     assert held.routes["read"].lines == {"b": 1.0, "c": 2.0} and held.routes["write"].lines == {"a": 1.0, "b": 1.0}
-    assert held.further("read", Retry.NEVER) is Retry.ONCE and held.further("write", Retry.NEVER) is Retry.NEVER
+    assert held.retry_mode("read", Retry.NEVER) is Retry.ONCE and held.retry_mode("write", Retry.NEVER) is Retry.NEVER
     held.apply(order("CONFIG eject=c,b"))
-    assert held.bare("read") and held.shares("write") == {"a": 1.0}
+    assert held.has_no_servers("read") and held.shares("write") == {"a": 1.0}
     held.apply(order("CONFIG restore=b"))
     assert held.shares("read") == {"b": 1.0}
     held.apply(order("CONFIG routes=read full=1 endpoints=a:3,b:1"))
--- a/tests/planner.py
+++ b/tests/planner_process.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins import ROOT, Discovery, Tables, config
+from fake_services import ROOT, Discovery, Tables, config
 
 MOST = 30.0  # seconds that any one thing may take
 
--- a/tests/test_channel.py
+++ b/tests/policy/test_channel.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 import pytest
-from desk import Desk, entry, name, only
+from policy_harness import PolicyHarness, entry, name, only
 
 from stackwheel import interface as face
 from stackwheel.interface import Availability
@@ -15,8 +15,8 @@
 class Channel:
     """First in, first out: so many lines a second leave, and each message is acknowledged as it does."""
 
-    def __init__(self, desk: Desk, rate: float, stands: float = 0.0) -> None:
-        self.desk, self.rate = desk, rate
+    def __init__(self, harness: PolicyHarness, rate: float, stands: float = 0.0) -> None:
+        self.harness, self.rate = harness, rate
         self.stands = stands  # ms of each 3 s in which nothing leaves
         self.queue: deque[tuple[int, int, float]] = deque()  # mark, proxy, lines
         self.most = 0.0
@@ -31,14 +31,14 @@
         marks = [action for action in actions if isinstance(action, face.AttachNonce)]
         if not marks:
             return
-        lines = self.desk.planner.lines
-        head = self.desk.settings.message_overhead + 1.0
+        lines = self.harness.planner.lines
+        head = self.harness.settings.message_overhead + 1.0
         self.queue.extend((marks[0].nonce, proxy, count + head) for proxy, count in lines.items())
         self.most = max(self.most, self.waiting)
 
     def leave(self, span: float) -> list[face.Event]:
         """What is acknowledged after `span` ms; a message leaves whole."""
-        standing = self.stands and self.desk.now % 3000.0 < self.stands
+        standing = self.stands and self.harness.now % 3000.0 < self.stands
         left, found = 0.0 if standing else self.rate * span / 1000.0, []
         while self.queue and left > 0:
             mark, proxy, lines = self.queue.popleft()
@@ -51,23 +51,23 @@
         return found
 
 
-def fleet(**changed: object) -> Desk:
+def fleet(**changed: object) -> PolicyHarness:
     servers = [entry(number, number % 2) for number in range(SERVERS)]
-    return Desk(servers=servers, proxies=[(n, n % 2) for n in range(PROXIES)], **changed)
+    return PolicyHarness(servers=servers, proxies=[(n, n % 2) for n in range(PROXIES)], **changed)
 
 
 def release(channel: Channel, span: int) -> None:
     """A server drains and another comes with each quarter of a second, while reports and demand go on."""
-    desk = channel.desk
+    harness = channel.harness
     for turn in range(span):
         drained, came = turn % SERVERS, SERVERS + turn
-        desk.now += 250.0
+        harness.now += 250.0
         events: list[face.Event] = channel.leave(250.0)
         events.append(
             face.EndpointUpdate(
                 face.UpdateKind.DELTA,
                 2 + turn,
-                (entry(drained, drained % 2, Availability.DRAINING), entry(came, came % 2, started=desk.now)),
+                (entry(drained, drained % 2, Availability.DRAINING), entry(came, came % 2, started=harness.now)),
             )
         )
         if turn % 4 == 3:
@@ -75,7 +75,7 @@
                 face.LoadReport(zone, name(n), 20, 0, 100.0, 1000.0, (0.5,)) for n in range(SERVERS) for zone in (0, 1)
             ]
             events += [face.DemandReport(p, c, 10, 0, 1000.0) for p in range(PROXIES) for c in (0, 1)]
-        channel.take(desk.send(*events))
+        channel.take(harness.send(*events))
 
 
 @pytest.mark.parametrize(
@@ -84,71 +84,73 @@
 def test_no_channel_however_slow_is_overfilled(part: float, stands: float) -> None:
     """At 0.08 of its stated rate 5,358 lines waited where 5,300 may: the queue was taken to drain by a fifth of the
     rate whatever acknowledgements said."""
-    desk = fleet()
-    channel = Channel(desk, part * desk.settings.channel_rate, stands)
-    channel.take(desk.actions)
+    harness = fleet()
+    channel = Channel(harness, part * harness.settings.channel_rate, stands)
+    channel.take(harness.actions)
     release(channel, 120)
-    assert channel.most <= desk.settings.queue_limit
-    assert channel.most > 0.1 * desk.settings.queue_limit  # it was used
+    assert channel.most <= harness.settings.queue_limit
+    assert channel.most > 0.1 * harness.settings.queue_limit  # it was used
 
 
 def test_who_has_left_is_not_waited_for() -> None:
     """Their acknowledgements never come; the queue is then taken to drain slowly, and orders go on."""
-    desk = fleet()
-    owed = desk.planner.outbox.queued
-    desk.send(wait=100.0)
-    assert owed > 0 and desk.planner.outbox.queued == owed  # they may still tell
-    desk.send(*(face.ProxyLeft(proxy) for proxy in range(PROXIES)), wait=100.0)
-    desk.send(wait=200.0)
-    assert desk.planner.outbox.queued < owed
+    harness = fleet()
+    owed = harness.planner.outbox.queued
+    harness.send(wait=100.0)
+    assert owed > 0 and harness.planner.outbox.queued == owed  # they may still tell
+    harness.send(*(face.ProxyLeft(proxy) for proxy in range(PROXIES)), wait=100.0)
+    harness.send(wait=200.0)
+    assert harness.planner.outbox.queued < owed
 
 
 def test_who_has_come_again_owes_nothing_on_its_former_stream() -> None:
     """Streams that are replaced take their marks with them: four planners' proxies waited for each other's."""
-    desk = fleet()
-    owed = desk.planner.outbox.queued
+    harness = fleet()
+    owed = harness.planner.outbox.queued
     again = [
         event
         for proxy in range(PROXIES)
         for event in (face.ProxyLeft(proxy), face.ProxyJoined(proxy, proxy % 2, 40.0, False))
     ]
-    desk.planner.outbox.queued = desk.settings.queue_limit  # so that nothing new is sent, and all that is owed is old
-    desk.send(*again, wait=100.0)
-    desk.send(wait=200.0)
-    assert owed > 0 and desk.planner.outbox.queued < desk.settings.queue_limit
+    harness.planner.outbox.queued = (
+        harness.settings.queue_limit
+    )  # so that nothing new is sent, and all that is owed is old
+    harness.send(*again, wait=100.0)
+    harness.send(wait=200.0)
+    assert owed > 0 and harness.planner.outbox.queued < harness.settings.queue_limit
 
 
 def test_what_went_leaves_all_tables_before_ordinary_changes_are_sent() -> None:
     """Withdrawals that fitted went with 2,380 ordinary lines of the first group, and the last group's waited behind
     those for seconds of a slow channel."""
-    desk = Desk(
+    harness = PolicyHarness(
         servers=[entry(n, 0) for n in range(SERVERS)],
         proxies=[(n, 0) for n in range(200)],
         zones=1,
         queue_limit=40_000.0,
     )
     for _ in range(30):
-        desk.slot(tries=8, demand=3, zones=(0,))
-    groups = [group for group in desk.planner.all_groups() if group.users]
+        harness.slot(tries=8, demand=3, zones=(0,))
+    groups = [group for group in harness.planner.all_groups() if group.users]
     assert len(groups) > 2
     for _ in range(6):  # weights want to move, but the queue is long
-        desk.planner.outbox.queued = desk.settings.queue_limit
-        desk.slot(tries=8, demand=3, zones=(0,), use={n: 0.2 + 0.08 * (n % 9) for n in range(SERVERS)})
-    owed = sum(len(group.users) * (4 + desk.planner.outbox.head) for group in groups)  # its lines and levels
-    desk.planner.outbox.queued = 0.25 * desk.settings.queue_limit - owed - 1.0
-    desk.planner.outbox.unacked.clear()
-    desk.listed(entry(3, 0, Availability.DRAINING))
+        harness.planner.outbox.queued = harness.settings.queue_limit
+        harness.slot(tries=8, demand=3, zones=(0,), use={n: 0.2 + 0.08 * (n % 9) for n in range(SERVERS)})
+    owed = sum(len(group.users) * (4 + harness.planner.outbox.head) for group in groups)  # its lines and levels
+    harness.planner.outbox.queued = 0.25 * harness.settings.queue_limit - owed - 1.0
+    harness.planner.outbox.unacked.clear()
+    harness.listed(entry(3, 0, Availability.DRAINING))
     assert all(name(3) not in table.sent for group in groups for table in group.tables)
 
 
 def test_one_lost_acknowledgement_stops_nothing() -> None:
     """A spoilt answer is left out: who owes it is joined, but a queue that nobody speaks of drains slowly."""
-    desk = fleet()
-    assert desk.planner.outbox.queued > 0
+    harness = fleet()
+    assert harness.planner.outbox.queued > 0
     for _ in range(60):
-        desk.send(wait=1000.0)
-    assert desk.planner.outbox.queued == 0
-    assert only(desk.listed(entry(0, 0, Availability.DRAINING)), face.SetWeight)
+        harness.send(wait=1000.0)
+    assert harness.planner.outbox.queued == 0
+    assert only(harness.listed(entry(0, 0, Availability.DRAINING)), face.SetWeight)
 
 
 def test_who_has_waited_for_its_part_of_the_grace_goes_before_changes() -> None:
@@ -156,7 +158,7 @@
     those already bound took the room first, and were sent to drained servers until 13.3 s after they were told."""
     grace, joined = 13_000.0, 270
     servers = [entry(number, 0) for number in range(60)]
-    desk = Desk(
+    harness = PolicyHarness(
         servers=servers,
         proxies=[(n, 0) for n in range(80)],
         drain_grace=grace,
@@ -166,23 +168,23 @@
         message_cap=12,
         message_overhead=4.0,
     )
-    channel = Channel(desk, desk.settings.channel_rate)
-    channel.take(desk.actions)
+    channel = Channel(harness, harness.settings.channel_rate)
+    channel.take(harness.actions)
 
     def step(*events: face.Event) -> None:
-        desk.now += 200.0
+        harness.now += 200.0
         acknowledged = channel.leave(200.0)
-        channel.take(desk.send(*acknowledged, *events))
+        channel.take(harness.send(*acknowledged, *events))
 
     for _ in range(100):
         step()
     crowd = range(1000, 1000 + joined)
-    began = desk.now
+    began = harness.now
     step(*(face.ProxyJoined(proxy, 0, 5.0, False) for proxy in crowd))
     came = 60
-    while desk.now < began + grace:
+    while harness.now < began + grace:
         events: list[face.Event] = []
-        if round(desk.now - began) % 800 == 0:  # eight of the servers are replaced, drained ones first
+        if round(harness.now - began) % 800 == 0:  # eight of the servers are replaced, drained ones first
             first = (came - 60) % 60
             events.append(
                 face.EndpointUpdate(
@@ -190,12 +192,12 @@
                     came,
                     (
                         *(entry(n, 0, Availability.DRAINING) for n in range(first, first + 8)),
-                        *(entry(n, 0, started=desk.now) for n in range(came, came + 8)),
+                        *(entry(n, 0, started=harness.now) for n in range(came, came + 8)),
                     ),
                 )
             )
             came += 8
         step(*events)
-    bound = {proxy for proxy in crowd if desk.planner.proxies[proxy].group.tables}
+    bound = {proxy for proxy in crowd if harness.planner.proxies[proxy].group.tables}
     under_way = {proxy for _, proxy, _ in channel.queue}
     assert bound == set(crowd) and len(under_way & set(crowd)) == 0
--- a/tests/test_limits.py
+++ b/tests/policy/test_deployment_names.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-PACKAGE = Path(__file__).parents[1] / "stackwheel"
+PACKAGE = Path(__file__).parents[2] / "stackwheel"
 MODULE = PACKAGE / "balance.py"
 NAMES = (
     "austin",
