--- a/tests/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from desk import SETTINGS, Desk, only
+from policy_harness import SETTINGS, PolicyHarness, only
 
 from stackwheel import interface as face
 from stackwheel import peers
@@ -21,36 +21,44 @@
     return face.EndpointEntry(many(number), zone, 0, 0, READY, 1.0, started)
 
 
-def reports(desk: Desk, tries: int = 20, cold: frozenset[int] = frozenset(), span: float = 1000.0) -> list[face.Event]:
+def reports(
+    harness: PolicyHarness, tries: int = 20, cold: frozenset[int] = frozenset(), span: float = 1000.0
+) -> list[face.Event]:
     return [
         face.LoadReport(0, e.server, tries, 0, 100.0, span, (2.0,))
-        for n, e in enumerate(desk.entries.values())
+        for n, e in enumerate(harness.entries.values())
         if n not in cold
     ]
 
 
 def test_a_fleet_of_a_thousand_servers_has_no_empty_table() -> None:
     """The least share of a line was the even share of 200 servers: of 1,024 every line was under it."""
-    desk = Desk(servers=[server(n) for n in range(1024)], proxies=((0, 0), (1, 0)), zones=1)
-    desk.send(*reports(desk), wait=1000.0)
+    harness = PolicyHarness(servers=[server(n) for n in range(1024)], proxies=((0, 0), (1, 0)), zones=1)
+    harness.send(*reports(harness), wait=1000.0)
     for proxy in (0, 1):
-        lines = desk.table(proxy)
+        lines = harness.table(proxy)
         assert 100 <= len(lines) <= 300  # thin lines: a draw keeps their part
         assert max(lines.values()) < 0.02
 
 
 def test_what_spills_into_other_zones_is_not_lost_in_thin_lines() -> None:
     """A zone short of servers kept all its traffic: what each of 150 others was to get was under the least share."""
-    desk = Desk(servers=[server(n, int(n >= 50)) for n in range(200)], proxies=((0, 0),), cross_zone_cost=0.12)
+    harness = PolicyHarness(
+        servers=[server(n, int(n >= 50)) for n in range(200)], proxies=((0, 0),), cross_zone_cost=0.12
+    )
     for _ in range(30):
-        desk.send(
-            *(face.LoadReport(0, e.server, 20, 0, 100.0, 1000.0, (1.0,)) for e in desk.entries.values() if e.zone == 0),
+        harness.send(
+            *(
+                face.LoadReport(0, e.server, 20, 0, 100.0, 1000.0, (1.0,))
+                for e in harness.entries.values()
+                if e.zone == 0
+            ),
             face.DemandReport(0, 0, 900, 0, 1000.0),
             face.DemandReport(0, 1, 700, 0, 1000.0),
             wait=1000.0,
         )
     away = {many(n) for n in range(50, 200)}
-    assert sum(share for s, share in desk.table(0).items() if s in away) > 0.05
+    assert sum(share for s, share in harness.table(0).items() if s in away) > 0.05
 
 
 def test_planners_that_hear_nobody_keep_a_cold_server_under_its_limit_together() -> None:
@@ -58,38 +66,40 @@
     settings = replace(
         SETTINGS, planner_count=planners, load_columns=("outstanding",), overload_multiple=4.0, slow_start_min_share=0.2
     )
-    desk = Desk(settings, servers=[server(n, started=started if n == 0 else 0.0) for n in range(8)], proxies=((0, 0),))
+    harness = PolicyHarness(
+        settings, servers=[server(n, started=started if n == 0 else 0.0) for n in range(8)], proxies=((0, 0),)
+    )
     for _ in range(4):
-        desk.send(*reports(desk, cold=frozenset({0})), face.DemandReport(0, 0, 4, 0, 1000.0), wait=500.0)
-    view = desk.planner.servers[many(0)]
-    sent = sum(rates.get(many(0), 0.0) for rates in desk.planner.goals.values())
-    assert planners * sent < settings.overload_multiple * view.capacity * desk.planner.warmth(view)
+        harness.send(*reports(harness, cold=frozenset({0})), face.DemandReport(0, 0, 4, 0, 1000.0), wait=500.0)
+    view = harness.planner.servers[many(0)]
+    sent = sum(rates.get(many(0), 0.0) for rates in harness.planner.goals.values())
+    assert planners * sent < settings.overload_multiple * view.capacity * harness.planner.warmth(view)
 
 
 def test_peers_are_told_only_what_they_can_read() -> None:
     for planners, told in ((5, 7), (230, 0)):
-        desk = Desk(servers=[server(n) for n in range(200)], gossip_enabled=True, planner_count=planners)
-        desk.actions.clear()
-        desk.send(*reports(desk), wait=1000.0)
-        assert len(only(desk.actions, face.SendGossip)) == told
+        harness = PolicyHarness(servers=[server(n) for n in range(200)], gossip_enabled=True, planner_count=planners)
+        harness.actions.clear()
+        harness.send(*reports(harness), wait=1000.0)
+        assert len(only(harness.actions, face.SendGossip)) == told
 
 
 def test_calls_for_the_list_that_fail_come_further_and_further_apart() -> None:
-    desk = Desk(servers=[server(0)], endpoint_list_on_request=True, list_poll_deadline=10_000.0)
+    harness = PolicyHarness(servers=[server(0)], endpoint_list_on_request=True, list_poll_deadline=10_000.0)
     waits = []
     for _ in range(9):
-        (timer,) = only(desk.send(face.EndpointUpdate(face.UpdateKind.FAILED, 1)), face.SetTimer)
+        (timer,) = only(harness.send(face.EndpointUpdate(face.UpdateKind.FAILED, 1)), face.SetTimer)
         assert isinstance(timer, face.SetTimer)
         waits.append(timer.delay)
     assert waits[0] <= 1500.0 and max(waits) <= 4000.0 and waits[-1] > 2000.0  # and never beyond the time allowed
-    desk.send(face.EndpointUpdate(face.UpdateKind.DELTA, 2))
-    (timer,) = only(desk.send(face.EndpointUpdate(face.UpdateKind.FAILED, 2)), face.SetTimer)
+    harness.send(face.EndpointUpdate(face.UpdateKind.DELTA, 2))
+    (timer,) = only(harness.send(face.EndpointUpdate(face.UpdateKind.FAILED, 2)), face.SetTimer)
     assert isinstance(timer, face.SetTimer) and timer.delay <= 1500.0
 
 
 def test_probes_tell_a_jam_and_its_end_while_reports_are_old() -> None:
     """Shedding began and ended ten seconds late: each report covered what had been since the last."""
-    desk = Desk(
+    harness = PolicyHarness(
         servers=[server(n) for n in range(8)],
         proxies=((0, 0),),
         load_columns=("outstanding",),
@@ -100,8 +110,8 @@
 
     def second(waiting: float, span: float = 12_000.0) -> None:
         probes = only(
-            desk.send(
-                *reports(desk, int(span / 50.0), span=span),
+            harness.send(
+                *reports(harness, int(span / 50.0), span=span),
                 face.DemandReport(0, 0, 100, 0, 1000.0),
                 face.DemandReport(0, 1, 60, 0, 1000.0),
                 wait=1000.0,
@@ -109,7 +119,7 @@
             face.StartHealthCheck,
         )
         spent.append(len(probes))
-        desk.send(
+        harness.send(
             *(
                 face.HealthCheckResult(p.server, 1, 5.0, (waiting,))
                 for p in probes
@@ -119,112 +129,114 @@
 
     for _ in range(12):
         second(2.0)
-    assert desk.planner.shed == 0.0
+    assert harness.planner.shed == 0.0
     for _ in range(4):
         second(60.0)
-    assert desk.planner.shed > 0.0
+    assert harness.planner.shed > 0.0
     for _ in range(12):
         second(1.0)
-    assert desk.planner.shed == 0.0 and spent[-1] > 0
+    assert harness.planner.shed == 0.0 and spent[-1] > 0
     for _ in range(60):
         second(1.0, 1000.0)
     assert spent[-1] == 0  # reports that are fresh tell as much, and cost nothing
 
 
 def test_a_short_table_never_runs_dry() -> None:
-    desk = Desk(servers=[server(n) for n in range(48)], proxies=(), zones=1, channel_rate=300.0, queue_limit=6000.0)
-    desk.zones = dict.fromkeys(range(200), 0)
-    desk.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in desk.zones), wait=10.0)
-    used = {t for held in desk.bound.values() for t in held.values()}
-    mine = list(desk.tables[min(used)])
+    harness = PolicyHarness(
+        servers=[server(n) for n in range(48)], proxies=(), zones=1, channel_rate=300.0, queue_limit=6000.0
+    )
+    harness.zones = dict.fromkeys(range(200), 0)
+    harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in harness.zones), wait=10.0)
+    used = {t for held in harness.bound.values() for t in held.values()}
+    mine = list(harness.tables[min(used)])
     assert len(mine) < 24
-    gone = [replace(desk.entries[s], availability=GONE) for s in mine[1:]]
-    desk.send(face.EndpointUpdate(face.UpdateKind.DELTA, 3, tuple(gone)), wait=10.0)
+    gone = [replace(harness.entries[s], availability=GONE) for s in mine[1:]]
+    harness.send(face.EndpointUpdate(face.UpdateKind.DELTA, 3, tuple(gone)), wait=10.0)
     for _ in range(20):
-        desk.send(*desk.arrived(), *reports(desk), wait=1000.0)
-    held = desk.tables[min(used)]
+        harness.send(*harness.arrived(), *reports(harness), wait=1000.0)
+    held = harness.tables[min(used)]
     assert (
         len(held) >= FIRST_LEAST
-        and held.keys() <= {e.server for e in desk.entries.values()}
+        and held.keys() <= {e.server for e in harness.entries.values()}
         and not set(mine[1:]) & held.keys()
     )
 
 
 def test_no_share_is_negative_where_what_jumps_takes_all() -> None:
     """Thin lines drawn at the least share can sum to more than one; a negative weight makes proxies reset streams."""
-    desk = Desk(servers=[server(n, started=100_000.0 * (n > 1)) for n in range(4)], proxies=((0, 0),))
+    harness = PolicyHarness(servers=[server(n, started=100_000.0 * (n > 1)) for n in range(4)], proxies=((0, 0),))
     table = Table(9, 0, (0,), shares={many(0): 0.5, many(1): 0.5}, sent={many(0): 0.5, many(1): 0.5})
-    desk.planner.move_table(table, {many(0): 0.3, many(2): 0.9, many(3): 0.9}, desk.planner.ready())
+    harness.planner.move_table(table, {many(0): 0.3, many(2): 0.9, many(3): 0.9}, harness.planner.ready())
     assert min(table.shares.values()) >= 0.0
 
 
-def crowd(proxies: int = 200, servers: int = 48) -> Desk:
+def crowd(proxies: int = 200, servers: int = 48) -> PolicyHarness:
     """A planner whose channel cannot carry a table for each class to all."""
     settings = replace(SETTINGS, zones=1, channel_rate=3000.0, queue_limit=9000.0, proxy_count=proxies)
-    desk = Desk(settings, servers=[server(n) for n in range(servers)], proxies=())
-    desk.zones = dict.fromkeys(range(proxies), 0)
-    desk.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in desk.zones), wait=10.0)
+    harness = PolicyHarness(settings, servers=[server(n) for n in range(servers)], proxies=())
+    harness.zones = dict.fromkeys(range(proxies), 0)
+    harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in harness.zones), wait=10.0)
     for _ in range(30):
-        desk.send(
-            *desk.arrived(),
-            *reports(desk),
-            *(face.DemandReport(p, c, 2, 0, 1000.0) for p in desk.zones for c in (0, 1)),
+        harness.send(
+            *harness.arrived(),
+            *reports(harness),
+            *(face.DemandReport(p, c, 2, 0, 1000.0) for p in harness.zones for c in (0, 1)),
             wait=1000.0,
         )
-    return desk
+    return harness
 
 
 def test_where_the_channel_is_tight_classes_share_a_table_and_proxies_take_turns() -> None:
     """One line in all tables took a third of a second of the channel, most of it heads of messages."""
-    desk = crowd()
-    assert all(held[0] == held[1] for held in desk.bound.values())
-    users = [len(group.users) for group in desk.planner.all_groups()]
-    assert sum(users) == 200 and max(users) <= desk.planner.outbox.crowd + 1
-    small = Desk(servers=[server(n) for n in range(8)], proxies=((0, 0),))
+    harness = crowd()
+    assert all(held[0] == held[1] for held in harness.bound.values())
+    users = [len(group.users) for group in harness.planner.all_groups()]
+    assert sum(users) == 200 and max(users) <= harness.planner.outbox.crowd + 1
+    small = PolicyHarness(servers=[server(n) for n in range(8)], proxies=((0, 0),))
     assert small.bound[0][0] != small.bound[0][1]  # the design's own: a table a class
 
 
 def test_servers_that_came_are_in_the_tables_before_weights_are_evened_out() -> None:
     """Six in ten were replaced and none of the new ones got a line for 17 s: their shares were the smallest moves."""
-    desk = crowd()
-    old = [replace(desk.entries[many(n)], availability=GONE) for n in range(24)]
-    new = [server(n, started=desk.now + 10.0) for n in range(60, 84)]
-    desk.entries = {s: e for s, e in desk.entries.items() if s not in {o.server for o in old}}
-    desk.listed(*new)
-    desk.send(face.EndpointUpdate(face.UpdateKind.DELTA, 3, tuple(old)), wait=10.0)
+    harness = crowd()
+    old = [replace(harness.entries[many(n)], availability=GONE) for n in range(24)]
+    new = [server(n, started=harness.now + 10.0) for n in range(60, 84)]
+    harness.entries = {s: e for s, e in harness.entries.items() if s not in {o.server for o in old}}
+    harness.listed(*new)
+    harness.send(face.EndpointUpdate(face.UpdateKind.DELTA, 3, tuple(old)), wait=10.0)
     for second in range(8):
         answers = [
             face.LoadReport(0, e.server, 20, 0, 60.0 + 60.0 * (n * 7 + second) % 5, 1000.0, (2.0,))
-            for n, e in enumerate(desk.entries.values())
+            for n, e in enumerate(harness.entries.values())
             if e.started_at == 0.0
         ]
-        desk.send(
-            *desk.arrived(),
+        harness.send(
+            *harness.arrived(),
             *answers,
-            *(face.DemandReport(p, c, 2, 0, 1000.0) for p in desk.zones for c in (0, 1)),
+            *(face.DemandReport(p, c, 2, 0, 1000.0) for p in harness.zones for c in (0, 1)),
             wait=1000.0,
         )
-    held = [sum(e.server in desk.table(p) for e in new) for p in desk.zones]
+    held = [sum(e.server in harness.table(p) for e in new) for p in harness.zones]
     assert sum(held) / len(held) > 12
 
 
 def test_what_went_leaves_all_tables_before_others_get_what_came() -> None:
-    desk = crowd(proxies=400)
+    harness = crowd(proxies=400)
     went = {many(n) for n in range(24)}
-    desk.actions.clear()
-    desk.listed(
-        *(server(n, started=desk.now + 10.0) for n in range(60, 84)),
-        *(replace(desk.entries[s], availability=GONE) for s in went),
+    harness.actions.clear()
+    harness.listed(
+        *(server(n, started=harness.now + 10.0) for n in range(60, 84)),
+        *(replace(harness.entries[s], availability=GONE) for s in went),
     )
-    tables = {t.number for group in desk.planner.all_groups() if group.users for t in group.tables}
-    came = {o.table for o in only(desk.actions, face.SetWeight) if o.weight > 0}  # type: ignore[attr-defined]
-    rid = {t for t in tables if not went & desk.tables[t].keys()}
+    tables = {t.number for group in harness.planner.all_groups() if group.users for t in group.tables}
+    came = {o.table for o in only(harness.actions, face.SetWeight) if o.weight > 0}  # type: ignore[attr-defined]
+    rid = {t for t in tables if not went & harness.tables[t].keys()}
     assert tables - rid and not came - rid
 
 
 def test_probes_that_full_servers_turn_away_tell_a_jam() -> None:
     """Only servers with room answered probes, so in a jam of two thirds of them nothing was shed for ten seconds."""
-    desk = Desk(
+    harness = PolicyHarness(
         servers=[server(n) for n in range(9)],
         proxies=((0, 0),),
         load_columns=("outstanding",),
@@ -233,15 +245,15 @@
     )
     for _ in range(20):
         probes = only(
-            desk.send(
-                *reports(desk, 120, span=12_000.0),
+            harness.send(
+                *reports(harness, 120, span=12_000.0),
                 face.DemandReport(0, 0, 100, 0, 1000.0),
                 face.DemandReport(0, 1, 60, 0, 1000.0),
                 wait=1000.0,
             ),
             face.StartHealthCheck,
         )
-        desk.send(
+        harness.send(
             *(
                 face.HealthCheckResult(
                     p.server,
@@ -252,52 +264,52 @@
                 for p in probes
             )
         )  # type: ignore[attr-defined]
-    assert desk.planner.shed > 0.0
+    assert harness.planner.shed > 0.0
 
 
 def test_a_full_server_that_then_breaks_a_probe_has_still_no_load_to_reckon_with() -> None:
-    desk = Desk(servers=[server(n) for n in range(4)], load_columns=("outstanding",))
-    desk.send(
+    harness = PolicyHarness(servers=[server(n) for n in range(4)], load_columns=("outstanding",))
+    harness.send(
         face.HealthCheckResult(many(0), face.HealthCheckOutcome.REJECTED, 5.0),
         face.HealthCheckResult(many(0), face.HealthCheckOutcome.RESET, 5.0),
     )
     bare = [face.LoadReport(0, many(n), 20, 0, 100.0, 1000.0) for n in range(4)]
-    assert only(desk.send(*bare, wait=1000.0), face.SetTimer)  # the slot ran to its end
+    assert only(harness.send(*bare, wait=1000.0), face.SetTimer)  # the slot ran to its end
 
 
 def test_a_planner_without_proxies_tells_the_others_that_it_sends_nothing() -> None:
     """Two planners that had restarted said nothing, and two fifths of what cold servers could take lay idle."""
-    desk = Desk(servers=[server(n) for n in range(4)], proxies=(), gossip_enabled=True, planner_count=5)
-    desk.actions.clear()
-    (timer,) = only(desk.send(face.TimerFired(desk.planner.slot + (1 << 32)), wait=1250.0), face.SendGossip)
+    harness = PolicyHarness(servers=[server(n) for n in range(4)], proxies=(), gossip_enabled=True, planner_count=5)
+    harness.actions.clear()
+    (timer,) = only(harness.send(face.TimerFired(harness.planner.slot + (1 << 32)), wait=1250.0), face.SendGossip)
     assert peers.unpack(timer.payload)[0] == 0  # type: ignore[attr-defined, index]
 
 
 def test_what_cold_servers_may_take_is_shared_by_the_proxies_that_planners_have() -> None:
     """Two of five planners were down; the rest, with all proxies, left their two fifths unused."""
-    desk = Desk(
+    harness = PolicyHarness(
         replace(SETTINGS, planner_count=5, proxy_count=8),
         servers=[server(n) for n in range(4)],
         proxies=((0, 0), (1, 0)),
     )
     for others, part in ((6, 1.0), (2, 0.5), (0, 0.25)):
-        desk.send(face.GossipReceived(1, peers.pack(others, {many(0): 0.0})[0]), wait=10.0)
-        desk.send(*reports(desk), wait=1000.0)
-        assert abs(desk.planner.part - part) < 0.01
+        harness.send(face.GossipReceived(1, peers.pack(others, {many(0): 0.0})[0]), wait=10.0)
+        harness.send(*reports(harness), wait=1000.0)
+        assert abs(harness.planner.part - part) < 0.01
 
 
 def test_tables_of_both_kinds_stand_side_by_side_when_the_fleet_grows() -> None:
     """The zone's first table was a class's own, its second shared: the next slot failed on their number (austin-later big-1)."""
-    desk = Desk(
+    harness = PolicyHarness(
         replace(SETTINGS, zones=1, channel_rate=900.0, queue_limit=4000.0, proxy_count=60),
         servers=[server(0)],
         proxies=(),
     )
-    desk.zones = dict.fromkeys(range(60), 0)
-    desk.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in range(30)), wait=10.0)
-    desk.listed(*(server(n) for n in range(1, 40)))
-    desk.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in range(30, 60)), wait=10.0)
+    harness.zones = dict.fromkeys(range(60), 0)
+    harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in range(30)), wait=10.0)
+    harness.listed(*(server(n) for n in range(1, 40)))
+    harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in range(30, 60)), wait=10.0)
     for _ in range(40):
-        desk.send(*reports(desk), wait=1000.0)
-    assert {len(group.tables) for group in desk.planner.groups[0][0]} == {1, 2}
-    assert all(held for held in desk.bound.values())
+        harness.send(*reports(harness), wait=1000.0)
+    assert {len(group.tables) for group in harness.planner.groups[0][0]} == {1, 2}
+    assert all(held for held in harness.bound.values())
--- a/tests/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -2,9 +2,9 @@
 
 import math
 
-from desk import SETTINGS, Desk, entry, name
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from policy_harness import SETTINGS, PolicyHarness, entry, name
 
 from stackwheel import interface as face
 
@@ -56,27 +56,27 @@
 @settings(max_examples=120, deadline=None)
 @given(kinds, batches)
 def test_any_run(kind: dict[str, object], run: list[tuple[float, list[face.Event]]]) -> None:
-    desk = Desk(servers=[entry(n, n % 2) for n in range(6)], **kind)
+    harness = PolicyHarness(servers=[entry(n, n % 2) for n in range(6)], **kind)
     ever = {name(n) for n in range(6)}
-    queue, at = 0.0, desk.now
+    queue, at = 0.0, harness.now
     written: dict[int, list[float]] = {}
     for wait, batch in run:
         for event in batch:
             if isinstance(event, face.EndpointUpdate):
                 ever |= {e.server for e in event.entries}
-        actions = desk.send(*batch, wait=wait)
-        lines = lines_by_proxy(desk, actions)
-        queue = max(0.0, queue - (desk.now - at) / 1000.0 * SETTINGS.channel_rate) + sum(
+        actions = harness.send(*batch, wait=wait)
+        lines = lines_by_proxy(harness, actions)
+        queue = max(0.0, queue - (harness.now - at) / 1000.0 * SETTINGS.channel_rate) + sum(
             count + SETTINGS.message_overhead for count in lines.values()
         )
-        at = desk.now
+        at = harness.now
         for proxy in lines:
-            recent = [t for t in written.get(proxy, []) if t > desk.now - 10000.0]
-            written[proxy] = [*recent, desk.now]
-            if desk.settings.message_cap:
-                assert len(written[proxy]) <= desk.settings.message_cap
-        if desk.settings.queue_limit:
-            assert queue <= desk.settings.queue_limit
+            recent = [t for t in written.get(proxy, []) if t > harness.now - 10000.0]
+            written[proxy] = [*recent, harness.now]
+            if harness.settings.message_cap:
+                assert len(written[proxy]) <= harness.settings.message_cap
+        if harness.settings.queue_limit:
+            assert queue <= harness.settings.queue_limit
         for action in actions:
             if isinstance(action, face.SetWeight):
                 assert action.server in ever and math.isfinite(action.weight) and action.weight >= 0
@@ -85,27 +85,27 @@
                 assert action.retry in (face.Retry.NEVER, face.Retry.ONCE_IF_NOT_EXECUTED)
 
 
-def lines_by_proxy(desk: Desk, actions: list[face.Action]) -> dict[int, int]:
+def lines_by_proxy(harness: PolicyHarness, actions: list[face.Action]) -> dict[int, int]:
     """What an order costs each proxy, counted by the wire's page and not by the policy's own model."""
     lines: dict[int, int] = {}
     joined = {p for a in actions if isinstance(a, face.AssignTable) for p in [a.proxy]}
     for action in actions:
         if isinstance(action, face.SetWeight | face.SetAdmission):
-            for proxy, tables in desk.bound.items():
+            for proxy, tables in harness.bound.items():
                 if proxy not in joined and action.table in tables.values():
                     lines[proxy] = lines.get(proxy, 0) + 1
         if isinstance(action, face.AssignTable):
-            lines[action.proxy] = lines.get(action.proxy, 0) + 2 + len(desk.tables.get(action.table, {}))
-    return {p: n for p, n in lines.items() if p in desk.planner.proxies}
+            lines[action.proxy] = lines.get(action.proxy, 0) + 2 + len(harness.tables.get(action.table, {}))
+    return {p: n for p, n in lines.items() if p in harness.planner.proxies}
 
 
 @settings(max_examples=40, deadline=None)
 @given(batches)
 def test_the_same_events_lead_to_the_same_actions(run: list[tuple[float, list[face.Event]]]) -> None:
     def play() -> list[face.Action]:
-        desk = Desk(servers=[entry(n, n % 2) for n in range(6)])
+        harness = PolicyHarness(servers=[entry(n, n % 2) for n in range(6)])
         for wait, batch in run:
-            desk.send(*batch, wait=wait)
-        return desk.actions
+            harness.send(*batch, wait=wait)
+        return harness.actions
 
     assert play() == play()
--- a/tests/test_size.py
+++ b/tests/policy/test_size.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from desk import SETTINGS, Desk, entry, name
+from policy_harness import SETTINGS, PolicyHarness, entry, name
 
 from stackwheel import balance
 from stackwheel import interface as face
@@ -27,7 +27,7 @@
 )
 
 
-class Fleet(Desk):
+class Fleet(PolicyHarness):
     """A desk behind a channel that sends at a rate and acknowledges what has arrived."""
 
     def __init__(self) -> None:
@@ -190,62 +190,66 @@
 @pytest.mark.parametrize("window", [400.0, 1000.0, 4000.0])
 def test_a_report_holds_for_its_own_window(window: float) -> None:
     """At size the intake cap thins reports out: a server heard every fourth cycle has not lost its traffic."""
-    desk = Desk(servers=[entry(n, 0) for n in range(4)], proxies=((0, 0),))
+    harness = PolicyHarness(servers=[entry(n, 0) for n in range(4)], proxies=((0, 0),))
     tries = int(40 * window / 1000.0)
-    desk.send(*(face.LoadReport(0, name(n), tries, 0, 100.0, window, (0.5,)) for n in range(4)), wait=1000.0)
-    before = desk.planner.servers[name(0)].rate
+    harness.send(*(face.LoadReport(0, name(n), tries, 0, 100.0, window, (0.5,)) for n in range(4)), wait=1000.0)
+    before = harness.planner.servers[name(0)].rate
     other = face.LoadReport(0, name(3), 40, 0, 100.0, 1000.0, (0.5,))
-    desk.send(other, wait=1000.0)
-    faded = desk.planner.servers[name(0)].rate < before
+    harness.send(other, wait=1000.0)
+    faded = harness.planner.servers[name(0)].rate < before
     assert faded == (window < 500.0)
 
 
 def test_errors_beside_quick_answers_are_no_sign_of_load() -> None:
     """Lost answers on most servers made the planner shed two thirds of what could be served."""
-    desk = Desk(servers=[entry(n, n % 2) for n in range(6)])
-    desk.slots(5)
-    desk.slots(5, bad=dict.fromkeys(range(6), 6))
-    assert desk.planner.shed == 0.0
-    desk.slots(5, bad=dict.fromkeys(range(6), 6), mean=900.0)
-    assert desk.planner.shed > 0.0
+    harness = PolicyHarness(servers=[entry(n, n % 2) for n in range(6)])
+    harness.slots(5)
+    harness.slots(5, bad=dict.fromkeys(range(6), 6))
+    assert harness.planner.shed == 0.0
+    harness.slots(5, bad=dict.fromkeys(range(6), 6), mean=900.0)
+    assert harness.planner.shed > 0.0
 
 
 def test_the_reserve_of_the_message_cap_is_for_gone_and_cold_servers() -> None:
     """Ejections spent it on a stalled busy day, and the messages that followed had none left."""
     servers = [entry(n, 0) for n in range(6)]
-    desk = Desk(servers=servers, proxies=((0, 0),), message_cap=10, message_window=10000.0, cross_zone_cost=0.0)
-    desk.slots(3)
-    desk.planner.outbox.written[0] = [desk.now] * 7  # over the share for changes
-    start = len(desk.actions)
-    desk.slots(3, bad={5: 20})
-    assert desk.planner.ejected(desk.planner.servers[name(5)])
-    assert not any(isinstance(action, face.SetWeight) for action in desk.actions[start:])
-    desk.listed(entry(4, state=GONE))
-    desk.slot(bad={5: 20})
-    assert name(4) not in desk.table(0)
+    harness = PolicyHarness(
+        servers=servers, proxies=((0, 0),), message_cap=10, message_window=10000.0, cross_zone_cost=0.0
+    )
+    harness.slots(3)
+    harness.planner.outbox.written[0] = [harness.now] * 7  # over the share for changes
+    start = len(harness.actions)
+    harness.slots(3, bad={5: 20})
+    assert harness.planner.ejected(harness.planner.servers[name(5)])
+    assert not any(isinstance(action, face.SetWeight) for action in harness.actions[start:])
+    harness.listed(entry(4, state=GONE))
+    harness.slot(bad={5: 20})
+    assert name(4) not in harness.table(0)
 
 
 def test_what_is_left_of_the_message_cap_is_spread_over_its_span() -> None:
     """Seed 906 of the trials: returns and a deploy used all of it within 5 s, and the next drain waited 4 s."""
     servers = [entry(n, 0) for n in range(30)]
-    desk = Desk(servers=servers, proxies=((0, 0),), message_cap=12, message_window=10000.0, cross_zone_cost=0.0)
-    desk.slots(3)
+    harness = PolicyHarness(
+        servers=servers, proxies=((0, 0),), message_cap=12, message_window=10000.0, cross_zone_cost=0.0
+    )
+    harness.slots(3)
     for _ in range(12):  # its stream breaks and comes back, again and again
-        desk.send(face.ProxyLeft(0), face.ProxyJoined(0, 0, 40.0, False), wait=300.0)
+        harness.send(face.ProxyLeft(0), face.ProxyJoined(0, 0, 40.0, False), wait=300.0)
     for server in range(6):
-        desk.listed(entry(server, state=GONE))
-        told = desk.now
-        while 0 not in desk.bound or name(server) in desk.table(0):
-            desk.slot()
-            assert desk.now - told < 3500.0
-    assert len([at for at in desk.planner.outbox.written[0] if at > desk.now - 10000.0]) <= 12
+        harness.listed(entry(server, state=GONE))
+        told = harness.now
+        while 0 not in harness.bound or name(server) in harness.table(0):
+            harness.slot()
+            assert harness.now - told < 3500.0
+    assert len([at for at in harness.planner.outbox.written[0] if at > harness.now - 10000.0]) <= 12
 
 
 def test_what_comes_to_a_table_that_ran_dry_does_not_wait() -> None:
     """Found by a hunt at size: what left went out first, what came found no room, and proxies had no server."""
-    desk = Desk(servers=[entry(n, 0) for n in range(6)], proxies=((0, 0),))
-    desk.slots(3)
-    table = desk.planner.all_groups()[0].tables[0]
+    harness = PolicyHarness(servers=[entry(n, 0) for n in range(6)], proxies=((0, 0),))
+    harness.slots(3)
+    table = harness.planner.all_groups()[0].tables[0]
     assert table.sent
     table.sent = {}
-    assert {move[0] for move in desk.planner.moves(0, table)} == {balance.SOON}
+    assert {move[0] for move in harness.planner.moves(0, table)} == {balance.SOON}
--- a/tests/desk.py
+++ b/tests/policy_harness.py
@@ -43,7 +43,7 @@
     return face.EndpointEntry(name(number), zone, kind, 0, state, size, started)
 
 
-class Desk:
+class PolicyHarness:
     def __init__(
         self,
         settings: face.Settings = SETTINGS,
--- a/tests/relay/lists.py
+++ b/tests/relay/lists.py
@@ -7,10 +7,10 @@
 from stackwheel.interface import Availability
 from stackwheel.relay.cache import ListingCache
 from stackwheel.relay.messages import Action, Resumed, TellChanges, TellWhole, WholeDue
-from stackwheel.state.ids import Ids
-from stackwheel.state.roster import Instance, Listing, Roster
+from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.server_ids import ServerIds
 from stackwheel.wire import timing
-from stackwheel.wire.discovery import parse_listing
+from stackwheel.wire.discovery_client import parse_listing
 
 READY, DRAINING, GONE = Availability.READY, Availability.DRAINING, Availability.REMOVED
 ZONES = ("east", "west")
@@ -20,12 +20,12 @@
     return Instance(name, how.get("address", "127.0.0.1:1"), zone, "small", 0, state, how.get("weight", 1.0), started)
 
 
-def whole(generation: int, *instances: Instance, **how: Any) -> Listing:
-    return Listing(generation, True, instances, **how)
+def whole(generation: int, *instances: Instance, **how: Any) -> EndpointList:
+    return EndpointList(generation, True, instances, **how)
 
 
-def changes(generation: int, *instances: Instance, **how: Any) -> Listing:
-    return Listing(generation, False, instances, **how)
+def changes(generation: int, *instances: Instance, **how: Any) -> EndpointList:
+    return EndpointList(generation, False, instances, **how)
 
 
 def by_service(name: str, _zone: str) -> str:
@@ -40,13 +40,13 @@
     return ListingCache(locate, cells or ("a", "b"), timing.SILENCE, timing.BEAT)
 
 
-def read(line: bytes) -> Listing:
+def read(line: bytes) -> EndpointList:
     found = parse_listing(line)
-    assert isinstance(found, Listing), found
+    assert isinstance(found, EndpointList), found
     return found
 
 
-def states(listing: Listing) -> dict[str, Availability]:
+def states(listing: EndpointList) -> dict[str, Availability]:
     return {one.name: one.availability for one in listing.instances}
 
 
@@ -60,13 +60,13 @@
     return {action.cell for action in actions if isinstance(action, TellWhole)}
 
 
-def part(held: ListingCache, cell: str = "a") -> Listing:
+def part(held: ListingCache, cell: str = "a") -> EndpointList:
     line = held.whole(cell)
     assert line is not None
     return read(line)
 
 
-def resumed(held: ListingCache, cell: str, since: int, now: float) -> Listing:
+def resumed(held: ListingCache, cell: str, since: int, now: float) -> EndpointList:
     answer = held.ask(cell, since, now)
     assert isinstance(answer, Resumed), answer
     return read(answer.line)
@@ -76,13 +76,13 @@
     """A planner's list, fed by lines."""
 
     def __init__(self) -> None:
-        self.roster = Roster(ZONES, ("small",), Ids())
+        self.roster = EndpointCache(ZONES, ("small",), ServerIds())
         self.since: int | None = None
 
     def hear(self, line: bytes, now: float = 0.0) -> None:
         listing = read(line)
         self.roster.apply(listing, now)
-        self.since = listing.generation if listing.whole else max(self.since or 0, listing.generation)
+        self.since = listing.generation if listing.complete else max(self.since or 0, listing.generation)
 
     def call(self, held: ListingCache, cell: str, now: float) -> bool:
         """Begin a watch; whether it was answered."""
@@ -95,4 +95,4 @@
         return line is not None
 
     def holds(self) -> dict[str, Availability]:
-        return {self.roster.ids.name(known) or "?": e.availability for known, e in self.roster.entries.items()}
+        return {self.roster.server_ids.name(known) or "?": e.availability for known, e in self.roster.entries.items()}
--- a/tests/relay/test_cache.py
+++ b/tests/relay/test_cache.py
@@ -25,9 +25,9 @@
 from stackwheel.relay.encoding import encode_instance, encode_line
 from stackwheel.relay.messages import EndWatches, Resumed, Unavailable, WholeDue
 from stackwheel.relay.part import AHEAD_MOST, ANSWERS_MOST, DEPARTED_LEAST
-from stackwheel.state.roster import STALE_MOST, latest
+from stackwheel.state.endpoint_cache import MAX_LIST_AGE, latest_by_name
 from stackwheel.wire import timing
-from stackwheel.wire.discovery import parse_listing
+from stackwheel.wire.discovery_client import parse_listing
 
 
 def test_what_is_written_is_read_as_the_same_entry() -> None:
@@ -134,7 +134,7 @@
 def test_of_doubled_entries_the_later_process_counts_and_of_one_process_the_last_word() -> None:
     held = cache()
     doubled = (server("a-1", started=9.0), server("a-1", GONE, started=3.0), server("a-2"), server("a-2", DRAINING))
-    assert {one.name: one for one in latest(doubled)} == {one.name: one for one in (doubled[0], doubled[3])}
+    assert {one.name: one for one in latest_by_name(doubled)} == {one.name: one for one in (doubled[0], doubled[3])}
     held.take(whole(5, *doubled), 0.0)
     assert states(part(held)) == {"a-1": READY, "a-2": DRAINING}
     assert told(held.take(changes(6, *doubled), 1.0)) == {}
@@ -149,7 +149,7 @@
     held.take(whole(5, server("a-1"), server("a-2")), 0.0)
     assert "a-1" not in told(held.take(whole(6, server("a-2"), unreadable=frozenset({name})), 1.0)).get("a", {})
     assert states(part(held)) == {"a-1": READY, "a-2": READY}
-    anew = held.take(whole(2, server("a-2"), unreadable=frozenset({name}), anew=True), 2.0)
+    anew = held.take(whole(2, server("a-2"), unreadable=frozenset({name}), generations_restarted=True), 2.0)
     assert wholes(anew) == {"a", "b"} and states(part(held)) == {"a-1": READY, "a-2": READY}
 
 
@@ -192,12 +192,12 @@
 def test_a_relay_that_stays_behind_while_it_hears_the_registry_tells_the_whole_part() -> None:
     held = cache()
     held.take(whole(5, server("a-1")), 0.0)
-    for now in range(0, int(STALE_MOST), 1000):
+    for now in range(0, int(MAX_LIST_AGE), 1000):
         held.heard(now)
         assert isinstance(held.ask("a", 900, now), Unavailable)
-    held.heard(STALE_MOST)
-    assert held.ask("a", 900, STALE_MOST) == WholeDue()
-    assert isinstance(held.ask("a", 901, STALE_MOST), Unavailable)  # each generation has a clock of its own
+    held.heard(MAX_LIST_AGE)
+    assert held.ask("a", 900, MAX_LIST_AGE) == WholeDue()
+    assert isinstance(held.ask("a", 901, MAX_LIST_AGE), Unavailable)  # each generation has a clock of its own
 
 
 def test_time_without_the_registry_does_not_count_for_being_behind() -> None:
@@ -205,10 +205,10 @@
     held.take(whole(5, server("a-1")), 0.0)
     held.ask("a", 900, 0.0)
     held.tick(timing.SILENCE)
-    held.heard(STALE_MOST)
-    assert isinstance(held.ask("a", 900, STALE_MOST), Unavailable)
-    held.heard(2 * STALE_MOST)
-    assert held.ask("a", 900, 2 * STALE_MOST) == WholeDue()
+    held.heard(MAX_LIST_AGE)
+    assert isinstance(held.ask("a", 900, MAX_LIST_AGE), Unavailable)
+    held.heard(2 * MAX_LIST_AGE)
+    assert held.ask("a", 900, 2 * MAX_LIST_AGE) == WholeDue()
 
 
 def test_generations_ahead_are_bounded() -> None:
@@ -225,7 +225,7 @@
 def test_a_registry_that_begins_anew_is_passed_on_as_such() -> None:
     held = cache()
     held.take(whole(50, server("a-1"), server("b-1")), 0.0)
-    assert wholes(held.take(whole(3, server("a-2"), anew=True), 1.0)) == {"a", "b"}
+    assert wholes(held.take(whole(3, server("a-2"), generations_restarted=True), 1.0)) == {"a", "b"}
     assert part(held) == whole(3, server("a-2"))
     assert told(held.take(changes(4, server("a-3")), 2.0)) == {"a": {"a-3": READY}}
 
@@ -233,7 +233,7 @@
 def test_a_generation_of_the_former_numbering_is_never_gone_on_after() -> None:
     held = cache()
     held.take(whole(5, server("a-1"), server("a-2")), 0.0)
-    held.take(whole(3, server("a-2"), anew=True), 1.0)
+    held.take(whole(3, server("a-2"), generations_restarted=True), 1.0)
     for generation in range(4, 9):
         held.take(changes(generation, server("a-2", weight=float(generation))), 2.0)
     assert held.ask("a", 5, 3.0) == WholeDue()  # in the former numbers a-1 was listed at 5
@@ -265,9 +265,9 @@
     held.take(changes(51, server("a-1", DRAINING)), 0.0)
     held.take(whole(3, server("a-1"), server("a-2")), 0.0)
     assert told(held.take(changes(4, server("a-2", DRAINING)), 1.0)) == {"a": {"a-2": DRAINING}}  # at once
-    held.heard(STALE_MOST - 1.0)
-    assert held.tick(STALE_MOST - 1.0) == () and states(part(held))["a-1"] is DRAINING
-    assert wholes(held.tick(STALE_MOST)) == {"a", "b"}
+    held.heard(MAX_LIST_AGE - 1.0)
+    assert held.tick(MAX_LIST_AGE - 1.0) == () and states(part(held))["a-1"] is DRAINING
+    assert wholes(held.tick(MAX_LIST_AGE)) == {"a", "b"}
     assert part(held).generation == 4 and states(part(held)) == {"a-1": READY, "a-2": DRAINING}
 
 
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -9,7 +9,7 @@
 
 from stackwheel.relay.cache import ListingCache
 from stackwheel.relay.messages import EndWatches, TellChanges, TellWhole
-from stackwheel.state.roster import Instance, Listing
+from stackwheel.state.endpoint_cache import EndpointList, Instance
 from stackwheel.wire import timing
 
 STEPS = 120
@@ -30,22 +30,22 @@
         if known is None or random.random() < 0.2:
             listed[name] = server(name, started=now + 1.0)
         elif known.availability is READY and random.random() < 0.6:
-            listed[name] = server(name, DRAINING, started=known.started)
+            listed[name] = server(name, DRAINING, started=known.started_at)
         else:
             del listed[name]
         self.history.append(listed)
         self.generation += 1
 
-    def whole(self, random: Random) -> Listing:
+    def whole(self, random: Random) -> EndpointList:
         return whole(self.generation, *self.history[-1].values())
 
-    def since(self, generation: int, upto: int) -> Listing:
+    def since(self, generation: int, upto: int) -> EndpointList:
         former, listed = self.history[generation], self.history[upto]
         told = [one for name, one in listed.items() if former.get(name) != one]
         for at in range(generation, upto):
             for name, one in self.history[at].items():
                 if name not in listed and name not in {known.name for known in told}:
-                    told.append(server(name, GONE, started=one.started))
+                    told.append(server(name, GONE, started=one.started_at))
         return changes(upto, *told)
 
 
@@ -109,7 +109,7 @@
         """No server goes back from draining to ready, or from a newer process to an older one."""
         order = {READY: 0, DRAINING: 1}
         for server_id, entry in self.follower.roster.entries.items():
-            name = self.follower.roster.ids.name(server_id) or "?"
+            name = self.follower.roster.server_ids.name(server_id) or "?"
             word = entry.started_at, order[entry.availability]
             assert word >= self.newest.get(name, word), f"{name} was taken backwards"
             self.newest[name] = word
--- a/tests/relay/test_listing_server.py
+++ b/tests/relay/test_listing_server.py
@@ -12,7 +12,7 @@
 from lists import DRAINING, GONE, READY, cache, changes, part, read, server, states, whole
 
 from stackwheel.relay.cache import ListingCache
-from stackwheel.state.roster import Instance, Listing
+from stackwheel.state.endpoint_cache import EndpointList, Instance
 from stackwheel.wire import listing_requests, timing
 from stackwheel.wire.byte_budget import ByteBudget
 from stackwheel.wire.listing_server import TURNS, ListingServer
@@ -87,7 +87,7 @@
         data, self.held = self.held[:size], self.held[size + 2 :]
         return data.strip()
 
-    async def listing(self) -> Listing:
+    async def listing(self) -> EndpointList:
         while not (line := await self.line()):
             pass
         return read(line)
@@ -108,7 +108,7 @@
         await self.server.listen({self.address: "a"})
         return self
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: EndpointList) -> None:
         self.server.perform(self.cache.take(listing, self.server.now()))
 
     async def watch(self, since: int | None = None, buffer: int = 0) -> Watcher:
@@ -151,16 +151,16 @@
     return served
 
 
-def large(generation: int) -> Listing:
+def large(generation: int) -> EndpointList:
     """Changes of some 30 KB."""
     return changes(generation, *(server(f"a-{n}{FILLER}", weight=float(generation)) for n in range(80)))
 
 
-def merged(told: list[Listing]) -> dict[str, Instance]:
+def merged(told: list[EndpointList]) -> dict[str, Instance]:
     """What who was told this holds."""
     held: dict[str, Instance] = {}
     for listing in told:
-        held = {} if listing.whole else held
+        held = {} if listing.complete else held
         held |= {one.name: one for one in listing.instances}
     return {name: one for name, one in held.items() if one.availability is not GONE}
 
@@ -267,7 +267,7 @@
         await blocked(watch)
         served.take(changes(31, server("a-1", DRAINING)))
         first = await watcher.listing()
-        assert not first.whole and first.generation == 30 and "a-1" not in states(first)
+        assert not first.complete and first.generation == 30 and "a-1" not in states(first)
         assert await watcher.listing() == changes(31, server("a-1", DRAINING))
 
     run(work)
@@ -277,7 +277,7 @@
     async def work() -> None:
         served = await serving(server("a-1"), server("a-2"), whole_bytes=1)
         watcher = await served.watch()
-        assert (await watcher.listing()).whole
+        assert (await watcher.listing()).complete
         other = served.server.budget.hold(1)  # the whole part that is owed has to wait
         await other.__aenter__()
         (watch,) = await served.watches(1)
@@ -341,7 +341,7 @@
         watchers = [await served.watch(since=5) for _ in range(5)]
         for watcher in watchers:
             await watcher.listing()
-        served.take(whole(2, server("a-2"), anew=True))
+        served.take(whole(2, server("a-2"), generations_restarted=True))
         for watcher in watchers:
             assert await watcher.listing() == whole(2, server("a-2"))
 
@@ -374,7 +374,7 @@
         while told[-1].generation < last:
             told.append(await watcher.listing())
             assert told[-1].generation > told[-2].generation
-        assert any(found.whole for found in told) and len(told) < last - 5
+        assert any(found.complete for found in told) and len(told) < last - 5
         found = part(served.cache)
         assert states(found)["a-1"] is DRAINING and len(found.instances) == 81
         assert all(one.weight == last - 1 for one in found.instances if one.name != "a-1")
@@ -415,7 +415,7 @@
             assert await (await Caller.open(served.address, request)).status() == 503
         resumed = await served.watch(since=5)  # what changed is no whole answer
         assert await resumed.listing() == changes(5)
-        assert (await slow[0].listing()).whole
+        assert (await slow[0].listing()).complete
         while not served.server.budget.room(len(served.cache.whole("a") or b"")):
             await asyncio.sleep(0)
         served.cache.heard(served.server.now())  # reading may have taken long
--- a/tests/rules/test_checker.py
+++ b/tests/rules/test_checker.py
@@ -7,9 +7,9 @@
 import pytest
 
 from stackwheel.interface import Availability, RequestClass
-from stackwheel.rules.checker import Checker, Listed
+from stackwheel.rules.checker import Checker, ListedEndpoint
 from stackwheel.rules.invariants import disagreement, level_disagreement, over_bounds
-from stackwheel.rules.verdicts import AFTER_READY, Limits, Rule, Verdict
+from stackwheel.rules.violations import AFTER_READY, Limits, Rule, Violation
 
 READ = RequestClass("read", idempotency="repeatable")
 BOOK = RequestClass("book", idempotency="once")
@@ -18,15 +18,15 @@
     unserved=5000.0,
     drain=3000.0,
     overload=2000.0,
-    fall_multiple=3.0,
+    overload_multiple=3.0,
     backlog=100.0,
     cap=3,
     cap_window=10_000.0,
-    only_draining_binds=False,
+    removal_is_advisory=False,
 )
-READY = Listed(Availability.READY, 0, 0, 0.0)
-DRAINING = Listed(Availability.DRAINING, 0, 0, 0.0)
-GONE = Listed(Availability.REMOVED, 0, 0, 0.0)
+READY = ListedEndpoint(Availability.READY, 0, 0, 0.0)
+DRAINING = ListedEndpoint(Availability.DRAINING, 0, 0, 0.0)
+GONE = ListedEndpoint(Availability.REMOVED, 0, 0, 0.0)
 
 
 def checker(limits: Limits = LIMITS, classes: tuple[RequestClass, ...] = (READ, BOOK)) -> Checker:
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("change", ["line back", "no warm server", "left", "planner gone", "held off", "still"])
 def test_no_limit_runs_where_nobody_owes_a_line(change: str) -> None:
     found = checker()
-    found.tell(0, 0.0, "s", Listed(Availability.READY, 0, 0, 1e9 if change == "no warm server" else 0.0))
+    found.tell(0, 0.0, "s", ListedEndpoint(Availability.READY, 0, 0, 1e9 if change == "no warm server" else 0.0))
     found.lines(0, 0, False, 2000.0)
     found.advance(4000.0)
     if change == "line back":
@@ -73,7 +73,7 @@
 
 def test_the_limit_begins_when_a_server_turns_warm() -> None:
     found = checker()
-    found.tell(0, 0.0, "s", Listed(Availability.READY, 0, 0, 6000.0))
+    found.tell(0, 0.0, "s", ListedEndpoint(Availability.READY, 0, 0, 6000.0))
     found.lines(0, 0, False, 2000.0)
     found.advance(6000.0)
     found.advance(10_999.0)
@@ -84,7 +84,7 @@
 
 def test_a_class_bound_to_its_zone_is_owed_a_line_only_from_servers_there() -> None:
     found = checker(classes=(NEAR,))
-    found.tell(0, 0.0, "s", Listed(Availability.READY, 1, 0, 0.0))
+    found.tell(0, 0.0, "s", ListedEndpoint(Availability.READY, 1, 0, 0.0))
     found.lines(0, 0, False, 1000.0)
     found.advance(60_000.0)
     assert not found.verdicts
@@ -130,11 +130,11 @@
     assert not found.verdicts
 
 
-AGAIN = Listed(Availability.READY, 0, 0, 0.0, started=5500.0)  # its next process under the same name
+AGAIN = ListedEndpoint(Availability.READY, 0, 0, 0.0, started=5500.0)  # its next process under the same name
 
 
 @pytest.mark.parametrize("word", [DRAINING, GONE])
-def test_a_newer_word_binds_whatever_process_it_names(word: Listed) -> None:
+def test_a_newer_word_binds_whatever_process_it_names(word: ListedEndpoint) -> None:
     found = checker()
     found.tell(0, 5000.0, "s", AGAIN)
     found.tell(0, 6000.0, "s", word)
@@ -156,7 +156,7 @@
 
 def test_where_only_draining_binds_a_departure_does_not() -> None:
     limits = Limits(
-        **{**{name: getattr(LIMITS, name) for name in LIMITS.__dataclass_fields__}, "only_draining_binds": True}
+        **{**{name: getattr(LIMITS, name) for name in LIMITS.__dataclass_fields__}, "removal_is_advisory": True}
     )
     found = checker(limits)
     found.tell(0, 5000.0, "s", READY)
@@ -238,7 +238,7 @@
     found.sent(0, "s", 9500.0)
     found.sent(0, "s", 9600.0)  # the same again says nothing new
     assert len(found.verdicts) == 1
-    verdict: Verdict = found.verdicts[0]
+    verdict: Violation = found.verdicts[0]
     assert str(verdict) == "9.500 s: drains kept: planner 0, proxy 0, s: sent 3.50 s after it was told"
     assert any("told DRAINING" in line for line in verdict.trail)
     assert any("proxy-0" in line for line in verdict.trail) and not any("proxy-9" in line for line in verdict.trail)
--- a/tests/scale/test_fleet_draw.py
+++ b/tests/scale/test_fleet_draw.py
@@ -10,7 +10,7 @@
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING
 from stackwheel.scale.fleet import Shape, default_zones, draw_fleet, systematic_sample
 from stackwheel.scale.scenarios import ZONE_LOST_WITHIN, Scenario, Schedule, default_event_rate, draw_schedule
-from stackwheel.state.ids import digest
+from stackwheel.state.server_ids import server_id
 
 SMALL = Shape(servers=1_000, zones=5, planners=300, seed=3)
 FULL = Shape(servers=48_000, zones=85, planners=15_000, seed=1)
@@ -26,7 +26,7 @@
     sizes = fleet.sizes()
     assert len(fleet.servers) == sum(sizes.values()) == 48_000 and len(sizes) == 2_100
     assert len({server.name for server in fleet.servers}) == 48_000
-    assert len({digest(server.name) for server in fleet.servers}) == 48_000
+    assert len({server_id(server.name) for server in fleet.servers}) == 48_000
     assert len({server.address for server in fleet.servers}) == 48_000
     assert set(Counter(server.zone for server in fleet.servers).values()) == {564, 565}
     assert len(fleet.regions) == 85 and len(set(fleet.regions.values())) == 36
--- a/tests/scale/test_holding.py
+++ b/tests/scale/test_holding.py
@@ -8,8 +8,8 @@
 from stackwheel.scale.entries import Entry
 from stackwheel.scale.holding import Difference, Holding, ListedEntry, Shared, compare, digest_of
 from stackwheel.scale.hollow import listed_entry
-from stackwheel.state.ids import Ids
-from stackwheel.state.roster import Instance, Listing, Roster
+from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.server_ids import ServerIds
 
 ZONES, KINDS = ("zone-00", "zone-01"), ("m1",)
 
@@ -18,21 +18,21 @@
     return Instance(f"svc-0000-{number:08x}", f"10.0.0.{number}:1", ZONES[zone], "m1", 0, state, 1.0, started)
 
 
-def listing(random: Random, generation: int) -> Listing:
+def listing(random: Random, generation: int) -> EndpointList:
     states = (Availability.READY, Availability.DRAINING, Availability.REMOVED)
     found = tuple(
         instance(random.randrange(8), random.choice(states), float(random.randrange(4)), random.randrange(2))
         for _ in range(random.randrange(6))
     )
     unreadable = frozenset(random.choices(["", "svc-0000-00000001", "x"], k=random.randrange(2)))
-    return Listing(generation, random.random() < 0.3, found, unreadable, random.random() < 0.1)
+    return EndpointList(generation, random.random() < 0.3, found, unreadable, random.random() < 0.1)
 
 
 def test_holds_what_a_roster_holds_through_lists_in_any_order() -> None:
     for seed in range(300):
         random = Random(seed)
         shared = Shared(ZONES, KINDS)
-        holdings, roster = [Holding(shared), Holding(shared)], Roster(ZONES, KINDS, Ids())
+        holdings, roster = [Holding(shared), Holding(shared)], EndpointCache(ZONES, KINDS, ServerIds())
         for step in range(12):
             told, now = listing(random, random.randrange(10)), 1000.0 * step
             roster.apply(told, now)
@@ -49,23 +49,23 @@
 
 def test_tells_what_a_list_changed_and_departures_by_omission() -> None:
     holding = Holding(Shared(ZONES, KINDS))
-    name = holding.ids.name
-    assert [name(e.server) for e in holding.take(Listing(1, True, (instance(1), instance(2))), 0.0)] == [
+    name = holding.server_ids.name
+    assert [name(e.server) for e in holding.take(EndpointList(1, True, (instance(1), instance(2))), 0.0)] == [
         "svc-0000-00000001",
         "svc-0000-00000002",
     ]
-    assert holding.take(Listing(2, True, (instance(1), instance(2))), 0.0) == []
-    (drained,) = holding.take(Listing(3, False, (instance(1, Availability.DRAINING),)), 0.0)
+    assert holding.take(EndpointList(2, True, (instance(1), instance(2))), 0.0) == []
+    (drained,) = holding.take(EndpointList(3, False, (instance(1, Availability.DRAINING),)), 0.0)
     assert drained.availability is Availability.DRAINING
-    (gone,) = holding.take(Listing(4, True, (instance(1, Availability.DRAINING),)), 0.0)
+    (gone,) = holding.take(EndpointList(4, True, (instance(1, Availability.DRAINING),)), 0.0)
     assert gone.availability is Availability.REMOVED and name(gone.server) == "svc-0000-00000002"
 
 
 def test_a_sweep_forgets_only_what_nobody_holds() -> None:
     shared = Shared(ZONES, KINDS)
     holding = Holding(shared)
-    holding.take(Listing(1, True, (instance(1), instance(2))), 0.0)
-    holding.take(Listing(2, False, (instance(1, Availability.REMOVED),)), 0.0)
+    holding.take(EndpointList(1, True, (instance(1), instance(2))), 0.0)
+    holding.take(EndpointList(2, False, (instance(1, Availability.REMOVED),)), 0.0)
     shared.sweep([holding])
     assert list(shared.entries) == list(holding.entries.values()) and list(shared.addresses) == ["10.0.0.2:1"]
 
@@ -81,7 +81,7 @@
 
 def test_what_is_held_is_what_was_listed_field_by_field() -> None:
     holding = Holding(Shared(ZONES, KINDS))
-    holding.take(Listing(1, True, (instance(1), instance(2))), 0.0)
+    holding.take(EndpointList(1, True, (instance(1), instance(2))), 0.0)
     assert compare(holding.listed(), listed(*entries(1, 2))) == Difference()
     assert digest_of(holding.listed()) == digest_of(listed(*entries(1, 2)))
     for field, value in (("lifecycle", "terminating"), ("started_at_ms", 5), ("cell", 1), ("weight", 2.0)):
--- a/tests/scale/test_listing.py
+++ b/tests/scale/test_listing.py
@@ -7,7 +7,7 @@
 from stackwheel.scale import listing as module
 from stackwheel.scale.entries import TERMINATED, TERMINATING, Entry
 from stackwheel.scale.listing import RegistryList
-from stackwheel.wire.discovery import parse_listing
+from stackwheel.wire.discovery_client import parse_listing
 
 
 def entry(number: int, lifecycle: str = "in_service", started: int = 0) -> Entry:
--- a/tests/scale/test_peers.py
+++ b/tests/scale/test_peers.py
@@ -12,8 +12,8 @@
 from stackwheel.scale.control import HollowPlanner
 from stackwheel.scale.holding import Holding, Shared
 from stackwheel.scale.peers import CYCLE_MOST, PeerTraffic, bytes_per_cycle, datagrams_per_cycle
-from stackwheel.state.ids import digest
-from stackwheel.state.roster import Instance, Listing
+from stackwheel.state.endpoint_cache import EndpointList, Instance
+from stackwheel.state.server_ids import server_id
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize(("planners", "servers"), [(7, 23), (2, 31), (2, 32), (16, 70), (1, 9), (16, 512)])
 def test_bytes_are_those_of_the_planners_own_datagrams(planners: int, servers: int) -> None:
-    payloads = pack(5, {digest(str(number)): 1.0 for number in range(servers)})
+    payloads = pack(5, {server_id(str(number)): 1.0 for number in range(servers)})
     sent = datagrams_per_cycle(planners, servers) > 0
     assert bytes_per_cycle(planners, servers) == (planners - 1) * sum(map(len, payloads)) * sent
 
@@ -39,7 +39,7 @@
     async def work() -> None:
         traffic, holding = PeerTraffic(), Holding(Shared(("zone",), ("m1",)))
         ready = tuple(Instance(f"s-{n}", "", "zone", "m1", 0, Availability.READY, 1.0, 0.0) for n in range(40))
-        holding.take(Listing(1, True, ready), 0.0)
+        holding.take(EndpointList(1, True, ready), 0.0)
         ports = []
         loop = asyncio.get_running_loop()
         for _ in range(2):
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -10,8 +10,8 @@
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.proxies import HollowCollector, HollowProxy, ProxySettings
 from stackwheel.settings import Names
-from stackwheel.wire.lines import decode
-from stackwheel.wire.values import Ack, Join, Load, Rate, Source
+from stackwheel.wire.line_codec import decode
+from stackwheel.wire.messages import Ack, Join, Load, Rate, Source
 
 WORK_MOST = 60.0  # s that one test may take
 
@@ -74,7 +74,7 @@
             planner.tell(writer, "CONFIG routes=read+write full=1 endpoints=s-0:1,s-1:2 continued=1")
             planner.tell(writer, "CONFIG nonce_out=9")
             answer = await planner.until(reader, Ack)
-            assert isinstance(answer, Ack) and answer.mark == 9 and answer.elapsed > 0
+            assert isinstance(answer, Ack) and answer.nonce == 9 and answer.elapsed > 0
             assert proxy.holdings.routes["write"].lines == {"s-0": 1.0, "s-1": 2.0} and proxy.holds_table()
             assert traffic.bytes_out == planner.told and traffic.messages_out == 2
             assert traffic.bytes_in >= planner.heard > 0 and proxy.state.orders == 1
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -13,8 +13,8 @@
 from stackwheel.scale.entries import TERMINATED, Entry
 from stackwheel.scale.listing import RegistryList
 from stackwheel.scale.registry import Registry
-from stackwheel.state.roster import Listing
-from stackwheel.wire.discovery import PATH, parse_listing, whole_list
+from stackwheel.state.endpoint_cache import EndpointList
+from stackwheel.wire.discovery_client import PATH, parse_listing, whole_list
 from stackwheel.wire.http import Call, CallFailed, get
 
 LIMIT = 5_000.0  # ms
@@ -38,9 +38,9 @@
     return found
 
 
-async def listing(call: Call) -> Listing:
+async def listing(call: Call) -> EndpointList:
     found = parse_listing(await line(call))
-    assert isinstance(found, Listing)
+    assert isinstance(found, EndpointList)
     return found
 
 
@@ -53,11 +53,11 @@
 def test_whole_list_and_watch_tell_the_same_and_changes_follow() -> None:
     async def work(registry: Registry, address: str) -> None:
         whole, calls = await whole_list(address), [await watch(address) for _ in range(3)]
-        assert isinstance(whole, Listing) and whole.whole and len(whole.instances) == 2
+        assert isinstance(whole, EndpointList) and whole.complete and len(whole.instances) == 2
         assert [await listing(call) for call in calls] == [whole] * 3
         registry.apply(Apply([entry(2, TERMINATED), entry(3)]))
         told = [await listing(call) for call in calls]
-        assert told[0] == told[1] == told[2] and told[0].generation == 2 and not told[0].whole
+        assert told[0] == told[1] == told[2] and told[0].generation == 2 and not told[0].complete
         resumed = await listing(late := await watch(address, "&since=1"))
         assert resumed == told[0]
         for call in (*calls, late):
@@ -83,7 +83,7 @@
         refused = await get(address, PATH, LIMIT, LIMIT)
         assert isinstance(refused, CallFailed) and refused.status == 503 and registry.refused == 1
         registry.pending = 0
-        assert isinstance(await whole_list(address), Listing)
+        assert isinstance(await whole_list(address), EndpointList)
 
     monkeypatch.setattr(module, "PENDING_MOST", 10)
     with_registry(work)
@@ -120,6 +120,6 @@
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
         writer.close()
-        assert isinstance(await whole_list(address), Listing)
+        assert isinstance(await whole_list(address), EndpointList)
 
     with_registry(work)
--- a/tests/scale/test_surroundings.py
+++ b/tests/scale/test_surroundings.py
@@ -12,8 +12,8 @@
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.entries import Entry
 from stackwheel.scale.surroundings import ListFeed, PeerPlanners, since
-from stackwheel.state.roster import Listing
-from stackwheel.wire.discovery import parse_listing
+from stackwheel.state.endpoint_cache import EndpointList
+from stackwheel.wire.discovery_client import parse_listing
 
 WORK_MOST = 60.0  # s that one test may take
 
@@ -22,15 +22,15 @@
     return ListFeed([Entry(f"s-{n}", "10.0.0.1:80", f"zone-{n % 2:02d}") for n in range(count)], Traffic())
 
 
-def told(found: ListFeed, known: int | None) -> Listing:
+def told(found: ListFeed, known: int | None) -> EndpointList:
     listing = parse_listing(found.list.since(known))
-    assert isinstance(listing, Listing)
+    assert isinstance(listing, EndpointList)
     return listing
 
 
 def test_the_whole_list_is_read_by_a_planner_entry_by_entry() -> None:
     listing = told(feed(), None)
-    assert listing.whole and listing.generation == 1
+    assert listing.complete and listing.generation == 1
     assert [(one.name, one.zone) for one in listing.instances] == [
         ("s-0", "zone-00"), ("s-1", "zone-01"), ("s-2", "zone-00"), ("s-3", "zone-01"),
     ]  # fmt: skip
@@ -43,7 +43,7 @@
         generation = found.list.generation
         found.change()
         (entry,) = told(found, generation).instances
-        seen.append((entry.name, entry.availability, entry.started > 0))
+        seen.append((entry.name, entry.availability, entry.started_at > 0))
     assert seen == [
         ("s-0", Availability.DRAINING, False),
         ("s-0", Availability.REMOVED, False),
--- a/tests/test_app.py
+++ b/tests/service/test_app.py
@@ -2,21 +2,21 @@
 
 from dataclasses import replace
 
-from desk import SETTINGS
+from policy_harness import SETTINGS
 
 from stackwheel.balance import Outbox
-from stackwheel.service.app import on_sockets, silence
-from stackwheel.wire.peer import RateLimiter
+from stackwheel.service.app import silence, with_slot_jitter
+from stackwheel.wire.connection import RateLimiter
 
 
 def test_a_slot_that_comes_early_finds_the_message_of_as_many_cycles_ago_gone() -> None:
     """In the simulator the tenth slot comes 10 s later to the millisecond, on sockets 3 ms early or late."""
     told = replace(SETTINGS, message_cap=2, message_window=10_000.0)
-    outbox, proxy = Outbox(on_sockets(told)), 3
+    outbox, proxy = Outbox(with_slot_jitter(told)), 3
     outbox.written[proxy] = [1000.0, 2000.0]
     outbox.advance(10_990.0, {})
     assert outbox.may_write(proxy, 1.0)
-    assert replace(on_sockets(told), message_window=told.message_window) == told
+    assert replace(with_slot_jitter(told), message_window=told.message_window) == told
 
 
 def test_the_connection_keeps_the_cap_as_messages_are_written() -> None:
--- a/tests/test_names.py
+++ b/tests/service/test_configured_names.py
@@ -9,19 +9,19 @@
 from typing import Any
 
 import pytest
-from standins import ROOT
+from fake_services import ROOT
 
 from stackwheel import interface as face
 from stackwheel.interface import Availability
 from stackwheel.service.config import read_config
 from stackwheel.state.clock import Clock
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.module import Asked, Module
-from stackwheel.state.orders import Message
-from stackwheel.state.roster import Instance, Listing, Roster
-from stackwheel.state.streams import Line, Stream
-from stackwheel.wire.lines import Encoder, decode
-from stackwheel.wire.values import Rate
+from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.planner_actor import HealthCheckTarget, PlannerActor
+from stackwheel.state.server_ids import ServerIds, server_id
+from stackwheel.state.streams import ProxyStream, StreamConnection
+from stackwheel.state.table_updates import ProxyUpdate
+from stackwheel.wire.line_codec import Encoder, decode
+from stackwheel.wire.messages import Rate
 
 ZONES, CLASSES = ("east", "west", "south"), ("lookup", "save", "book", "audit")
 PROXIES, SERVERS = 9, 24
@@ -72,7 +72,7 @@
         self.encoder, self.back = encoder, back
         self.orders: list[tuple[int, list[tuple[object, ...]]]] = []
 
-    def deliver(self, messages: Sequence[tuple[Line, Message]]) -> None:
+    def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
         encoded = self.encoder.encode([message for _, message in messages])
         batch = [
             (message.proxy, sorted(map(self.part, data.decode().split("\r\n")[:-1]), key=repr))
@@ -93,13 +93,13 @@
         )
         return routes, ends, tuple(sorted(words.items()))
 
-    def watch_list(self, on: bool) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
 
-    def fetch_list(self) -> None: ...
+    def fetch_endpoints(self) -> None: ...
 
-    def probe(self, server: face.Server, asked: Asked) -> None: ...
+    def start_health_check(self, server: face.Server, asked: HealthCheckTarget) -> None: ...
 
-    def tell_peers(self, payload: bytes, peer: int | None) -> None: ...
+    def send_gossip(self, payload: bytes, peer: int | None) -> None: ...
 
 
 def play(
@@ -110,34 +110,36 @@
     at = 1_000_000.0
     clock = Clock(lambda: at / 1000.0, lambda: at / 1000.0)
     clock.now = lambda: at  # type: ignore[method-assign]
-    roster = Roster(found.names.zones, found.names.kinds, Ids())
+    roster = EndpointCache(found.names.zones, found.names.kinds, ServerIds())
     kind = found.names.kinds[0]
 
     def listed(number: int, state: Availability = Availability.READY, started: float = 0.0) -> Instance:
         zone = ZONES[number % 3]
         return Instance(f"s-{number}", f"127.0.0.1:{number + 1}", names.get(zone, zone), kind, 0, state, 1.0, started)
 
-    roster.apply(Listing(1, True, tuple(listed(n) for n in range(SERVERS))))
-    out = Written(Encoder(found.names, roster.ids), {new: old for old, new in names.items()})
-    module = Module(found.settings, 0.0, 5, clock, roster, out)
+    roster.apply(EndpointList(1, True, tuple(listed(n) for n in range(SERVERS))))
+    out = Written(Encoder(found.names, roster.server_ids), {new: old for old, new in names.items()})
+    module = PlannerActor(found.settings, 0.0, 5, clock, roster, out)
     module.set_timer = lambda delay, token: None  # type: ignore[method-assign]
     module.decide([roster.cached()])
     for proxy in range(PROXIES):
         module.post(
-            Stream(proxy, found.names.zones.index(names.get(ZONES[proxy % 3], ZONES[proxy % 3])), 20.0, True, Carried())
+            ProxyStream(
+                proxy, found.names.zones.index(names.get(ZONES[proxy % 3], ZONES[proxy % 3])), 20.0, True, Carried()
+            )
         )
-    module.turn()
+    module.process_batch()
     for cycle in range(10):
         at += found.settings.report_interval
         if cycle == 4:
-            module.post(Listing(2, False, (listed(3, Availability.DRAINING), listed(40, started=at))))
+            module.post(EndpointList(2, False, (listed(3, Availability.DRAINING), listed(40, started=at))))
         for zone in ZONES:
             for n in range(SERVERS):
                 slow = 4.0 if cycle > 6 else 1.0 + 0.01 * n
                 module.post(
                     face.LoadReport(
                         found.names.zones.index(names.get(zone, zone)),
-                        digest(f"s-{n}"),
+                        server_id(f"s-{n}"),
                         20,
                         n == 5,
                         120.0 * slow,
@@ -151,7 +153,7 @@
                 told = decode(line.encode(), found.names)
                 assert isinstance(told, Rate)
                 module.post(face.DemandReport(proxy, told.place, told.count, 0, 1000.0))
-        module.turn()
+        module.process_batch()
     return out.orders
 
 
--- a/tests/test_logs.py
+++ b/tests/service/test_logging_setup.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from stackwheel.service.logs import BURST, SPAN, HoldDown
+from stackwheel.service.logging_setup import BURST, SPAN, HoldDown
 
 
 class Level(NamedTuple):
--- a/tests/test_relay.py
+++ b/tests/service/test_relay_service.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 
 import pytest
-from planner import MOST, PlannerProcess, full, run, send, started
-from standins import ROOT, Discovery, config, free_port
-from test_discovery import Scripted
+from fake_services import ROOT, Discovery, config, free_port
+from planner_process import MOST, PlannerProcess, full, run, send, started
+from scripted_discovery import ScriptedDiscovery
 
 from stackwheel.cells.plan import Cell, Limits, Plan, Relay, encode_plan
 from stackwheel.service.relay import RelayConfig, RelayService, load_serving
 from stackwheel.wire import timing
-from stackwheel.wire.discovery import PATH
+from stackwheel.wire.discovery_client import PATH
 from stackwheel.wire.http import Call, CallFailed, get
 
 MOST_MS = MOST * 1000.0
@@ -196,7 +196,7 @@
 
 def test_an_empty_line_of_the_registry_vouches(tmp_path: Path) -> None:
     async def work() -> None:
-        registry = await Scripted().start()
+        registry = await ScriptedDiscovery().start()
         (tmp_path / "cells.json").write_bytes(encode_plan(plan("s")))
         serving = load_serving("relay-0", tmp_path / "cells.json")
         service = RelayService(RelayConfig("relay-0", registry.address, tmp_path / "cells.json"), serving, 100)
@@ -250,5 +250,5 @@
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     ).stdout.split()
     unwanted = ("stackwheel.relay", "stackwheel.cells", "stackwheel.wire.listing", "msgspec", "xxhash", "lark", "click")
-    assert "stackwheel.wire.discovery" in loaded
+    assert "stackwheel.wire.discovery_client" in loaded
     assert [name for name in loaded if name.startswith(unwanted)] == []
--- a/tests/test_reload.py
+++ b/tests/service/test_reload.py
@@ -9,15 +9,15 @@
 from typing import Any
 
 import pytest
-from planner import MOST, PlannerProcess, full, run, run_line, running, send, signals, started
-from standins import Discovery, config, free_port
+from fake_services import Discovery, config, free_port
+from planner_process import MOST, PlannerProcess, full, run, run_line, running, send, signals, started
 
 from stackwheel.service.config import read_config
 from stackwheel.service.reload import Reload
-from stackwheel.state.module import ListFailed
-from stackwheel.state.roster import Listing
-from stackwheel.wire import discovery as wire
-from stackwheel.wire.links import Addresses
+from stackwheel.state.endpoint_cache import EndpointList
+from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.wire import discovery_client as wire
+from stackwheel.wire.transport import Addresses
 
 
 async def another(*servers: str, generation: int = 1) -> Discovery:
@@ -276,8 +276,8 @@
     """The list's actor in a process of the test's own."""
 
     def __init__(self, address: str, generation: int = 0) -> None:
-        self.posted: list[Listing | ListFailed] = []
-        self.actor = wire.Discovery(address, generation, False, self.posted.append)
+        self.posted: list[EndpointList | EndpointListFailed] = []
+        self.actor = wire.DiscoveryClient(address, generation, False, self.posted.append)
         self.task = asyncio.create_task(self.actor.run())
 
     async def until(self, count: int) -> None:
@@ -286,8 +286,8 @@
 
     def found(self, place: int) -> tuple[int, bool, set[str]]:
         listing = self.posted[place]
-        assert isinstance(listing, Listing)
-        return listing.generation, listing.whole, {i.name for i in listing.instances}
+        assert isinstance(listing, EndpointList)
+        return listing.generation, listing.complete, {i.name for i in listing.instances}
 
 
 def test_a_list_behind_what_was_told_waits_for_its_changes() -> None:
@@ -344,7 +344,7 @@
         assert watch.found(0) == (1, True, {"b"}) and not first.calls
         await second.shut()
         await watch.until(2)
-        assert isinstance(watch.posted[1], ListFailed)
+        assert isinstance(watch.posted[1], EndpointListFailed)
         watch.task.cancel()
 
     run(work())
--- a/tests/test_service.py
+++ b/tests/service/test_service.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
-from planner import MOST, full, run, running, start
-from standins import Discovery, Tables, config, free_port
+from fake_services import Discovery, Tables, config, free_port
+from planner_process import MOST, full, run, running, start
 
 from stackwheel import peers
 
@@ -324,7 +324,7 @@
     import subprocess
     import sys
 
-    from standins import ROOT
+    from fake_services import ROOT
 
     path = tmp_path / "config.json"
     environment = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
--- a/tests/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -3,38 +3,38 @@
 import asyncio
 import json
 
-import frames
-from standins import Discovery, config
+import simulator_frames
+from fake_services import Discovery, config
 
 from stackwheel import interface as face
 from stackwheel.balance import Planner
-from stackwheel.drill.host import Host
-from stackwheel.drill.wire import Batch, Create, Decoder, encode_action
 from stackwheel.interface import Action, Event, Settings
 from stackwheel.service.config import Config, read_config
 from stackwheel.settings import build_all, flatten, parse_settings
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.module import Module
-from stackwheel.state.roster import Roster
-from stackwheel.wire.discovery import parse_listing
-from stackwheel.wire.links import Links
-
-NAMES = {digest(f"s-{number}"): f"s-{number}" for number in range(6)}
+from stackwheel.simulator.host import Host
+from stackwheel.simulator.wire import Batch, Create, Decoder, encode_action
+from stackwheel.state.endpoint_cache import EndpointCache
+from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.server_ids import ServerIds, server_id
+from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.transport import SocketTransport
+
+NAMES = {server_id(f"s-{number}"): f"s-{number}" for number in range(6)}
 LIFECYCLES = {0: "terminated", 1: "in_service", 2: "terminating"}
 
 
 def day() -> list[bytes]:
     """The drill's day, with the ids that the service gives these servers."""
-    found = frames.day(0)
+    found = simulator_frames.day(0)
     for number in range(6):
-        found = [frame.replace(frames.server(number), digest(f"s-{number}")) for frame in found]
+        found = [frame.replace(simulator_frames.server(number), server_id(f"s-{number}")) for frame in found]
     return found
 
 
 def nested() -> dict[str, object]:
     """The drill's settings as JSON has them."""
     found: dict[str, object] = {"services": [{}, {}]}
-    for line in frames.SETTINGS.splitlines():
+    for line in simulator_frames.SETTINGS.splitlines():
         path, _, text = line.partition("=")
         value: object = {"true": True, "false": False}.get(
             text,
@@ -60,7 +60,7 @@
 def test_json_settings_are_the_drills() -> None:
     pairs = dict(flatten(nested()))
     blob = "\n".join(f"{path}={value}" for path, value in pairs.items()).encode()
-    assert parse_settings(blob) == parse_settings(frames.SETTINGS.encode())
+    assert parse_settings(blob) == parse_settings(simulator_frames.SETTINGS.encode())
     _, names, _ = build_all(pairs)
     assert names.classes == ("read", "write") and names.columns == ("outstanding",)
 
@@ -128,9 +128,9 @@
 
 
 async def through_the_service(batches: list[Batch], found: Config) -> list[list[Action]]:
-    roster, clock = Roster(found.names.zones, found.names.kinds, Ids()), SetClock()
-    links = Links(found.addresses, found.settings, found.names, roster, clock)  # type: ignore[arg-type]
-    module = Module(found.settings, 0.0, 40, clock, roster, links, 1e12, Watched)  # type: ignore[arg-type]
+    roster, clock = EndpointCache(found.names.zones, found.names.kinds, ServerIds()), SetClock()
+    links = SocketTransport(found.addresses, found.settings, found.names, roster, clock)  # type: ignore[arg-type]
+    module = PlannerActor(found.settings, 0.0, 40, clock, roster, links, 1e12, Watched)  # type: ignore[arg-type]
     await links.open(module.post)
     host, _, port = found.addresses.listen.rpartition(":")
     speakers: dict[str, asyncio.StreamWriter] = {}
@@ -154,7 +154,7 @@
             while len(module.mailbox) == waiting:  # in the order of the batch
                 await asyncio.sleep(0.001)
         if (events and not isinstance(events[0], face.EndpointUpdate)) or len(events) > 1:
-            module.turn()
+            module.process_batch()
     assert isinstance(module.planner, Watched)
     return module.planner.decided
 
@@ -171,11 +171,11 @@
 
     batches, decided = asyncio.run(work())
     host = Host()
-    replies = [frames.replies(host.answer(frame[:20], frame[20:]))[0][1] for frame in day()]
+    replies = [simulator_frames.replies(host.answer(frame[:20], frame[20:]))[0][1] for frame in day()]
     expected = [records for records, batch in zip(replies, batches, strict=True) if batch.records]
     assert sum(len(actions) for actions in decided) > 100
     decoder = Decoder()
-    planner = Planner(parse_settings(frames.SETTINGS.encode()), 40)
+    planner = Planner(parse_settings(simulator_frames.SETTINGS.encode()), 40)
     again: list[list[Action]] = []
     for frame in day():
         batch = decoder.batch(frame[:20], frame[20:])
--- a/tests/test_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -2,18 +2,18 @@
 
 import struct
 
-import frames
 import pytest
+import simulator_frames
 
 from stackwheel import interface as face
-from stackwheel.drill import wire
-from stackwheel.drill.wire import Create, Decoder, Down, WireError
+from stackwheel.simulator import wire
+from stackwheel.simulator.wire import Create, Decoder, Down, WireError
 
 ADDRESS = face.Server(bytes.fromhex("0a9011f21b84"))
 
 
 def decode(*records: bytes, decoder: Decoder | None = None) -> list[tuple[int, object]]:
-    frame = frames.batch(8412.25, 12, *records)
+    frame = simulator_frames.batch(8412.25, 12, *records)
     return list((decoder or Decoder()).batch(frame[:20], frame[20:]).records)
 
 
@@ -56,24 +56,24 @@
 
 
 def test_create() -> None:
-    ((instance, event),) = decode(frames.create(3, 9, "a=b"))
+    ((instance, event),) = decode(simulator_frames.create(3, 9, "a=b"))
     assert (instance, event) == (3, Create(9, b"a=b"))
 
 
 def test_list_pages_are_replaced_in_order() -> None:
     records = [
-        frames.ledger(0, frames.entry(1)),
-        frames.directory(0),
-        frames.ledger(0, frames.entry(2, zone=1, kind=1, state=2, size=1.5, start=6070.5)),
-        frames.directory(0, 3),
+        simulator_frames.ledger(0, simulator_frames.entry(1)),
+        simulator_frames.directory(0),
+        simulator_frames.ledger(0, simulator_frames.entry(2, zone=1, kind=1, state=2, size=1.5, start=6070.5)),
+        simulator_frames.directory(0, 3),
     ]
     (_, first), (_, second) = decode(*records)
     assert isinstance(first, face.EndpointUpdate) and isinstance(second, face.EndpointUpdate)
-    assert first.kind is face.UpdateKind.CACHED and first.entries[0].server == frames.server(1)
+    assert first.kind is face.UpdateKind.CACHED and first.entries[0].server == simulator_frames.server(1)
     entry = second.entries[0]
     assert second.kind is face.UpdateKind.DELTA
     assert (entry.server, entry.zone, entry.kind, entry.weight, entry.started_at) == (
-        frames.server(2),
+        simulator_frames.server(2),
         1,
         1,
         1.5,
@@ -83,7 +83,7 @@
 
 
 def test_failed_list_needs_no_page() -> None:
-    ((_, event),) = decode(frames.directory(9, scope=2))
+    ((_, event),) = decode(simulator_frames.directory(9, scope=2))
     assert event == face.EndpointUpdate(face.UpdateKind.FAILED, 1)
 
 
@@ -119,16 +119,19 @@
 @pytest.mark.parametrize(
     ("record", "says"),
     [
-        (frames.record(99, b""), "unknown event code 99"),
-        (frames.record(3, b"\0\3"), "runs past the record's end"),
-        (frames.record(8, b"\0\3\0\1\0"), "bytes too many"),
-        (frames.directory(4), "list 4 was never defined"),
-        (frames.directory(0, scope=7), "unknown scope 7"),
-        (frames.ledger(16), "list number 16"),
-        (frames.ledger(0, frames.entry(1, state=3)), "availability 3 is reserved"),
-        (frames.record(15, b"\0\0\0\0\2"), "2 entries do not fill"),
-        (frames.record(13, b"\0\3\0\1\2"), "flag at byte"),
-        (frames.record(4, b"\0\3" + frames.server(1) + struct.pack(">HdB", 8, 1.0, 0)), "outcome 8 is reserved"),
+        (simulator_frames.record(99, b""), "unknown event code 99"),
+        (simulator_frames.record(3, b"\0\3"), "runs past the record's end"),
+        (simulator_frames.record(8, b"\0\3\0\1\0"), "bytes too many"),
+        (simulator_frames.directory(4), "list 4 was never defined"),
+        (simulator_frames.directory(0, scope=7), "unknown scope 7"),
+        (simulator_frames.ledger(16), "list number 16"),
+        (simulator_frames.ledger(0, simulator_frames.entry(1, state=3)), "availability 3 is reserved"),
+        (simulator_frames.record(15, b"\0\0\0\0\2"), "2 entries do not fill"),
+        (simulator_frames.record(13, b"\0\3\0\1\2"), "flag at byte"),
+        (
+            simulator_frames.record(4, b"\0\3" + simulator_frames.server(1) + struct.pack(">HdB", 8, 1.0, 0)),
+            "outcome 8 is reserved",
+        ),
     ],
 )
 def test_malformed_records(record: bytes, says: str) -> None:
@@ -137,7 +140,7 @@
 
 
 def test_lengths_that_do_not_fit() -> None:
-    frame = frames.batch(1.0, 1, frames.reminder(1))
+    frame = simulator_frames.batch(1.0, 1, simulator_frames.reminder(1))
     with pytest.raises(WireError, match="where the header says"):
         Decoder().batch(frame[:20], frame[20:-1])
     longer = struct.pack(">dIII", 1.0, 15, 2, 1)
--- a/tests/frames.py
+++ b/tests/simulator_frames.py
@@ -102,12 +102,12 @@
 def day(*instances: int) -> list[bytes]:
     """A short scripted day: start, joins, reports, a drain and a restart."""
     servers = [entry(n, zone=n % 2) for n in range(6)]
-    frames = [batch(0.0, 1)]
+    simulator_frames = [batch(0.0, 1)]
     starts = [ledger(0, *servers)]
     for i in instances:
         starts += [create(i, seed=40 + i), directory(0, instance=i)]
-    frames.append(batch(1000.0, 2, *starts))
-    frames.append(batch(1100.0, 3, *(joined(p, p % 2, i) for i in instances for p in range(3))))
+    simulator_frames.append(batch(1000.0, 2, *starts))
+    simulator_frames.append(batch(1100.0, 3, *(joined(p, p % 2, i) for i in instances for p in range(3))))
     for tick in range(8):
         reports = []
         if tick == 4:
@@ -116,8 +116,8 @@
         for i in instances:
             reports += [digest(n, z, 8 + n, tick % 3, 90.0 + 10 * n, i) for n in range(6) for z in (0, 1)]
             reports += [usage(p, c, 12, i) for p in range(3) for c in (0, 1)]
-        frames.append(batch(2000.0 + 1000 * tick, 4 + tick, *reports))
-    return frames
+        simulator_frames.append(batch(2000.0 + 1000 * tick, 4 + tick, *reports))
+    return simulator_frames
 
 
 def replies(stream: bytes) -> list[tuple[int, list[bytes]]]:
--- a/tests/test_roster.py
+++ b/tests/state/test_endpoint_cache.py
@@ -6,8 +6,8 @@
 
 from stackwheel import interface as face
 from stackwheel.interface import Availability
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.roster import STALE_MOST, Instance, Listing, Roster
+from stackwheel.state.endpoint_cache import MAX_LIST_AGE, EndpointCache, EndpointList, Instance
+from stackwheel.state.server_ids import ServerIds, server_id
 
 READY, DRAINING, GONE = Availability.READY, Availability.DRAINING, Availability.REMOVED
 
@@ -16,21 +16,21 @@
     return Instance(name, "127.0.0.1:1", zone, "small", 0, state, 1.0, started)
 
 
-def whole(generation: int, *instances: Instance, unreadable: tuple[str, ...] = (), anew: bool = False) -> Listing:
-    return Listing(generation, True, instances, frozenset(unreadable), anew)
+def whole(generation: int, *instances: Instance, unreadable: tuple[str, ...] = (), anew: bool = False) -> EndpointList:
+    return EndpointList(generation, True, instances, frozenset(unreadable), anew)
 
 
-def changes(generation: int, *instances: Instance) -> Listing:
-    return Listing(generation, False, instances)
+def changes(generation: int, *instances: Instance) -> EndpointList:
+    return EndpointList(generation, False, instances)
 
 
 class Kept:
-    def __init__(self, *listings: Listing) -> None:
-        self.roster = Roster(("east", "west"), ("small",), Ids())
+    def __init__(self, *listings: EndpointList) -> None:
+        self.roster = EndpointCache(("east", "west"), ("small",), ServerIds())
         self.told: dict[face.Server, face.EndpointEntry] = {}
         self.take(whole(40, one("a"), one("b"), one("c")), *listings)
 
-    def take(self, *listings: Listing, now: float = 0.0) -> None:
+    def take(self, *listings: EndpointList, now: float = 0.0) -> None:
         """As the policy keeps it: what it is told, and nothing else."""
         for listing in listings:
             update = self.roster.apply(listing, now)
@@ -41,7 +41,7 @@
     def ready(self) -> set[str]:
         told = {s for s, e in self.told.items() if e.availability is READY}
         assert told == {s for s, e in self.roster.entries.items() if e.availability is READY}
-        return {str(self.roster.ids.name(s)) for s in told}
+        return {str(self.roster.server_ids.name(s)) for s in told}
 
 
 OVERTAKEN = whole(41, one("a"), one("b"), one("c"))  # the state before b drained and c left
@@ -52,7 +52,7 @@
     kept = Kept(changes(42, one("b", DRAINING)), changes(43, one("c", GONE)), changes(44, one("d")))
     kept.take(OVERTAKEN, now=1000.0)
     assert kept.ready() == {"a", "d"} and kept.roster.generation == 44
-    assert kept.roster.settled(1000.0 + STALE_MOST - 1.0) is None
+    assert kept.roster.settled(1000.0 + MAX_LIST_AGE - 1.0) is None
     kept.take(changes(45, one("e")), now=2000.0)  # the line of generations goes on: it was stale
     assert kept.roster.settled(1e9) is None
     assert kept.ready() == {"a", "d", "e"}
@@ -63,9 +63,9 @@
     kept.take(whole(1, one("a"), one("b"), one("c")), now=1000.0)
     kept.take(changes(2, one("f"), one("a", DRAINING)), now=2000.0)
     assert kept.ready() == {"d", "f"}  # drains count from any generation
-    settled = kept.roster.settled(1000.0 + STALE_MOST)
+    settled = kept.roster.settled(1000.0 + MAX_LIST_AGE)
     assert settled is not None
-    kept.take(settled, now=1000.0 + STALE_MOST)
+    kept.take(settled, now=1000.0 + MAX_LIST_AGE)
     assert kept.ready() == {"b", "c", "f"} and kept.roster.generation == 2
     kept.take(changes(3, one("g")))
     assert kept.ready() == {"b", "c", "f", "g"} and kept.roster.settled(1e9) is None
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("answer", [whole(42, one("a")), whole(7, one("a"), anew=True)])
-def test_a_whole_list_that_comes_by_itself_need_not_be_asked_for(answer: Listing) -> None:
+def test_a_whole_list_that_comes_by_itself_need_not_be_asked_for(answer: EndpointList) -> None:
     kept = Kept(changes(42, one("b", DRAINING)))
     kept.take(whole(1, one("a"), one("b")), changes(42, one("d")), answer)
     assert kept.ready() == {"a"} and not kept.roster.lacks_whole()
@@ -116,19 +116,19 @@
 def test_what_left_is_not_listed_again_as_draining() -> None:
     kept = Kept(changes(43, one("b", GONE)))
     kept.take(changes(42, one("b", DRAINING)))
-    assert digest("b") not in kept.roster.entries
+    assert server_id("b") not in kept.roster.entries
 
 
-@pytest.mark.parametrize("only_draining_binds", [True, False])
-def test_a_late_drain_of_what_has_left_is_told_where_departures_do_not_bind(only_draining_binds: bool) -> None:
+@pytest.mark.parametrize("removal_is_advisory", [True, False])
+def test_a_late_drain_of_what_has_left_is_told_where_departures_do_not_bind(removal_is_advisory: bool) -> None:
     """The policy keeps what the list dropped there, and an older generation's drain of it was left out (seed 700451)."""
     kept = Kept(changes(41, one("c", READY, 100.0)), changes(43, one("b", GONE), one("c", GONE, 100.0)))
-    kept.roster.only_draining_binds = only_draining_binds
+    kept.roster.removal_is_advisory = removal_is_advisory
     update = kept.roster.apply(changes(42, one("a"), one("b", DRAINING), one("c", DRAINING)))  # c: its former process
-    told = [(kept.roster.ids.name(entry.server), entry.availability) for entry in update.entries]
-    assert told == ([("b", DRAINING)] if only_draining_binds else [])
-    assert list(kept.roster.entries) == list(kept.roster.addresses) == [digest("a")]
-    assert kept.roster.generation == 43 and list(kept.roster.gone) == [digest("b"), digest("c")]
+    told = [(kept.roster.server_ids.name(entry.server), entry.availability) for entry in update.entries]
+    assert told == ([("b", DRAINING)] if removal_is_advisory else [])
+    assert list(kept.roster.entries) == list(kept.roster.addresses) == [server_id("a")]
+    assert kept.roster.generation == 43 and list(kept.roster.removed) == [server_id("b"), server_id("c")]
 
 
 @pytest.mark.parametrize(("unreadable", "left"), [(("b",), {"a", "b"}), (("",), {"a", "b", "c"}), ((), {"a"})])
@@ -159,16 +159,16 @@
         )
     )
     assert kept.ready() == {"a", "b"}
-    assert kept.roster.entries[digest("b")].started_at == 900.0
+    assert kept.roster.entries[server_id("b")].started_at == 900.0
 
 
 def test_what_was_met_at_a_former_process_is_told_apart() -> None:
     kept = Kept(changes(41, one("b", GONE, 100.0)), changes(42, one("b", READY, 5000.0), one("new", READY, 5000.0)))
     roster = kept.roster
-    assert roster.past(digest("b"), 4999.0) and not roster.past(digest("b"), 5000.0)
-    assert not roster.past(digest("new"), 4000.0)  # nobody else had that id
+    assert roster.past(server_id("b"), 4999.0) and not roster.past(server_id("b"), 5000.0)
+    assert not roster.past(server_id("new"), 4000.0)  # nobody else had that id
     kept.take(whole(43, one("a", READY, 7000.0)))
-    assert roster.past(digest("a"), 6000.0) and list(roster.renewed) == [digest("a")]  # and b is forgotten
+    assert roster.past(server_id("a"), 6000.0) and list(roster.renewed) == [server_id("a")]  # and b is forgotten
 
 
 class Unwalked(dict[face.Server, object]):
@@ -185,9 +185,9 @@
     """Each list of changes copied all that is listed and all that is gone."""
     kept = Kept(changes(40, one("c", GONE, 100.0)))
     roster = kept.roster
-    roster.entries, roster.gone = Unwalked(roster.entries), Unwalked(roster.gone)  # type: ignore[assignment]
+    roster.entries, roster.removed = Unwalked(roster.entries), Unwalked(roster.removed)  # type: ignore[assignment]
     words = (one("a", DRAINING), one("b", GONE), one("c", READY, 500.0), one("d"))
     update = roster.apply(changes(generation, *words))
-    assert [str(roster.ids.name(entry.server)) for entry in update.entries] == ["a", "b", "c", "d"]
-    assert {str(roster.ids.name(s)) for s in dict.__iter__(roster.entries)} == {"a", "c", "d"}
-    assert list(roster.renewed) == [digest("c")] and list(dict.__iter__(roster.gone)) == [digest("b")]
+    assert [str(roster.server_ids.name(entry.server)) for entry in update.entries] == ["a", "b", "c", "d"]
+    assert {str(roster.server_ids.name(s)) for s in dict.__iter__(roster.entries)} == {"a", "c", "d"}
+    assert list(roster.renewed) == [server_id("c")] and list(dict.__iter__(roster.removed)) == [server_id("b")]
--- a/tests/test_orders.py
+++ b/tests/state/test_table_updates.py
@@ -2,23 +2,23 @@
 
 from collections.abc import Iterator
 
+from fake_services import Tables
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from standins import Tables
 
 from stackwheel import interface as face
 from stackwheel.interface import Action, Availability, Retry, Server
 from stackwheel.settings import Names
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.orders import EVERY_TABLE, MARKS, Message, Orders, Part
-from stackwheel.state.roster import Instance, Listing, Roster
-from stackwheel.state.streams import Stream, Streams
-from stackwheel.wire.lines import Encoder
+from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.server_ids import ServerIds, server_id
+from stackwheel.state.streams import ProxyStream, ProxyStreams
+from stackwheel.state.table_updates import ALL_TABLES, NONCES_PER_INCARNATION, ProxyUpdate, TableUpdates, UpdatePart
+from stackwheel.wire.line_codec import Encoder
 
 CLASSES = ("read", "write")
 SERVERS = tuple(f"s-{number}" for number in range(5))
-ONE, TWO, THREE, *_ = (digest(name) for name in SERVERS)
+ONE, TWO, THREE, *_ = (server_id(name) for name in SERVERS)
 
 
 class Line:
@@ -32,8 +32,8 @@
         self.replaced = False
 
 
-def listing(*started: str) -> Listing:
-    return Listing(
+def listing(*started: str) -> EndpointList:
+    return EndpointList(
         1,
         True,
         tuple(
@@ -45,19 +45,19 @@
 
 class Setup:
     def __init__(self, *started: str) -> None:
-        self.ids = Ids()
-        self.roster = Roster(("a",), ("small",), self.ids)
+        self.ids = ServerIds()
+        self.roster = EndpointCache(("a",), ("small",), self.ids)
         self.roster.apply(listing(*started))
-        self.streams = Streams()
-        self.orders = Orders(len(CLASSES), self.streams, self.roster)
+        self.streams = ProxyStreams()
+        self.orders = TableUpdates(len(CLASSES), self.streams, self.roster)
         self.encoder = Encoder(Names(classes=CLASSES), self.ids)
         self.held: dict[int, Tables] = {}
 
     def join(self, proxy: int, fresh: bool = True) -> None:
-        list(self.streams.join(Stream(proxy, 0, 1.0, fresh, Line())))
+        list(self.streams.join(ProxyStream(proxy, 0, 1.0, fresh, Line())))
         self.held.setdefault(proxy, Tables(CLASSES, set(SERVERS)))
 
-    def take(self, *actions: Action) -> dict[int, Message]:
+    def take(self, *actions: Action) -> dict[int, ProxyUpdate]:
         messages = self.orders.take(actions)
         for message, data in zip(messages, self.encoder.encode(messages), strict=True):
             assert data.endswith(b"\r\n")
@@ -80,8 +80,8 @@
         face.AttachNonce(4, False),
     )
     assert list(got) == [0]  # the other uses no table of these
-    assert got[0].parts == (Part((0,), False, ((ONE, 0.0), (TWO, 3.0)), (0.5, Retry.NEVER)),)
-    assert got[0].mark == 4 and setup.held[0].lines["read"] == {"s-1": 3.0}
+    assert got[0].parts == (UpdatePart((0,), False, ((ONE, 0.0), (TWO, 3.0)), (0.5, Retry.NEVER)),)
+    assert got[0].nonce == 4 and setup.held[0].lines["read"] == {"s-1": 3.0}
 
 
 def test_assignment_costs_what_the_policy_charges() -> None:
@@ -118,12 +118,12 @@
     setup = Setup()
     setup.join(0)
     setup.take(
-        face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, (0,)), face.SetAdmission(EVERY_TABLE, (), 0.5, Retry.TWICE)
+        face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, (0,)), face.SetAdmission(ALL_TABLES, (), 0.5, Retry.TWICE)
     )
     assert setup.held[0].levels == {"read": (0.5, 3), "write": (0.5, 3)}  # standing tables too
     setup.take(face.SetAdmission(7, (0,), 0.8, Retry.NEVER))
     assert setup.held[0].levels["read"] == (0.5, 0)
-    setup.take(face.SetAdmission(EVERY_TABLE, (0,), 0.9, Retry.TWICE))
+    setup.take(face.SetAdmission(ALL_TABLES, (0,), 0.9, Retry.TWICE))
     assert setup.held[0].levels["read"] == (0.8, 0)
 
 
@@ -170,13 +170,13 @@
 def test_marks_of_an_earlier_life_are_told_apart() -> None:
     setup = Setup()
     setup.join(0)
-    assert setup.take(face.AttachNonce(5, True))[0].mark == 5 and setup.orders.own_mark(5) == 5
+    assert setup.take(face.AttachNonce(5, True))[0].nonce == 5 and setup.orders.own_mark(5) == 5
     setup.orders.start_over()
-    assert setup.take(face.AttachNonce(5, True))[0].mark == MARKS + 5
-    assert setup.orders.own_mark(5) is None and setup.orders.own_mark(MARKS + 5) == 5
+    assert setup.take(face.AttachNonce(5, True))[0].nonce == NONCES_PER_INCARNATION + 5
+    assert setup.orders.own_mark(5) is None and setup.orders.own_mark(NONCES_PER_INCARNATION + 5) == 5
 
 
-servers = st.sampled_from([digest(name) for name in SERVERS])
+servers = st.sampled_from([server_id(name) for name in SERVERS])
 tables = st.integers(0, 3)
 places = st.lists(st.integers(0, 1), unique=True, max_size=2).map(tuple)
 weights = st.sampled_from([0.0, 1e-12, 0.25, 3.0])
@@ -188,17 +188,17 @@
     st.builds(face.SetEjection, servers, st.booleans()),
     st.builds(
         face.SetAdmission,
-        tables | st.just(EVERY_TABLE),
+        tables | st.just(ALL_TABLES),
         places,
         st.sampled_from([0.0, 0.5, 1.0]),
         st.sampled_from(Retry),
     ),
-    st.builds(face.AttachNonce, st.integers(1, MARKS - 1), st.booleans()),
+    st.builds(face.AttachNonce, st.integers(1, NONCES_PER_INCARNATION - 1), st.booleans()),
 )
 
 
-def expected(orders: Orders, stream: Stream, place: int) -> Iterator[tuple[Server, float]]:
-    for server, weight in orders.tables.get(stream.bound[place], {}).items():
+def expected(orders: TableUpdates, stream: ProxyStream, place: int) -> Iterator[tuple[Server, float]]:
+    for server, weight in orders.tables.get(stream.table_by_class[place], {}).items():
         if server not in orders.withdrawn:
             yield server, weight
 
@@ -213,7 +213,7 @@
         setup.take(*reply)
         for proxy, stream in setup.streams.by_proxy.items():
             held = setup.held[proxy]
-            for place, table in stream.bound.items():
+            for place, table in stream.table_by_class.items():
                 name = CLASSES[place]
                 assert held.open_lines(name) == {setup.ids.name(s): w for s, w in expected(setup.orders, stream, place)}
                 level = setup.orders.level(place, table)
@@ -227,9 +227,9 @@
     levels = [face.SetAdmission(7, (place,), 0.5 + place / 4, Retry.NEVER) for place in (0, 1)]
     got = setup.take(face.SetWeight(7, ONE, 1.0), *levels, face.AssignTable(0, 7, (0, 1)))
     assert got[0].parts == (
-        Part((0, 1), True, ((ONE, 1.0),), None),
-        Part((0,), False, (), (0.5, Retry.NEVER)),
-        Part((1,), False, (), (0.75, Retry.NEVER)),
+        UpdatePart((0, 1), True, ((ONE, 1.0),), None),
+        UpdatePart((0,), False, (), (0.5, Retry.NEVER)),
+        UpdatePart((1,), False, (), (0.75, Retry.NEVER)),
     )
     got = setup.take(face.SetWeight(7, TWO, 1.0), face.SetAdmission(7, (1,), 0.5, Retry.NEVER))
     assert got[0].cost() == 2 and setup.held[0].lines == {name: {"s-0": 1.0, "s-1": 1.0} for name in CLASSES}
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -7,8 +7,8 @@
 import sys
 from pathlib import Path
 
-from planner import MOST, start
-from standins import ROOT, config
+from fake_services import ROOT, config
+from planner_process import MOST, start
 
 
 async def example(name: str, *words: str) -> asyncio.subprocess.Process:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,7 +1,7 @@
 """Settings: unknown keys are passed over, absent ones have defaults, nonsense is named."""
 
-import frames
 import pytest
+import simulator_frames
 
 from stackwheel.interface import RequestClass, Retry, Settings
 from stackwheel.settings import SettingsError, build_all, flatten, parse_settings
@@ -12,7 +12,7 @@
 
 
 def test_all_that_the_policy_reads() -> None:
-    got = parse(frames.SETTINGS)
+    got = parse(simulator_frames.SETTINGS)
     assert (got.planner_count, got.planner_index, got.zones, got.endpoint_list_on_request) == (2, 0, 2, True)
     assert got.classes[0] == RequestClass("read", 500.0, 1200.0, 1.0, "repeatable", "all")
     assert got.classes[1].allowed_zones == (0, 1)
--- a/tests/trials/test_hard_cases.py
+++ b/tests/trials/test_hard_cases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stackwheel.forwarder.orders import Order
+from stackwheel.forwarder.updates import ConfigUpdate
 from stackwheel.interface import Availability
 from stackwheel.trials import script as s
 from stackwheel.trials.events import kill_planner
@@ -21,7 +21,7 @@
 
     def __init__(self, *faults: s.Fault, shape: s.Shape = SHAPE, span: float = 30.0) -> None:
         self.tries: list[tuple[float, int, str, bool]] = []  # when, proxy, server, whether it is joined
-        self.orders: list[tuple[float, int, Order]] = []  # when, planner
+        self.orders: list[tuple[float, int, ConfigUpdate]] = []  # when, planner
         self.applied: list[tuple[float, int, int]] = []  # when, planner, proxy
         super().__init__(s.check(s.Script(7, span, shape, faults)))
 
@@ -30,7 +30,7 @@
         self.tries.append((self.loop.now, proxy.number, name, joined))
         return super().try_server(request, proxy, name, until)
 
-    def channel_takes(self, stream: Stream, order: Order) -> None:
+    def channel_takes(self, stream: Stream, order: ConfigUpdate) -> None:
         self.orders.append((self.loop.now, stream.planner, order))
         super().channel_takes(stream, order)
 
@@ -56,7 +56,7 @@
     killed: list[float] = []
 
     class Killing(Watched):
-        def channel_takes(self, stream: Stream, order: Order) -> None:
+        def channel_takes(self, stream: Stream, order: ConfigUpdate) -> None:
             super().channel_takes(stream, order)
             out = any(w == 0 for part in order.parts for name, w in part.lines if name == "s-0")
             if out and not killed:
@@ -107,7 +107,7 @@
     assert not [at for at, _, name, joined in world.tries if name == "s-0" and joined and at > 13.0]
     for host in world.hosts:
         assert host.service is not None
-        assert host.service.roster.generation == world.discovery.generation
+        assert host.service.endpoints.generation == world.discovery.generation
 
 
 def test_orders_arrive_but_acks_do_not() -> None:
@@ -116,7 +116,7 @@
     assert [at for at, _, _ in world.orders if 6.5 < at < 14.0]  # written, and on their way to proxies
     for host in world.hosts:
         assert host.service is not None
-        assert len(host.service.module.streams.by_proxy) + len(host.service.module.streams.silent) > 0
+        assert len(host.service.planner.streams.by_proxy) + len(host.service.planner.streams.silent) > 0
 
 
 def test_a_zone_is_lost_and_back_cold_while_both_planners_restart() -> None:
@@ -142,9 +142,9 @@
     assert found.service > 0.7
     for host in world.hosts:
         assert host.service is not None
-        discovery = host.service.links.discovery
+        discovery = host.service.transport.discovery
         assert discovery.address == discovery.source == "{}:{}".format(*world.discovery.address)
-        assert len(host.service.roster.entries) == 60 - 0 - (
+        assert len(host.service.endpoints.entries) == 60 - 0 - (
             1 if world.servers["s-0"].state is Availability.REMOVED else 0
         )
 
--- a/tests/trials/test_relay_trials.py
+++ b/tests/trials/test_relay_trials.py
@@ -12,7 +12,7 @@
 
 from stackwheel.interface import Availability
 from stackwheel.relay.messages import Unavailable
-from stackwheel.rules.verdicts import Rule
+from stackwheel.rules.violations import Rule
 from stackwheel.trials import script as s
 from stackwheel.trials.defects import RELAY_DEFECTS, Defect, found_by, planted
 from stackwheel.trials.draw import draw
@@ -119,7 +119,7 @@
     assert verdicts(world) == []
     for planner in world.hosts:
         assert planner.service is not None
-        assert planner.service.links.discovery.source == planner.discovery
+        assert planner.service.transport.discovery.source == planner.discovery
         assert ":9003" in planner.discovery  # the second move
 
 
@@ -242,7 +242,7 @@
     def spoil() -> None:
         service = world.hosts[0].service
         assert service is not None
-        entries, ids = service.roster.entries, service.roster.ids
+        entries, ids = service.endpoints.entries, service.endpoints.server_ids
         places = {ids.name(server): server for server in entries}
         drains = places["s-1"]
         if how == "lost":
--- a/tests/trials/test_trials.py
+++ b/tests/trials/test_trials.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from stackwheel.rules.verdicts import Rule
+from stackwheel.rules.violations import Rule
 from stackwheel.trials import script as s
 from stackwheel.trials.defects import named, planted
 from stackwheel.trials.draw import draw
--- a/tests/test_races.py
+++ b/tests/wire/test_connection_races.py
@@ -11,28 +11,28 @@
 from typing import Any
 
 import pytest
-from test_links import Setup, run, said, until
+from transport_harness import TransportHarness, received, run, until
 
 from stackwheel import interface as face
-from stackwheel.state.module import Ended
-from stackwheel.state.orders import Message, Part
-from stackwheel.state.streams import Stream
-from stackwheel.wire.peer import Peer, RateLimiter
+from stackwheel.state.planner_actor import StreamEnded
+from stackwheel.state.streams import ProxyStream
+from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
+from stackwheel.wire.connection import Connection, RateLimiter
 
 JOIN = b"SUBSCRIBE id=1 site=east rps=1 new=1\r\n"
 
 
-def order(mark: int) -> Message:
-    return Message(1, (Part((0,), True, ()),), (), (), mark)
+def order(mark: int) -> ProxyUpdate:
+    return ProxyUpdate(1, (UpdatePart((0,), True, ()),), (), (), mark)
 
 
-async def joined(setup: Setup) -> tuple[socket.socket, Peer]:
+async def joined(setup: TransportHarness) -> tuple[socket.socket, Connection]:
     before = len(setup.posted)
     connection = setup.connect(JOIN)
     await until(lambda: len(setup.posted) > before)
     stream = setup.posted[-1]
-    assert isinstance(stream, Stream) and isinstance(stream.line, Peer)
-    return connection, stream.line
+    assert isinstance(stream, ProxyStream) and isinstance(stream.connection, Connection)
+    return connection, stream.connection
 
 
 def descriptors() -> int:
@@ -44,7 +44,7 @@
     """Its orders waited for the cap; once there was room they went to a connection that nobody follows."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         cap = setup.links.settings.message_cap
         limiter = setup.links.limiters[1] = RateLimiter(cap, 300.0)
@@ -71,12 +71,12 @@
     """An order that lay in the mailbox as the connection was ended was counted as written before the reader noticed."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         end, peer = await joined(setup)
         setup.links.deliver([(peer, order(1))])
         peer.end("for the test")  # in the same turn: the writer wakes before the end is seen
-        await until(lambda: any(isinstance(item, Ended) for item in setup.posted))
+        await until(lambda: any(isinstance(item, StreamEnded) for item in setup.posted))
         assert not setup.links.limiter(1).written
         end.close()
 
@@ -87,7 +87,7 @@
     """Joined, superseded and joined again before the module's turn: it was told of the second and closed in 1.5 s."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         first_end, first = await joined(setup)
         second_end, second = await joined(setup)
@@ -104,22 +104,22 @@
     run(work())
 
 
-def _streams(setup: Setup) -> object:
+def _streams(setup: TransportHarness) -> object:
     """The module's part of it: the streams joined in the order in which they were heard."""
-    from stackwheel.state.streams import Streams
+    from stackwheel.state.streams import ProxyStreams
 
-    streams = Streams()
+    streams = ProxyStreams()
     for item in setup.posted:
-        if isinstance(item, Stream):
+        if isinstance(item, ProxyStream):
             list(streams.join(item))
-    return streams.by_proxy[1].line
+    return streams.by_proxy[1].connection
 
 
 def test_a_write_that_fails_by_a_defect_ends_the_stream(monkeypatch: pytest.MonkeyPatch) -> None:
     """The task died unseen: the stream looked alive, and nothing reached the proxy any more."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         end, peer = await joined(setup)
 
@@ -128,16 +128,16 @@
 
         monkeypatch.setattr(setup.links.limiter(1), "wrote", fails)
         setup.links.deliver([(peer, order(1))])
-        assert await said(end) == b""
-        await until(lambda: not setup.links.peers)
-        assert isinstance(setup.posted[-1], Ended)
+        assert await received(end) == b""
+        await until(lambda: not setup.links.connections)
+        assert isinstance(setup.posted[-1], StreamEnded)
 
     run(work())
 
 
 def test_a_connection_reset_before_it_is_attended_costs_nothing() -> None:
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         await asyncio.sleep(0)
         before = descriptors()
@@ -146,7 +146,7 @@
             gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             gone.close()  # a reset, while it lies in the backlog
         end, _ = await joined(setup)
-        await until(lambda: len(setup.links.peers) == 1 and setup.links.arriving == 0)
+        await until(lambda: len(setup.links.connections) == 1 and setup.links.arriving == 0)
         end.close()
         await until(lambda: descriptors() <= before)
         assert not setup.links.unidentified
@@ -156,7 +156,7 @@
 
 def test_a_connection_that_cannot_be_set_up_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         await asyncio.sleep(0)
         before = descriptors()
@@ -167,7 +167,7 @@
 
         monkeypatch.setattr(asyncio, "open_connection", fails)
         gone = setup.connect(JOIN)
-        assert await said(gone) == b""
+        assert await received(gone) == b""
         assert setup.links.arriving == 0
         gone.close()
         monkeypatch.setattr(asyncio, "open_connection", honest)
@@ -182,7 +182,7 @@
     """Each connection gets a turn of 64 KiB: others are answered while most of the flood is still unread."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         flooding, peer = await joined(setup)
         line = b"RATE id=1 lane=read count=1 fail=0 over=1000.0\r\n"
@@ -197,7 +197,7 @@
         began = peer.messages_received
         asking.setblocking(False)
         assert await asyncio.get_running_loop().sock_recv(asking, 10) == b"PONG\r\n"
-        await until(lambda: any(isinstance(item, Stream) and item.proxy == 2 for item in setup.posted))
+        await until(lambda: any(isinstance(item, ProxyStream) and item.proxy == 2 for item in setup.posted))
         assert peer.messages_received - began < 60_000 and not flood.done()
         flood.cancel()
         for connection in (flooding, asking, other):
@@ -211,22 +211,22 @@
     proxy begins with its own."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         end, peer = await joined(setup)
         names = [face.Server(bytes([n // 256, n % 256, 1, 1, 1, 1])) for n in range(3000)]
         for server in names:
-            setup.links.roster.ids.names[server] = f"server-of-a-long-name-{server.hex()}"
-        parts = tuple(Part((place,), True, tuple((server, 1.0) for server in names)) for place in (0, 1))
+            setup.links.endpoints.server_ids.names[server] = f"server-of-a-long-name-{server.hex()}"
+        parts = tuple(UpdatePart((place,), True, tuple((server, 1.0) for server in names)) for place in (0, 1))
         end.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         peer.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        setup.links.deliver([(peer, Message(1, parts, (), (), 7))])
+        setup.links.deliver([(peer, ProxyUpdate(1, parts, (), (), 7))])
         head = await asyncio.get_running_loop().run_in_executor(None, end.recv, 64)
         assert head.startswith(b"CONFIG routes=")
         new_end, new = await joined(setup)
         peer.superseded()
         peer.end("for the test")
-        rest = head + await said(end)
+        rest = head + await received(end)
         assert b"nonce_out" not in rest  # it never became whole
         setup.links.deliver([(new, order(8))])
         await until(lambda: new.unsent == 0)
@@ -243,7 +243,7 @@
     and of the list runs before PONG, whatever the number."""
 
     async def work() -> None:
-        setup = Setup(proxies=crowd)
+        setup = TransportHarness(proxies=crowd)
         proxies = []
         turns = 0
         await setup.open()
@@ -268,7 +268,7 @@
 
     async def work() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.FAULT_AGAIN", 1.0)
-        setup = Setup()
+        setup = TransportHarness()
         owner: Any = setup.links.discovery if part == "run" else setup.links
         honest, calls = getattr(owner, part), 0
 
@@ -300,18 +300,18 @@
         for one in filled:
             one.setblocking(False)
             one.connect_ex(silent.getsockname()[:2])  # its backlog is full: further dials get no answer
-        setup = Setup(address, sockets=32 + 10)
+        setup = TransportHarness(address, sockets=32 + 10)
         await setup.open()
         await asyncio.sleep(0)
         before = descriptors()
-        server, entry = next(iter(setup.links.roster.entries.items()))
-        from stackwheel.state.module import Asked
+        server, entry = next(iter(setup.links.endpoints.entries.items()))
+        from stackwheel.state.planner_actor import HealthCheckTarget
 
         for _ in range(50):
-            setup.links.probe(server, Asked(0, entry.started_at, address))
-        assert setup.links.probing == 10
+            setup.links.start_health_check(server, HealthCheckTarget(0, entry.started_at, address))
+        assert setup.links.health_checks_in_flight == 10
         end, _ = await joined(setup)  # waits for room, and gets it
-        await until(lambda: setup.links.probing == 0)
+        await until(lambda: setup.links.health_checks_in_flight == 0)
         end.close()
         await until(lambda: descriptors() <= before)
         for one in [*filled, silent]:
--- a/tests/test_descriptors.py
+++ b/tests/wire/test_descriptors.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 
 import pytest
-from test_links import Setup, run, until
+from transport_harness import TransportHarness, run, until
 
-from stackwheel.state.module import Asked
-from stackwheel.state.streams import Stream
+from stackwheel.state.planner_actor import HealthCheckTarget
+from stackwheel.state.streams import ProxyStream
 from stackwheel.wire import timing
 
 ROOM = 60  # connections that the limit of these tests leaves
@@ -30,7 +30,7 @@
 class Census:
     """The descriptors of accepted connections at each accept, the only moment at which their number grows."""
 
-    def __init__(self, setup: Setup) -> None:
+    def __init__(self, setup: TransportHarness) -> None:
         gc.collect()  # sockets of tests before
         self.clients: list[socket.socket] = []
         self.before, self.most = descriptors(), 0
@@ -58,13 +58,13 @@
         self.clients.clear()
 
 
-async def opened(setup: Setup) -> Census:
+async def opened(setup: TransportHarness) -> Census:
     await setup.open()
     return Census(setup)  # before the listener's first turn
 
 
-def joins(setup: Setup) -> Callable[[], int]:
-    return lambda: sum(isinstance(item, Stream) for item in setup.posted)
+def joins(setup: TransportHarness) -> Callable[[], int]:
+    return lambda: sum(isinstance(item, ProxyStream) for item in setup.posted)
 
 
 def test_strangers_that_make_room_count_until_they_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -73,7 +73,7 @@
 
     async def work() -> None:
         monkeypatch.setattr(timing, "YOUNG", 1000.0)
-        setup = Setup(proxies=2 * ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
+        setup = TransportHarness(proxies=2 * ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
         census = await opened(setup)
         for _ in range(ROOM - 1):
             census.connect(b"")
@@ -94,7 +94,7 @@
     """Strangers held all places, each newcomer waited for one of them to go, and up to 39 lay in the backlog at once."""
 
     async def work() -> None:
-        setup = Setup(proxies=ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
+        setup = TransportHarness(proxies=ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
         census = await opened(setup)
         for _ in range(ROOM - 1):
             census.connect(b"")
@@ -105,11 +105,11 @@
         census.connect(joining(0))
         await until(lambda: joined() == 1 and not setup.links.closing)
         reserve = timing.accept_reserve(ROOM)
-        assert 0 < reserve < ROOM and len(setup.links.peers) == ROOM - reserve
+        assert 0 < reserve < ROOM and len(setup.links.connections) == ROOM - reserve
         for number in range(1, ROOM):  # who is identified may have all of it
             census.connect(joining(number))
         await until(lambda: joined() == ROOM)
-        assert len(setup.links.peers) == ROOM and census.most <= ROOM
+        assert len(setup.links.connections) == ROOM and census.most <= ROOM
         census.leave()
 
     run(work())
@@ -119,7 +119,7 @@
     """Whoever left in one turn was forgotten in that turn and closed in the next: who waited was taken in between."""
 
     async def work() -> None:
-        setup = Setup(proxies=2 * ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
+        setup = TransportHarness(proxies=2 * ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
         census = await opened(setup)
         joined = joins(setup)
         for number in range(ROOM - 1):
@@ -142,14 +142,14 @@
         monkeypatch.setattr(timing, "PROBE", 50.0)
         silent = socket.create_server(("127.0.0.1", 0), backlog=64)  # the kernel takes dials, nobody answers them
         address = "{}:{}".format(*silent.getsockname()[:2])
-        setup = Setup(address, sockets=timing.KEPT_SOCKETS + ROOM)
+        setup = TransportHarness(address, sockets=timing.KEPT_SOCKETS + ROOM)
         census = await opened(setup)
-        server, entry = next(iter(setup.links.roster.entries.items()))
+        server, entry = next(iter(setup.links.endpoints.entries.items()))
         for _ in range(ROOM // 2):
-            setup.links.probe(server, Asked(0, entry.started_at, address))
+            setup.links.start_health_check(server, HealthCheckTarget(0, entry.started_at, address))
         most_over = 0
-        while setup.links.probing:
-            most_over = max(most_over, census.held() - setup.links.probing)
+        while setup.links.health_checks_in_flight:
+            most_over = max(most_over, census.held() - setup.links.health_checks_in_flight)
             await asyncio.sleep(0)
         assert len(setup.posted) == ROOM // 2
         assert max(most_over, census.held()) == 0
--- a/tests/test_discovery.py
+++ b/tests/wire/test_discovery_client.py
@@ -3,118 +3,25 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import json
-from collections.abc import Callable, Coroutine
 from random import Random
 from typing import Any
 
 import pytest
+from scripted_discovery import ClientHarness, ScriptedDiscovery, document, run, watching
 
-from stackwheel.state.module import ListFailed
-from stackwheel.state.roster import Listing
-from stackwheel.wire import discovery as wire
+from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.wire import discovery_client as wire
 from stackwheel.wire import timing
 from stackwheel.wire.backoff import Backoff
 from stackwheel.wire.http import Call, get
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-
-
-def document(generation: int, whole: bool, *names: str) -> bytes:
-    return json.dumps(
-        {
-            "generation": generation,
-            "reset": whole,
-            "instances": [
-                {"instanceId": name, "hostPort": "127.0.0.1:1", "zone": "east", "lifecycle": "in_service"}
-                for name in names
-            ],
-        }
-    ).encode()
-
-
-class Asked:
-    """One call: nothing is said but what the test says."""
-
-    def __init__(self, target: str, writer: asyncio.StreamWriter) -> None:
-        self.target, self.writer = target, writer
-        self.begun = False
-        self.ended = asyncio.Event()
-
-    @property
-    def watch(self) -> bool:
-        return "follow=1" in self.target
-
-    def answer(self, body: bytes, status: str = "200 OK") -> None:
-        self.writer.write(f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
-
-    def tell(self, data: bytes) -> None:
-        """A piece of a watch, however it ends."""
-        if not self.begun:
-            self.writer.write(HEAD)
-        self.begun = True
-        self.writer.write(b"%x\r\n%b\r\n" % (len(data), data))
-
-    def line(self, generation: int, whole: bool, *names: str) -> None:
-        self.tell(document(generation, whole, *names) + b"\n")
-
-
-class Scripted:
-    def __init__(self) -> None:
-        self.calls: asyncio.Queue[Asked] = asyncio.Queue()
-        self.address = ""
-
-    async def start(self) -> Scripted:
-        server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
-        self.address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
-        return self
-
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        head = await reader.readuntil(b"\r\n\r\n")
-        asked = Asked(head.split(b" ")[1].decode(), writer)
-        self.calls.put_nowait(asked)
-        with contextlib.suppress(ConnectionError):
-            await reader.read()
-        asked.ended.set()
-
-
-class Actor:
-    def __init__(self, address: str, **how: Any) -> None:
-        self.posted: asyncio.Queue[Listing | ListFailed] = asyncio.Queue()
-        self.actor = wire.Discovery(
-            address, 0, how.pop("follow_always", False), self.posted.put_nowait, Random(3), **how
-        )
-        self.task = asyncio.create_task(self.actor.run())
-
-    def ask(self, what: str | wire.Move) -> None:
-        self.actor.mailbox.put_nowait(what)
-
-    async def listing(self) -> tuple[int, bool, set[str]]:
-        found = await self.posted.get()
-        assert isinstance(found, Listing)
-        return found.generation, found.whole, {one.name for one in found.instances}
-
-
-def run(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    asyncio.run(asyncio.wait_for(work(), 60))
-
-
-async def watching(first: Scripted, generation: int, *names: str, **how: Any) -> tuple[Actor, Asked]:
-    actor = Actor(first.address, **how)
-    actor.ask("watch")
-    watch = await first.calls.get()
-    watch.line(generation, True, *names)
-    assert await actor.listing() == (generation, True, set(names))
-    return actor, watch
-
 
 def test_a_fetch_whose_discovery_moves_meanwhile_is_answered_by_the_new_one() -> None:
     """It ended with neither a list nor a failure."""
 
     async def work() -> None:
-        first, second = await Scripted().start(), await Scripted().start()
-        actor = Actor(first.address)
+        first, second = await ScriptedDiscovery().start(), await ScriptedDiscovery().start()
+        actor = ClientHarness(first.address)
         actor.ask("fetch")
         asked = await first.calls.get()
         actor.ask(wire.Move(second.address))
@@ -133,7 +40,7 @@
     """Old watch, new watch and a fetch settled each in turn, and the source went back and forth."""
 
     async def work() -> None:
-        first, second = await Scripted().start(), await Scripted().start()
+        first, second = await ScriptedDiscovery().start(), await ScriptedDiscovery().start()
         actor, old = await watching(first, 8, "a")
         actor.ask(wire.Move(second.address))
         new = await second.calls.get()
@@ -150,7 +57,7 @@
 
 def test_a_fetch_that_the_watch_has_overtaken_is_no_whole_list() -> None:
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         actor, watch = await watching(first, 8, "a", "b")
         actor.ask("fetch")
         asked = await first.calls.get()
@@ -167,7 +74,7 @@
     monkeypatch.setattr(timing, "LINE", 300.0)
 
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         actor, watch = await watching(first, 8, "a")
 
         async def drip() -> None:
@@ -176,7 +83,7 @@
                 await asyncio.sleep(0.02)
 
         dripping = asyncio.create_task(drip())
-        assert isinstance(await actor.posted.get(), ListFailed)
+        assert isinstance(await actor.posted.get(), EndpointListFailed)
         await watch.ended.wait()
         dripping.cancel()
 
@@ -187,7 +94,7 @@
     monkeypatch.setattr(timing, "LINE", 200.0)
 
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         actor, watch = await watching(first, 8, "a")
         for _ in range(6):
             watch.tell(b"\n")
@@ -202,7 +109,7 @@
     """It beats, so that nothing shows; what it no longer tells, the next one does."""
 
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         actor, watch = await watching(first, 8, "a", renewal=1.0)
         await asyncio.sleep(0.002)
         watch.tell(b"\n")
@@ -245,7 +152,7 @@
     """Where changes come unasked the actor itself repeats the call: once a second, all planners in step."""
 
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         delays: list[float] = []
         loop = asyncio.get_running_loop()
         later = loop.call_later
@@ -257,7 +164,7 @@
             return later(delay, callback, *args, **how)
 
         monkeypatch.setattr(loop, "call_later", call_later)
-        actor = Actor(first.address, follow_always=True, ask_within=20_000.0)
+        actor = ClientHarness(first.address, follow_always=True, ask_within=20_000.0)
         for _ in range(8):
             (await first.calls.get()).answer(b"", "503 Busy")
         (await first.calls.get()).line(1, True, "a")
@@ -271,7 +178,7 @@
 @pytest.mark.parametrize("when", ["dialling", "connected", "answered"])
 def test_a_call_given_up_at_any_moment_holds_no_descriptor(when: str) -> None:
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         call = Call(first.address, "/x")
 
         async def whole() -> None:
@@ -315,7 +222,7 @@
 
 def test_an_answer_beyond_its_bound_is_cut_off() -> None:
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         task = asyncio.create_task(get(first.address, "/stats", 5000.0, 5000.0, 1000))
         asked = await first.calls.get()
         asked.answer(b"x" * 5000)
--- a/tests/test_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -6,25 +6,25 @@
 from typing import Any
 
 import pytest
-from standins import config
-from test_discovery import Actor, Asked, Scripted, document, run, watching
+from fake_services import config
+from scripted_discovery import ClientHarness, ScriptedCall, ScriptedDiscovery, document, run, watching
 
 from stackwheel.service.config import read_config
-from stackwheel.state.module import ListFailed
-from stackwheel.state.roster import Listing
-from stackwheel.wire import discovery as wire
+from stackwheel.state.endpoint_cache import EndpointList
+from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.wire import discovery_client as wire
 from stackwheel.wire import timing
 
 
-async def pair() -> tuple[Scripted, Scripted, str]:
-    first, second = await Scripted().start(), await Scripted().start()
+async def pair() -> tuple[ScriptedDiscovery, ScriptedDiscovery, str]:
+    first, second = await ScriptedDiscovery().start(), await ScriptedDiscovery().start()
     return first, second, f"{first.address},{second.address}"
 
 
-async def followed(**how: Any) -> tuple[Actor, Asked, Scripted, Scripted]:
+async def followed(**how: Any) -> tuple[ClientHarness, ScriptedCall, ScriptedDiscovery, ScriptedDiscovery]:
     """A watch at the first of two replicas that has told list 8."""
     first, second, both = await pair()
-    actor = Actor(both, **how)
+    actor = ClientHarness(both, **how)
     actor.ask("watch")
     watch = await first.calls.get()
     watch.line(8, True, "a", "b")
@@ -50,7 +50,12 @@
         assert actor.posted.empty()  # no failure: the policy has heard of nothing
         next_one.line(10, False, "d")
         found = await actor.posted.get()
-        assert isinstance(found, Listing) and found.generation == 10 and not found.anew and not found.whole
+        assert (
+            isinstance(found, EndpointList)
+            and found.generation == 10
+            and not found.generations_restarted
+            and not found.complete
+        )
         next_one.writer.transport.abort()  # and back, with what the twin has told
         again = await first.calls.get()
         assert again.target.endswith("follow=1&since=10")
@@ -64,7 +69,7 @@
         actor, watch, first, second = await followed()
         watch.writer.transport.abort()
         (await second.calls.get()).answer(b"", "503 Busy")
-        assert isinstance(await actor.posted.get(), ListFailed)
+        assert isinstance(await actor.posted.get(), EndpointListFailed)
         assert first.calls.empty() and second.calls.empty()
         actor.ask("watch")  # the policy asks again, when it likes to
         again = await first.calls.get()
@@ -87,7 +92,7 @@
         next_one.line(8, False)
         assert await actor.listing() == (8, False, set())
         next_one.writer.transport.abort()
-        assert isinstance(await actor.posted.get(), ListFailed)
+        assert isinstance(await actor.posted.get(), EndpointListFailed)
         assert first.calls.empty() and second.calls.empty()
 
     run(work)
@@ -95,8 +100,8 @@
 
 def test_a_first_replica_that_is_down_costs_nothing() -> None:
     async def work() -> None:
-        second = await Scripted().start()
-        actor = Actor(f"127.0.0.1:1,{second.address}")
+        second = await ScriptedDiscovery().start()
+        actor = ClientHarness(f"127.0.0.1:1,{second.address}")
         actor.ask("watch")
         (await second.calls.get()).line(3, True, "a")
         assert await actor.listing() == (3, True, {"a"})
@@ -126,18 +131,18 @@
 def test_a_fetch_fails_once_all_replicas_have() -> None:
     async def work() -> None:
         first, second, both = await pair()
-        actor = Actor(both)
+        actor = ClientHarness(both)
         actor.ask("fetch")
         (await first.calls.get()).answer(b"", "503 Busy")
         (await second.calls.get()).answer(b"", "503 Busy")
-        assert isinstance(await actor.posted.get(), ListFailed) and actor.posted.empty()
+        assert isinstance(await actor.posted.get(), EndpointListFailed) and actor.posted.empty()
 
     run(work)
 
 
 def test_a_move_to_replicas_is_a_move() -> None:
     async def work() -> None:
-        old = await Scripted().start()
+        old = await ScriptedDiscovery().start()
         actor, _ = await watching(old, 8, "a")
         first, second, both = await pair()
         actor.ask(wire.Move(both))
@@ -147,7 +152,7 @@
         new.line(3, True, "b")
         new.tell(b"\n")  # its numbers are others: nothing is behind
         found = await actor.posted.get()
-        assert isinstance(found, Listing) and found.anew and found.generation == 3
+        assert isinstance(found, EndpointList) and found.generations_restarted and found.generation == 3
 
     run(work)
 
@@ -156,16 +161,16 @@
     """As before there were replicas."""
 
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         actor, watch = await watching(first, 8, "a")
         watch.writer.transport.abort()
-        assert isinstance(await actor.posted.get(), ListFailed) and first.calls.empty()
+        assert isinstance(await actor.posted.get(), EndpointListFailed) and first.calls.empty()
         actor.ask("watch")
         (await first.calls.get()).answer(b"", "503 Busy")
-        assert isinstance(await actor.posted.get(), ListFailed) and first.calls.empty()
+        assert isinstance(await actor.posted.get(), EndpointListFailed) and first.calls.empty()
         actor.ask("fetch")
         (await first.calls.get()).answer(b"", "503 Busy")
-        assert isinstance(await actor.posted.get(), ListFailed) and first.calls.empty()
+        assert isinstance(await actor.posted.get(), EndpointListFailed) and first.calls.empty()
 
     run(work)
 
@@ -174,9 +179,9 @@
     """A registry that beats before it tells would vouch for what another watch told."""
 
     async def work() -> None:
-        first = await Scripted().start()
+        first = await ScriptedDiscovery().start()
         heard = asyncio.Event()
-        actor = Actor(first.address, heard=heard.set)
+        actor = ClientHarness(first.address, heard=heard.set)
         actor.ask("watch")
         watch = await first.calls.get()
         watch.tell(b"\n\n")
--- a/tests/test_http.py
+++ b/tests/wire/test_http.py
@@ -5,16 +5,16 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from standins import config, free_port, toy
+from fake_services import config, free_port, toy
 
 from stackwheel.interface import HealthCheckResult, Server
 from stackwheel.service.config import read_config
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
-from stackwheel.state.roster import Listing
-from stackwheel.wire.discovery import parse_listing
+from stackwheel.state.endpoint_cache import EndpointList
+from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.health_checks import probe, probe_call
 from stackwheel.wire.http import CallFailed, Stage, get, within
-from stackwheel.wire.probes import probe, probe_call
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 SERVER = Server(b"\0" * 6)
@@ -123,9 +123,9 @@
 
 def test_a_listing() -> None:
     found = parse_listing(GOOD)
-    assert isinstance(found, Listing) and (found.generation, found.whole) == (43, False)
+    assert isinstance(found, EndpointList) and (found.generation, found.complete) == (43, False)
     (one,) = found.instances
-    assert (one.name, one.address, one.zone, one.kind, one.cell, one.availability, one.weight, one.started) == (
+    assert (one.name, one.address, one.zone, one.kind, one.cell, one.availability, one.weight, one.started_at) == (
         "s-1",
         "h:1",
         "a",
@@ -177,7 +177,7 @@
     """Once the whole list failed for it; now its neighbours count, and who reads the list knows what it lacks."""
     neighbour = b'{"instanceId":"s-0","hostPort":"h:1","zone":"a","lifecycle":"in_service"}'
     found = parse_listing(GOOD.replace(part, instead).replace(b"]}]}", b"]}," + neighbour + b"]}"))
-    assert isinstance(found, Listing) and found.unreadable == {named}
+    assert isinstance(found, EndpointList) and found.unreadable == {named}
     assert "s-0" in {one.name for one in found.instances}
     assert ("s-1" in {one.name for one in found.instances}) == (part == b'{"instanceId"')
 
--- a/tests/test_lines.py
+++ b/tests/wire/test_line_codec.py
@@ -3,16 +3,26 @@
 import math
 
 import pytest
+from fake_services import Tables
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import Tables
 
 from stackwheel.interface import Retry, Server
 from stackwheel.settings import Names
-from stackwheel.state.ids import Ids
-from stackwheel.state.orders import Message, Part
-from stackwheel.wire.lines import FIRST_BYTES, MOST_BYTES, Encoder, Splitter, begun, decode, number
-from stackwheel.wire.values import Ack, Join, Load, Ping, Rate, Source, Spoilt, Unreadable, columns_in_order
+from stackwheel.state.server_ids import ServerIds
+from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
+from stackwheel.wire.line_codec import FIRST_BYTES, MOST_BYTES, Encoder, Splitter, begun, decode, number
+from stackwheel.wire.messages import (
+    Ack,
+    Join,
+    Load,
+    MalformedMessage,
+    Ping,
+    ProtocolViolation,
+    Rate,
+    Source,
+    columns_in_order,
+)
 
 NAMES = Names(classes=("read", "write"), zones=("a", "b"), kinds=("small",), columns=("outstanding", "utilization"))
 
@@ -58,7 +68,7 @@
     ],
 )
 def test_bytes_that_are_no_message(line: bytes) -> None:
-    assert isinstance(decode(line, NAMES), Unreadable)
+    assert isinstance(decode(line, NAMES), ProtocolViolation)
 
 
 REPORTS = {
@@ -94,10 +104,10 @@
         {"s-zz", "-3", "nan", "1e+30", "inf", "[1]", "1e999", "1_0", "\u0663"} if name == "target" else set()
     ):
         if (name, value) != ("util", ""):
-            assert isinstance(decode(report(kind, {**fields, name: value}), NAMES), Spoilt), value
+            assert isinstance(decode(report(kind, {**fields, name: value}), NAMES), MalformedMessage), value
     if name != "util":
         absent = {other: value for other, value in fields.items() if other != name}
-        assert isinstance(decode(report(kind, absent), NAMES), Spoilt)
+        assert isinstance(decode(report(kind, absent), NAMES), MalformedMessage)
 
 
 @pytest.mark.parametrize(
@@ -117,14 +127,14 @@
     ],
 )
 def test_what_cannot_be_is_spoilt(line: bytes) -> None:
-    assert isinstance(decode(line, NAMES), Spoilt)
+    assert isinstance(decode(line, NAMES), MalformedMessage)
 
 
 @pytest.mark.parametrize(
     "held", [b"x", b"RATES", b"\x16\x03", b"PINGG", b"GET / ", b"RATE id=1 la\x00", b"ACK \n", b"\r"]
 )
 def test_a_line_that_can_become_none_is_not_waited_for(held: bytes) -> None:
-    assert isinstance(begun(held), Unreadable) or held == b"\r"
+    assert isinstance(begun(held), ProtocolViolation) or held == b"\r"
 
 
 @pytest.mark.parametrize("held", [b"R", b"RATE", b"RATE ", b"PING\r", b"RATE id=1 lane=re", b"SOURCE site=a\r"])
@@ -187,18 +197,18 @@
     ]
 
 
-def known(*names: str) -> tuple[Ids, list[Server]]:
-    ids = Ids()
+def known(*names: str) -> tuple[ServerIds, list[Server]]:
+    ids = ServerIds()
     return ids, [server for name in names if (server := ids.learn(name)) is not None]
 
 
 def test_a_message_is_lines_joined_by_continued() -> None:
     ids, (one, two, three) = known("s-1", "s-2", "s-3")
     parts = (
-        Part((0, 1), True, ((one, 1.5), (two, 0.2)), (0.9, Retry.ONCE_IF_NOT_EXECUTED)),
-        Part((1,), False, ((two, 0.0),)),
+        UpdatePart((0, 1), True, ((one, 1.5), (two, 0.2)), (0.9, Retry.ONCE_IF_NOT_EXECUTED)),
+        UpdatePart((1,), False, ((two, 0.0),)),
     )
-    (data,) = Encoder(NAMES, ids).encode([Message(17, parts, (three,), (one,), 905)])
+    (data,) = Encoder(NAMES, ids).encode([ProxyUpdate(17, parts, (three,), (one,), 905)])
     assert data == (
         b"CONFIG routes=read+write full=1 endpoints=s-1:1.5,s-2:0.2 admit=0.9 policy=1 continued=1\r\n"
         b"CONFIG routes=write endpoints=s-2:0 continued=1\r\n"
@@ -210,7 +220,11 @@
     ids, (one,) = known("s-1")
     data = list(
         Encoder(NAMES, ids).encode(
-            [Message(1, mark=7), Message(2, (Part((0,), True),), mark=7), Message(3, eject=(one,), mark=None)]
+            [
+                ProxyUpdate(1, nonce=7),
+                ProxyUpdate(2, (UpdatePart((0,), True),), nonce=7),
+                ProxyUpdate(3, eject=(one,), nonce=None),
+            ]
         )
     )
     assert data == [b"CONFIG nonce_out=7\r\n", b"CONFIG routes=read full=1 nonce_out=7\r\n", b"CONFIG eject=s-1\r\n"]
@@ -218,9 +232,9 @@
 
 def test_what_is_written_costs_what_is_counted() -> None:
     ids, (one, two, three) = known("s-1", "s-2", "s-3")
-    message = Message(
+    message = ProxyUpdate(
         17,
-        (Part((0,), True, ((one, 1.5), (two, 0.2)), (1.0, Retry.NEVER)), Part((1,), False, ((two, 0.0),))),
+        (UpdatePart((0,), True, ((one, 1.5), (two, 0.2)), (1.0, Retry.NEVER)), UpdatePart((1,), False, ((two, 0.0),))),
         (three,),
         (one,),
         905,
--- a/tests/test_links.py
+++ b/tests/wire/test_transport.py
@@ -3,65 +3,29 @@
 import asyncio
 import contextlib
 import socket
-from collections.abc import Callable, Coroutine
 from typing import Any
 
 import pytest
-from standins import config, toy
+from fake_services import toy
+from transport_harness import TransportHarness, received, run, until
 
 from stackwheel import interface as face
-from stackwheel.service.config import read_config
-from stackwheel.state.clock import Clock
-from stackwheel.state.ids import Ids, digest
-from stackwheel.state.module import Asked, Ended, HealthCheckCompleted, Item, Said
-from stackwheel.state.orders import Message
-from stackwheel.state.roster import Instance, Listing, Roster
-from stackwheel.state.streams import Stream
-from stackwheel.wire.links import Links
-
-
-class Setup:
-    def __init__(self, address: str = "127.0.0.1:1", proxies: int = 8, **limits: float) -> None:
-        told = config("127.0.0.1:1", limits=limits)
-        told["settings"]["family_info"]["agents"] = proxies
-        found = read_config(told)
-        roster = Roster(found.names.zones, found.names.kinds, Ids())
-        roster.apply(
-            Listing(1, True, (Instance("s-0", address, "east", "small", 0, face.Availability.READY, 1.0, 0.0),))
-        )
-        self.links = Links(found.addresses, found.settings, found.names, roster, Clock())
-        self.posted: list[Item] = []
-        self.listen = found.addresses.listen.rpartition(":")
-
-    async def open(self) -> None:
-        await self.links.open(self.posted.append)
-
-    def connect(self, data: bytes) -> socket.socket:
-        """Without giving the listener a turn: it waits in the backlog."""
-        connection = socket.create_connection((self.listen[0], int(self.listen[2])))
-        connection.sendall(data)
-        return connection
-
-
-async def until(done: Callable[[], bool]) -> None:
-    while not done():
-        await asyncio.sleep(0)
-
-
-def run(work: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(work, 60))
+from stackwheel.state.planner_actor import HealthCheckCompleted, HealthCheckTarget, StreamEnded, StreamMessage
+from stackwheel.state.server_ids import server_id
+from stackwheel.state.streams import ProxyStream
+from stackwheel.state.table_updates import ProxyUpdate
 
 
 def test_proxies_that_come_together_join_together() -> None:
     """One by one, thirty joins came in six batches, and the first tables were made for the first five proxies."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         proxies = [setup.connect(f"SUBSCRIBE id={n} site=east rps=1 new=1\r\n".encode()) for n in range(8)]
         await until(lambda: bool(setup.posted))
         await asyncio.sleep(0)
-        assert [type(item) for item in setup.posted] == [Stream] * 8
+        assert [type(item) for item in setup.posted] == [ProxyStream] * 8
         for proxy in proxies:
             proxy.close()
 
@@ -71,7 +35,7 @@
 def test_a_crowd_of_connections_is_set_up_in_bounded_numbers(monkeypatch: Any) -> None:
     async def work() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.ACCEPT_BURST", 3)
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         crowd = [setup.connect(b"") for _ in range(40)]
         most = 0
@@ -87,14 +51,14 @@
 
 def test_a_second_collector_of_a_zone_is_heard_beside_the_first() -> None:
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         report = b"LOAD site=east target=s-0 count=2 fail=0 mean=5 over=1000.0\r\n"
         first, second = setup.connect(b"SOURCE site=east\r\n" + report), setup.connect(b"SOURCE site=east\r\n" + report)
         await until(lambda: len(setup.posted) == 2)
         first.sendall(report)
         await until(lambda: len(setup.posted) == 3)
-        assert set(setup.posted) == {face.LoadReport(0, digest("s-0"), 2, 0, 5.0, 1000.0)}
+        assert set(setup.posted) == {face.LoadReport(0, server_id("s-0"), 2, 0, 5.0, 1000.0)}
         assert not setup.links.unidentified and len(setup.links.collectors[0]) == 2
         third = setup.connect(b"SOURCE site=east\r\n" + report)
         await until(lambda: len(setup.posted) == 4)
@@ -102,23 +66,11 @@
         assert await asyncio.get_running_loop().sock_recv(second, 10) == b""  # the longest silent
         first.close()
         third.close()
-        await until(lambda: not setup.links.collectors[0] and not setup.links.peers)
+        await until(lambda: not setup.links.collectors[0] and not setup.links.connections)
 
     run(work())
 
 
-async def said(connection: socket.socket) -> bytes:
-    """All that a connection brings until it ends."""
-    connection.setblocking(False)
-    found = b""
-    try:
-        while data := await asyncio.get_running_loop().sock_recv(connection, 65536):
-            found += data
-    except ConnectionError:
-        pass
-    return found
-
-
 async def drip(connection: socket.socket, data: bytes) -> None:
     with contextlib.suppress(OSError):
         while True:
@@ -133,16 +85,16 @@
     async def work() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.IDENTIFY", 150.0)
         monkeypatch.setattr("stackwheel.wire.timing.SWEEP", 10.0)
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         joined = setup.connect(b"SUBSCRIBE id=1 site=east rps=1 new=1\r\n")
         stranger = setup.connect(data)
         dripping = asyncio.create_task(drip(stranger, data))
-        heard = await said(stranger)
+        heard = await received(stranger)
         dripping.cancel()
         assert heard.endswith(b"NACK\r\n")
         assert heard.startswith(b"PONG\r\n") == (data == b"PING\r\n")
-        await until(lambda: len(setup.links.peers) == 1)
+        await until(lambda: len(setup.links.connections) == 1)
         assert len(setup.posted) == 1 and not setup.links.unidentified
         joined.close()
 
@@ -167,9 +119,9 @@
 )
 def test_who_cannot_be_taken_hears_so_at_once(data: bytes) -> None:
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
-        heard = await said(setup.connect(data))
+        heard = await received(setup.connect(data))
         assert heard.endswith(b"NACK\r\n") or len(data) > 4096  # what is unread at a close may undo the word
         assert not setup.posted
 
@@ -178,7 +130,7 @@
 
 def test_a_spoilt_report_is_left_out_whole_and_its_neighbours_count() -> None:
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         proxy = setup.connect(
             b"SUBSCRIBE id=1 site=east rps=1 new=1\r\nRATE id=1 lane=read count=-3 fail=0 over=1000\r\n"
@@ -187,8 +139,8 @@
             b"RATE id=1 lane=read count=3 fail=0 over=1000\r\n"
         )
         await until(lambda: len(setup.posted) == 7)
-        assert isinstance(setup.posted[0], Stream)
-        assert [item.event for item in setup.posted[1:] if isinstance(item, Said)] == [
+        assert isinstance(setup.posted[0], ProxyStream)
+        assert [item.event for item in setup.posted[1:] if isinstance(item, StreamMessage)] == [
             None,
             None,
             None,
@@ -203,8 +155,8 @@
             b"LOAD site=east target=s-0 count=2 fail=0 mean=5 over=1000\r\n"
         )
         await until(lambda: len(setup.posted) == 8)
-        assert setup.posted[7] == face.LoadReport(0, digest("s-0"), 2, 0, 5.0, 1000.0)
-        assert len(setup.links.peers) == 2
+        assert setup.posted[7] == face.LoadReport(0, server_id("s-0"), 2, 0, 5.0, 1000.0)
+        assert len(setup.links.connections) == 2
         proxy.close()
         collector.close()
 
@@ -224,25 +176,25 @@
     """At once, though no end of a line may ever come."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         proxy = setup.connect(b"SUBSCRIBE id=1 site=east rps=1 new=1\r\n" + data)
-        assert await said(proxy) == b""
-        assert [type(item) for item in setup.posted] == [Stream, Ended]
+        assert await received(proxy) == b""
+        assert [type(item) for item in setup.posted] == [ProxyStream, StreamEnded]
 
     run(work())
 
 
 def test_a_new_stream_of_a_proxy_begins_no_new_count_of_messages() -> None:
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         cap = setup.links.settings.message_cap
         for life in range(2):
             proxy = setup.connect(b"SUBSCRIBE id=1 site=east rps=1 new=1\r\n")
-            await until(lambda: any(isinstance(item, Stream) for item in setup.posted))
-            (line,) = [item.line for item in setup.posted if isinstance(item, Stream)]
-            setup.links.deliver([(line, Message(1, mark=mark)) for mark in range(cap - 2)])  # type: ignore[list-item]
+            await until(lambda: any(isinstance(item, ProxyStream) for item in setup.posted))
+            (line,) = [item.connection for item in setup.posted if isinstance(item, ProxyStream)]
+            setup.links.deliver([(line, ProxyUpdate(1, nonce=mark)) for mark in range(cap - 2)])  # type: ignore[list-item]
             proxy.setblocking(False)
             heard = b""
             while heard.count(b"\r\n") < (cap - 2, 2)[life]:
@@ -252,7 +204,7 @@
                 heard += proxy.recv(65536)
             assert heard.count(b"\r\n") == (cap - 2, 2)[life]
             proxy.close()
-            await until(lambda: not setup.links.peers)
+            await until(lambda: not setup.links.connections)
             setup.posted.clear()
 
     run(work())
@@ -262,11 +214,11 @@
     """It reads nothing, so that nothing can be said to it; it is closed all the same."""
 
     async def work() -> None:
-        setup = Setup()
+        setup = TransportHarness()
         await setup.open()
         deaf = setup.connect(b"PING\r\n" * 600 + b"what?\r\n")
-        await until(lambda: bool(setup.links.peers))
-        await until(lambda: not setup.links.peers)
+        await until(lambda: bool(setup.links.connections))
+        await until(lambda: not setup.links.connections)
         deaf.close()
 
     run(work())
@@ -276,15 +228,15 @@
     """At a bare limit of descriptors: once, proxies were closed as strangers before their word was read."""
 
     async def work() -> None:
-        setup = Setup(proxies=40, sockets=32 + 60)
+        setup = TransportHarness(proxies=40, sockets=32 + 60)
         await setup.open()
         crowd = [setup.connect(b"") for _ in range(100)]
         proxies = [setup.connect(f"SUBSCRIBE id={n} site=east rps=1 new=1\r\n".encode()) for n in range(40)]
         most = 0
         while len(setup.posted) < 40:
-            most = max(most, len(setup.links.peers))
+            most = max(most, len(setup.links.connections))
             await asyncio.sleep(0)
-        assert [type(item) for item in setup.posted] == [Stream] * 40 and most <= 60
+        assert [type(item) for item in setup.posted] == [ProxyStream] * 40 and most <= 60
         late = setup.connect(b"PING\r\n")
         assert await asyncio.get_running_loop().run_in_executor(None, late.recv, 6) == b"PONG\r\n"
         for connection in [*crowd, *proxies, late]:
@@ -296,12 +248,12 @@
 def test_without_strangers_the_quiet_make_room(monkeypatch: Any) -> None:
     async def work() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.QUIET", 50.0)
-        setup = Setup(sockets=32 + 2)
+        setup = TransportHarness(sockets=32 + 2)
         await setup.open()
         proxies = [setup.connect(f"SUBSCRIBE id={n} site=east rps=1 new=1\r\n".encode()) for n in range(2)]
         await until(lambda: len(setup.posted) == 2)
         proxies.append(setup.connect(b"SUBSCRIBE id=2 site=east rps=1 new=1\r\n"))
-        await until(lambda: any(isinstance(item, Stream) and item.proxy == 2 for item in setup.posted))
+        await until(lambda: any(isinstance(item, ProxyStream) and item.proxy == 2 for item in setup.posted))
         for proxy in proxies:
             proxy.close()
 
@@ -312,7 +264,7 @@
     """Half lines of a whole fleet: the largest goes, the others stay."""
 
     async def work() -> None:
-        setup = Setup(memory_mb=4)
+        setup = TransportHarness(memory_mb=4)
         await setup.open()
         proxies = [setup.connect(f"SUBSCRIBE id={n} site=east rps=1 new=1\r\n".encode()) for n in range(3)]
         await until(lambda: len(setup.posted) == 3)
@@ -320,14 +272,14 @@
         for place, proxy in enumerate(proxies):
             proxy.setblocking(False)
             await loop.sock_sendall(proxy, b"RATE " + b"x" * (200_000, 300_000, 700_000)[place])
-        assert await said(proxies[2]) == b""
-        await until(lambda: len(setup.links.peers) == 2)
-        assert setup.links.waiting.total <= 1 << 20
+        assert await received(proxies[2]) == b""
+        await until(lambda: len(setup.links.connections) == 2)
+        assert setup.links.buffer_budget.total <= 1 << 20
         await loop.sock_sendall(proxies[0], b"\r\n")
         for proxy in proxies:
             proxy.close()
-        await until(lambda: not setup.links.peers)
-        assert setup.links.waiting.total == 0 and not setup.links.waiting.held
+        await until(lambda: not setup.links.connections)
+        assert setup.links.buffer_budget.total == 0 and not setup.links.buffer_budget.held
 
     run(work())
 
@@ -335,17 +287,20 @@
 def test_probes_come_back_as_events() -> None:
     async def work() -> None:
         server = await asyncio.start_server(toy.serve_probe, "127.0.0.1", 0)
-        setup = Setup("{}:{}".format(*server.sockets[0].getsockname()[:2]))
+        setup = TransportHarness("{}:{}".format(*server.sockets[0].getsockname()[:2]))
         await setup.open()
-        meant, nowhere = Asked(0, 0.0, setup.links.roster.addresses[digest("s-0")]), Asked(0, -1.0, "")
-        setup.links.probe(digest("s-0"), meant)
-        assert setup.links.probing == 1  # at once: more may be asked for in the same turn
-        setup.links.probe(digest("never listed"), nowhere)
+        meant, nowhere = (
+            HealthCheckTarget(0, 0.0, setup.links.endpoints.addresses[server_id("s-0")]),
+            HealthCheckTarget(0, -1.0, ""),
+        )
+        setup.links.start_health_check(server_id("s-0"), meant)
+        assert setup.links.health_checks_in_flight == 1  # at once: more may be asked for in the same turn
+        setup.links.start_health_check(server_id("never listed"), nowhere)
         await until(lambda: len(setup.posted) == 2)
         unknown, known = setup.posted
-        assert isinstance(known, HealthCheckCompleted) and known.asked == meant
-        await until(lambda: setup.links.probing == 0)  # once its connection is closed
+        assert isinstance(known, HealthCheckCompleted) and known.target == meant
+        await until(lambda: setup.links.health_checks_in_flight == 0)  # once its connection is closed
         assert (known.result.outcome, known.result.load) == (1, (0.0,))
-        assert unknown == HealthCheckCompleted(nowhere, face.HealthCheckResult(digest("never listed"), 4, 0.0))
+        assert unknown == HealthCheckCompleted(nowhere, face.HealthCheckResult(server_id("never listed"), 4, 0.0))
 
     run(work())
