--- /dev/null
+++ b/stackwheel/errors.py
@@ -0,0 +1,19 @@
+"""The base of all errors that this project raises on purpose."""
+
+
+class StackwheelError(Exception):
+    """Anything that went wrong for a known reason; `str()` of it is one line that a person can act on."""
+
+
+class InvalidInputError(StackwheelError, ValueError):
+    """Something read from outside can't be used: a setting, a file, a message.
+
+    Attributes:
+        place: the field, line or byte where the fault was found, in the words of the format that was read.
+        problem: what is wrong there, with the offending value shortened.
+    """
+
+    def __init__(self, place: str, problem: str) -> None:
+        super().__init__(f"{place}: {problem}" if place else problem)
+        self.place = place
+        self.problem = problem
