--- a/stackwheel/scale/surroundings.py
+++ b/stackwheel/scale/surroundings.py
@@ -71,7 +71,7 @@
         try:
             while not reader.at_eof():
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(reader.read(READ_BYTES), timing.BEAT / 1000.0)
+                    await asyncio.wait_for(reader.read(READ_BYTES), timing.HEARTBEAT_INTERVAL_MS / 1000.0)
                     continue
                 if told == self.list.generation:
                     self.write(http, writer, b"\n")
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -23,14 +23,14 @@
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
-from stackwheel.wire.timing import JITTER, stream_silence
+from stackwheel.wire.timing import BATCH_JITTER_MS, stream_silence_timeout
 from stackwheel.wire.transport import SocketTransport, open_listener
 
 OPERATORS = "STACKWHEEL_OPERATORS"  # names the operators' own file
 
 
 def silence(settings: Settings) -> float:
-    return stream_silence(
+    return stream_silence_timeout(
         settings.report_interval, 1000.0 * settings.queue_limit / settings.channel_rate, settings.transit_time
     )
 
@@ -40,7 +40,7 @@
 
     The connection keeps the limit itself, over the whole span and as messages are written.
     """
-    return replace(settings, message_window=max(0.0, settings.message_window - JITTER))
+    return replace(settings, message_window=max(0.0, settings.message_window - BATCH_JITTER_MS))
 
 
 def no_transports(context: PlannerContext) -> list[ProxyTransport]:
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -122,7 +122,9 @@
         around: RelayEnvironment = PROCESS,
     ) -> None:
         self.config, self.serving, self.around = config, serving, around
-        self.cache = ListingCache(serving.locate, serving.cells, timing.SILENCE, timing.BEAT)
+        self.cache = ListingCache(
+            serving.locate, serving.cells, timing.WATCH_SILENCE_TIMEOUT_MS, timing.HEARTBEAT_INTERVAL_MS
+        )
         self.server = ListingServer(self.cache, connections, listen_at=around.listen_at)
         self.upstream = DiscoveryClient(
             config.upstream,
@@ -131,7 +133,7 @@
             self.take,
             Random(config.name),
             MAX_LIST_AGE,  # asked again at the latest after a part of the time that any list may be old
-            timing.renewal(len(serving.plan.relays)),
+            timing.watch_renewal_interval(len(serving.plan.relays)),
             self.heard,
         )
         self.reload_asked = asyncio.Event()
@@ -176,7 +178,7 @@
 def connections_most(listeners: int) -> int:
     """Connections that may be open at once, with what the process holds beside them."""
     descriptors = min(resource.getrlimit(resource.RLIMIT_NOFILE)[0], CONNECTIONS_MOST)
-    return max(1, descriptors - listeners - timing.KEPT_SOCKETS)
+    return max(1, descriptors - listeners - timing.RESERVED_DESCRIPTORS)
 
 
 async def serve(config: RelayConfig, serving: Serving) -> None:
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -40,7 +40,9 @@
 LOOK = 0.1  # s between looks at which ways are open
 SETTLING_LISTS = 2 * 6.0  # s: a list that a relay, and then a planner, holds for an older state
 SETTLES_WITHIN = 120.0  # s after a script's end within which its last fault must have ended
-VOUCHES_MOST = (timing.SILENCE + timing.BEAT) / 1000.0  # s after the registry was heard last
+VOUCHES_MOST = (
+    timing.WATCH_SILENCE_TIMEOUT_MS + timing.HEARTBEAT_INTERVAL_MS
+) / 1000.0  # s after the registry was heard last
 
 
 class RelayHost:
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -234,7 +234,7 @@
     def send(self, data: bytes) -> None:
         """Queue data without waiting; a peer with more than UNSENT_MOST bytes queued is closed."""
         self.unsent += len(data)
-        if self.unsent > timing.UNSENT_MOST:
+        if self.unsent > timing.MAX_UNSENT_BYTES:
             self.end(f"as it leaves {self.unsent} bytes unread")
             return
         self.mailbox.put_nowait(data)
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -83,7 +83,7 @@
 
 
 async def whole_list(address: str) -> EndpointList | CallFailed:
-    body = await get(address, PATH, timing.DIAL, timing.ANSWER)
+    body = await get(address, PATH, timing.CONNECT_TIMEOUT_MS, timing.RESPONSE_TIMEOUT_MS)
     return body if isinstance(body, CallFailed) else parse_listing(body)
 
 
@@ -124,7 +124,7 @@
         self.address, self.generation, self.post = address, generation, post
         self.follow_always = follow_always  # where changes come unasked, so does the watch
         self.random = random or Random(0)
-        self.backoff = Backoff(timing.DIAL, timing.AGAIN_MOST * ask_within, self.random)
+        self.backoff = Backoff(timing.CONNECT_TIMEOUT_MS, timing.MAX_RETRY_DELAY_RATIO * ask_within, self.random)
         self.renewal = renewal  # ms without a change after which a watch is renewed
         self.heard = heard  # told of each empty line of a watch whose list is in force
         self.source = address  # whose list is in force
@@ -225,7 +225,7 @@
             if asyncio.current_task() not in (self.watching, self.successor):
                 return  # it was let go
             self.turn = at + 1
-            held = told and loop.time() >= began + timing.BEAT / 1000.0
+            held = told and loop.time() >= began + timing.HEARTBEAT_INTERVAL_MS / 1000.0
             left = len(names) - 1 if held else left - 1
             if left <= 0:
                 break
@@ -238,7 +238,7 @@
         since = f"&since={self.generation}" if address == self.source else ""
         call = Call(replica, f"{PATH}?follow=1{since}")
         try:
-            failed = await call.open(timing.DIAL, timing.ANSWER)
+            failed = await call.open(timing.CONNECT_TIMEOUT_MS, timing.RESPONSE_TIMEOUT_MS)
             lists = self.lines(call) if address == self.source else self.whole(call, address)
             loop = asyncio.get_running_loop()
             renew_at, wait = math.inf, self.renewal
@@ -305,7 +305,7 @@
     async def lines(self, call: Call) -> AsyncIterator[EndpointList | CallFailed | None]:
         """The lists of a watch, one JSON object a line, None for an empty line; a last failure ends it."""
         loop = asyncio.get_running_loop()
-        held, limit, line_due = bytearray(), timing.ANSWER, loop.time() * 1000.0 + timing.LINE
+        held, limit, line_due = bytearray(), timing.RESPONSE_TIMEOUT_MS, loop.time() * 1000.0 + timing.LINE_TIMEOUT_MS
         while True:
             piece = await call.chunk(min(limit, max(0.0, line_due - loop.time() * 1000.0)))
             if piece is None or isinstance(piece, CallFailed):
@@ -313,11 +313,11 @@
                 return
             searched = len(held)
             held += piece
-            limit = timing.SILENCE
+            limit = timing.WATCH_SILENCE_TIMEOUT_MS
             while (end := held.find(b"\n", searched)) >= 0:
                 line = bytes(held[:end]).strip()
                 del held[: end + 1]
-                searched, line_due = 0, loop.time() * 1000.0 + timing.LINE
+                searched, line_due = 0, loop.time() * 1000.0 + timing.LINE_TIMEOUT_MS
                 found = parse_listing(line) if line else None
                 yield found
                 if isinstance(found, CallFailed):
@@ -325,8 +325,8 @@
             if held and loop.time() * 1000.0 > line_due:
                 yield CallFailed(Stage.BODY, "a line without end", timed_out=True)
                 return
-            if len(held) > timing.BODY_MOST:
-                yield CallFailed(Stage.BODY, f"line over {timing.BODY_MOST} bytes")
+            if len(held) > timing.MAX_BODY_BYTES:
+                yield CallFailed(Stage.BODY, f"line over {timing.MAX_BODY_BYTES} bytes")
                 return
 
     def settle(self, found: EndpointList, address: str) -> None:
--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -20,7 +20,9 @@
 async def probe(server: Server, call: Call, names: Names, clock: Clock) -> face.HealthCheckResult:
     """Make the call, and tell what came of it."""
     began = clock.now()
-    body = await exchange(call, timing.PROBE, timing.PROBE, timing.PROBE_MOST)
+    body = await exchange(
+        call, timing.HEALTH_CHECK_TIMEOUT_MS, timing.HEALTH_CHECK_TIMEOUT_MS, timing.MAX_HEALTH_CHECK_BYTES
+    )
     elapsed = clock.now() - began
     if isinstance(body, CallFailed):
         return face.HealthCheckResult(server, outcome(body), elapsed)
--- a/stackwheel/wire/http.py
+++ b/stackwheel/wire/http.py
@@ -40,7 +40,7 @@
     try:
         done, _ = await asyncio.wait({task}, timeout=limit / 1000.0)
         if not done:
-            done, _ = await asyncio.wait({task}, timeout=timing.GRACE / 1000.0)
+            done, _ = await asyncio.wait({task}, timeout=timing.STALL_GRACE_MS / 1000.0)
         return task.result() if done else None
     finally:
         if not task.done():
@@ -98,7 +98,7 @@
             return CallFailed(Stage.BODY, "silence", timed_out=True)
         return bytes(event.data) if isinstance(event, h11.Data) else None
 
-    async def body(self, limit: float, most: int = timing.BODY_MOST) -> bytes | CallFailed:
+    async def body(self, limit: float, most: int = timing.MAX_BODY_BYTES) -> bytes | CallFailed:
         """The whole body, all of it within the limit."""
         loop = asyncio.get_running_loop()
         until, gathered = loop.time() * 1000.0 + limit, bytearray()
@@ -150,13 +150,13 @@
 
 
 async def get(
-    address: str, target: str, dial: float, answer: float, most: int = timing.BODY_MOST
+    address: str, target: str, dial: float, answer: float, most: int = timing.MAX_BODY_BYTES
 ) -> bytes | CallFailed:
     """The body of one call's answer, at most `most` bytes of it; the limits are in ms, as for `Call`."""
     return await exchange(Call(address, target), dial, answer, most)
 
 
-async def exchange(call: Call, dial: float, answer: float, most: int = timing.BODY_MOST) -> bytes | CallFailed:
+async def exchange(call: Call, dial: float, answer: float, most: int = timing.MAX_BODY_BYTES) -> bytes | CallFailed:
     """The body of a call's answer; the call is closed by then."""
     try:
         failed = await call.open(dial, answer)
--- a/stackwheel/wire/listing_requests.py
+++ b/stackwheel/wire/listing_requests.py
@@ -13,7 +13,7 @@
 from stackwheel.wire.http import within
 
 HEAD_MOST = 8 << 10  # bytes of a request's head: a planner's has some 150
-ASK_MOST = timing.ANSWER  # ms to say all of it: a caller gives up its call after that
+ASK_MOST = timing.RESPONSE_TIMEOUT_MS  # ms to say all of it: a caller gives up its call after that
 SINCE_DIGITS = 18  # of a generation: it fits into 64 bits
 
 
--- a/stackwheel/wire/listing_server.py
+++ b/stackwheel/wire/listing_server.py
@@ -113,13 +113,13 @@
 
     async def keep_time(self) -> None:
         """Beats, and what time alone brings about."""
-        step = timing.BEAT / TURNS
+        step = timing.HEARTBEAT_INTERVAL_MS / TURNS
         turn = 0
         while True:
             due = self.now() + step
             await asyncio.sleep(step / 1000.0)
-            if self.now() > due + timing.GRACE:  # this process stood still: what lies ready counts
-                await asyncio.sleep(timing.GRACE / 1000.0)
+            if self.now() > due + timing.STALL_GRACE_MS:  # this process stood still: what lies ready counts
+                await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
             self.perform(self.cache.tick(self.now()))
             turn = (turn + 1) % TURNS
             self.beat(turn)
@@ -190,11 +190,11 @@
     async def _finish(writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write the last of a connection; who does not read it loses it."""
         writer.write(data)
-        await within(timing.LINE, writer.drain())
+        await within(timing.LINE_TIMEOUT_MS, writer.drain())
         with contextlib.suppress(OSError, RuntimeError):
             writer.write_eof()
             writer.close()
-            await within(timing.ANSWER, writer.wait_closed())
+            await within(timing.RESPONSE_TIMEOUT_MS, writer.wait_closed())
 
     async def _watch(
         self, cell: str, resumed: bytes | None, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/stackwheel/wire/listing_watch.py
+++ b/stackwheel/wire/listing_watch.py
@@ -78,7 +78,7 @@
                 async with self.budget.hold(len(self.whole() or b"")):
                     await self._write_whole()
             elif self.pending:
-                await self._write(self._take_pending(), timing.SILENCE)
+                await self._write(self._take_pending(), timing.WATCH_SILENCE_TIMEOUT_MS)
         logger.info("watch ended: {}", self.ended)
 
     async def _write_whole(self) -> None:
@@ -89,7 +89,7 @@
         if line is None:
             self.end("the cell is served elsewhere")
         elif not self.ended:
-            await self._write(chunk(line), timing.LINE)
+            await self._write(chunk(line), timing.LINE_TIMEOUT_MS)
 
     async def _write(self, data: bytes, limit: float) -> None:
         """Hand it to the network whole; who takes longer than `limit` (ms) does not read."""
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -44,7 +44,7 @@
 def open_listener(address: str) -> socket.socket:
     """A non-blocking listening socket; OSError if the address can't be bound."""
     listener = socket.create_server(split_address(address), backlog=timing.LISTEN_BACKLOG)
-    listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, timing.RECEIVE_BUFFER)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, timing.RECEIVE_BUFFER_BYTES)
     listener.setblocking(False)
     return listener
 
@@ -72,7 +72,7 @@
             lambda item: self.post(item),
             Random(seed),
             settings.list_poll_deadline,
-            timing.renewal(settings.planner_count),
+            timing.watch_renewal_interval(settings.planner_count),
         )
         self.datagrams = Datagrams(
             addresses.peers, addresses.peers_all, settings.planner_index, lambda item: self.post(item)
@@ -87,7 +87,7 @@
         self.released = asyncio.Event()  # set whenever one of these has given its descriptor back
         self.collectors: dict[int, list[Connection]] = {}  # of each zone; the older ones are heard too
         self.limiters: dict[int, RateLimiter] = {}  # of proxies, whatever connection they have
-        self.buffer_budget = BufferBudget(timing.waiting_most(addresses.memory_mb))
+        self.buffer_budget = BufferBudget(timing.buffer_limit_bytes(addresses.memory_mb))
         self.post: Callable[[Item], None] = lambda item: None
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -107,7 +107,7 @@
     def readdress(self, addresses: Addresses) -> None:
         """Apply a reloaded configuration; connections that are open stay."""
         self.addresses = addresses
-        self.buffer_budget.most = timing.waiting_most(addresses.memory_mb)
+        self.buffer_budget.most = timing.buffer_limit_bytes(addresses.memory_mb)
         self.datagrams.readdress(addresses.peers, addresses.peers_all)
         self.discovery.mailbox.put_nowait(Move(addresses.discovery))
 
@@ -125,7 +125,7 @@
                     return await work()
                 except Exception as error:
                     logger.opt(exception=True).error("{}: fault {!r}; it begins again", name, error)
-                    await asyncio.sleep(timing.FAULT_AGAIN / 1000.0)
+                    await asyncio.sleep(timing.TASK_RESTART_MS / 1000.0)
 
         self.start_task(restart_on_error())
 
@@ -141,7 +141,7 @@
         """
         loop = asyncio.get_running_loop()
         while True:
-            while self.arriving >= timing.ACCEPT_BURST:
+            while self.arriving >= timing.MAX_CONCURRENT_ACCEPTS:
                 await asyncio.sleep(0)
             await self.wait_for_room()
             try:
@@ -149,7 +149,7 @@
             except OSError as error:
                 logger.warning("connection not accepted: {}", error)
                 self.evict_one()
-                await asyncio.sleep(timing.ACCEPT_AGAIN / 1000.0)
+                await asyncio.sleep(timing.ACCEPT_RETRY_MS / 1000.0)
                 continue
             self.arriving += 1
             self.start_task(self.serve_connection(connection))
@@ -162,7 +162,7 @@
             if self.closing or self.evict_one():
                 await self.released.wait()
             else:
-                await asyncio.sleep(timing.YOUNG / 5000.0)
+                await asyncio.sleep(timing.FIRST_READ_MS / 5000.0)
 
     def full(self) -> bool:
         """Whether connections and probes, with those being closed, hold all descriptors that they may."""
@@ -176,7 +176,7 @@
     @property
     def capacity(self) -> int:
         """Descriptors that connections and probes may hold."""
-        return max(1, self.addresses.sockets - timing.KEPT_SOCKETS)
+        return max(1, self.addresses.sockets - timing.RESERVED_DESCRIPTORS)
 
     def reserve_room(self) -> None:
         """Close the oldest unidentified connections until those that come in one turn of the loop find room.
@@ -184,7 +184,7 @@
         Those whose first bytes may be unread stay, and so does who is identified.
         """
         excess = self.held - len(self.closing) - (self.capacity - timing.accept_reserve(self.capacity))
-        ripe_before = asyncio.get_running_loop().time() - timing.SETTLED / 1000.0
+        ripe_before = asyncio.get_running_loop().time() - timing.CROWDED_FIRST_READ_MS / 1000.0
         for peer in list(islice(self.unidentified, max(0, excess))):
             if peer.unidentified_since > ripe_before:
                 return
@@ -197,12 +197,12 @@
         """
         now = asyncio.get_running_loop().time()
         if (first := next(iter(self.unidentified), None)) is not None:
-            if first.unidentified_since > now - timing.YOUNG / 1000.0:
+            if first.unidentified_since > now - timing.FIRST_READ_MS / 1000.0:
                 return False
             self.close_unidentified(first, "as no descriptor is left")
             return True
         quiet = min(self.connections, key=lambda peer: peer.last_received_at, default=None)
-        if quiet is None or quiet.ended or quiet.last_received_at > now - timing.QUIET / 1000.0:
+        if quiet is None or quiet.ended or quiet.last_received_at > now - timing.IDLE_CONNECTION_MS / 1000.0:
             return False
         quiet.end("as no descriptor is left and it says nothing")
         return True
@@ -247,7 +247,9 @@
     def limiter(self, proxy: int) -> RateLimiter:
         """A proxy's limiter: it outlives the proxy's streams, so that a new one starts no new count."""
         if proxy not in self.limiters:
-            self.limiters[proxy] = RateLimiter(self.settings.message_cap, self.settings.message_window + timing.JITTER)
+            self.limiters[proxy] = RateLimiter(
+                self.settings.message_cap, self.settings.message_window + timing.BATCH_JITTER_MS
+            )
         return self.limiters[proxy]
 
     def on_identified(self, peer: Connection, identified: bool) -> None:
@@ -258,7 +260,7 @@
         elif peer.zone is not None:
             others = [other for other in self.collectors.get(peer.zone, []) if other is not peer]
             self.collectors[peer.zone] = [*others, peer]
-            if len(others) >= timing.COLLECTORS_MOST:
+            if len(others) >= timing.MAX_COLLECTORS_PER_ZONE:
                 min(others, key=lambda other: other.last_received_at).end("as its zone has newer collectors")
 
     def close_unidentified(self, peer: Connection, why: str) -> None:
@@ -270,13 +272,15 @@
         """Close connections that are unidentified IDENTIFY ms after they were accepted, whatever they sent."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + timing.SWEEP / 1000.0
-            await asyncio.sleep(timing.SWEEP / 1000.0)
-            if loop.time() > due + timing.GRACE / 1000.0:  # this process stood still
-                await asyncio.sleep(timing.GRACE / 1000.0)
-            until = loop.time() - timing.IDENTIFY / 1000.0
+            due = loop.time() + timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0
+            await asyncio.sleep(timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0)
+            if loop.time() > due + timing.STALL_GRACE_MS / 1000.0:  # this process stood still
+                await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
+            until = loop.time() - timing.IDENTIFY_TIMEOUT_MS / 1000.0
             for peer in [peer for peer in self.unidentified if peer.unidentified_since < until]:
-                self.close_unidentified(peer, f"as it has not said what it is for {timing.IDENTIFY / 1000.0:g} s")
+                self.close_unidentified(
+                    peer, f"as it has not said what it is for {timing.IDENTIFY_TIMEOUT_MS / 1000.0:g} s"
+                )
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
         encoded = self.encoder.encode([message for _, message in messages])
--- a/tests/relay/lists.py
+++ b/tests/relay/lists.py
@@ -37,7 +37,7 @@
 
 
 def cache(*cells: str, locate: Any = by_service) -> ListingCache:
-    return ListingCache(locate, cells or ("a", "b"), timing.SILENCE, timing.BEAT)
+    return ListingCache(locate, cells or ("a", "b"), timing.WATCH_SILENCE_TIMEOUT_MS, timing.HEARTBEAT_INTERVAL_MS)
 
 
 def read(line: bytes) -> EndpointList:
--- a/tests/relay/test_cache.py
+++ b/tests/relay/test_cache.py
@@ -204,7 +204,7 @@
     held = cache()
     held.take(whole(5, server("a-1")), 0.0)
     held.ask("a", 900, 0.0)
-    held.tick(timing.SILENCE)
+    held.tick(timing.WATCH_SILENCE_TIMEOUT_MS)
     held.heard(MAX_LIST_AGE)
     assert isinstance(held.ask("a", 900, MAX_LIST_AGE), Unavailable)
     held.heard(2 * MAX_LIST_AGE)
@@ -244,8 +244,8 @@
     held = cache()
     held.take(whole(50, server("a-1"), server("a-2")), 0.0)
     assert held.take(whole(3, server("a-2")), 1.0) == ()
-    assert held.tick(timing.BEAT) == () and states(part(held)) == {"a-1": READY, "a-2": READY}
-    assert wholes(held.tick(timing.BEAT + 1.0)) == {"a", "b"} and part(held) == whole(3, server("a-2"))
+    assert held.tick(timing.HEARTBEAT_INTERVAL_MS) == () and states(part(held)) == {"a-1": READY, "a-2": READY}
+    assert wholes(held.tick(timing.HEARTBEAT_INTERVAL_MS + 1.0)) == {"a", "b"} and part(held) == whole(3, server("a-2"))
 
 
 def test_an_older_whole_list_that_a_newer_word_follows_takes_nothing_back() -> None:
@@ -255,8 +255,8 @@
     held.take(changes(6, server("a-2")), 1.0)
     held.take(whole(5, server("a-1")), 2.0)
     assert told(held.take(changes(6, server("a-2")), 3.0)) == {}
-    held.heard(timing.BEAT + 3.0)
-    assert held.tick(timing.BEAT + 3.0) == () and part(held) == whole(6, server("a-1"), server("a-2"))
+    held.heard(timing.HEARTBEAT_INTERVAL_MS + 3.0)
+    assert held.tick(timing.HEARTBEAT_INTERVAL_MS + 3.0) == () and part(held) == whole(6, server("a-1"), server("a-2"))
 
 
 def test_an_older_list_that_revives_waits_as_long_as_a_list_can_be_old_and_what_follows_it_counts() -> None:
@@ -294,8 +294,10 @@
     held = cache()
     held.take(whole(5, server("a-1")), 0.0)
     held.heard(1000.0)
-    assert held.tick(999.0 + timing.SILENCE) == () and held.vouches(999.0 + timing.SILENCE)
-    lost = 1000.0 + timing.SILENCE
+    assert held.tick(999.0 + timing.WATCH_SILENCE_TIMEOUT_MS) == () and held.vouches(
+        999.0 + timing.WATCH_SILENCE_TIMEOUT_MS
+    )
+    lost = 1000.0 + timing.WATCH_SILENCE_TIMEOUT_MS
     assert isinstance(held.ask("a", 5, lost), Unavailable) and isinstance(held.ask("a", None, lost), Unavailable)
     (ended,) = held.tick(lost)
     assert isinstance(ended, EndWatches) and set(ended.cells) == {"a", "b"}
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -134,7 +134,7 @@
                 relay.start()
             case "cut" if random.random() < 0.3:
                 relay.connected = False
-                now += timing.SILENCE
+                now += timing.WATCH_SILENCE_TIMEOUT_MS
             case "break" if planner.relay is not None:
                 planner.relay.watchers.remove(planner)
                 planner.relay = None
--- a/tests/relay/test_listing_server.py
+++ b/tests/relay/test_listing_server.py
@@ -217,7 +217,7 @@
         for request in (f"GET {LIST}", f"GET {LIST}?follow=1"):
             assert await (await Caller.open(served.address, request)).status() == 503
         served.take(whole(5, server("a-1")))
-        served.cache.contact.heard_at = served.server.now() - timing.SILENCE
+        served.cache.contact.heard_at = served.server.now() - timing.WATCH_SILENCE_TIMEOUT_MS
         for request in (f"GET {LIST}", f"GET {LIST}?follow=1&since=5"):
             assert await (await Caller.open(served.address, request)).status() == 503
 
@@ -306,7 +306,7 @@
         served.beat()
         assert await watcher.line() == b""
         await idle(watch)
-        served.cache.contact.heard_at = served.server.now() - timing.SILENCE
+        served.cache.contact.heard_at = served.server.now() - timing.WATCH_SILENCE_TIMEOUT_MS
         served.beat()
         assert not watch.pending  # nothing was said
         served.server.perform(served.cache.tick(served.server.now()))
@@ -318,7 +318,7 @@
 
 
 def test_time_is_kept_without_help(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(timing, "BEAT", 80.0)
+    monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 80.0)
 
     async def work() -> None:
         served = await serving(server("a-1"))
@@ -326,7 +326,7 @@
         await watcher.listing()
         keeping = asyncio.create_task(served.server.keep_time())
         assert await watcher.line() == await watcher.line() == b""
-        served.cache.contact.heard_at = served.server.now() - timing.SILENCE
+        served.cache.contact.heard_at = served.server.now() - timing.WATCH_SILENCE_TIMEOUT_MS
         with pytest.raises(EOFError):
             while True:
                 await watcher.line()
@@ -385,7 +385,7 @@
 
 
 def test_who_does_not_read_at_all_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(timing, "SILENCE", 100.0)
+    monkeypatch.setattr(timing, "WATCH_SILENCE_TIMEOUT_MS", 100.0)
 
     async def work() -> None:
         served = await Served(ListingCache(lambda *_: "a", ["a"], 60_000.0, 2000.0)).start()
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -117,13 +117,13 @@
 ) -> None:
     proxy = await planner.join(0)
     await proxy.until(full({"s-0", "s-1", "s-2", "s-3"}))  # of its cell alone
-    await asyncio.sleep(timing.BEAT / 1000.0)  # a watch that has held so long is gone on with at once
+    await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)  # a watch that has held so long is gone on with at once
     await first.stop(signal.SIGKILL)
     await registry.update("s-0", lifecycle="terminating")
     await proxy.until(full({"s-1", "s-2", "s-3"}))
     await first.start()
     await first.answers(port, 200)
-    await asyncio.sleep(timing.BEAT / 1000.0)
+    await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)
     await registry.update("s-0", lifecycle="terminated")
     await second.stop(signal.SIGKILL)
     await registry.update("s-1", lifecycle="terminated")
@@ -143,7 +143,7 @@
             watch = Call(first.address(port), f"{PATH}?follow=1")
             assert await watch.open(MOST_MS, MOST_MS) is None
             await registry.shut()
-            while isinstance(await watch.chunk(2 * timing.SILENCE), bytes):
+            while isinstance(await watch.chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS), bytes):
                 pass
             watch.close()
             await first.answers(port, 503)
@@ -186,7 +186,7 @@
             away = (Cell("u", "u", (), 0, 1, port),)
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, found.relays, away)))
             send(first.process, signal.SIGHUP)
-            while isinstance(await watch.chunk(2 * timing.SILENCE), bytes):
+            while isinstance(await watch.chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS), bytes):
                 pass
             watch.close()
             assert await first.stop() == 0 and await second.stop() == 0
--- a/tests/trials/test_hard_cases.py
+++ b/tests/trials/test_hard_cases.py
@@ -82,7 +82,7 @@
 def test_a_watch_tells_a_drain_six_seconds_late(monkeypatch: pytest.MonkeyPatch, renewed: bool) -> None:
     """The rule holds either way; a watch that is renewed, as it beats and tells nothing, learns it sooner."""
     if not renewed:
-        monkeypatch.setattr("stackwheel.wire.timing.renewal", lambda planners: 1e9)
+        monkeypatch.setattr("stackwheel.wire.timing.watch_renewal_interval", lambda planners: 1e9)
     world = Watched(s.Discovery(5.0, 12.0, "late", 6.0), s.Drain(6.0, ("server-0",), 12.0))
     world.go()
     last = max(at for at, _, name, joined in world.tries if name == "s-0" and joined)
--- a/tests/wire/test_connection_races.py
+++ b/tests/wire/test_connection_races.py
@@ -267,7 +267,7 @@
     """A defect in the list's actor, the listener or the sweep ended it for ever, and nothing showed but a log line."""
 
     async def work() -> None:
-        monkeypatch.setattr("stackwheel.wire.timing.FAULT_AGAIN", 1.0)
+        monkeypatch.setattr("stackwheel.wire.timing.TASK_RESTART_MS", 1.0)
         setup = TransportHarness()
         owner: Any = setup.links.discovery if part == "run" else setup.links
         honest, calls = getattr(owner, part), 0
@@ -293,7 +293,7 @@
     connections that come need; when their time is up nothing of them is left."""
 
     async def work() -> None:
-        monkeypatch.setattr("stackwheel.wire.timing.PROBE", 100.0)
+        monkeypatch.setattr("stackwheel.wire.timing.HEALTH_CHECK_TIMEOUT_MS", 100.0)
         silent = socket.create_server(("127.0.0.1", 0), backlog=0)
         address = "{}:{}".format(*silent.getsockname()[:2])
         filled = [socket.socket() for _ in range(4)]
--- a/tests/wire/test_descriptors.py
+++ b/tests/wire/test_descriptors.py
@@ -72,8 +72,8 @@
     up to 64 descriptors over the limit."""
 
     async def work() -> None:
-        monkeypatch.setattr(timing, "YOUNG", 1000.0)
-        setup = TransportHarness(proxies=2 * ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
+        monkeypatch.setattr(timing, "FIRST_READ_MS", 1000.0)
+        setup = TransportHarness(proxies=2 * ROOM, sockets=timing.RESERVED_DESCRIPTORS + ROOM)
         census = await opened(setup)
         for _ in range(ROOM - 1):
             census.connect(b"")
@@ -94,7 +94,7 @@
     """Strangers held all places, each newcomer waited for one of them to go, and up to 39 lay in the backlog at once."""
 
     async def work() -> None:
-        setup = TransportHarness(proxies=ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
+        setup = TransportHarness(proxies=ROOM, sockets=timing.RESERVED_DESCRIPTORS + ROOM)
         census = await opened(setup)
         for _ in range(ROOM - 1):
             census.connect(b"")
@@ -119,7 +119,7 @@
     """Whoever left in one turn was forgotten in that turn and closed in the next: who waited was taken in between."""
 
     async def work() -> None:
-        setup = TransportHarness(proxies=2 * ROOM, sockets=timing.KEPT_SOCKETS + ROOM)
+        setup = TransportHarness(proxies=2 * ROOM, sockets=timing.RESERVED_DESCRIPTORS + ROOM)
         census = await opened(setup)
         joined = joins(setup)
         for number in range(ROOM - 1):
@@ -139,10 +139,10 @@
     """In each turn: a probe that was over had let go of its number, but not yet of its descriptor."""
 
     async def work() -> None:
-        monkeypatch.setattr(timing, "PROBE", 50.0)
+        monkeypatch.setattr(timing, "HEALTH_CHECK_TIMEOUT_MS", 50.0)
         silent = socket.create_server(("127.0.0.1", 0), backlog=64)  # the kernel takes dials, nobody answers them
         address = "{}:{}".format(*silent.getsockname()[:2])
-        setup = TransportHarness(address, sockets=timing.KEPT_SOCKETS + ROOM)
+        setup = TransportHarness(address, sockets=timing.RESERVED_DESCRIPTORS + ROOM)
         census = await opened(setup)
         server, entry = next(iter(setup.links.endpoints.entries.items()))
         for _ in range(ROOM // 2):
--- a/tests/wire/test_discovery_client.py
+++ b/tests/wire/test_discovery_client.py
@@ -71,7 +71,7 @@
 
 def test_a_watch_that_drips_and_ends_no_line_has_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     """Silence was measured by bytes alone: a drip kept it alive for ever."""
-    monkeypatch.setattr(timing, "LINE", 300.0)
+    monkeypatch.setattr(timing, "LINE_TIMEOUT_MS", 300.0)
 
     async def work() -> None:
         first = await ScriptedDiscovery().start()
@@ -91,7 +91,7 @@
 
 
 def test_beats_are_lines_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(timing, "LINE", 200.0)
+    monkeypatch.setattr(timing, "LINE_TIMEOUT_MS", 200.0)
 
     async def work() -> None:
         first = await ScriptedDiscovery().start()
@@ -133,9 +133,9 @@
 
 def test_renewals_of_all_planners_together_are_bounded() -> None:
     for planners in (1, 5, 230, 1024):
-        calls_a_second = planners * 1000.0 / timing.renewal(planners)
-        assert calls_a_second <= 1000.0 / timing.BEAT
-    assert timing.renewal(1) >= timing.LINE
+        calls_a_second = planners * 1000.0 / timing.watch_renewal_interval(planners)
+        assert calls_a_second <= 1000.0 / timing.HEARTBEAT_INTERVAL_MS
+    assert timing.watch_renewal_interval(1) >= timing.LINE_TIMEOUT_MS
 
 
 def test_calls_that_fail_come_further_apart_and_not_in_step() -> None:
--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -35,7 +35,7 @@
 @pytest.fixture
 def no_beat(monkeypatch: pytest.MonkeyPatch) -> None:
     """A watch counts as one that has held from its first list on."""
-    monkeypatch.setattr(timing, "BEAT", 0.0)
+    monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 0.0)
 
 
 @pytest.mark.usefixtures("no_beat")
--- a/tests/wire/test_transport.py
+++ b/tests/wire/test_transport.py
@@ -34,7 +34,7 @@
 
 def test_a_crowd_of_connections_is_set_up_in_bounded_numbers(monkeypatch: Any) -> None:
     async def work() -> None:
-        monkeypatch.setattr("stackwheel.wire.timing.ACCEPT_BURST", 3)
+        monkeypatch.setattr("stackwheel.wire.timing.MAX_CONCURRENT_ACCEPTS", 3)
         setup = TransportHarness()
         await setup.open()
         crowd = [setup.connect(b"") for _ in range(40)]
@@ -83,8 +83,8 @@
     """A sign of life gets its answer and no more time; a drip gets none either."""
 
     async def work() -> None:
-        monkeypatch.setattr("stackwheel.wire.timing.IDENTIFY", 150.0)
-        monkeypatch.setattr("stackwheel.wire.timing.SWEEP", 10.0)
+        monkeypatch.setattr("stackwheel.wire.timing.IDENTIFY_TIMEOUT_MS", 150.0)
+        monkeypatch.setattr("stackwheel.wire.timing.UNIDENTIFIED_SWEEP_INTERVAL_MS", 10.0)
         setup = TransportHarness()
         await setup.open()
         joined = setup.connect(b"SUBSCRIBE id=1 site=east rps=1 new=1\r\n")
@@ -247,7 +247,7 @@
 
 def test_without_strangers_the_quiet_make_room(monkeypatch: Any) -> None:
     async def work() -> None:
-        monkeypatch.setattr("stackwheel.wire.timing.QUIET", 50.0)
+        monkeypatch.setattr("stackwheel.wire.timing.IDLE_CONNECTION_MS", 50.0)
         setup = TransportHarness(sockets=32 + 2)
         await setup.open()
         proxies = [setup.connect(f"SUBSCRIBE id={n} site=east rps=1 new=1\r\n".encode()) for n in range(2)]
