--- a/stackwheel/relay/cache.py
+++ b/stackwheel/relay/cache.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
+from stackwheel.endpoints import MAX_LIST_AGE, EndpointList, Instance, latest_by_name, merge
 from stackwheel.interface import Availability
 from stackwheel.relay.contact import Contact
 from stackwheel.relay.encoding import encode_line
 from stackwheel.relay.messages import Action, Answer, EndWatches, Resumed, TellChanges, TellWhole, Unavailable, WholeDue
 from stackwheel.relay.part import Part
-from stackwheel.state.endpoint_cache import MAX_LIST_AGE, EndpointList, Instance, latest_by_name, merge
 
 Locate = Callable[[str, str], str | None]  # name and zone of a server: the served cell that holds it
 
--- a/stackwheel/relay/encoding.py
+++ b/stackwheel/relay/encoding.py
@@ -5,8 +5,8 @@
 import json
 from collections.abc import Iterable
 
+from stackwheel.endpoints import Instance
 from stackwheel.interface import Availability
-from stackwheel.state.endpoint_cache import Instance
 
 LIFECYCLES = {
     Availability.READY: "in_service",
--- a/stackwheel/relay/part.py
+++ b/stackwheel/relay/part.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
+from stackwheel.endpoints import MAX_LIST_AGE, MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO, Instance
 from stackwheel.interface import Availability
 from stackwheel.relay.encoding import encode_instance, encode_line, encode_unreadable
-from stackwheel.state.endpoint_cache import MAX_LIST_AGE, MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO, Instance
 
 DEPARTED_LEAST = MIN_REMOVED_KEPT  # departed servers kept whatever the size: as many as a planner remembers
 DEPARTED_SHARE = REMOVED_KEPT_RATIO  # and this times the present ones, so that a log is never longer than three lists
--- a/stackwheel/scale/holding.py
+++ b/stackwheel/scale/holding.py
@@ -6,8 +6,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Availability, EndpointEntry, Server, UpdateKind
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds, server_id
 
 
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -15,6 +15,7 @@
 
 from loguru import logger
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.interface import EndpointEntry
 from stackwheel.scale.control import (
     AskHeld,
@@ -40,7 +41,6 @@
 from stackwheel.scale.holding import Holding, ListedEntry, Shared, compare, digest_of
 from stackwheel.scale.peers import PeerTraffic
 from stackwheel.scale.records import InForceRecords
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.state.server_ids import server_id
 from stackwheel.wire.discovery_client import LIFECYCLES, DiscoveryClient
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.interface import Settings
 from stackwheel.settings import Names, SettingsError, build_all, flatten
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.wire.discovery_client import read_listing, replicas
 from stackwheel.wire.http import split_address
 from stackwheel.wire.transport import Addresses
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -18,10 +18,10 @@
 from stackwheel.cells.assignment import CellIndex, replicas
 from stackwheel.cells.plan import CellPlanError, Plan, load_plan
 from stackwheel.config_language.load import OperatorsError, load
+from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
 from stackwheel.relay.cache import ListingCache
 from stackwheel.service.config import replicated
 from stackwheel.service.logging_setup import start_logging
-from stackwheel.state.endpoint_cache import MAX_LIST_AGE, EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import DiscoveryClient
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -2,98 +2,27 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from dataclasses import dataclass, replace
-from enum import Enum, auto
+from dataclasses import replace
 from itertools import islice
 
 from loguru import logger
 
 from stackwheel import interface as face
+from stackwheel.endpoints import (
+    MAX_LIST_AGE,
+    MIN_REMOVED_KEPT,
+    REMOVED_KEPT_RATIO,
+    EndpointList,
+    EntryFreshness,
+    Instance,
+    KnownProcess,
+    StaleSnapshot,
+    entry_freshness,
+    latest_by_name,
+)
 from stackwheel.interface import Availability, EndpointEntry, Server, UpdateKind
 from stackwheel.state.server_ids import ServerIds, server_id
 
-MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO = 64, 2  # gone servers kept: this times the listed, as the policy does
-MAX_LIST_AGE = 6000.0  # ms: the protocol says that whatever discovery tells counts as told after it; no list is older
-
-
-@dataclass(frozen=True, slots=True)
-class Instance:
-    """One server as discovery lists it."""
-
-    name: str
-    address: str
-    zone: str
-    kind: str
-    cell: int
-    availability: Availability
-    weight: float
-    started_at: float  # Unix ms; 0: long ago
-
-
-@dataclass(frozen=True, slots=True)
-class EndpointList:
-    """An answer of discovery: the whole list, or what has changed."""
-
-    generation: int
-    complete: bool
-    instances: tuple[Instance, ...]
-    unreadable: frozenset[str] = frozenset()  # names of entries that were left out; "" for one without a name
-    generations_restarted: bool = (
-        False  # of a discovery whose generations say nothing of those known: it moved, or began anew
-    )
-
-
-def merge(held: EndpointList, changes: EndpointList) -> EndpointList:
-    """A whole list brought forward by what changed since."""
-    found = {instance.name: instance for instance in (*held.instances, *changes.instances)}
-    return EndpointList(changes.generation, True, tuple(found.values()), held.unreadable | changes.unreadable)
-
-
-def latest_by_name(instances: Iterable[Instance]) -> tuple[Instance, ...]:
-    """One entry a server: of doubled ones the later process counts, of one process the last word."""
-    found: dict[str, Instance] = {}
-    for instance in instances:
-        if instance.name not in found or instance.started_at >= found[instance.name].started_at:
-            found[instance.name] = instance
-    return tuple(found.values())
-
-
-class EntryFreshness(Enum):
-    """What an older generation's entry says beside the process known under its name."""
-
-    NEW = auto()  # a process not known yet, or that the one known drains or has left
-    REVIVED = auto()  # of a process that drains or has left since, that it is there as before
-    KNOWN = auto()  # what is known already, or of a process that a later one has followed
-
-
-@dataclass(slots=True)
-class StaleSnapshot:
-    """A whole list of older state that revives something, brought forward by the changes since."""
-
-    since: float  # ms: when the first such list came
-    generation: int
-    instances: dict[str, Instance]
-    unreadable: set[str]
-
-    @classmethod
-    def of(cls, listing: EndpointList, since: float) -> StaleSnapshot:
-        return cls(since, listing.generation, {one.name: one for one in listing.instances}, set(listing.unreadable))
-
-    def advance(self, changes: EndpointList) -> None:
-        self.generation = changes.generation
-        self.instances.update((one.name, one) for one in changes.instances)
-        self.unreadable |= changes.unreadable
-
-    def listing(self) -> EndpointList:
-        return EndpointList(
-            self.generation,
-            True,
-            tuple(self.instances.values()),
-            frozenset(self.unreadable),
-            generations_restarted=True,
-        )
-
 
 class EndpointCache:
     def __init__(
@@ -159,8 +88,8 @@
     def newer(self, listing: EndpointList, now: float) -> EndpointList:
         """Of an older generation than is known, what still counts.
 
-        Of changes that is what is `Word.NEWS`: anything else would bring back what has left since. A whole list
-        that revives a process which left or drains is an older state, as a fetch that a watch has overtaken
+        Of changes that is what is `EntryFreshness.NEW`: anything else would bring back what has left since. A whole
+        list that revives a process which left or drains is an older state, as a fetch that a watch has overtaken
         tells it: it counts like changes. Where no newer word comes while a list can be that old, discovery
         has begun anew, and what it says holds.
         """
@@ -168,7 +97,7 @@
             self.unresolved = not listing.complete and (self.unresolved or self.stale_snapshot is not None)
             self.stale_snapshot = None
             return listing
-        words = [(one, self.word(one)) for one in listing.instances]
+        words = [(one, self.freshness(one)) for one in listing.instances]
         if self.stale_snapshot is not None and not listing.complete:
             self.stale_snapshot.advance(listing)
         elif listing.complete and all(word is not EntryFreshness.REVIVED for _, word in words):
@@ -181,16 +110,16 @@
                 self.generation,
                 MAX_LIST_AGE / 1000.0,
             )
-            self.stale_snapshot = StaleSnapshot.of(
-                listing, now if self.stale_snapshot is None else self.stale_snapshot.since
+            self.stale_snapshot = StaleSnapshot.from_list(
+                listing, now if self.stale_snapshot is None else self.stale_snapshot.first_received_at
             )
         return EndpointList(self.generation, False, tuple(one for one, word in words if word is EntryFreshness.NEW))
 
     def settled(self, now: float) -> EndpointList | None:
         """A whole list that was held for an older state, once nothing newer can be on its way."""
-        if self.stale_snapshot is None or now < self.stale_snapshot.since + MAX_LIST_AGE:
+        if self.stale_snapshot is None or now < self.stale_snapshot.first_received_at + MAX_LIST_AGE:
             return None
-        return self.stale_snapshot.listing()
+        return self.stale_snapshot.endpoint_list()
 
     def lacks_whole(self) -> bool:
         """Whether a whole list has to be asked for; true once for each time that there is need."""
@@ -202,17 +131,17 @@
         known = self.entries.get(server)
         return known.started_at if known is not None else self.removed.get(server, default)
 
-    def word(self, instance: Instance) -> EntryFreshness:
+    def freshness(self, instance: Instance) -> EntryFreshness:
         """What an older generation's entry still tells beside what is known."""
-        server = server_id(instance.name)
-        known = self.entries.get(server)
-        if (known is None and server not in self.removed) or instance.started_at > self.last_start(server, 0.0):
-            return EntryFreshness.NEW
-        if known is None:
-            return EntryFreshness.KNOWN if instance.availability is Availability.REMOVED else EntryFreshness.REVIVED
-        if instance.availability is Availability.READY:
-            return EntryFreshness.REVIVED if known.availability is Availability.DRAINING else EntryFreshness.KNOWN
-        return EntryFreshness.NEW if instance.started_at == known.started_at else EntryFreshness.KNOWN
+        return entry_freshness(instance, self.known_process(server_id(instance.name)))
+
+    def known_process(self, server: Server) -> KnownProcess | None:
+        """The latest process known under that id, listed or removed."""
+        if (entry := self.entries.get(server)) is not None:
+            return KnownProcess(entry.availability, entry.started_at)
+        if (started_at := self.removed.get(server)) is not None:
+            return KnownProcess(Availability.REMOVED, started_at)
+        return None
 
     def past(self, server: Server, began: float) -> bool:
         """Whether what was met since then may be of a former process under that id."""
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -13,9 +13,10 @@
 
 from stackwheel import interface as face
 from stackwheel.balance import Planner
+from stackwheel.endpoints import EndpointList
 from stackwheel.interface import Action, Event, Settings
 from stackwheel.state.clock import Clock
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.streams import ProxyStream, ProxyStreams, StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate, TableUpdates
 
--- a/stackwheel/trials/defects.py
+++ b/stackwheel/trials/defects.py
@@ -17,6 +17,7 @@
 from stackwheel import balance
 from stackwheel import interface as face
 from stackwheel.balance import Outbox, Planner
+from stackwheel.endpoints import EndpointList
 from stackwheel.files import codec, publisher
 from stackwheel.files.accept import Acceptor
 from stackwheel.files.disk import SwapFailed
@@ -26,7 +27,7 @@
 from stackwheel.relay.contact import Contact
 from stackwheel.relay.part import Part
 from stackwheel.rules.violations import Rule
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
 from stackwheel.state.streams import ProxyStreams, carried
 from stackwheel.trials.proxies import Proxy
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -12,8 +12,8 @@
 
 from loguru import logger
 
+from stackwheel.endpoints import EndpointList, Instance, merge
 from stackwheel.interface import Availability
-from stackwheel.state.endpoint_cache import EndpointList, Instance, merge
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.backoff import Backoff
--- a/tests/relay/lists.py
+++ b/tests/relay/lists.py
@@ -4,10 +4,11 @@
 
 from typing import Any
 
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.relay.cache import ListingCache
 from stackwheel.relay.messages import Action, Resumed, TellChanges, TellWhole, WholeDue
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import parse_listing
--- a/tests/relay/test_cache.py
+++ b/tests/relay/test_cache.py
@@ -21,11 +21,11 @@
     wholes,
 )
 
+from stackwheel.endpoints import MAX_LIST_AGE, latest_by_name
 from stackwheel.relay import cache as core
 from stackwheel.relay.encoding import encode_instance, encode_line
 from stackwheel.relay.messages import EndWatches, Resumed, Unavailable, WholeDue
 from stackwheel.relay.part import AHEAD_MOST, ANSWERS_MOST, DEPARTED_LEAST
-from stackwheel.state.endpoint_cache import MAX_LIST_AGE, latest_by_name
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import parse_listing
 
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -7,9 +7,9 @@
 import pytest
 from lists import DRAINING, GONE, READY, Follower, cache, changes, server, whole
 
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.relay.cache import ListingCache
 from stackwheel.relay.messages import EndWatches, TellChanges, TellWhole
-from stackwheel.state.endpoint_cache import EndpointList, Instance
 from stackwheel.wire import timing
 
 STEPS = 120
--- a/tests/relay/test_listing_server.py
+++ b/tests/relay/test_listing_server.py
@@ -11,8 +11,8 @@
 import pytest
 from lists import DRAINING, GONE, READY, cache, changes, part, read, server, states, whole
 
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.relay.cache import ListingCache
-from stackwheel.state.endpoint_cache import EndpointList, Instance
 from stackwheel.wire import listing_requests, timing
 from stackwheel.wire.byte_budget import ByteBudget
 from stackwheel.wire.listing_server import TURNS, ListingServer
--- a/tests/scale/test_holding.py
+++ b/tests/scale/test_holding.py
@@ -4,11 +4,12 @@
 
 from random import Random
 
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.scale.entries import Entry
 from stackwheel.scale.holding import Difference, Holding, ListedEntry, Shared, compare, digest_of
 from stackwheel.scale.hollow import listed_entry
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds
 
 ZONES, KINDS = ("zone-00", "zone-01"), ("m1",)
--- a/tests/scale/test_peers.py
+++ b/tests/scale/test_peers.py
@@ -7,12 +7,12 @@
 import pytest
 
 from stackwheel.balance import PEERS_MOST
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.peers import pack
 from stackwheel.scale.control import HollowPlanner
 from stackwheel.scale.holding import Holding, Shared
 from stackwheel.scale.peers import CYCLE_MOST, PeerTraffic, bytes_per_cycle, datagrams_per_cycle
-from stackwheel.state.endpoint_cache import EndpointList, Instance
 from stackwheel.state.server_ids import server_id
 
 
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -8,12 +8,12 @@
 
 import pytest
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.scale import registry as module
 from stackwheel.scale.control import Apply
 from stackwheel.scale.entries import TERMINATED, Entry
 from stackwheel.scale.listing import RegistryList
 from stackwheel.scale.registry import Registry
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.wire.discovery_client import PATH, parse_listing, whole_list
 from stackwheel.wire.http import Call, CallFailed, get
 
--- a/tests/scale/test_surroundings.py
+++ b/tests/scale/test_surroundings.py
@@ -8,11 +8,11 @@
 
 import pytest
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.interface import Availability
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.entries import Entry
 from stackwheel.scale.surroundings import ListFeed, PeerPlanners, since
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.wire.discovery_client import parse_listing
 
 WORK_MOST = 60.0  # s that one test may take
--- a/tests/scripted_discovery.py
+++ b/tests/scripted_discovery.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from stackwheel.state.endpoint_cache import EndpointList
+from stackwheel.endpoints import EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 
--- a/tests/service/test_configured_names.py
+++ b/tests/service/test_configured_names.py
@@ -12,10 +12,11 @@
 from fake_services import ROOT
 
 from stackwheel import interface as face
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.service.config import read_config
 from stackwheel.state.clock import Clock
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import HealthCheckTarget, PlannerActor
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream, StreamConnection
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -12,9 +12,9 @@
 from fake_services import Discovery, config, free_port
 from planner_process import MOST, PlannerProcess, full, run, run_line, running, send, signals, started
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
 from stackwheel.service.reload import Reload
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 from stackwheel.wire.transport import Addresses
--- a/tests/state/test_endpoint_cache.py
+++ b/tests/state/test_endpoint_cache.py
@@ -5,8 +5,9 @@
 import pytest
 
 from stackwheel import interface as face
+from stackwheel.endpoints import MAX_LIST_AGE, EndpointList, Instance
 from stackwheel.interface import Availability
-from stackwheel.state.endpoint_cache import MAX_LIST_AGE, EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds, server_id
 
 READY, DRAINING, GONE = Availability.READY, Availability.DRAINING, Availability.REMOVED
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -12,9 +12,10 @@
 from stackwheel import interface as face
 from stackwheel import peers
 from stackwheel.balance import Planner
+from stackwheel.endpoints import MAX_LIST_AGE, MIN_REMOVED_KEPT, EndpointList, Instance
 from stackwheel.interface import Action, Availability, Event, Settings
 from stackwheel.state.clock import Clock
-from stackwheel.state.endpoint_cache import MAX_LIST_AGE, MIN_REMOVED_KEPT, EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import (
     EndpointListFailed,
     HealthCheckCompleted,
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -8,9 +8,10 @@
 from hypothesis import strategies as st
 
 from stackwheel import interface as face
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Action, Availability, Retry, Server
 from stackwheel.settings import Names
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream, ProxyStreams
 from stackwheel.state.table_updates import ALL_TABLES, NONCES_PER_INCARNATION, ProxyUpdate, TableUpdates, UpdatePart
--- a/tests/transport_harness.py
+++ b/tests/transport_harness.py
@@ -8,9 +8,10 @@
 from fake_services import config
 
 from stackwheel import interface as face
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.service.config import read_config
 from stackwheel.state.clock import Clock
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import Item
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.wire.transport import SocketTransport
--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -9,8 +9,8 @@
 from fake_services import config
 from scripted_discovery import ClientHarness, ScriptedCall, ScriptedDiscovery, document, run, watching
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 from stackwheel.wire import timing
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -7,11 +7,11 @@
 import pytest
 from fake_services import config, free_port, toy
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.interface import HealthCheckResult, Server
 from stackwheel.service.config import read_config
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.wire.discovery_client import parse_listing
 from stackwheel.wire.health_checks import probe, probe_call
 from stackwheel.wire.http import CallFailed, Stage, get, within
