--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from stackwheel.endpoints import (
     EndpointList,
     EntryFreshness,
