--- a/stackwheel/cli/cells.py
+++ b/stackwheel/cli/cells.py
@@ -26,6 +26,7 @@
     load_regions,
     save_plan,
 )
+from stackwheel.errors import InvalidInputError
 from stackwheel.interface import Availability
 
 file_path = click.Path(dir_okay=False, path_type=Path)
@@ -148,16 +149,15 @@
 
 def load_servers(path: Path) -> list[ListedServer]:
     """The servers of a list that may still be asked; ClickException with the place where it can't be read whole."""
-    from stackwheel.wire.discovery_client import read_listing
+    from stackwheel.wire.discovery_protocol import read_endpoint_list
 
-    faults: list[str] = []
+    faults: list[InvalidInputError] = []
     try:
-        listing = read_listing(json.loads(path.read_bytes()), faults.append)
+        listing = read_endpoint_list(json.loads(path.read_bytes()), faults.append)
     except OSError as error:
         raise click.ClickException(f"{path}: {error.strerror or error}") from None
-    except (ValueError, TypeError, KeyError, RecursionError) as error:
-        reason = f"no {error}" if isinstance(error, KeyError) else str(error)
-        raise click.ClickException(f"{path}: no list of servers: {reason}") from None
+    except (ValueError, RecursionError) as error:
+        raise click.ClickException(f"{path}: no list of servers: {error}") from None
     if faults:
         raise click.ClickException(f"{path}: {faults[0]}")
     if not listing.complete:
--- a/stackwheel/scale/capacity.py
+++ b/stackwheel/scale/capacity.py
@@ -25,7 +25,7 @@
 RELAY = "`relay/cache.py` `ListingCache.take`, `wire/listing_server.py` `ListingServer.perform`"
 SCOPE = "`cells/assignment.py` `CellIndex.cell_of` and a relay, where they are configured"
 CHOICE = "`forwarder/state.py` `choose`"
-PROBE = "`wire/health_checks.py` `probe`"
+PROBE = "`wire/health_checks.py` `check_health`"
 
 
 @dataclass(frozen=True, slots=True)
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -43,8 +43,8 @@
 from stackwheel.scale.records import InForceRecords
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.state.server_ids import server_id
-from stackwheel.wire.discovery_client import LIFECYCLES, DiscoveryClient
-from stackwheel.wire.http import CallFailed
+from stackwheel.wire.discovery_client import DiscoveryClient, WatchEnd
+from stackwheel.wire.discovery_protocol import LIFECYCLES
 
 ASK_WITHIN = 10_000.0  # ms: `obligations.ask_within` of the example configuration; it bounds the back-off
 START_STEP = 0.002  # s between the planners of a process that begin to follow, so that a start is no herd
@@ -94,9 +94,9 @@
 
     failures = 0
 
-    async def follow(self, address: str, replica: str) -> tuple[bool, CallFailed]:
+    async def watch_replica(self, address: str, replica: str) -> WatchEnd:
         """One watch at one replica until its end."""
-        ended = await super().follow(address, replica)
+        ended = await super().watch_replica(address, replica)
         self.failures += 1
         return ended
 
@@ -131,7 +131,7 @@
         if self.task is not None:
             self.task.cancel()
         self.discovery.post = lambda item: None
-        self.discovery.let_go()
+        self.discovery.cancel_watches()
 
     def restart(self) -> None:
         self.ended = time.monotonic()
--- a/stackwheel/scale/inforce.py
+++ b/stackwheel/scale/inforce.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 
 from stackwheel.scale.control import EntryRecord, MadeChange, RestartRecord
-from stackwheel.wire.discovery_client import LIFECYCLES
+from stackwheel.wire.discovery_protocol import LIFECYCLES
 
 MICROSECONDS_MOST = 600_000_000  # ten minutes: longer than a run's settling
 DIGITS = 3  # significant figures of a recorded value
--- a/stackwheel/scale/relays.py
+++ b/stackwheel/scale/relays.py
@@ -15,8 +15,8 @@
 from stackwheel.scale.children import Child, Children, Role
 from stackwheel.scale.fleet import DrawnPlanner, DrawnServer, Fleet
 from stackwheel.scale.layout import Layout, Placed
-from stackwheel.wire.discovery_client import PATH
-from stackwheel.wire.http import CallFailed, get
+from stackwheel.wire.discovery_protocol import INSTANCES_PATH
+from stackwheel.wire.http import CallError, get
 
 PLAN_FILE = "cells.json"
 LOCK_PORT = 20_000  # below the first cell's; a run holds it at its network's first address
@@ -116,8 +116,10 @@
     child = await children.start_program(Role.RELAY, relay.name, ("relay", "--operators", str(operators)), {})
     served = next((cell for cell in plan.cells if relay in replicas(cell.name, plan.relays)), None)
     while served is not None and child.process.returncode is None:
-        answer = await get(f"{relay.host}:{served.port}", PATH, ANSWER_WITHIN, ANSWER_WITHIN)
-        if not isinstance(answer, CallFailed):
+        try:
+            await get(f"{relay.host}:{served.port}", INSTANCES_PATH, ANSWER_WITHIN, ANSWER_WITHIN)
+        except CallError:
+            await asyncio.sleep(ASK_EVERY)
+        else:
             break
-        await asyncio.sleep(ASK_EVERY)
     return child
--- a/stackwheel/scale/surroundings.py
+++ b/stackwheel/scale/surroundings.py
@@ -17,7 +17,7 @@
 from stackwheel.scale.ports import HOST
 from stackwheel.state.server_ids import server_id
 from stackwheel.wire import timing
-from stackwheel.wire.datagrams import MOST_BYTES
+from stackwheel.wire.datagrams import MAX_DATAGRAM_BYTES
 
 LIST_PATH = "/registry/instances"
 READ_BYTES = 64 * 1024
@@ -161,7 +161,7 @@
         return f"{host}:{port}"
 
     def send(self, payload: bytes, address: tuple[str, int]) -> None:
-        assert self.transport is not None and len(payload) <= MOST_BYTES
+        assert self.transport is not None and len(payload) <= MAX_DATAGRAM_BYTES
         self.transport.sendto(payload, address)
         self.traffic.received(len(payload))
 
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -11,9 +11,10 @@
 from pathlib import Path
 
 from stackwheel.endpoints import EndpointList
+from stackwheel.errors import InvalidInputError
 from stackwheel.interface import Settings
 from stackwheel.settings import Names, SettingsError, build_all, flatten
-from stackwheel.wire.discovery_client import read_listing, replicas
+from stackwheel.wire.discovery_protocol import read_endpoint_list, replica_addresses
 from stackwheel.wire.http import split_address
 from stackwheel.wire.transport import Addresses
 
@@ -93,13 +94,13 @@
         read_seed(found.get("seed", "0")),
         built,
         names,
-        EndpointList(0, True, ()) if known is None else read_listing(known, refuse),
+        EndpointList(0, True, ()) if known is None else read_endpoint_list(known, refuse),
         absent,
     )
 
 
-def refuse(what: str) -> None:
-    raise ValueError(f"known: {what}")
+def refuse(error: InvalidInputError) -> None:
+    raise InvalidInputError(f"known: {error.place}", error.problem)
 
 
 def address(found: dict[str, object], key: str, default: str | None = None) -> str:
@@ -109,7 +110,7 @@
 
 def replicated(found: dict[str, object], key: str) -> str:
     """One address, or those of several replicas with commas between."""
-    for replica in replicas(str(found[key])):
+    for replica in replica_addresses(str(found[key])):
         checked(key, replica)
     return str(found[key])
 
--- a/stackwheel/trials/defects.py
+++ b/stackwheel/trials/defects.py
@@ -217,7 +217,7 @@
 
 
 def watch_ends() -> Sequence[Patch]:
-    return [(DiscoveryClient, "failed", lambda self, failed, address: None)]
+    return [(DiscoveryClient, "report_failure", lambda self, error, address: None)]
 
 
 def message_lost() -> Sequence[Patch]:
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -220,7 +220,7 @@
         yield "unidentified not attended", sum(p not in links.connections for p in links.unidentified), 0
         yield "connections", len(links.connections) + links.arriving, 1024
         yield "tasks", len(links.tasks), 8 + 2 * len(links.connections) + 4 * self.world.shape.servers
-        yield "calls for the list", len(links.discovery.fetching), 16
+        yield "calls for the list", len(links.discovery.fetch_tasks), 16
         yield "gone servers", len(roster.removed), 64 + 3 * len(roster.entries) + 8
         yield "names", len(roster.server_ids.names), len(roster.entries) + len(roster.removed) + 8
         yield "mailbox", len(module.mailbox), 20_000
--- a/stackwheel/wire/byte_budget.py
+++ b/stackwheel/wire/byte_budget.py
@@ -1,4 +1,4 @@
-"""A bound on the bytes of answers under way, taken and given back in the order of asking."""
+"""A bound on the bytes of responses in flight, reserved and released in the order of the requests."""
 
 from __future__ import annotations
 
@@ -6,54 +6,68 @@
 from collections import deque
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True, eq=False)
+class _Waiter:
+    size: int  # bytes that it will reserve
+    admitted: asyncio.Future[None]
 
 
 class ByteBudget:
-    """At most so many bytes at once; one answer that is larger alone is let through by itself."""
+    """At most so many bytes at once; a response that is larger than the limit is admitted alone.
+
+    Attributes:
+        limit_bytes: that may be reserved at once.
+        reserved_bytes: that are reserved now.
+        waiting: who waits for capacity, the first to come first.
+    """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
-        self.waiting: deque[tuple[int, asyncio.Future[None]]] = deque()
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.reserved_bytes = 0
+        self.waiting: deque[_Waiter] = deque()
 
-    def room(self, size: int) -> bool:
-        """Whether `hold` would not wait."""
+    def has_capacity(self, size: int) -> bool:
+        """Whether `reserve` would not wait."""
         return not self.waiting and self._fits(size)
 
     @asynccontextmanager
-    async def hold(self, size: int) -> AsyncIterator[None]:
-        """Hold so many bytes, once those who asked before have theirs."""
-        if self.room(size):
-            self.held += size
+    async def reserve(self, size: int) -> AsyncIterator[None]:
+        """Reserve so many bytes, once those who asked before have theirs; they are released at the end."""
+        if self.has_capacity(size):
+            self.reserved_bytes += size
         else:
-            await self._turn(size)
+            await self._wait_for_capacity(size)
         try:
             yield
         finally:
-            self._give_back(size)
+            self._release(size)
 
-    async def _turn(self, size: int) -> None:
-        place = size, asyncio.get_running_loop().create_future()
-        self.waiting.append(place)
+    async def _wait_for_capacity(self, size: int) -> None:
+        waiter = _Waiter(size, asyncio.get_running_loop().create_future())
+        self.waiting.append(waiter)
         try:
-            await place[1]
+            await waiter.admitted
         except asyncio.CancelledError:
-            if place in self.waiting:
-                self.waiting.remove(place)
+            if waiter in self.waiting:
+                self.waiting.remove(waiter)
                 self._admit()
-            else:  # its turn had come
-                self._give_back(size)
+            else:  # cancelled after its bytes had been reserved
+                self._release(size)
             raise
 
-    def _give_back(self, size: int) -> None:
-        self.held -= size
+    def _release(self, size: int) -> None:
+        self.reserved_bytes -= size
         self._admit()
 
     def _admit(self) -> None:
-        while self.waiting and self._fits(self.waiting[0][0]):
-            size, turn = self.waiting.popleft()
-            self.held += size
-            if not turn.cancelled():
-                turn.set_result(None)
+        while self.waiting and self._fits(self.waiting[0].size):
+            waiter = self.waiting.popleft()
+            self.reserved_bytes += waiter.size
+            if not waiter.admitted.cancelled():
+                waiter.admitted.set_result(None)
 
     def _fits(self, size: int) -> bool:
-        return self.held == 0 or self.held + size <= self.most
+        return self.reserved_bytes == 0 or self.reserved_bytes + size <= self.limit_bytes
--- a/stackwheel/wire/datagrams.py
+++ b/stackwheel/wire/datagrams.py
@@ -1,4 +1,4 @@
-"""Messages between planners: datagrams whose sender is told by its address."""
+"""Gossip between planners as datagrams; a sender is known by its address."""
 
 from __future__ import annotations
 
@@ -10,37 +10,71 @@
 from stackwheel import interface as face
 from stackwheel.wire.http import split_address
 
-MOST_BYTES = 256  # of a datagram
+MAX_DATAGRAM_BYTES = 256
+"""The protocol's limit on one gossip message."""
 
+NO_ADDRESS = ":0"
+"""Stands for a group address that is not configured."""
+
+
+class GossipProtocol(asyncio.DatagramProtocol):
+    """The datagram socket of one planner.
+
+    Attributes:
+        peers: addresses of all planners, this one included, by their numbers.
+        numbers: the numbers by address.
+        group_address: where a datagram reaches all planners.
+    """
 
-class Datagrams(asyncio.DatagramProtocol):
     def __init__(
-        self, peers: Sequence[str], everyone: str, own: int, post: Callable[[face.GossipReceived], None]
+        self,
+        peers: Sequence[str],
+        group_address: str,
+        own_number: int,
+        post: Callable[[face.GossipReceived], None],
     ) -> None:
-        self.own, self.post = own, post
-        self.readdress(peers, everyone)
+        """Make the protocol of planner `own_number`; `post` gets what its peers send."""
+        self.own_number = own_number
+        self.post = post
+        self.update_peers(peers, group_address)
         self.transport: asyncio.DatagramTransport | None = None
 
-    def readdress(self, peers: Sequence[str], everyone: str) -> None:
+    def update_peers(self, peers: Sequence[str], group_address: str) -> None:
+        """Use the addresses of a configuration; an empty `group_address` stands for none."""
         self.peers = [split_address(peer) for peer in peers]
         self.numbers = {peer: number for number, peer in enumerate(self.peers)}
-        self.everyone = split_address(everyone or ":0")
+        self.group_address = split_address(group_address or NO_ADDRESS)
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
+        """Keep the transport; datagrams can be sent from now on."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
+        """Post a datagram of another planner; one of unknown origin or over the limit is dropped."""
         sender = self.numbers.get(address[:2])
-        if len(data) > MOST_BYTES or sender is None:
-            logger.warning("datagram of {} bytes from {}:{} dropped", len(data), *address[:2])
-        elif sender != self.own:
+        if len(data) > MAX_DATAGRAM_BYTES:
+            self._log_dropped(data, address, "too large")
+        elif sender is None:
+            self._log_dropped(data, address, "unknown sender")
+        elif sender != self.own_number:
             self.post(face.GossipReceived(sender, data))
 
     def error_received(self, error: Exception) -> None:
-        logger.debug("datagram not delivered: {}", error)  # a peer that is down: nothing to do
+        """Log a datagram that could not be delivered: a peer is down, and there is nothing to do."""
+        logger.debug("gossip not delivered: reason={}", error)
 
     def send(self, payload: bytes, peer: int | None) -> None:
-        if len(payload) > MOST_BYTES or (peer is not None and not 0 <= peer < len(self.peers)):
-            logger.error("datagram of {} bytes to peer {} not sent", len(payload), peer)
+        """Send a datagram to the planner of that number, or to all where it is None."""
+        if len(payload) > MAX_DATAGRAM_BYTES:
+            self._log_not_sent(payload, peer, "too large")
+        elif peer is not None and not 0 <= peer < len(self.peers):
+            self._log_not_sent(payload, peer, "unknown planner")
         elif self.transport is not None:
-            self.transport.sendto(payload, self.everyone if peer is None else self.peers[peer])
+            self.transport.sendto(payload, self.group_address if peer is None else self.peers[peer])
+
+    def _log_dropped(self, data: bytes, address: tuple[str, int], reason: str) -> None:
+        host, port = address[:2]
+        logger.warning("gossip dropped: address={}:{} bytes={} reason={}", host, port, len(data), reason)
+
+    def _log_not_sent(self, payload: bytes, peer: int | None, reason: str) -> None:
+        logger.error("gossip not sent: planner={} bytes={} reason={}", peer, len(payload), reason)
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -1,353 +1,343 @@
-"""The list's actor: asks discovery for the list and its changes, and tells the module what came of it."""
+"""The actor that asks the discovery service for the endpoint list and its changes, and posts what comes of it."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import math
-import re
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, replace
+from enum import Enum, auto
 from random import Random
 
 from loguru import logger
 
-from stackwheel.endpoints import EndpointList, Instance, merge
-from stackwheel.interface import Availability
+from stackwheel.endpoints import EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.backoff import Backoff
-from stackwheel.wire.http import Call, CallFailed, Stage, get
+from stackwheel.wire.discovery_calls import (
+    WatchEvent,
+    fetch_endpoint_list,
+    handover_events,
+    watch_call,
+    watch_events,
+)
+from stackwheel.wire.discovery_protocol import replica_addresses
+from stackwheel.wire.http import Call, CallError, Stage
+from stackwheel.wire.watch_renewal import RenewalTimer
 
-PATH = "/registry/instances"
-UNWRITABLE = re.compile(r"[\s,\x00-\x1f\x7f]")  # in a line of an order it would end the name
-LIFECYCLES = {
-    "in_service": Availability.READY,
-    "terminating": Availability.DRAINING,
-    "terminated": Availability.REMOVED,
-}
 
+class Command(Enum):
+    """What the client can be asked to do; see `DiscoveryClient.send`."""
 
-def parse_listing(data: bytes) -> EndpointList | CallFailed:
-    try:
-        return read_listing(json.loads(data), lambda what: logger.warning("{}; left out", what))
-    except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
-        return CallFailed(Stage.CONTENT, f"{type(error).__name__}: {error}"[:200])
+    WATCH = auto()  # start a watch, in place of any that is open
+    STOP = auto()  # end the watches
+    FETCH = auto()  # fetch the complete list once
+    RENEW = auto()  # open a second watch, which takes over once it has delivered a list
+    HAND_OVER = auto()  # the same at a new address, after that has changed or the last attempt has failed
 
 
-def read_listing(found: object, report: Callable[[str], None]) -> EndpointList:
-    """The typed list of a JSON object; ValueError and its like where it is none.
+@dataclass(frozen=True, slots=True)
+class ChangeAddress:
+    """The command to look for discovery at another address from now on: "host:port" or several with commas."""
 
-    An entry that can't be read is reported and left out, its neighbours count: no list fails for one of them.
-    """
-    if not isinstance(found, dict) or not isinstance(found["instances"], list):
-        raise ValueError("no list of instances")
-    generation, whole = found["generation"], found["reset"]
-    if type(generation) is not int or generation < 0 or not isinstance(whole, bool):
-        raise ValueError("generation or reset is wrong")
-    read: list[Instance] = []
-    unreadable: set[str] = set()
-    for place, item in enumerate(found["instances"]):
-        try:
-            read.append(read_instance(item))
-        except (ValueError, TypeError, KeyError, AttributeError) as error:
-            name = item.get("instanceId") if isinstance(item, dict) else None
-            unreadable.add(name if isinstance(name, str) else "")
-            report(f"list {generation}: entry {place} ({str(name)[:40]!r}): {type(error).__name__}: {error}"[:200])
-    return EndpointList(generation, whole, tuple(read), frozenset(unreadable))
-
-
-def read_instance(item: dict[str, object]) -> Instance:
-    name, address, zone = item["instanceId"], item["hostPort"], item["zone"]
-    if not (isinstance(name, str) and isinstance(address, str) and isinstance(zone, str)):
-        raise ValueError("no name, address or zone")
-    if not name or UNWRITABLE.search(name):
-        raise ValueError("a name that no order can carry")
-    return Instance(
-        name,
-        address,
-        zone,
-        str(item.get("machineType", "")),
-        int(figure(item, "cell", 0.0)),
-        LIFECYCLES[str(item["lifecycle"])],
-        figure(item, "weight", 1.0),
-        figure(item, "startedAtMs", 0.0),
-    )
-
-
-def figure(item: dict[str, object], name: str, default: float) -> float:
-    value = item.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
-        raise ValueError(f"{name} is {str(value)[:40]!r}")
-    return float(value)
-
-
-async def whole_list(address: str) -> EndpointList | CallFailed:
-    body = await get(address, PATH, timing.CONNECT_TIMEOUT_MS, timing.RESPONSE_TIMEOUT_MS)
-    return body if isinstance(body, CallFailed) else parse_listing(body)
-
-
-def replicas(address: str) -> list[str]:
-    """The addresses of a service that is named "host:port,host:port": its replicas, which tell the same list in the
-    same generations."""
-    return address.split(",")
+    address: str
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
-    """Discovery is at another address from now on."""
+class WatchEnd:
+    """How one watch at one replica ended.
 
-    address: str
+    Attributes:
+        error: what ended it.
+        received_list: whether it has delivered an endpoint list.
+    """
+
+    error: CallError
+    received_list: bool
 
 
 class DiscoveryClient:
-    """Its mailbox holds what the policy asks for, and moves; each call ends in one item for the module.
+    """An actor whose mailbox holds commands; each call that it makes for one ends in one posted item.
 
-    After a move the old address is watched until the new one has answered. That answer is taken for the
-    whole list, as what the old one told, and in which numbers, says nothing of the new one. A watch that
-    tells no change for long is renewed in the same way, as its updates may have stopped while it beats.
+    After a change of address the old one is watched until the new one has answered. That answer counts as the
+    complete list, as what the old address delivered, and in which generations, says nothing of the new one. A watch
+    that delivers no change for long is renewed in the same way: its updates may have stopped though its heartbeat
+    goes on.
 
     An address may name several replicas of one service. A call that fails there goes to the next of them.
+
+    Attributes:
+        address: where discovery is.
+        source: the address whose list is in force; another one than `address` during a hand-over.
+        generation: of the list in force.
+        replica_index: counts on to the replica that the next watch calls.
+        backoff: delays between attempts that fail.
+        watch_task: the watch whose list is in force, or that was asked for first.
+        successor_task: a watch that has delivered no list yet, and then replaces `watch_task`.
+        fetch_tasks: the fetches in flight.
     """
 
     def __init__(
         self,
         address: str,
         generation: int,
-        follow_always: bool,
+        always_watch: bool,
         post: Callable[[EndpointList | EndpointListFailed], None],
         random: Random | None = None,
-        ask_within: float = math.inf,
-        renewal: float = math.inf,
-        heard: Callable[[], None] = lambda: None,
+        poll_deadline_ms: float = math.inf,
+        renewal_interval_ms: float = math.inf,
+        on_heartbeat: Callable[[], None] = lambda: None,
     ) -> None:
-        self.address, self.generation, self.post = address, generation, post
-        self.follow_always = follow_always  # where changes come unasked, so does the watch
+        """Make a client that is not started yet.
+
+        Args:
+            address: "host:port" of the service, or several of replicas with commas between.
+            generation: of the list that is known already; 0 for none.
+            always_watch: watch without being asked, and repeat a watch that failed, instead of posting the failure.
+            post: gets each endpoint list, and each failure to get one.
+            random: for the jitter of delays.
+            poll_deadline_ms: within which the list has to be asked for again; bounds the delays.
+            renewal_interval_ms: without a change after which a watch is renewed.
+            on_heartbeat: called for each heartbeat of a watch that has delivered its list.
+        """
+        self.address = address
+        self.generation = generation
+        self.always_watch = always_watch
+        self.post = post
         self.random = random or Random(0)
-        self.backoff = Backoff(timing.CONNECT_TIMEOUT_MS, timing.MAX_RETRY_DELAY_RATIO * ask_within, self.random)
-        self.renewal = renewal  # ms without a change after which a watch is renewed
-        self.heard = heard  # told of each empty line of a watch whose list is in force
-        self.source = address  # whose list is in force
-        self.turn = 0  # counts on to the replica that the next watch asks
-        self.mailbox: asyncio.Queue[str | Move] = asyncio.Queue()
-        self.watching: asyncio.Task[None] | None = None
-        self.successor: asyncio.Task[None] | None = None  # a watch at a new address that has not answered yet
-        self.fetching: set[asyncio.Task[None]] = set()
+        self.backoff = Backoff(timing.CONNECT_TIMEOUT_MS, timing.MAX_RETRY_DELAY_RATIO * poll_deadline_ms, self.random)
+        self.renewal_interval_ms = renewal_interval_ms
+        self.on_heartbeat = on_heartbeat
+        self.source = address
+        self.replica_index = 0
+        self.mailbox: asyncio.Queue[Command | ChangeAddress] = asyncio.Queue()
+        self.watch_task: asyncio.Task[None] | None = None
+        self.successor_task: asyncio.Task[None] | None = None
+        self.fetch_tasks: set[asyncio.Task[None]] = set()
+
+    def send(self, command: Command | ChangeAddress) -> None:
+        """Put a command into the mailbox."""
+        self.mailbox.put_nowait(command)
 
     async def run(self) -> None:
-        if self.follow_always:
-            self.mailbox.put_nowait("watch")
+        """Carry out commands until cancelled."""
+        if self.always_watch:
+            self.send(Command.WATCH)
         while True:
             match await self.mailbox.get():
-                case Move(address):
-                    self.move(address)
-                case "again" if self.watching is not None and self.source != self.address:
-                    self.successor = self.successor or asyncio.create_task(self.watch(self.address))
-                case "renew" if self.watching is not None and self.successor is None:
-                    self.successor = asyncio.create_task(self.watch(self.address))
-                case "fetch":
-                    task = asyncio.create_task(self.fetch())
-                    self.fetching.add(task)
-                    task.add_done_callback(self.fetching.discard)
-                case "watch" if self.successor is None:
-                    self.let_go()
-                    self.watching = asyncio.create_task(self.watch(self.address))
-                case "stop":
-                    self.let_go()
-
-    def move(self, address: str) -> None:
+                case ChangeAddress(address):
+                    self.change_address(address)
+                case Command.HAND_OVER if self.watch_task is not None and self.source != self.address:
+                    self.successor_task = self.successor_task or self._start_watch()
+                case Command.RENEW if self.watch_task is not None and self.successor_task is None:
+                    self.successor_task = self._start_watch()
+                case Command.FETCH:
+                    self._start_fetch()
+                case Command.WATCH if self.successor_task is None:
+                    self.cancel_watches()
+                    self.watch_task = self._start_watch()
+                case Command.STOP:
+                    self.cancel_watches()
+
+    def _start_watch(self) -> asyncio.Task[None]:
+        return asyncio.create_task(self.watch(self.address))
+
+    def _start_fetch(self) -> None:
+        task = asyncio.create_task(self.fetch())
+        self.fetch_tasks.add(task)
+        task.add_done_callback(self.fetch_tasks.discard)
+
+    def change_address(self, address: str) -> None:
         """Look for the list elsewhere; without a watch there is nothing to hand over."""
         if address == self.address:
             return
-        logger.info("discovery moves from {} to {}", self.address, address)
-        self.address, self.turn = address, 0
-        if self.successor is not None:
-            self.successor.cancel()
-            self.successor = None
-        if self.watching is not None:
-            self.mailbox.put_nowait("again")
-
-    def let_go(self) -> None:
-        for task in (self.watching, self.successor):
+        logger.info("discovery address changed: source={} address={}", self.source, address)
+        self.address = address
+        self.replica_index = 0
+        if self.successor_task is not None:
+            self.successor_task.cancel()
+            self.successor_task = None
+        if self.watch_task is not None:
+            self.send(Command.HAND_OVER)
+
+    def cancel_watches(self) -> None:
+        """End the watch and its successor."""
+        for task in (self.watch_task, self.successor_task):
             if task is not None:
                 task.cancel()
-        self.watching = self.successor = None
+        self.watch_task = None
+        self.successor_task = None
+
+    # --- Fetching the complete list ---
 
-    def asked(self) -> str:
-        """Whose whole list counts: never that of an address whose watch is still to take over."""
-        return self.source if self.watching is not None else self.address
+    def fetch_address(self) -> str:
+        """Whose complete list counts: never that of an address whose watch has not taken over yet."""
+        return self.source if self.watch_task is not None else self.address
 
     async def fetch(self) -> None:
-        """The whole list. Where discovery moves meanwhile it is asked for again, so that an answer always comes."""
-        found: EndpointList | CallFailed | None = None
-        while found is None:
-            address = self.asked()
+        """Fetch the complete list, again where discovery moves meanwhile, so that an answer always comes."""
+        while not await self._fetch_from(self.fetch_address()):
+            pass
+
+    async def _fetch_from(self, address: str) -> bool:
+        """Fetch once, and post what came of it; False where that no longer counts, as discovery has moved."""
+        try:
+            endpoints = await self._fetch_newest(address)
+        except Exception as error:
+            call_error = as_call_error(error, address)
+            if address != self.fetch_address():
+                return False
+            self.report_failure(call_error, address)
+            return True
+        if address != self.fetch_address():
+            return False
+        if self.watch_task is not None and endpoints.generation < self.generation:  # the watch has overtaken it
+            endpoints = replace(endpoints, complete=False)
+        self.accept(endpoints, address)
+        return True
+
+    async def _fetch_newest(self, address: str) -> EndpointList:
+        """The complete list of the first replica that is not behind what is known; else the newest of them all."""
+        replicas = replica_addresses(address)
+        newest: EndpointList | None = None
+        last_error = CallError(Stage.CONNECT, "no replica", address)
+        for index in range(self.replica_index, self.replica_index + len(replicas)):
             try:
-                found = await self.fetch_newest(address)
-            except Exception as error:
-                logger.exception("call of {} failed: {!r}", address, error)
-                found = CallFailed(Stage.BODY, repr(error))
-            if address != self.asked():
-                found = None
-        if isinstance(found, CallFailed):
-            self.failed(found, address)
-            return
-        if self.watching is not None and found.generation < self.generation:  # the watch has overtaken it
-            found = replace(found, complete=False)
-        self.settle(found, address)
-
-    async def fetch_newest(self, address: str) -> EndpointList | CallFailed:
-        """The whole list of the first replica that is not behind what is known; else the newest of them all."""
-        names, newest = replicas(address), None
-        failed: CallFailed | None = None
-        for at in range(self.turn, self.turn + len(names)):
-            found = await whole_list(names[at % len(names)])
-            if isinstance(found, CallFailed):
-                failed = found
+                endpoints = await fetch_endpoint_list(replicas[index % len(replicas)])
+            except CallError as error:
+                last_error = error
                 continue
-            if address == self.source and found.generation >= self.generation:
-                return found
-            if newest is None or found.generation > newest.generation:
-                newest = found
-        return newest or failed or CallFailed(Stage.DIAL, "no replica")
+            if address == self.source and endpoints.generation >= self.generation:
+                return endpoints
+            if newest is None or endpoints.generation > newest.generation:
+                newest = endpoints
+        if newest is None:
+            raise last_error
+        return newest
+
+    # --- Watching ---
 
     async def watch(self, address: str) -> None:
-        """Follow until it fails. Every end is a failure: a watch lasts until its connection ends.
+        """Watch until it fails; every end is a failure, as a watch lasts as long as its connection.
 
-        Where there are replicas, one that has held for a beat is followed by the others at once, and all are asked
-        once before it has failed.
+        Where there are replicas, a watch that has lasted for a heartbeat is followed by one at the next replica at
+        once, and each is called once before the watch counts as failed.
         """
-        names, loop = replicas(address), asyncio.get_running_loop()
-        left = len(names)
+        replicas = replica_addresses(address)
+        loop = asyncio.get_running_loop()
+        attempts_left = len(replicas)
         while True:
-            at, began = self.turn, loop.time()
-            told, failed = await self.follow(address, names[at % len(names)])
-            if asyncio.current_task() not in (self.watching, self.successor):
-                return  # it was let go
-            self.turn = at + 1
-            held = told and loop.time() >= began + timing.HEARTBEAT_INTERVAL_MS / 1000.0
-            left = len(names) - 1 if held else left - 1
-            if left <= 0:
+            index = self.replica_index
+            started_at = loop.time()
+            end = await self.watch_replica(address, replicas[index % len(replicas)])
+            if asyncio.current_task() not in (self.watch_task, self.successor_task):
+                return  # another one has replaced it
+            self.replica_index = index + 1
+            has_lasted = end.received_list and loop.time() >= started_at + timing.HEARTBEAT_INTERVAL_MS / 1000.0
+            attempts_left = len(replicas) - 1 if has_lasted else attempts_left - 1
+            if attempts_left <= 0:
                 break
-            logger.warning("replica of {} failed at {}: {}; the next one", address, failed.stage.name, failed.reason)
-        self.watch_ended(failed, address)
-
-    async def follow(self, address: str, replica: str) -> tuple[bool, CallFailed]:
-        """One watch at one replica until its end; whether it has told a list."""
-        told = False
-        since = f"&since={self.generation}" if address == self.source else ""
-        call = Call(replica, f"{PATH}?follow=1{since}")
+            logger.warning(
+                "discovery call failed, next replica follows: source={} address={} stage={} reason={}",
+                address,
+                end.error.address,
+                end.error.stage,
+                end.error.reason,
+            )
+        self._watch_failed(end.error, address)
+
+    async def watch_replica(self, address: str, replica: str) -> WatchEnd:
+        """One watch at one replica, until its end."""
+        received_list = False
+        call = watch_call(replica, self.generation if address == self.source else None)
+        renewal = RenewalTimer(self.renewal_interval_ms, self.random)
+        loop = asyncio.get_running_loop()
         try:
-            failed = await call.open(timing.CONNECT_TIMEOUT_MS, timing.RESPONSE_TIMEOUT_MS)
-            lists = self.lines(call) if address == self.source else self.whole(call, address)
-            loop = asyncio.get_running_loop()
-            renew_at, wait = math.inf, self.renewal
-            while failed is None:
-                found = await anext(lists)
-                if isinstance(found, CallFailed):
-                    failed = found
-                elif found is not None:
-                    self.settle(found, address)
-                    told = True
-                    wait = self.renewal
-                    renew_at = loop.time() + wait / 1000.0 * (0.5 + self.random.random())
-                else:
-                    if told:
-                        self.heard()
-                    if loop.time() >= renew_at:
-                        wait *= 2  # this one goes on where the next fails, and is renewed ever more seldom
-                        renew_at = loop.time() + wait / 1000.0 * (0.5 + self.random.random())
-                        self.mailbox.put_nowait("renew")
+            await call.open(timing.CONNECT_TIMEOUT_MS, timing.RESPONSE_TIMEOUT_MS)
+            events = self._events(call, address)
+            while True:
+                event = await anext(events)
+                if isinstance(event, EndpointList):
+                    self.accept(event, address)
+                    received_list = True
+                    renewal.restart(loop.time())
+                    continue
+                if received_list:
+                    self.on_heartbeat()
+                if renewal.is_due(loop.time()):
+                    renewal.back_off(loop.time())
+                    self.send(Command.RENEW)
         except Exception as error:
-            logger.exception("watch on {} failed: {!r}", address, error)
-            failed = CallFailed(Stage.BODY, repr(error))
+            return WatchEnd(as_call_error(error, address), received_list)
         finally:
             call.close()
-        return told, failed
-
-    def watch_ended(self, failed: CallFailed, address: str) -> None:
-        """A watch that another takes the place of is no loss; else the module hears of it."""
-        if self.successor is asyncio.current_task():
-            self.successor = None
-        elif self.watching is asyncio.current_task():
-            self.watching = None
+
+    def _events(self, call: Call, address: str) -> AsyncIterator[WatchEvent]:
+        if address == self.source:
+            return watch_events(call)
+        return handover_events(call, lambda: address == self.source, lambda: self.generation)
+
+    def _watch_failed(self, error: CallError, address: str) -> None:
+        """Report the end of a watch, unless another watch goes on."""
+        if self.successor_task is asyncio.current_task():
+            self.successor_task = None
+        elif self.watch_task is asyncio.current_task():
+            self.watch_task = None
         else:
-            return  # it was let go
-        if self.watching is None and self.successor is None:
-            self.failed(failed, address)
+            return  # another one has replaced it
+        if self.watch_task is None and self.successor_task is None:
+            self.report_failure(error, address)
             return
-        logger.info("discovery {} ended at {}: {}; another watch goes on", address, failed.stage.name, failed.reason)
-        if self.successor is None and self.source != self.address:
-            asyncio.get_running_loop().call_later(self.backoff.next() / 1000.0, self.mailbox.put_nowait, "again")
+        logger.info(
+            "discovery watch ended, another one goes on: source={} stage={} reason={}",
+            address,
+            error.stage,
+            error.reason,
+        )
+        if self.successor_task is None and self.source != self.address:
+            self._send_after_backoff(Command.HAND_OVER)
 
-    async def whole(self, call: Call, address: str) -> AsyncIterator[EndpointList | CallFailed | None]:
-        """The lists of a watch at a new address, the first of them whole.
+    # --- What comes of a call ---
 
-        The old address may have told more by then: a list behind that waits for what changed since, but no
-        longer than a beat, as its numbers may also be others.
-        """
-        held: EndpointList | None = None
-        async for found in self.lines(call):
-            if isinstance(found, CallFailed) or self.source == address:
-                yield found
-            elif found is not None and not found.complete and held is None:
-                fetched = await whole_list(call.address)
-                if isinstance(fetched, CallFailed):
-                    yield fetched
-                    return
-                held = fetched
-            elif found is not None:
-                held = found if held is None or found.complete else merge(held, found)
-            if held is not None and (found is None or held.generation >= self.generation):
-                yield held
-                held = None
-
-    async def lines(self, call: Call) -> AsyncIterator[EndpointList | CallFailed | None]:
-        """The lists of a watch, one JSON object a line, None for an empty line; a last failure ends it."""
-        loop = asyncio.get_running_loop()
-        held, limit, line_due = bytearray(), timing.RESPONSE_TIMEOUT_MS, loop.time() * 1000.0 + timing.LINE_TIMEOUT_MS
-        while True:
-            piece = await call.chunk(min(limit, max(0.0, line_due - loop.time() * 1000.0)))
-            if piece is None or isinstance(piece, CallFailed):
-                yield piece if piece is not None else CallFailed(Stage.BODY, "watch ended")
-                return
-            searched = len(held)
-            held += piece
-            limit = timing.WATCH_SILENCE_TIMEOUT_MS
-            while (end := held.find(b"\n", searched)) >= 0:
-                line = bytes(held[:end]).strip()
-                del held[: end + 1]
-                searched, line_due = 0, loop.time() * 1000.0 + timing.LINE_TIMEOUT_MS
-                found = parse_listing(line) if line else None
-                yield found
-                if isinstance(found, CallFailed):
-                    return
-            if held and loop.time() * 1000.0 > line_due:
-                yield CallFailed(Stage.BODY, "a line without end", timed_out=True)
-                return
-            if len(held) > timing.MAX_BODY_BYTES:
-                yield CallFailed(Stage.BODY, f"line over {timing.MAX_BODY_BYTES} bytes")
-                return
-
-    def settle(self, found: EndpointList, address: str) -> None:
+    def accept(self, endpoints: EndpointList, address: str) -> None:
+        """Post an endpoint list; that of a successor's watch makes its address the source."""
         self.backoff.reset()
         if address != self.source:
-            logger.info("discovery {} takes the place of {}", address, self.source)
-            self.source, found = address, replace(found, generations_restarted=True)
-        if self.successor is asyncio.current_task():
-            if self.watching is not None:
-                self.watching.cancel()
-            self.watching, self.successor = self.successor, None
-        self.generation = found.generation if found.complete else max(self.generation, found.generation)
+            logger.info("discovery source replaced: source={} address={}", self.source, address)
+            self.source = address
+            endpoints = replace(endpoints, generations_restarted=True)
+        if self.successor_task is asyncio.current_task():
+            if self.watch_task is not None:
+                self.watch_task.cancel()
+            self.watch_task = self.successor_task
+            self.successor_task = None
+        self.generation = endpoints.generation if endpoints.complete else max(self.generation, endpoints.generation)
         logger.info(
-            "list {}: {} {} instances", found.generation, "all" if found.complete else "changed", len(found.instances)
+            "endpoint list received: source={} generation={} kind={} count={}",
+            address,
+            endpoints.generation,
+            "full" if endpoints.complete else "delta",
+            len(endpoints.instances),
         )
-        self.post(found)
+        self.post(endpoints)
 
-    def failed(self, failed: CallFailed, address: str) -> None:
-        """One event that the list could not be had; the policy says when to ask again."""
-        logger.warning("discovery {} failed at {}: {}", address, failed.stage.name, failed.reason)
-        if self.follow_always:
-            asyncio.get_running_loop().call_later(self.backoff.next() / 1000.0, self.mailbox.put_nowait, "watch")
+    def report_failure(self, error: CallError, address: str) -> None:
+        """Post that the list could not be had; whoever asked for it decides when to ask again."""
+        logger.warning("discovery call failed: source={} stage={} reason={}", address, error.stage, error.reason)
+        if self.always_watch:
+            self._send_after_backoff(Command.WATCH)
         else:
             self.post(EndpointListFailed())
+
+    def _send_after_backoff(self, command: Command) -> None:
+        delay_ms = self.backoff.next_delay_ms()
+        asyncio.get_running_loop().call_later(delay_ms / 1000.0, self.mailbox.put_nowait, command)
+
+
+def as_call_error(error: Exception, address: str) -> CallError:
+    """The error itself where it is a CallError; anything else is a defect, and logged with its traceback."""
+    if isinstance(error, CallError):
+        return error
+    logger.exception("discovery call failed by a defect: source={} reason={!r}", address, error)
+    return CallError(Stage.BODY, repr(error), address)
--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -1,4 +1,4 @@
-"""Probes of a server: whether it answers, and its load report where it has one."""
+"""Health checks of a server: whether it answers, and its load report where it sends one."""
 
 from __future__ import annotations
 
@@ -7,25 +7,30 @@
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
 from stackwheel.wire import timing
-from stackwheel.wire.http import Call, CallFailed, Stage, exchange
+from stackwheel.wire.http import Call, CallError, Stage, exchange
 from stackwheel.wire.line_codec import FieldError, read_load
 from stackwheel.wire.messages import columns_in_order
 
+LIVENESS_PATH = "/health/live"
+LOAD_REPORT_PATH = "/stats"
+REJECTED_STATUS = 503  # the server is there, but admits no more requests
 
-def probe_call(address: str, names: Names) -> Call:
-    """The call that probes the server at an address, not yet opened."""
-    return Call(address, "/stats" if names.load_on_probe else "/health/live")
 
+def health_check_call(address: str, names: Names) -> Call:
+    """The call that checks the server at an address, not opened yet."""
+    return Call(address, LOAD_REPORT_PATH if names.load_on_probe else LIVENESS_PATH)
 
-async def probe(server: Server, call: Call, names: Names, clock: Clock) -> face.HealthCheckResult:
-    """Make the call, and tell what came of it."""
-    began = clock.now()
-    body = await exchange(
-        call, timing.HEALTH_CHECK_TIMEOUT_MS, timing.HEALTH_CHECK_TIMEOUT_MS, timing.MAX_HEALTH_CHECK_BYTES
-    )
-    elapsed = clock.now() - began
-    if isinstance(body, CallFailed):
-        return face.HealthCheckResult(server, outcome(body), elapsed)
+
+async def check_health(server: Server, call: Call, names: Names, clock: Clock) -> face.HealthCheckResult:
+    """Make the call; its outcome, its duration in ms and the load columns that the server reported."""
+    started_at = clock.now()
+    try:
+        body = await exchange(
+            call, timing.HEALTH_CHECK_TIMEOUT_MS, timing.HEALTH_CHECK_TIMEOUT_MS, timing.MAX_HEALTH_CHECK_BYTES
+        )
+    except CallError as error:
+        return face.HealthCheckResult(server, outcome_of(error), clock.now() - started_at)
+    elapsed = clock.now() - started_at
     try:
         load = read_load(body.decode().strip(), "=") if names.load_on_probe else ()
     except (UnicodeDecodeError, FieldError):
@@ -33,9 +38,10 @@
     return face.HealthCheckResult(server, HealthCheckOutcome.OK, elapsed, columns_in_order(load, names.columns))
 
 
-def outcome(failed: CallFailed) -> HealthCheckOutcome:
-    if failed.stage is Stage.STATUS:
-        return HealthCheckOutcome.REJECTED if failed.status == 503 else HealthCheckOutcome.ERROR
-    if failed.stage is Stage.DIAL:
+def outcome_of(error: CallError) -> HealthCheckOutcome:
+    """What a failed call says of the server."""
+    if error.stage is Stage.STATUS:
+        return HealthCheckOutcome.REJECTED if error.status == REJECTED_STATUS else HealthCheckOutcome.ERROR
+    if error.stage is Stage.CONNECT:
         return HealthCheckOutcome.UNREACHABLE
-    return HealthCheckOutcome.TIMEOUT if failed.timed_out else HealthCheckOutcome.RESET
+    return HealthCheckOutcome.TIMEOUT if error.timed_out else HealthCheckOutcome.RESET
--- a/stackwheel/wire/listing_requests.py
+++ b/stackwheel/wire/listing_requests.py
@@ -9,7 +9,7 @@
 import h11
 
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import PATH
+from stackwheel.wire.discovery_protocol import INSTANCES_PATH
 from stackwheel.wire.http import within
 
 HEAD_MOST = 8 << 10  # bytes of a request's head: a planner's has some 150
@@ -61,7 +61,7 @@
         query = dict(parse_qsl(target.query, keep_blank_values=True, max_num_fields=16))
     except ValueError as error:
         return BadRequest(400, f"no target: {error}")
-    if target.path != PATH:
+    if target.path != INSTANCES_PATH:
         return BadRequest(404, "no such path")
     if request.method != b"GET":
         return BadRequest(405, "only GET")
--- a/stackwheel/wire/listing_server.py
+++ b/stackwheel/wire/listing_server.py
@@ -165,7 +165,7 @@
         answer = self.cache.ask(cell, request.since if request.follow else None, self.now())
         if isinstance(answer, Unavailable):
             await self._refuse(writer, BadRequest(503, answer.reason))
-        elif not isinstance(answer, Resumed) and not self.budget.room(len(self.cache.whole(cell) or b"")):
+        elif not isinstance(answer, Resumed) and not self.budget.has_capacity(len(self.cache.whole(cell) or b"")):
             await self._refuse(writer, BadRequest(503, "too many whole answers under way"))
         elif request.follow:
             await self._watch(cell, answer.line if isinstance(answer, Resumed) else None, reader, writer)
@@ -182,7 +182,7 @@
 
     async def _list(self, cell: str, writer: asyncio.StreamWriter) -> None:
         line = self.cache.whole(cell) or b""
-        async with self.budget.hold(len(line)):
+        async with self.budget.reserve(len(line)):
             headers = [("Content-Length", str(len(line))), ("Connection", "close")]
             await self._finish(writer, _head(200, [("Content-Type", "application/json"), *headers]) + line)
 
--- a/stackwheel/wire/listing_watch.py
+++ b/stackwheel/wire/listing_watch.py
@@ -75,7 +75,7 @@
             if self.ended:
                 break
             if self.whole_due:
-                async with self.budget.hold(len(self.whole() or b"")):
+                async with self.budget.reserve(len(self.whole() or b"")):
                     await self._write_whole()
             elif self.pending:
                 await self._write(self._take_pending(), timing.WATCH_SILENCE_TIMEOUT_MS)
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -21,9 +21,9 @@
 from stackwheel.state.table_updates import ProxyUpdate
 from stackwheel.wire import timing
 from stackwheel.wire.connection import BufferBudget, Connection, RateLimiter
-from stackwheel.wire.datagrams import Datagrams
-from stackwheel.wire.discovery_client import DiscoveryClient, Move
-from stackwheel.wire.health_checks import probe, probe_call
+from stackwheel.wire.datagrams import GossipProtocol
+from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient
+from stackwheel.wire.health_checks import check_health, health_check_call
 from stackwheel.wire.http import socket_closed, split_address
 from stackwheel.wire.line_codec import Encoder
 
@@ -74,7 +74,7 @@
             settings.list_poll_deadline,
             timing.watch_renewal_interval(settings.planner_count),
         )
-        self.datagrams = Datagrams(
+        self.datagrams = GossipProtocol(
             addresses.peers, addresses.peers_all, settings.planner_index, lambda item: self.post(item)
         )
         self.unidentified: dict[Connection, None] = {}  # the first to come first
@@ -108,8 +108,8 @@
         """Apply a reloaded configuration; connections that are open stay."""
         self.addresses = addresses
         self.buffer_budget.most = timing.buffer_limit_bytes(addresses.memory_mb)
-        self.datagrams.readdress(addresses.peers, addresses.peers_all)
-        self.discovery.mailbox.put_nowait(Move(addresses.discovery))
+        self.datagrams.update_peers(addresses.peers, addresses.peers_all)
+        self.discovery.send(ChangeAddress(addresses.discovery))
 
     def start_task(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.create_task(work)
@@ -289,18 +289,18 @@
                 line.send(data)
 
     def watch_endpoints(self, on: bool) -> None:
-        self.discovery.mailbox.put_nowait("watch" if on else "stop")
+        self.discovery.send(Command.WATCH if on else Command.STOP)
 
     def fetch_endpoints(self) -> None:
-        self.discovery.mailbox.put_nowait("fetch")
+        self.discovery.send(Command.FETCH)
 
     def start_health_check(self, server: Server, asked: HealthCheckTarget) -> None:
         async def ask() -> None:
-            call = probe_call(asked.address, self.names)
+            call = health_check_call(asked.address, self.names)
             try:
-                self.post(HealthCheckCompleted(asked, await probe(server, call, self.names, self.clock)))
+                self.post(HealthCheckCompleted(asked, await check_health(server, call, self.names, self.clock)))
             finally:
-                await call.closed()
+                await call.wait_closed()
                 self.health_checks_in_flight -= 1
                 self.released.set()
 
--- a/tests/cli/test_cells_command.py
+++ b/tests/cli/test_cells_command.py
@@ -110,7 +110,7 @@
         (fleet.listing(fleet.servers(1, 20, 2))[:-30], "no list of servers: "),
         (b"[]", "no list of servers: no list of instances"),
         (b"\xff", "no list of servers: "),
-        (b'{"instances":[]}', "no list of servers: no 'generation'"),
+        (b'{"instances":[]}', "no list of servers: generation: missing"),
         (fleet.listing([]), "no server is listed"),
         (json.dumps({"generation": 4, "reset": False, "instances": []}).encode(), "reset: false"),
         (json.dumps({"generation": 4, "reset": True, "instances": [entry(), {}]}).encode(), "entry 1 ("),
--- a/tests/relay/lists.py
+++ b/tests/relay/lists.py
@@ -11,7 +11,7 @@
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 READY, DRAINING, GONE = Availability.READY, Availability.DRAINING, Availability.REMOVED
 ZONES = ("east", "west")
@@ -42,9 +42,7 @@
 
 
 def read(line: bytes) -> EndpointList:
-    found = parse_listing(line)
-    assert isinstance(found, EndpointList), found
-    return found
+    return parse_endpoint_list(line)
 
 
 def states(listing: EndpointList) -> dict[str, Availability]:
--- a/tests/relay/test_cache.py
+++ b/tests/relay/test_cache.py
@@ -27,7 +27,7 @@
 from stackwheel.relay.messages import EndWatches, Resumed, Unavailable, WholeDue
 from stackwheel.relay.part import AHEAD_MOST, ANSWERS_MOST, DEPARTED_LEAST
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 
 def test_what_is_written_is_read_as_the_same_entry() -> None:
@@ -35,7 +35,7 @@
         server("a-1", DRAINING, started=1_700_000_000_123.0, weight=0.25),
         server('a-ü"\\-2', GONE, "west", 0.5, address="[::1]:80"),
     )
-    found = parse_listing(encode_line(7, False, map(encode_instance, listed)))
+    found = parse_endpoint_list(encode_line(7, False, map(encode_instance, listed)))
     assert found == changes(7, *listed)
 
 
--- a/tests/relay/test_listing_server.py
+++ b/tests/relay/test_listing_server.py
@@ -278,7 +278,7 @@
         served = await serving(server("a-1"), server("a-2"), whole_bytes=1)
         watcher = await served.watch()
         assert (await watcher.listing()).complete
-        other = served.server.budget.hold(1)  # the whole part that is owed has to wait
+        other = served.server.budget.reserve(1)  # the whole part that is owed has to wait
         await other.__aenter__()
         (watch,) = await served.watches(1)
         watch.owe_whole()
@@ -416,7 +416,7 @@
         resumed = await served.watch(since=5)  # what changed is no whole answer
         assert await resumed.listing() == changes(5)
         assert (await slow[0].listing()).complete
-        while not served.server.budget.room(len(served.cache.whole("a") or b"")):
+        while not served.server.budget.has_capacity(len(served.cache.whole("a") or b"")):
             await asyncio.sleep(0)
         served.cache.heard(served.server.now())  # reading may have taken long
         assert await (await Caller.open(served.address, f"GET {LIST}")).status() == 200
@@ -429,20 +429,20 @@
         budget, order = ByteBudget(10), []
 
         async def hold(name: str, size: int, done: asyncio.Event) -> None:
-            async with budget.hold(size):
+            async with budget.reserve(size):
                 order.append(name)
-                assert budget.held <= 10
+                assert budget.reserved_bytes <= 10
                 await done.wait()
 
         done = asyncio.Event()
-        async with budget.hold(8):
+        async with budget.reserve(8):
             waiting = [asyncio.create_task(hold(name, size, done)) for name, size in (("a", 9), ("b", 4), ("c", 5))]
             while len(budget.waiting) < 3:
                 await asyncio.sleep(0)
-            assert not budget.room(1) and order == []  # room for one, but others have asked before
+            assert not budget.has_capacity(1) and order == []  # room for one, but others have asked before
             waiting[0].cancel()
             await asyncio.wait(waiting[:1])
-            assert budget.held == 8
+            assert budget.reserved_bytes == 8
         while order != ["b", "c"]:
             await asyncio.sleep(0)
         late = asyncio.create_task(hold("d", 3, done))
@@ -450,7 +450,9 @@
             await asyncio.sleep(0)
         done.set()
         await asyncio.wait([late, *waiting])
-        assert order == ["b", "c", "d"] and budget.held == 0 and budget.room(1000)  # alone, even a larger one
+        assert (
+            order == ["b", "c", "d"] and budget.reserved_bytes == 0 and budget.has_capacity(1000)
+        )  # alone, even a larger one
 
     run(work)
 
@@ -460,16 +462,16 @@
         budget = ByteBudget(1)
 
         async def hold() -> None:
-            async with budget.hold(1):
+            async with budget.reserve(1):
                 pass
 
-        async with budget.hold(1):
+        async with budget.reserve(1):
             waiting = asyncio.create_task(hold())
             while not budget.waiting:
                 await asyncio.sleep(0)
         waiting.cancel()  # its turn has come, but it has not run since
         await asyncio.wait([waiting])
-        assert waiting.cancelled() and budget.held == 0
+        assert waiting.cancelled() and budget.reserved_bytes == 0
 
     run(work)
 
--- a/tests/scale/test_listing.py
+++ b/tests/scale/test_listing.py
@@ -7,7 +7,7 @@
 from stackwheel.scale import listing as module
 from stackwheel.scale.entries import TERMINATED, TERMINATING, Entry
 from stackwheel.scale.listing import RegistryList
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 
 def entry(number: int, lifecycle: str = "in_service", started: int = 0) -> Entry:
@@ -36,8 +36,8 @@
             }
         ],
     }
-    read = parse_listing(line)
-    assert len(getattr(read, "instances", ())) == 1
+    read = parse_endpoint_list(line)
+    assert len(read.instances) == 1
 
 
 def test_changes_since_a_generation_hold_the_last_word_of_each_server() -> None:
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -14,8 +14,9 @@
 from stackwheel.scale.entries import TERMINATED, Entry
 from stackwheel.scale.listing import RegistryList
 from stackwheel.scale.registry import Registry
-from stackwheel.wire.discovery_client import PATH, parse_listing, whole_list
-from stackwheel.wire.http import Call, CallFailed, get
+from stackwheel.wire.discovery_calls import fetch_endpoint_list
+from stackwheel.wire.discovery_protocol import INSTANCES_PATH, parse_endpoint_list
+from stackwheel.wire.http import Call, CallError, get
 
 LIMIT = 5_000.0  # ms
 
@@ -33,27 +34,32 @@
 
 
 async def line(call: Call) -> bytes:
-    found = await call.chunk(LIMIT)
+    found = await call.read_chunk(LIMIT)
     assert isinstance(found, bytes)
     return found
 
 
 async def listing(call: Call) -> EndpointList:
-    found = parse_listing(await line(call))
-    assert isinstance(found, EndpointList)
-    return found
+    return parse_endpoint_list(await line(call))
 
 
 async def watch(address: str, since: str = "") -> Call:
-    call = Call(address, f"{PATH}?follow=1{since}")
-    assert await call.open(LIMIT, LIMIT) is None
+    call = Call(address, f"{INSTANCES_PATH}?follow=1{since}")
+    await call.open(LIMIT, LIMIT)
     return call
 
 
+async def has_ended(call: Call) -> bool:
+    try:
+        return await call.read_chunk(LIMIT) is None
+    except CallError:
+        return True
+
+
 def test_whole_list_and_watch_tell_the_same_and_changes_follow() -> None:
     async def work(registry: Registry, address: str) -> None:
-        whole, calls = await whole_list(address), [await watch(address) for _ in range(3)]
-        assert isinstance(whole, EndpointList) and whole.complete and len(whole.instances) == 2
+        whole, calls = await fetch_endpoint_list(address), [await watch(address) for _ in range(3)]
+        assert whole.complete and len(whole.instances) == 2
         assert [await listing(call) for call in calls] == [whole] * 3
         registry.apply(Apply([entry(2, TERMINATED), entry(3)]))
         told = [await listing(call) for call in calls]
@@ -80,10 +86,11 @@
 def test_beyond_what_may_be_pending_calls_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(registry: Registry, address: str) -> None:
         registry.pending = 1  # one answer is still being written
-        refused = await get(address, PATH, LIMIT, LIMIT)
-        assert isinstance(refused, CallFailed) and refused.status == 503 and registry.refused == 1
+        with pytest.raises(CallError) as rejected:
+            await get(address, INSTANCES_PATH, LIMIT, LIMIT)
+        assert rejected.value.status == 503 and registry.refused == 1
         registry.pending = 0
-        assert isinstance(await whole_list(address), EndpointList)
+        assert isinstance(await fetch_endpoint_list(address), EndpointList)
 
     monkeypatch.setattr(module, "PENDING_MOST", 10)
     with_registry(work)
@@ -97,7 +104,7 @@
         monkeypatch.setattr(module, "UNSENT_MOST", -1)
         registry.apply(Apply([entry(1)]))
         assert not registry.watches and writer.transport.is_closing()
-        assert not isinstance(await call.chunk(LIMIT), bytes)
+        assert await has_ended(call)
         call.close()
 
     with_registry(work)
@@ -106,8 +113,9 @@
 @pytest.mark.parametrize("target", ["/", "/registry", "/registry/instances/x"])
 def test_other_paths_are_unknown(target: str) -> None:
     async def work(_registry: Registry, address: str) -> None:
-        found = await get(address, target, LIMIT, LIMIT)
-        assert isinstance(found, CallFailed) and found.status == 404
+        with pytest.raises(CallError) as rejected:
+            await get(address, target, LIMIT, LIMIT)
+        assert rejected.value.status == 404
 
     with_registry(work)
 
@@ -120,6 +128,6 @@
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
         writer.close()
-        assert isinstance(await whole_list(address), EndpointList)
+        assert isinstance(await fetch_endpoint_list(address), EndpointList)
 
     with_registry(work)
--- a/tests/scale/test_surroundings.py
+++ b/tests/scale/test_surroundings.py
@@ -13,7 +13,7 @@
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.entries import Entry
 from stackwheel.scale.surroundings import ListFeed, PeerPlanners, since
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 WORK_MOST = 60.0  # s that one test may take
 
@@ -23,9 +23,7 @@
 
 
 def told(found: ListFeed, known: int | None) -> EndpointList:
-    listing = parse_listing(found.list.since(known))
-    assert isinstance(listing, EndpointList)
-    return listing
+    return parse_endpoint_list(found.list.since(known))
 
 
 def test_the_whole_list_is_read_by_a_planner_entry_by_entry() -> None:
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -19,8 +19,8 @@
 from stackwheel.cells.plan import Cell, Limits, Plan, Relay, encode_plan
 from stackwheel.service.relay import RelayConfig, RelayService, load_serving
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import PATH
-from stackwheel.wire.http import Call, CallFailed, get
+from stackwheel.wire.discovery_protocol import INSTANCES_PATH
+from stackwheel.wire.http import Call, CallError, get
 
 MOST_MS = MOST * 1000.0
 HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
@@ -53,8 +53,12 @@
         """Until a call for the list gets this status."""
         async with asyncio.timeout(MOST):
             while True:
-                found = await get(self.address(port), PATH, 1000.0, 1000.0)
-                if (found.status if isinstance(found, CallFailed) else 200) == status:
+                try:
+                    await get(self.address(port), INSTANCES_PATH, 1000.0, 1000.0)
+                    answered = 200
+                except CallError as error:
+                    answered = error.status
+                if answered == status:
                     return
                 assert self.process.returncode is None, await self.log()
                 await asyncio.sleep(0.02)
@@ -97,6 +101,13 @@
     return found
 
 
+async def read_to_end(watch: Call) -> None:
+    """Read a watch until it ends, however it does."""
+    with contextlib.suppress(CallError):
+        while await watch.read_chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS) is not None:
+            pass
+
+
 def test_a_planner_goes_from_a_relay_that_dies_to_its_twin_and_back(tmp_path: Path) -> None:
     async def work() -> None:
         registry, found = await registry_of(4), plan("s")
@@ -129,8 +140,8 @@
     await registry.update("s-1", lifecycle="terminated")
     await proxy.until(full({"s-2", "s-3"}))
     code, log = await planner.stop()
-    failures = [line for line in log.splitlines() if " failed at " in line]
-    assert code == 0 and len(failures) == 2 and all("the next one" in line for line in failures), log
+    failures = [line for line in log.splitlines() if "discovery call failed" in line]
+    assert code == 0 and len(failures) == 2 and all("next replica follows" in line for line in failures), log
 
 
 def test_a_relay_vouches_only_while_it_hears_the_registry(tmp_path: Path) -> None:
@@ -140,19 +151,18 @@
         host, _, upstream_port = registry.address.rpartition(":")
         async with relays(tmp_path, registry, found) as (first, _):
             await first.answers(port, 200)
-            watch = Call(first.address(port), f"{PATH}?follow=1")
-            assert await watch.open(MOST_MS, MOST_MS) is None
+            watch = Call(first.address(port), f"{INSTANCES_PATH}?follow=1")
+            await watch.open(MOST_MS, MOST_MS)
             await registry.shut()
-            while isinstance(await watch.chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS), bytes):
-                pass
+            await read_to_end(watch)
             watch.close()
             await first.answers(port, 503)
             await registry.server.wait_closed()
             registry.server = await asyncio.start_server(registry.serve, host, int(upstream_port))
             await registry.update("s-0", lifecycle="terminated")
             await first.answers(port, 200)
-            body = await get(first.address(port), PATH, MOST_MS, MOST_MS)
-            assert isinstance(body, bytes) and b"s-1" in body and b"s-0" not in body
+            body = await get(first.address(port), INSTANCES_PATH, MOST_MS, MOST_MS)
+            assert b"s-1" in body and b"s-0" not in body
             assert await first.stop() == 0 and "Traceback" not in await first.log()
 
     run(work())
@@ -165,8 +175,9 @@
         async with relays(tmp_path, registry, found) as (first, second):
             await first.answers(port, 200)
             await second.answers(port, 200)  # up before it is told to end
-            watch = Call(first.address(port), f"{PATH}?follow=1")
-            assert await watch.open(MOST_MS, MOST_MS) is None and b"s-1" in await watch.chunk(MOST_MS)
+            watch = Call(first.address(port), f"{INSTANCES_PATH}?follow=1")
+            await watch.open(MOST_MS, MOST_MS)
+            assert b"s-1" in (await watch.read_chunk(MOST_MS) or b"")
             (tmp_path / "cells.json").write_bytes(encode_plan(found)[:200])
             send(first.process, signal.SIGHUP)
             await first.logged("plan not reloaded, the old one holds")
@@ -177,17 +188,12 @@
             send(first.process, signal.SIGHUP)
             await first.logged("plan reloaded: 2 cells")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
-                body = await get(first.address(served), PATH, MOST_MS, MOST_MS)
-                assert (
-                    isinstance(body, bytes)
-                    and name in body
-                    and body.count(b"instanceId") == (2 if served == other else 1)
-                )
+                body = await get(first.address(served), INSTANCES_PATH, MOST_MS, MOST_MS)
+                assert name in body and body.count(b"instanceId") == (2 if served == other else 1)
             away = (Cell("u", "u", (), 0, 1, port),)
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, found.relays, away)))
             send(first.process, signal.SIGHUP)
-            while isinstance(await watch.chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS), bytes):
-                pass
+            await read_to_end(watch)
             watch.close()
             assert await first.stop() == 0 and await second.stop() == 0
 
@@ -202,11 +208,11 @@
         service = RelayService(RelayConfig("relay-0", registry.address, tmp_path / "cells.json"), serving, 100)
         following = asyncio.create_task(service.upstream.run())
         watch = await registry.calls.get()
-        watch.line(5, True, "s-1")
+        watch.send_list(5, True, "s-1")
         while service.cache.generation is None:
             await asyncio.sleep(0)
         listed_at = service.cache.contact.heard_at
-        watch.tell(b"\n")
+        watch.send_heartbeat()
         while service.cache.contact.heard_at == listed_at:
             await asyncio.sleep(0)
         following.cancel()
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -16,7 +16,7 @@
 from stackwheel.service.config import read_config
 from stackwheel.service.reload import Reload
 from stackwheel.state.planner_actor import EndpointListFailed
-from stackwheel.wire import discovery_client as wire
+from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient
 from stackwheel.wire.transport import Addresses
 
 
@@ -277,8 +277,8 @@
 
     def __init__(self, address: str, generation: int = 0) -> None:
         self.posted: list[EndpointList | EndpointListFailed] = []
-        self.actor = wire.DiscoveryClient(address, generation, False, self.posted.append)
-        self.task = asyncio.create_task(self.actor.run())
+        self.client = DiscoveryClient(address, generation, False, self.posted.append)
+        self.task = asyncio.create_task(self.client.run())
 
     async def until(self, count: int) -> None:
         while len(self.posted) < count:
@@ -294,11 +294,11 @@
     async def work() -> None:
         first, second = await another("a", "b", generation=8), await another("a", "b", generation=7)
         watch = Watch(first.address)
-        watch.actor.mailbox.put_nowait("watch")
+        watch.client.send(Command.WATCH)
         await watch.until(1)
         await first.update("b", lifecycle="terminated")
         await watch.until(2)
-        watch.actor.mailbox.put_nowait(wire.Move(second.address))
+        watch.client.send(ChangeAddress(second.address))
         while not second.calls:
             await asyncio.sleep(0.005)
         await second.update("a")
@@ -323,9 +323,9 @@
         whole = second.document
         second.document = lambda since: whole(since if len(second.calls) > 1 else 0)  # type: ignore[method-assign]
         watch = Watch(first.address)
-        watch.actor.mailbox.put_nowait("watch")
+        watch.client.send(Command.WATCH)
         await watch.until(1)
-        watch.actor.mailbox.put_nowait(wire.Move(second.address))
+        watch.client.send(ChangeAddress(second.address))
         await watch.until(2)
         assert watch.found(1) == (3, True, {"a", "b"})
         assert second.calls == ["served", "served"]
@@ -338,8 +338,8 @@
     async def work() -> None:
         first, second = await another("a"), await another("b")
         watch = Watch(first.address)
-        watch.actor.mailbox.put_nowait(wire.Move(second.address))
-        watch.actor.mailbox.put_nowait("watch")
+        watch.client.send(ChangeAddress(second.address))
+        watch.client.send(Command.WATCH)
         await watch.until(1)
         assert watch.found(0) == (1, True, {"b"}) and not first.calls
         await second.shut()
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -220,7 +220,7 @@
             assert 0 < len(told) <= 256 and peers.unpack(told) is not None
             _, log = await planner.stop()
             dropped = [line for line in log.splitlines() if "dropped" in line]
-            assert len(dropped) == 2 and "300 bytes" in dropped[0]
+            assert len(dropped) == 2 and "bytes=300" in dropped[0]
         other.close()
 
     run(work())
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -16,7 +16,7 @@
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
 from stackwheel.state.server_ids import ServerIds, server_id
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 from stackwheel.wire.transport import SocketTransport
 
 NAMES = {server_id(f"s-{number}"): f"s-{number}" for number in range(6)}
@@ -138,12 +138,12 @@
         clock.at, events = batch.clock, [item for _, item in batch.records if not isinstance(item, Create)]
         for event in events:
             if isinstance(event, face.EndpointUpdate):
-                listing = parse_listing(document(event))
+                listing = parse_endpoint_list(document(event))
                 if event.kind is face.UpdateKind.CACHED:
-                    roster.apply(listing)  # type: ignore[arg-type]
+                    roster.apply(listing)
                     module.decide([roster.cached()])
                 else:
-                    module.post(listing)  # type: ignore[arg-type]
+                    module.post(listing)
                 continue
             who, text = line(event)
             if who not in speakers:
--- a/tests/trials/test_relay_trials.py
+++ b/tests/trials/test_relay_trials.py
@@ -163,7 +163,7 @@
 
 
 def test_callers_that_do_not_back_off_are_a_herd(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Backoff, "next", lambda self: 50.0)
+    monkeypatch.setattr(Backoff, "next_delay_ms", lambda self: 50.0)
     world = Calls(script("relays-lost-and-back", planners=PLANNERS, on_request=False))
     world.run()
     after = [at for at in world.at_relays if at < BACK + 5.0]
--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -1,4 +1,4 @@
-"""A planner whose discovery has replicas: a call that fails goes to the next, with the same numbers."""
+"""A client whose discovery has replicas: a call that fails goes to the next one, with the same generations."""
 
 from __future__ import annotations
 
@@ -7,195 +7,205 @@
 
 import pytest
 from fake_services import config
-from scripted_discovery import ClientHarness, ScriptedCall, ScriptedDiscovery, document, run, watching
+from scripted_discovery import ClientHarness, ScriptedCall, ScriptedDiscovery, document, run, start_watching
 
 from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
-from stackwheel.state.planner_actor import EndpointListFailed
-from stackwheel.wire import discovery_client as wire
 from stackwheel.wire import timing
+from stackwheel.wire.discovery_client import ChangeAddress, Command
 
 
-async def pair() -> tuple[ScriptedDiscovery, ScriptedDiscovery, str]:
-    first, second = await ScriptedDiscovery().start(), await ScriptedDiscovery().start()
+async def start_pair() -> tuple[ScriptedDiscovery, ScriptedDiscovery, str]:
+    """Two replicas and the address that names both."""
+    first = await ScriptedDiscovery().start()
+    second = await ScriptedDiscovery().start()
     return first, second, f"{first.address},{second.address}"
 
 
-async def followed(**how: Any) -> tuple[ClientHarness, ScriptedCall, ScriptedDiscovery, ScriptedDiscovery]:
-    """A watch at the first of two replicas that has told list 8."""
-    first, second, both = await pair()
-    actor = ClientHarness(both, **how)
-    actor.ask("watch")
+async def watch_first_of_two(
+    **options: Any,
+) -> tuple[ClientHarness, ScriptedCall, ScriptedDiscovery, ScriptedDiscovery]:
+    """A client whose watch at the first of two replicas has delivered list 8."""
+    first, second, both = await start_pair()
+    harness = ClientHarness(both, **options)
+    harness.send(Command.WATCH)
     watch = await first.calls.get()
-    watch.line(8, True, "a", "b")
-    assert await actor.listing() == (8, True, {"a", "b"})
-    return actor, watch, first, second
+    watch.send_list(8, True, "a", "b")
+    assert await harness.next_list() == (8, True, {"a", "b"})
+    return harness, watch, first, second
 
 
 @pytest.fixture
-def no_beat(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A watch counts as one that has held from its first list on."""
+def watch_lasts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A watch counts as one that has lasted from its first list on."""
     monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 0.0)
 
 
-@pytest.mark.usefixtures("no_beat")
-def test_a_watch_that_ends_goes_on_at_the_twin_at_once_and_nothing_is_anew() -> None:
+@pytest.mark.usefixtures("watch_lasts_at_once")
+def test_watch_that_ends_continues_at_next_replica_without_restart() -> None:
     async def work() -> None:
-        actor, watch, first, second = await followed()
-        watch.line(9, False, "c")
-        assert await actor.listing() == (9, False, {"c"})
-        watch.writer.transport.abort()
-        next_one = await second.calls.get()
-        assert next_one.target.endswith("follow=1&since=9")
-        assert actor.posted.empty()  # no failure: the policy has heard of nothing
-        next_one.line(10, False, "d")
-        found = await actor.posted.get()
-        assert (
-            isinstance(found, EndpointList)
-            and found.generation == 10
-            and not found.generations_restarted
-            and not found.complete
-        )
-        next_one.writer.transport.abort()  # and back, with what the twin has told
-        again = await first.calls.get()
-        assert again.target.endswith("follow=1&since=10")
+        harness, watch, first, second = await watch_first_of_two()
+        watch.send_list(9, False, "c")
+        assert await harness.next_list() == (9, False, {"c"})
+        watch.reset()
+        next_watch = await second.calls.get()
+        assert next_watch.target.endswith("follow=1&since=9")
+        assert harness.posted.empty()  # no failure: the policy was notified of nothing
+        next_watch.send_list(10, False, "d")
+        endpoints = await harness.posted.get()
+        assert isinstance(endpoints, EndpointList)
+        assert endpoints.generation == 10
+        assert not endpoints.generations_restarted
+        assert not endpoints.complete
+        next_watch.reset()  # and back, with what the second replica has delivered
+        third_watch = await first.calls.get()
+        assert third_watch.target.endswith("follow=1&since=10")
 
     run(work)
 
 
-@pytest.mark.usefixtures("no_beat")
-def test_once_round_the_replicas_and_then_it_has_failed() -> None:
+@pytest.mark.usefixtures("watch_lasts_at_once")
+def test_watch_fails_once_every_replica_was_called() -> None:
     async def work() -> None:
-        actor, watch, first, second = await followed()
-        watch.writer.transport.abort()
-        (await second.calls.get()).answer(b"", "503 Busy")
-        assert isinstance(await actor.posted.get(), EndpointListFailed)
-        assert first.calls.empty() and second.calls.empty()
-        actor.ask("watch")  # the policy asks again, when it likes to
-        again = await first.calls.get()
-        assert again.target.endswith("since=8")
-        again.answer(b"", "503 Busy")
-        third = await second.calls.get()
-        third.line(9, False, "c")
-        assert await actor.listing() == (9, False, {"c"})
+        harness, watch, first, second = await watch_first_of_two()
+        watch.reset()
+        (await second.calls.get()).respond(b"", "503 Busy")
+        assert await harness.next_is_failure()
+        assert first.calls.empty()
+        assert second.calls.empty()
+        harness.send(Command.WATCH)  # the policy asks again, when it decides to
+        second_watch = await first.calls.get()
+        assert second_watch.target.endswith("since=8")
+        second_watch.respond(b"", "503 Busy")
+        third_watch = await second.calls.get()
+        third_watch.send_list(9, False, "c")
+        assert await harness.next_list() == (9, False, {"c"})
 
     run(work)
 
 
-def test_replicas_that_end_each_watch_at_once_are_asked_once_each() -> None:
-    """Each told a list, and ended: without a bound the planner would go round and round."""
+def test_replicas_that_end_each_watch_at_once_are_called_once_each() -> None:
+    """Each delivered a list, and ended: without a bound the planner would go round and round."""
 
     async def work() -> None:
-        actor, watch, first, second = await followed()
-        watch.writer.transport.abort()
-        next_one = await second.calls.get()
-        next_one.line(8, False)
-        assert await actor.listing() == (8, False, set())
-        next_one.writer.transport.abort()
-        assert isinstance(await actor.posted.get(), EndpointListFailed)
-        assert first.calls.empty() and second.calls.empty()
+        harness, watch, first, second = await watch_first_of_two()
+        watch.reset()
+        next_watch = await second.calls.get()
+        next_watch.send_list(8, False)
+        assert await harness.next_list() == (8, False, set())
+        next_watch.reset()
+        assert await harness.next_is_failure()
+        assert first.calls.empty()
+        assert second.calls.empty()
 
     run(work)
 
 
-def test_a_first_replica_that_is_down_costs_nothing() -> None:
+def test_first_replica_that_is_down_costs_nothing() -> None:
     async def work() -> None:
         second = await ScriptedDiscovery().start()
-        actor = ClientHarness(f"127.0.0.1:1,{second.address}")
-        actor.ask("watch")
-        (await second.calls.get()).line(3, True, "a")
-        assert await actor.listing() == (3, True, {"a"})
-        actor.ask("fetch")
-        (await second.calls.get()).answer(document(4, True, "b"))
-        assert await actor.listing() == (4, True, {"b"})
+        harness = ClientHarness(f"127.0.0.1:1,{second.address}")
+        harness.send(Command.WATCH)
+        (await second.calls.get()).send_list(3, True, "a")
+        assert await harness.next_list() == (3, True, {"a"})
+        harness.send(Command.FETCH)
+        (await second.calls.get()).respond(document(4, True, "b"))
+        assert await harness.next_list() == (4, True, {"b"})
 
     run(work)
 
 
-def test_a_whole_list_of_a_replica_that_is_behind_is_no_answer_while_another_has_one() -> None:
+def test_fetch_prefers_replica_that_is_not_behind() -> None:
     async def work() -> None:
-        actor, _, first, second = await followed()
-        actor.ask("stop")
-        actor.ask("fetch")
-        (await first.calls.get()).answer(document(7, True, "a"))
-        (await second.calls.get()).answer(document(9, True, "a", "c"))
-        assert await actor.listing() == (9, True, {"a", "c"})
-        actor.ask("fetch")
-        (await first.calls.get()).answer(document(6, True, "a"))
-        (await second.calls.get()).answer(document(7, True, "b"))
-        assert await actor.listing() == (7, True, {"b"})  # all are behind: the newest of them
+        harness, _, first, second = await watch_first_of_two()
+        harness.send(Command.STOP)
+        harness.send(Command.FETCH)
+        (await first.calls.get()).respond(document(7, True, "a"))
+        (await second.calls.get()).respond(document(9, True, "a", "c"))
+        assert await harness.next_list() == (9, True, {"a", "c"})
+        harness.send(Command.FETCH)
+        (await first.calls.get()).respond(document(6, True, "a"))
+        (await second.calls.get()).respond(document(7, True, "b"))
+        assert await harness.next_list() == (7, True, {"b"})  # all are behind: the newest of them
 
     run(work)
 
 
-def test_a_fetch_fails_once_all_replicas_have() -> None:
+def test_fetch_fails_once_all_replicas_have() -> None:
     async def work() -> None:
-        first, second, both = await pair()
-        actor = ClientHarness(both)
-        actor.ask("fetch")
-        (await first.calls.get()).answer(b"", "503 Busy")
-        (await second.calls.get()).answer(b"", "503 Busy")
-        assert isinstance(await actor.posted.get(), EndpointListFailed) and actor.posted.empty()
+        first, second, both = await start_pair()
+        harness = ClientHarness(both)
+        harness.send(Command.FETCH)
+        (await first.calls.get()).respond(b"", "503 Busy")
+        (await second.calls.get()).respond(b"", "503 Busy")
+        assert await harness.next_is_failure()
+        assert harness.posted.empty()
 
     run(work)
 
 
-def test_a_move_to_replicas_is_a_move() -> None:
+def test_change_to_replicated_address_restarts_generations() -> None:
     async def work() -> None:
         old = await ScriptedDiscovery().start()
-        actor, _ = await watching(old, 8, "a")
-        first, second, both = await pair()
-        actor.ask(wire.Move(both))
-        (await first.calls.get()).answer(b"", "503 Busy")
-        new = await second.calls.get()
-        assert "since" not in new.target
-        new.line(3, True, "b")
-        new.tell(b"\n")  # its numbers are others: nothing is behind
-        found = await actor.posted.get()
-        assert isinstance(found, EndpointList) and found.generations_restarted and found.generation == 3
+        harness, _ = await start_watching(old, 8, "a")
+        first, second, both = await start_pair()
+        harness.send(ChangeAddress(both))
+        (await first.calls.get()).respond(b"", "503 Busy")
+        new_watch = await second.calls.get()
+        assert "since" not in new_watch.target
+        new_watch.send_list(3, True, "b")
+        new_watch.send_heartbeat()  # its generations are others: nothing is behind
+        endpoints = await harness.posted.get()
+        assert isinstance(endpoints, EndpointList)
+        assert endpoints.generations_restarted
+        assert endpoints.generation == 3
 
     run(work)
 
 
-def test_one_address_is_asked_once_whatever_happens() -> None:
+def test_single_address_is_called_once_whatever_happens() -> None:
     """As before there were replicas."""
 
     async def work() -> None:
-        first = await ScriptedDiscovery().start()
-        actor, watch = await watching(first, 8, "a")
-        watch.writer.transport.abort()
-        assert isinstance(await actor.posted.get(), EndpointListFailed) and first.calls.empty()
-        actor.ask("watch")
-        (await first.calls.get()).answer(b"", "503 Busy")
-        assert isinstance(await actor.posted.get(), EndpointListFailed) and first.calls.empty()
-        actor.ask("fetch")
-        (await first.calls.get()).answer(b"", "503 Busy")
-        assert isinstance(await actor.posted.get(), EndpointListFailed) and first.calls.empty()
+        discovery = await ScriptedDiscovery().start()
+        harness, watch = await start_watching(discovery, 8, "a")
+        watch.reset()
+        assert await harness.next_is_failure()
+        assert discovery.calls.empty()
+        harness.send(Command.WATCH)
+        (await discovery.calls.get()).respond(b"", "503 Busy")
+        assert await harness.next_is_failure()
+        assert discovery.calls.empty()
+        harness.send(Command.FETCH)
+        (await discovery.calls.get()).respond(b"", "503 Busy")
+        assert await harness.next_is_failure()
+        assert discovery.calls.empty()
 
     run(work)
 
 
-def test_empty_lines_are_heard_once_a_watch_has_told_its_list() -> None:
-    """A registry that beats before it tells would vouch for what another watch told."""
+def test_heartbeats_count_once_watch_has_delivered_its_list() -> None:
+    """A service whose heartbeat precedes its list would vouch for what another watch delivered."""
 
     async def work() -> None:
-        first = await ScriptedDiscovery().start()
-        heard = asyncio.Event()
-        actor = ClientHarness(first.address, heard=heard.set)
-        actor.ask("watch")
-        watch = await first.calls.get()
-        watch.tell(b"\n\n")
-        watch.line(8, True, "a")
-        assert await actor.listing() == (8, True, {"a"}) and not heard.is_set()
-        watch.tell(b"\n")
-        await heard.wait()
+        discovery = await ScriptedDiscovery().start()
+        heartbeat = asyncio.Event()
+        harness = ClientHarness(discovery.address, on_heartbeat=heartbeat.set)
+        harness.send(Command.WATCH)
+        watch = await discovery.calls.get()
+        watch.send(b"\n\n")
+        watch.send_list(8, True, "a")
+        assert await harness.next_list() == (8, True, {"a"})
+        assert not heartbeat.is_set()
+        watch.send_heartbeat()
+        await heartbeat.wait()
 
     run(work)
 
 
-def test_the_configuration_takes_replicas_and_names_one_that_is_wrong() -> None:
-    found = config("127.0.0.1:1,127.0.0.2:2")
-    assert read_config(found).addresses.discovery == "127.0.0.1:1,127.0.0.2:2"
+def test_configuration_accepts_replicas_and_names_a_wrong_one() -> None:
+    document_read = config("127.0.0.1:1,127.0.0.2:2")
+    assert read_config(document_read).addresses.discovery == "127.0.0.1:1,127.0.0.2:2"
     for wrong in ("127.0.0.1:1,", ",127.0.0.1:1", "127.0.0.1:1,nowhere"):
         with pytest.raises(ValueError, match="discovery is no address"):
             read_config(config(wrong))
