--- a/stackwheel/cells/__init__.py
+++ b/stackwheel/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Cells: which planners share which part of the registry's list, decided without I/O from a plan file."""
+"""Cells: which planners share which part of the endpoint list, computed without I/O from a plan file."""
--- a/stackwheel/cells/assignment.py
+++ b/stackwheel/cells/assignment.py
@@ -21,78 +21,94 @@
 
 
 def service_of(instance_name: str) -> str:
-    """The service of a server: its name up to the last `-`; a name without one, or that begins with its only one,
-    is its own service."""
+    """The service of a server: its name up to the last `-`.
+
+    A name without a `-`, or with a single one at its start, is its own service.
+    """
     service, _, _ = instance_name.rpartition("-")
     return service or instance_name
 
 
 def part_of(instance_name: str, parts: int) -> int:
-    """The part, from 0 to `parts` - 1, that a server belongs to; O(parts). ValueError over PARTS_MOST parts."""
+    """The part, from 0 to `parts` - 1, that a server belongs to; O(parts).
+
+    Raises:
+        ValueError: `parts` is not between 1 and MAX_PARTS.
+    """
     if parts == 1:
         return 0
-    if not 1 <= parts <= MAX_PARTS:
-        raise ValueError(f"{parts} parts, 1 to {MAX_PARTS} are possible")
-    key = _bytes(instance_name)
+    _check_part_count(parts)
+    key = _hash_key(instance_name)
     scores = [xxh3_64_intdigest(key, seed) for seed in SERVER_SEEDS[:parts]]
     return scores.index(max(scores))
 
 
-def planner_parts(planner_names: Iterable[str], parts: int) -> dict[str, int]:
+def assign_planners(planner_names: Iterable[str], parts: int) -> dict[str, int]:
     """The part of each planner of a service, so that no part has more than one planner more than another.
 
-    Each planner, in the order of its hash, takes the part that it scores highest of those with room (rendezvous
-    hashing with bounded loads). It needs all names, unlike `part_of`, because few planners hashed one by one leave
-    parts without any: of 6 a part on average, one part in 400. Equal names count once.
-    ValueError over PARTS_MOST parts.
+    Each planner, in the order of its hash, takes the part that it scores highest of those with capacity left
+    (rendezvous hashing with bounded loads). It needs all names, unlike `part_of`, because few planners hashed one by
+    one leave parts without any: of 6 a part on average, one part in 400. Equal names count once.
+
+    Raises:
+        ValueError: `parts` is not between 1 and MAX_PARTS.
     """
-    if not 1 <= parts <= MAX_PARTS:
-        raise ValueError(f"{parts} parts, 1 to {MAX_PARTS} are possible")
-    keys = {name: _bytes(name) for name in planner_names}
+    _check_part_count(parts)
+    keys = {name: _hash_key(name) for name in planner_names}
     order = sorted(keys, key=lambda name: (xxh3_64_intdigest(keys[name], ORDER_SEED), name))
-    least, fuller = divmod(len(order), parts)  # `fuller` parts get one planner more
-    held = [0] * parts
-    found: dict[str, int] = {}
+    base_count, larger_parts_left = divmod(len(order), parts)  # that many parts get one planner more than the base
+    planner_counts = [0] * parts
+    assigned: dict[str, int] = {}
     for name in order:
-        open_parts = [part for part in range(parts) if held[part] < least + (fuller > 0)]
+        limit = base_count + (larger_parts_left > 0)
+        open_parts = [part for part in range(parts) if planner_counts[part] < limit]
         part = max(open_parts, key=lambda part: xxh3_64_intdigest(keys[name], PLANNER_SEEDS[part]))
-        held[part] += 1
-        fuller -= held[part] > least
-        found[name] = part
-    return found
+        planner_counts[part] += 1
+        larger_parts_left -= planner_counts[part] > base_count
+        assigned[name] = part
+    return assigned
+
+
+def _check_part_count(parts: int) -> None:
+    if not 1 <= parts <= MAX_PARTS:
+        raise ValueError(f"{parts} parts, 1 to {MAX_PARTS} are possible")
 
 
-def _bytes(name: str) -> bytes:
+def _hash_key(name: str) -> bytes:
     return name.encode("utf-8", "surrogatepass")  # JSON may hold half of a pair; a name is hashed whatever it is
 
 
-def replicas(cell_name: str, relays: Iterable[Relay], count: int = REPLICAS) -> tuple[Relay, ...]:
+def relays_for_cell(cell_name: str, relays: Iterable[Relay], count: int = REPLICAS) -> tuple[Relay, ...]:
     """The `count` relays that serve a cell, the first choice first; the order of `relays` doesn't matter."""
-
-    key = _bytes(cell_name)
+    key = _hash_key(cell_name)
 
     def score(relay: Relay) -> tuple[int, str]:
-        return xxh3_64_intdigest(key, xxh3_64_intdigest(_bytes(relay.name))), relay.name
+        return xxh3_64_intdigest(key, xxh3_64_intdigest(_hash_key(relay.name))), relay.name
 
     return tuple(sorted(relays, key=score, reverse=True)[:count])
 
 
-def addresses(plan: Plan, cell: Cell, planner_name: str = "") -> str:
+def discovery_addresses(plan: Plan, cell: Cell, planner_name: str = "") -> str:
     """What a planner of a cell is given as its discovery: "host:port,host:port", the relay to try first first.
 
     Which replica is first follows from the planner's name, so that a cell's planners spread over both.
     """
-    found = replicas(cell.name, plan.relays)
-    first = xxh3_64_intdigest(_bytes(planner_name), ORDER_SEED) % len(found)
-    return ",".join(f"{relay.host}:{cell.port}" for relay in found[first:] + found[:first])
+    replicas = relays_for_cell(cell.name, plan.relays)
+    first = xxh3_64_intdigest(_hash_key(planner_name), ORDER_SEED) % len(replicas)
+    return ",".join(f"{relay.host}:{cell.port}" for relay in replicas[first:] + replicas[:first])
 
 
 class CellIndex:
-    """The cells of a valid plan by service and region. It keeps one entry a cell and one a zone."""
+    """The cells of a valid plan by service and region, with one entry a cell and one a zone.
+
+    Attributes:
+        regions: the region of each zone.
+        groups: the cells of each service and region, in the order of their parts; region None means all regions.
+    """
 
     def __init__(self, plan: Plan) -> None:
         self.regions = plan.regions
-        self.groups: dict[tuple[str, str | None], Sequence[Cell]] = {}  # parts in order; region None: all regions
+        self.groups: dict[tuple[str, str | None], Sequence[Cell]] = {}
         collected: defaultdict[tuple[str, str | None], list[Cell]] = defaultdict(list)
         for cell in plan.cells:
             for region in cell.regions or (None,):
@@ -101,8 +117,8 @@
             self.groups[key] = tuple(sorted(group, key=lambda cell: cell.part))
 
     def cell_of(self, instance_name: str, zone: str) -> Cell | None:
-        """The cell that holds a server, or None where the plan has none; O(parts)."""
-        group = self._group(service_of(instance_name), zone)
+        """The cell of a server, or None where the plan has none; O(parts)."""
+        group = self._cells_of(service_of(instance_name), zone)
         return group[part_of(instance_name, len(group))] if group else None
 
     def cells_of_planners(self, planner_names: Iterable[str], service: str, region: str | None) -> dict[str, Cell]:
@@ -113,8 +129,8 @@
         group = self.groups.get((service, None)) or self.groups.get((service, region), ())
         if not group:
             return {}
-        return {name: group[part] for name, part in planner_parts(planner_names, len(group)).items()}
+        return {name: group[part] for name, part in assign_planners(planner_names, len(group)).items()}
 
-    def _group(self, service: str, zone: str) -> Sequence[Cell]:
-        found = self.groups.get((service, None))  # of all regions: also of a zone that the plan doesn't know
-        return found or self.groups.get((service, self.regions.get(zone)), ())
+    def _cells_of(self, service: str, zone: str) -> Sequence[Cell]:
+        all_regions = self.groups.get((service, None))  # these also cover a zone that the plan doesn't know
+        return all_regions or self.groups.get((service, self.regions.get(zone)), ())
--- a/stackwheel/cells/check.py
+++ b/stackwheel/cells/check.py
@@ -1,5 +1,4 @@
-"""What is wrong between a valid plan and the fleet it is for: servers and planners without a cell, cells that are
-empty or over their limits."""
+"""Checks a valid plan against its fleet: servers and planners without a cell, cells that are empty or over a limit."""
 
 from __future__ import annotations
 
@@ -14,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server as the registry lists it, as far as cells are concerned."""
+    """A server of the endpoint list, as far as cells are concerned."""
 
     name: str
     zone: str
@@ -30,7 +29,7 @@
 
 
 class Document(StrEnum):
-    """Where the cause of a finding stands."""
+    """The document that a finding is about."""
 
     PLAN = "plan"
     SERVERS = "servers"
@@ -46,68 +45,83 @@
     reason: str
 
 
-def check_against(
+@dataclass(frozen=True, slots=True)
+class _Census:
+    """What one document holds for the cells: the faults found in it and the members of each cell by name."""
+
+    findings: list[Finding]
+    cell_sizes: Counter[str]
+
+
+def check_plan_against_fleet(
     plan: Plan, servers: Sequence[ListedServer], planners: Sequence[NamedPlanner] | None = None
 ) -> tuple[Finding, ...]:
     """All faults of a valid plan for these servers, and for these planners where they are given."""
     index = CellIndex(plan)
-    found, held = _check_servers(plan, index, servers)
-    found += _check_cells(plan, held, "server", plan.limits.servers)
+    server_census = _check_servers(plan, index, servers)
+    findings = server_census.findings
+    findings += _check_cell_sizes(plan, server_census.cell_sizes, "server", plan.limits.servers)
     if planners is not None:
-        faults, planned = _check_planners(index, planners)
-        found += faults + _check_cells(plan, planned, "planner", plan.limits.planners)
-    return tuple(found)
-
-
-def _check_servers(plan: Plan, index: CellIndex, servers: Iterable[ListedServer]) -> tuple[list[Finding], Counter[str]]:
-    found: list[Finding] = []
-    held: Counter[str] = Counter()
-    seen: dict[str, int] = {}
-    for number, server in enumerate(servers):
-        place = f"instances[{number}]"
-        if server.name in seen:
-            found.append(Finding(Document.SERVERS, place, f"{server.name!r} is also instances[{seen[server.name]}]"))
+        planner_census = _check_planners(index, planners)
+        findings += planner_census.findings
+        findings += _check_cell_sizes(plan, planner_census.cell_sizes, "planner", plan.limits.planners)
+    return tuple(findings)
+
+
+def _check_servers(plan: Plan, index: CellIndex, servers: Iterable[ListedServer]) -> _Census:
+    findings: list[Finding] = []
+    cell_sizes: Counter[str] = Counter()
+    first_positions: dict[str, int] = {}
+    for position, server in enumerate(servers):
+        place = f"instances[{position}]"
+        if server.name in first_positions:
+            reason = f"{server.name!r} is also instances[{first_positions[server.name]}]"
+            findings.append(Finding(Document.SERVERS, place, reason))
             continue
-        seen[server.name] = number
+        first_positions[server.name] = position
         if server.zone not in plan.regions:
-            found.append(Finding(Document.SERVERS, place, f"{server.name!r} is in unknown zone {server.zone!r}"))
+            reason = f"{server.name!r} is in unknown zone {server.zone!r}"
+            findings.append(Finding(Document.SERVERS, place, reason))
         cell = index.cell_of(server.name, server.zone)
         if cell is not None:
-            held[cell.name] += 1
+            cell_sizes[cell.name] += 1
         elif server.zone in plan.regions:
-            found.append(Finding(Document.SERVERS, place, f"no cell holds {server.name!r} in zone {server.zone!r}"))
-    return found, held
-
-
-def _check_cells(plan: Plan, held: Counter[str], what: str, most: int) -> list[Finding]:
-    found: list[Finding] = []
-    for number, cell in enumerate(plan.cells):
-        count = held[cell.name]
-        if count == 0:
-            found.append(Finding(Document.PLAN, f"cells[{number}]", f"cell {cell.name!r} has no {what}"))
-        elif count > most:
-            reason = f"cell {cell.name!r} has {count} {what}s, at most {most} are allowed"
-            found.append(Finding(Document.PLAN, f"cells[{number}]", reason))
-    return found
-
-
-def _check_planners(index: CellIndex, planners: Sequence[NamedPlanner]) -> tuple[list[Finding], Counter[str]]:
-    found: list[Finding] = []
-    held: Counter[str] = Counter()
-    groups: defaultdict[tuple[str, str | None], list[str]] = defaultdict(list)
-    seen: dict[str, int] = {}
-    for number, planner in enumerate(planners):
-        place = f"planners[{number}]"
-        if planner.name in seen:
-            found.append(Finding(Document.PLANNERS, place, f"{planner.name!r} is also planners[{seen[planner.name]}]"))
+            reason = f"no cell holds {server.name!r} in zone {server.zone!r}"
+            findings.append(Finding(Document.SERVERS, place, reason))
+    return _Census(findings, cell_sizes)
+
+
+def _check_cell_sizes(plan: Plan, cell_sizes: Counter[str], member: str, limit: int) -> list[Finding]:
+    findings: list[Finding] = []
+    for position, cell in enumerate(plan.cells):
+        size = cell_sizes[cell.name]
+        place = f"cells[{position}]"
+        if size == 0:
+            findings.append(Finding(Document.PLAN, place, f"cell {cell.name!r} has no {member}"))
+        elif size > limit:
+            reason = f"cell {cell.name!r} has {size} {member}s, at most {limit} are allowed"
+            findings.append(Finding(Document.PLAN, place, reason))
+    return findings
+
+
+def _check_planners(index: CellIndex, planners: Sequence[NamedPlanner]) -> _Census:
+    findings: list[Finding] = []
+    names_by_group: defaultdict[tuple[str, str | None], list[str]] = defaultdict(list)
+    first_positions: dict[str, int] = {}
+    for position, planner in enumerate(planners):
+        place = f"planners[{position}]"
+        if planner.name in first_positions:
+            reason = f"{planner.name!r} is also planners[{first_positions[planner.name]}]"
+            findings.append(Finding(Document.PLANNERS, place, reason))
             continue
-        seen[planner.name] = number
+        first_positions[planner.name] = position
         region = None if (planner.service, None) in index.groups else planner.region
         if (planner.service, region) in index.groups:
-            groups[planner.service, region].append(planner.name)
+            names_by_group[planner.service, region].append(planner.name)
         else:
             reason = f"no cell of service {planner.service!r} in region {planner.region!r} for {planner.name!r}"
-            found.append(Finding(Document.PLANNERS, place, reason))
-    for (service, region), names in groups.items():
-        held.update(cell.name for cell in index.cells_of_planners(names, service, region).values())
-    return found, held
+            findings.append(Finding(Document.PLANNERS, place, reason))
+    cell_sizes: Counter[str] = Counter()
+    for (service, region), names in names_by_group.items():
+        cell_sizes.update(cell.name for cell in index.cells_of_planners(names, service, region).values())
+    return _Census(findings, cell_sizes)
--- a/stackwheel/cli/cells.py
+++ b/stackwheel/cli/cells.py
@@ -10,22 +10,13 @@
 from rich.console import Console
 from rich.table import Table
 
-from stackwheel.cells.assignment import addresses, replicas
-from stackwheel.cells.check import Document, ListedServer, check_against
-from stackwheel.cells.design import FIRST_PORT, demand_of, design
-from stackwheel.cells.movement import Load, Movement, Spread, movement, spread
-from stackwheel.cells.plan import (
-    LIMIT_MOST,
-    PORT_MOST,
-    Cell,
-    CellPlanError,
-    Limits,
-    Plan,
-    Relay,
-    load_plan,
-    load_regions,
-    save_plan,
-)
+from stackwheel.cells.assignment import discovery_addresses, relays_for_cell
+from stackwheel.cells.check import Document, ListedServer, check_plan_against_fleet
+from stackwheel.cells.demand import demand_from_servers
+from stackwheel.cells.design import FIRST_PORT, design
+from stackwheel.cells.movement import LoadRange, Movement, Spread, compare_plans, measure_spread
+from stackwheel.cells.plan import MAX_CELL_LIMIT, MAX_PORT, Cell, CellPlanError, Limits, Plan, Relay
+from stackwheel.cells.plan_file import load_plan, load_regions, save_plan
 from stackwheel.interface import Availability
 
 file_path = click.Path(dir_okay=False, path_type=Path)
@@ -57,9 +48,13 @@
 @click.option("--relay", "relays", type=RelayOption(), multiple=True, required=True, help="At least two.")
 @click.option("--regions", "regions_file", type=file_path, required=True, help="A JSON object: zone to region.")
 @click.option("--former", type=file_path, help="The plan in force; as little as possible moves from it.")
-@click.option("--most-servers", type=click.IntRange(1, LIMIT_MOST), help="Of a cell; else the former plan's, or 512.")
-@click.option("--most-planners", type=click.IntRange(1, LIMIT_MOST), help="Of a cell; else the former plan's, or 16.")
-@click.option("--first-port", type=click.IntRange(1, PORT_MOST), default=FIRST_PORT, show_default=True)
+@click.option(
+    "--most-servers", type=click.IntRange(1, MAX_CELL_LIMIT), help="Of a cell; else the former plan's, or 512."
+)
+@click.option(
+    "--most-planners", type=click.IntRange(1, MAX_CELL_LIMIT), help="Of a cell; else the former plan's, or 16."
+)
+@click.option("--first-port", type=click.IntRange(1, MAX_PORT), default=FIRST_PORT, show_default=True)
 @click.option("--out", type=file_path, required=True, help="Replaced whole, or left as it is.")
 @as_json_flag
 def plan(
@@ -81,15 +76,19 @@
         old = load_plan(former) if former is not None else None
         kept = old.limits if old is not None else Limits()
         limits = Limits(most_servers or kept.servers, most_planners or kept.planners)
-        demand = demand_of(servers, regions, planners, str(servers_file))
+        demand = demand_from_servers(servers, regions, planners, str(servers_file))
         made = design(demand, limits, regions, relays, old, first_port)
         save_plan(made, out)
     except CellPlanError as error:
         raise click.ClickException(str(error)) from None
-    load = spread(made, servers)
-    moved = movement(old, made, servers) if old is not None else None
+    load = measure_spread(made, servers)
+    moved = compare_plans(old, made, servers) if old is not None else None
     if as_json:
-        figures = {"cells": len(made.cells), "spread": asdict(load), "movement": asdict(moved) if moved else None}
+        figures = {
+            "cells": len(made.cells),
+            "spread": spread_figures(load),
+            "movement": asdict(moved) if moved else None,
+        }
         click.echo(json.dumps(figures))
     else:
         Console().print(figures_table(made, load, moved))
@@ -103,7 +102,7 @@
     """Whether a plan can hold, and whether it fits a list; exit 1 where it doesn't fit."""
     found = open_plan(path)
     servers = load_servers(servers_file) if servers_file is not None else []
-    findings = check_against(found, servers) if servers_file is not None else ()
+    findings = check_plan_against_fleet(found, servers) if servers_file is not None else ()
     documents = {Document.PLAN: str(path), Document.SERVERS: str(servers_file)}
     lines = [f"{documents[finding.document]}: {finding.place}: {finding.reason}" for finding in findings]
     if as_json:
@@ -131,12 +130,12 @@
         return
     table = Table("cell", "service", "regions", "part", "port", "relays", box=None)
     for cell in chosen:
-        names = ", ".join(relay.name for relay in replicas(cell.name, found.relays))
+        names = ", ".join(relay.name for relay in relays_for_cell(cell.name, found.relays))
         regions = ", ".join(cell.regions) or "all"
         table.add_row(cell.name, cell.service, regions, f"{cell.part} of {cell.parts}", str(cell.port), names)
     Console().print(table)
     if name is not None:
-        click.echo(f"discovery of its planners: {addresses(found, chosen[0])}, in this or the other order")
+        click.echo(f"discovery of its planners: {discovery_addresses(found, chosen[0])}, in this or the other order")
 
 
 def open_plan(path: Path) -> Plan:
@@ -177,17 +176,34 @@
         "part": cell.part,
         "parts": cell.parts,
         "port": cell.port,
-        "relays": [relay.name for relay in replicas(cell.name, found.relays)],
-        "discovery": addresses(found, cell),
+        "relays": [relay.name for relay in relays_for_cell(cell.name, found.relays)],
+        "discovery": discovery_addresses(found, cell),
     }
 
 
+def spread_figures(load: Spread) -> dict[str, object]:
+    """The spread as the JSON output names its figures."""
+    return {
+        name: None if load_range is None else range_figures(load_range)
+        for name, load_range in (
+            ("servers_by_cell", load.servers_by_cell),
+            ("servers_by_divided_cell", load.servers_by_divided_cell),
+            ("cells_by_relay", load.cells_by_relay),
+            ("servers_by_relay", load.servers_by_relay),
+        )
+    }
+
+
+def range_figures(load_range: LoadRange) -> dict[str, float]:
+    return {"least": load_range.minimum, "mean": load_range.mean, "most": load_range.maximum}
+
+
 def figures_table(made: Plan, load: Spread, moved: Movement | None) -> Table:
     table = Table("figure", "least", "mean", "most", box=None)
 
-    def add(what: str, figures: Load | None) -> None:
+    def add(what: str, figures: LoadRange | None) -> None:
         if figures is not None:
-            table.add_row(what, str(figures.least), f"{figures.mean:.1f}", str(figures.most))
+            table.add_row(what, str(figures.minimum), f"{figures.mean:.1f}", str(figures.maximum))
 
     add(f"servers by cell ({len(made.cells)} cells)", load.servers_by_cell)
     add("servers by cell that is a part", load.servers_by_divided_cell)
--- a/stackwheel/scale/relay_bench.py
+++ b/stackwheel/scale/relay_bench.py
@@ -9,7 +9,8 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from stackwheel.cells.plan import Cell, Limits, Plan, Relay, save_plan
+from stackwheel.cells.plan import Cell, Limits, Plan, Relay
+from stackwheel.cells.plan_file import save_plan
 from stackwheel.scale.accounting import Channel
 from stackwheel.scale.bench import READY_SECONDS, Bench, BenchError, address_of, started
 from stackwheel.scale.points import ZONES, RelayPoint, cell_name
--- a/stackwheel/scale/relays.py
+++ b/stackwheel/scale/relays.py
@@ -8,9 +8,11 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from stackwheel.cells.assignment import CellIndex, addresses, replicas
-from stackwheel.cells.design import Demand, design
-from stackwheel.cells.plan import Cell, CellPlanError, Limits, Plan, Relay, save_plan
+from stackwheel.cells.assignment import CellIndex, discovery_addresses, relays_for_cell
+from stackwheel.cells.demand import Demand
+from stackwheel.cells.design import design
+from stackwheel.cells.plan import Cell, CellPlanError, Limits, Plan, Relay
+from stackwheel.cells.plan_file import save_plan
 from stackwheel.scale.bounds import ScaleError
 from stackwheel.scale.children import Child, Children, Role
 from stackwheel.scale.fleet import DrawnPlanner, DrawnServer, Fleet
@@ -78,7 +80,7 @@
     index = CellIndex(plan)
     cells = cells_of_planners(fleet, index)
     placed = tuple(
-        Placed(number, planner, cells[planner.name].name, addresses(plan, cells[planner.name], planner.name))
+        Placed(number, planner, cells[planner.name].name, discovery_addresses(plan, cells[planner.name], planner.name))
         for number, planner in enumerate(fleet.planners)
     )
 
@@ -114,7 +116,7 @@
         f'relay: {{on: true, name: "{relay.name}", upstream: "{registry}", plan: "{PLAN_FILE}"}}\n', encoding="utf-8"
     )
     child = await children.start_program(Role.RELAY, relay.name, ("relay", "--operators", str(operators)), {})
-    served = next((cell for cell in plan.cells if relay in replicas(cell.name, plan.relays)), None)
+    served = next((cell for cell in plan.cells if relay in relays_for_cell(cell.name, plan.relays)), None)
     while served is not None and child.process.returncode is None:
         answer = await get(f"{relay.host}:{served.port}", PATH, ANSWER_WITHIN, ANSWER_WITHIN)
         if not isinstance(answer, CallFailed):
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -15,8 +15,9 @@
 
 from loguru import logger
 
-from stackwheel.cells.assignment import CellIndex, replicas
-from stackwheel.cells.plan import CellPlanError, Plan, load_plan
+from stackwheel.cells.assignment import CellIndex, relays_for_cell
+from stackwheel.cells.plan import CellPlanError, Plan
+from stackwheel.cells.plan_file import load_plan
 from stackwheel.config_language.load import OperatorsError, load
 from stackwheel.relay.cache import ListingCache
 from stackwheel.service.config import replicated
@@ -91,7 +92,7 @@
         cell = index.cell_of(instance, zone)
         return None if cell is None else cell.name
 
-    served = [cell for cell in plan.cells if relay in replicas(cell.name, plan.relays)]
+    served = [cell for cell in plan.cells if relay in relays_for_cell(cell.name, plan.relays)]
     return Serving(plan, locate, {f"{relay.host}:{cell.port}": cell.name for cell in served})
 
 
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, cast
 
-from stackwheel.cells.assignment import addresses, service_of
-from stackwheel.cells.plan import VERSION, Cell, Limits, Plan, Relay
+from stackwheel.cells.assignment import discovery_addresses, service_of
+from stackwheel.cells.plan import FORMAT_VERSION, Cell, Limits, Plan, Relay
 from stackwheel.interface import Availability
 from stackwheel.rules.violations import Rule
 from stackwheel.service.relay import RelayConfig, RelayEnvironment, RelayService, Serving, serving_of
@@ -119,11 +119,11 @@
     def plan(self) -> Plan:
         relays = tuple(Relay(f"relay-{n}", f"10.5.0.{n + 1}") for n in range(self.world.shape.relays))
         cells = tuple(Cell(name, name, (), 0, 1, port + self.moves) for name, port in PORTS.items())
-        return Plan(VERSION, Limits(), dict.fromkeys(self.world.zones, "region-0"), relays, cells)
+        return Plan(FORMAT_VERSION, Limits(), dict.fromkeys(self.world.zones, "region-0"), relays, cells)
 
     def addresses_of(self, planner: int) -> str:
         plan = self.plan()
-        return addresses(plan, plan.cells[0], f"planner-{planner}")
+        return discovery_addresses(plan, plan.cells[0], f"planner-{planner}")
 
     def part(self) -> Mapping[str, Record]:
         """The cell's part of the registry's list."""
--- a/tests/cells/test_cell_assignment.py
+++ b/tests/cells/test_cell_assignment.py
@@ -1,4 +1,4 @@
-"""Which cell a server belongs to, and which relays serve it: the same everywhere, evenly, moving no more than it must."""
+"""The cell of a server and the relays of a cell: the same everywhere, evenly spread, stable when the fleet changes."""
 
 from __future__ import annotations
 
@@ -10,21 +10,29 @@
 from pathlib import Path
 from random import Random
 
+import generated_fleet
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 from xxhash import xxh3_64_intdigest
 
-from stackwheel.cells.assignment import CellIndex, addresses, part_of, planner_parts, replicas, service_of
+from stackwheel.cells.assignment import (
+    CellIndex,
+    assign_planners,
+    discovery_addresses,
+    part_of,
+    relays_for_cell,
+    service_of,
+)
 from stackwheel.cells.plan import MAX_PARTS, Cell, Limits, Plan
-from tests.cells import fleet
 
 ROOT = Path(__file__).parents[2]
+MODULE_PATH = os.pathsep.join([str(ROOT), str(ROOT / "tests")])
 PLAN = Plan(
     1,
     Limits(),
     {"zone-0": "east", "zone-1": "west"},
-    fleet.relays(3),
+    generated_fleet.relays(3),
     (
         Cell("small", "small", (), 0, 1, 20001),
         Cell("large.east.0", "large", ("east",), 0, 2, 20002),
@@ -49,20 +57,22 @@
     assert index.cell_of("small-1", "zone-1") is PLAN.cells[0]
     assert {index.cell_of(f"large-{n}", "zone-0") for n in range(50)} == set(PLAN.cells[1:3])
     assert index.cell_of("wide-1", "zone-0") is index.cell_of("wide-1", "zone-1") is PLAN.cells[3]
-    assert index.cell_of("large-1", "zone-1") is None and index.cell_of("other-1", "zone-0") is None
+    assert index.cell_of("large-1", "zone-1") is None
+    assert index.cell_of("other-1", "zone-0") is None
 
 
 def test_a_server_in_an_unknown_zone_stays_with_a_cell_of_all_regions() -> None:
     index = CellIndex(PLAN)
     assert index.cell_of("small-1", "nowhere") is PLAN.cells[0]
-    assert index.cell_of("large-1", "nowhere") is None and index.cell_of("wide-1", "nowhere") is None
+    assert index.cell_of("large-1", "nowhere") is None
+    assert index.cell_of("wide-1", "nowhere") is None
 
 
 def test_planners_get_the_cells_of_their_service_and_region() -> None:
     index = CellIndex(PLAN)
     planners = [f"planner-{number}" for number in range(8)]
-    found = index.cells_of_planners(planners, "large", "east")
-    assert Counter(cell.name for cell in found.values()) == {"large.east.0": 4, "large.east.1": 4}
+    cells = index.cells_of_planners(planners, "large", "east")
+    assert Counter(cell.name for cell in cells.values()) == {"large.east.0": 4, "large.east.1": 4}
     assert set(index.cells_of_planners(planners, "small", "west").values()) == {PLAN.cells[0]}
     assert index.cells_of_planners(planners, "large", "west") == {}
 
@@ -74,30 +84,35 @@
     assert xxh3_64_intdigest(b"a" * 300, 7) == 0xC55F688D327B999A
 
 
-def test_assignments_are_as_they_always_were() -> None:
+def test_assignments_do_not_change_between_versions() -> None:
     parts = (2, 7, 100, 1024)
     assert [part_of("billing-5be2a07c", count) for count in parts] == [1, 3, 47, 910]
     assert [part_of("svc-0001-0", count) for count in parts] == [0, 6, 84, 84]
     assert [part_of("grüße-1", count) for count in parts] == [0, 5, 54, 54]
-    assert [relay.name for relay in replicas("svc-0001", fleet.relays())] == ["relay-3", "relay-15"]
-    assert [relay.name for relay in replicas("svc-0002.region-03.1", fleet.relays())] == ["relay-6", "relay-1"]
-    found = planner_parts([f"planner-{number}" for number in range(8)], 3)
-    assert [found[f"planner-{number}"] for number in range(8)] == [1, 2, 1, 0, 2, 0, 0, 1]
+    assert [relay.name for relay in relays_for_cell("svc-0001", generated_fleet.relays())] == ["relay-3", "relay-15"]
+    assert [relay.name for relay in relays_for_cell("svc-0002.region-03.1", generated_fleet.relays())] == [
+        "relay-6",
+        "relay-1",
+    ]
+    planner_parts = assign_planners([f"planner-{number}" for number in range(8)], 3)
+    assert [planner_parts[f"planner-{number}"] for number in range(8)] == [1, 2, 1, 0, 2, 0, 0, 1]
 
 
 PROBE = """
 import json
-from stackwheel.cells.assignment import addresses, part_of, planner_parts, replicas
-from stackwheel.cells.design import demand_of, design
-from stackwheel.cells.plan import Limits, encode_plan
-from tests.cells import fleet
-servers, regions, relays = fleet.servers(4, 3000, 40), fleet.regions(), fleet.relays()
-plan = design(demand_of(servers, regions, 400), Limits(), regions, relays)
+from stackwheel.cells.assignment import assign_planners, discovery_addresses, part_of, relays_for_cell
+from stackwheel.cells.demand import demand_from_servers
+from stackwheel.cells.design import design
+from stackwheel.cells.plan import Limits
+from stackwheel.cells.plan_file import encode_plan
+import generated_fleet
+servers, regions, relays = generated_fleet.servers(4, 3000, 40), generated_fleet.regions(), generated_fleet.relays()
+plan = design(demand_from_servers(servers, regions, 400), Limits(), regions, relays)
 print(json.dumps([
     [part_of(server.name, 9) for server in servers],
-    [[relay.name for relay in replicas(cell.name, set(relays))] for cell in plan.cells],
-    sorted(planner_parts({f"planner-{number}" for number in range(99)}, 7).items()),
-    [addresses(plan, cell, "planner-1") for cell in plan.cells],
+    [[relay.name for relay in relays_for_cell(cell.name, set(relays))] for cell in plan.cells],
+    sorted(assign_planners({f"planner-{number}" for number in range(99)}, 7).items()),
+    [discovery_addresses(plan, cell, "planner-1") for cell in plan.cells],
     encode_plan(plan).decode(),
 ]))
 """
@@ -105,62 +120,68 @@
 
 def test_processes_agree_whatever_their_hash_seed() -> None:
     def run(seed: str) -> list[object]:
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", PROBE],
             cwd=ROOT,
-            env={**os.environ, "PYTHONHASHSEED": seed},
+            env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": MODULE_PATH},
             capture_output=True,
             text=True,
             timeout=60,
             check=True,
         )
-        found = json.loads(done.stdout)
-        assert isinstance(found, list) and len(found) == 5
-        return found
+        assignments = json.loads(completed.stdout)
+        assert isinstance(assignments, list)
+        assert len(assignments) == 5
+        return assignments
 
     assert run("0") == run("1") == run("4711")
 
 
 @given(some_names, st.integers(1, 40))
-def test_one_part_more_takes_servers_only_to_itself(found: set[str], parts: int) -> None:
-    for name in found:
-        before, after = part_of(name, parts), part_of(name, parts + 1)
-        assert 0 <= before < parts and after in (before, parts)
+def test_one_part_more_takes_servers_only_to_itself(drawn_names: set[str], parts: int) -> None:
+    for name in drawn_names:
+        before = part_of(name, parts)
+        after = part_of(name, parts + 1)
+        assert 0 <= before < parts
+        assert after in (before, parts)
 
 
 def test_a_name_with_half_of_a_pair_is_hashed_too() -> None:
-    assert 0 <= part_of("\ud800-1", 5) < 5 and planner_parts(["\ud800"], 1) == {"\ud800": 0}
+    assert 0 <= part_of("\ud800-1", 5) < 5
+    assert assign_planners(["\ud800"], 1) == {"\ud800": 0}
 
 
 @pytest.mark.parametrize("parts", [0, -1, MAX_PARTS + 1])
-def test_parts_out_of_range_are_refused(parts: int) -> None:
+def test_part_counts_out_of_range_are_rejected(parts: int) -> None:
     with pytest.raises(ValueError, match="parts, 1 to 1024"):
         part_of("a", parts)
     with pytest.raises(ValueError, match="parts, 1 to 1024"):
-        planner_parts(["a"], parts)
+        assign_planners(["a"], parts)
 
 
 @pytest.mark.parametrize("parts", [2, 7, 16, 64])
 def test_parts_are_even_and_one_more_moves_its_share(parts: int) -> None:
     """Within five standard deviations of the binomial at 48,000 names."""
-    found = [server.name for server in fleet.servers(7)]
-    count = Counter(part_of(name, parts) for name in found)
-    mean = len(found) / parts
+    server_names = [server.name for server in generated_fleet.servers(7)]
+    count = Counter(part_of(name, parts) for name in server_names)
+    mean = len(server_names) / parts
     assert all(abs(count[part] - mean) < 5 * (mean * (1 - 1 / parts)) ** 0.5 for part in range(parts))
     share = 1 / (parts + 1)
-    moved = sum(part_of(name, parts) != part_of(name, parts + 1) for name in found)
-    assert abs(moved - share * len(found)) < 5 * (len(found) * share * (1 - share)) ** 0.5
+    moved = sum(part_of(name, parts) != part_of(name, parts + 1) for name in server_names)
+    assert abs(moved - share * len(server_names)) < 5 * (len(server_names) * share * (1 - share)) ** 0.5
 
 
 @given(some_names, st.integers(1, 12), st.randoms())
-def test_planners_are_dealt_evenly_in_any_order(found: set[str], parts: int, random: Random) -> None:
-    dealt = planner_parts(found, parts)
-    shuffled = sorted(found)
+def test_planners_are_assigned_evenly_in_any_order(drawn_names: set[str], parts: int, random: Random) -> None:
+    assigned = assign_planners(drawn_names, parts)
+    shuffled = sorted(drawn_names)
     random.shuffle(shuffled)
-    assert planner_parts(shuffled, parts) == dealt and dealt.keys() == found
-    count = Counter(dealt.values())
-    held = [count[part] for part in range(parts)]
-    assert max(held) - min(held) <= 1 and set(count) <= set(range(parts))
+    assert assign_planners(shuffled, parts) == assigned
+    assert assigned.keys() == drawn_names
+    count = Counter(assigned.values())
+    part_sizes = [count[part] for part in range(parts)]
+    assert max(part_sizes) - min(part_sizes) <= 1
+    assert set(count) <= set(range(parts))
 
 
 def test_one_planner_more_moves_few_others() -> None:
@@ -168,35 +189,39 @@
     moves = []
     for draw in range(20):
         planners = [f"planner-{draw}-{number}" for number in range(450)]
-        before, after = planner_parts(planners, 30), planner_parts([*planners, "another"], 30)
+        before = assign_planners(planners, 30)
+        after = assign_planners([*planners, "another"], 30)
         moves.append(sum(before[name] != after[name] for name in planners))
-    assert sum(moves) / len(moves) < 9 and max(moves) < 18
+    assert sum(moves) / len(moves) < 9
+    assert max(moves) < 18
 
 
 @given(names, st.integers(2, 20), st.randoms())
 def test_replicas_are_two_relays_in_any_order_of_relays(cell: str, count: int, random: Random) -> None:
-    relays = list(fleet.relays(count))
-    found = replicas(cell, relays)
+    relays = list(generated_fleet.relays(count))
+    replicas = relays_for_cell(cell, relays)
     random.shuffle(relays)
-    assert replicas(cell, relays) == found and len(set(found)) == 2
-    assert set(replicas(cell, relays, count)) == set(relays)
+    assert relays_for_cell(cell, relays) == replicas
+    assert len(set(replicas)) == 2
+    assert set(relays_for_cell(cell, relays, count)) == set(relays)
 
 
 @given(names, st.integers(3, 20), st.integers(0, 19))
-def test_a_relay_that_goes_or_comes_moves_only_its_own_places(cell: str, count: int, gone: int) -> None:
-    relays = fleet.relays(count)
-    left = [relay for number, relay in enumerate(relays) if number != gone % count]
-    lost = relays[gone % count]
-    with_it, without = replicas(cell, relays), replicas(cell, left)
-    if lost in with_it:
-        assert len(set(with_it) & set(without)) == 1
+def test_adding_or_removing_a_relay_moves_only_its_own_replicas(cell: str, count: int, position: int) -> None:
+    relays = generated_fleet.relays(count)
+    remaining = [relay for number, relay in enumerate(relays) if number != position % count]
+    removed = relays[position % count]
+    before = relays_for_cell(cell, relays)
+    after = relays_for_cell(cell, remaining)
+    if removed in before:
+        assert len(set(before) & set(after)) == 1
     else:
-        assert with_it == without
+        assert before == after
 
 
 def test_addresses_name_both_replicas_and_planners_spread_over_them() -> None:
     cell = PLAN.cells[0]
-    first, second = (f"{relay.host}:20001" for relay in replicas("small", PLAN.relays))
-    found = Counter(addresses(PLAN, cell, f"planner-{number}") for number in range(1000))
-    assert set(found) == {f"{first},{second}", f"{second},{first}"}
-    assert min(found.values()) > 420  # five standard deviations under a half
+    first, second = (f"{relay.host}:20001" for relay in relays_for_cell("small", PLAN.relays))
+    address_counts = Counter(discovery_addresses(PLAN, cell, f"planner-{number}") for number in range(1000))
+    assert set(address_counts) == {f"{first},{second}", f"{second},{first}"}
+    assert min(address_counts.values()) > 420  # five standard deviations under a half
--- a/tests/cells/test_cell_design.py
+++ b/tests/cells/test_cell_design.py
@@ -7,19 +7,22 @@
 from fractions import Fraction
 from random import Random
 
+import generated_fleet
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from stackwheel.cells.assignment import CellIndex, part_of, service_of
-from stackwheel.cells.check import ListedServer, check_against
-from stackwheel.cells.design import OVERFLOW_RISK, Demand, apportion, demand_of, design, parts_needed
-from stackwheel.cells.movement import movement, spread
-from stackwheel.cells.plan import MAX_PARTS, Cell, CellPlanError, Limits, Plan, decode_plan, encode_plan
-from tests.cells import fleet
+from stackwheel.cells.check import ListedServer, check_plan_against_fleet
+from stackwheel.cells.demand import Demand, apportion, demand_from_servers
+from stackwheel.cells.design import design
+from stackwheel.cells.movement import compare_plans, measure_spread
+from stackwheel.cells.part_count import OVERFLOW_RISK, parts_needed
+from stackwheel.cells.plan import MAX_PARTS, Cell, CellPlanError, Limits, Plan
+from stackwheel.cells.plan_file import decode_plan, encode_plan
 
 REGIONS = {"zone-0": "east", "zone-1": "west", "zone-2": "west"}
-RELAYS = fleet.relays(3)
+RELAYS = generated_fleet.relays(3)
 
 
 def plan_for(*demand: Demand, limits: Limits | None = None, former: Plan | None = None) -> Plan:
@@ -44,10 +47,11 @@
 
 def test_a_service_is_cut_over_all_regions_where_one_has_too_few_planners() -> None:
     plan = plan_for(Demand("a", "east", 60, 31), Demand("a", "west", 20, 1))
-    assert shape(plan) == [("a", 2), ("a.1", 2)] and {cell.regions for cell in plan.cells} == {()}
+    assert shape(plan) == [("a", 2), ("a.1", 2)]
+    assert {cell.regions for cell in plan.cells} == {()}
 
 
-def test_a_service_without_planners_for_its_parts_is_refused() -> None:
+def test_a_service_without_planners_for_its_parts_is_rejected() -> None:
     with pytest.raises(CellPlanError, match="service 'a': no planner for 5 servers"):
         plan_for(Demand("a", "east", 5, 0))
     with pytest.raises(CellPlanError, match="service 'a': 1000 servers need 16 parts, 3 planners"):
@@ -55,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("demand", "told"),
+    ("demand", "message"),
     [
         ([Demand("a", "north", 101, 9)], r"plan: cells\[0\].regions\[0\]: unknown region 'north'"),
         ([Demand("a", "east", 1, 1), Demand("a", "east", 1, 1)], r"demand\[1\]: service 'a' in region 'east' twice"),
@@ -65,34 +69,35 @@
         ([Demand("a", "east", 2, 1, ("a-1",))], r"demand\[0\]: 1 names of 2 servers"),
     ],
 )
-def test_demand_that_cannot_be_is_refused(demand: list[Demand], told: str) -> None:
-    with pytest.raises(CellPlanError, match=told):
+def test_invalid_demand_is_rejected(demand: list[Demand], message: str) -> None:
+    with pytest.raises(CellPlanError, match=message):
         plan_for(*demand)
 
 
-def test_ports_that_run_out_are_told() -> None:
+def test_running_out_of_ports_is_reported() -> None:
     demand = [Demand(f"s{number}", "east", 1, 1) for number in range(12)]
     with pytest.raises(CellPlanError, match="no port is left from 65525 to 65535"):
         design(demand, Limits(), REGIONS, RELAYS, first_port=65_525)
     assert len(design(demand, Limits(), REGIONS, RELAYS, first_port=65_524).cells) == 12
 
 
-def test_a_cell_that_another_service_is_called_like_gets_a_name_of_its_own() -> None:
+def test_a_cell_whose_name_another_service_has_gets_a_different_name() -> None:
     plan = plan_for(Demand("a", "east", 60, 8), Demand("a", "west", 60, 8), Demand("a.east.0", "east", 1, 1))
     assert shape(plan) == [("a.east.0", 1), ("a.west.0", 1), ("a.east.0_", 1)]
 
 
 @pytest.mark.parametrize("servers", [101, 150, 400, 1000, 3000])
 def test_the_margin_of_parts_holds_by_the_exact_binomial(servers: int) -> None:
-    """The sum over parts of the exact chance that one is over the limit, in whole numbers."""
+    """The sum over parts of the exact chance that one is over the limit, in exact integer arithmetic."""
     parts = parts_needed(servers, 100)
-    over = sum(math.comb(servers, held) * (parts - 1) ** (servers - held) for held in range(101, servers + 1))
+    over = sum(math.comb(servers, size) * (parts - 1) ** (servers - size) for size in range(101, servers + 1))
     assert parts * Fraction(over, parts**servers) <= Fraction(OVERFLOW_RISK)
     assert parts <= 2 * -(-servers // 100)  # and it isn't bought with twice the parts
 
 
-def test_one_cell_holds_up_to_the_limit_and_no_number_holds_all() -> None:
-    assert parts_needed(0, 1) == parts_needed(512, 512) == 1 and parts_needed(513, 512) == 2
+def test_one_cell_holds_up_to_the_limit_and_part_counts_are_bounded() -> None:
+    assert parts_needed(0, 1) == parts_needed(512, 512) == 1
+    assert parts_needed(513, 512) == 2
     assert parts_needed(10**7, 512) == MAX_PARTS + 1
 
 
@@ -100,18 +105,21 @@
     """Names that all score highest at one of two parts: chance would say that two do."""
     named = [name for name in (f"a-{number}" for number in range(1000)) if part_of(name, 3) == 1][:120]
     plan = plan_for(Demand("a", "east", len(named), 20, tuple(named)))
-    held = Counter(cell.name for cell in (CellIndex(plan).cell_of(name, "zone-0") for name in named) if cell)
-    assert plan.cells[0].parts > 3 and max(held.values()) <= 100 and sum(held.values()) == 120
+    cell_sizes = Counter(cell.name for cell in (CellIndex(plan).cell_of(name, "zone-0") for name in named) if cell)
+    assert plan.cells[0].parts > 3
+    assert max(cell_sizes.values()) <= 100
+    assert sum(cell_sizes.values()) == 120
 
 
-def test_parts_stay_until_half_of_the_demand_is_gone() -> None:
+def test_parts_stay_until_half_of_the_demand_is_removed() -> None:
     def parts(servers: int, former: Plan | None, planners: int = 16) -> Plan:
         return plan_for(Demand("a", "east", servers, planners), Demand("b", "east", 1, 1), former=former)
 
     grown = parts(300, None)
     count = grown.cells[0].parts
     assert count == parts_needed(300, 100) == 5
-    assert parts(200, grown) == grown and parts(160, grown) == grown
+    assert parts(200, grown) == grown
+    assert parts(160, grown) == grown
     assert parts(100, grown).cells[0].parts == parts_needed(200, 100) < count
     assert shape(parts(50, grown, planners=9))[0] == ("a.east.0", 2)  # 18 planners need two
     assert shape(parts(50, grown, planners=8))[0] == ("a", 1)
@@ -119,7 +127,7 @@
     assert parts(300, parts(200, grown)) == grown
 
 
-def test_names_and_ports_stay_and_a_new_port_is_one_that_nobody_had() -> None:
+def test_names_and_ports_stay_and_a_new_port_was_never_used() -> None:
     first = plan_for(Demand("a", "east", 1, 1), Demand("c", "east", 1, 1))
     second = plan_for(Demand("b", "east", 1, 1), Demand("c", "east", 1, 1), former=first)
     assert [(cell.name, cell.port) for cell in second.cells] == [("b", 20_003), ("c", 20_002)]
@@ -149,12 +157,12 @@
 
 @settings(max_examples=60, deadline=None)
 @given(demands, demands, st.randoms())
-def test_plans_fit_stand_still_and_keep_what_they_had(
+def test_plans_fit_their_fleet_and_keep_names_and_ports(
     first: dict[tuple[str, str], tuple[int, int]], second: dict[tuple[str, str], tuple[int, int]], random: Random
 ) -> None:
     demand = named(first)
     plan = plan_for(*demand)
-    assert check_against(plan, servers_of(demand)) == ()
+    assert check_plan_against_fleet(plan, servers_of(demand)) == ()
     assert plan_for(*demand, former=plan) == plan == decode_plan(encode_plan(plan))
     shuffled = demand[:]
     random.shuffle(shuffled)
@@ -162,7 +170,8 @@
 
     later = named(second)
     after = plan_for(*later, former=plan)
-    assert check_against(after, servers_of(later)) == () and plan_for(*later, former=after) == after
+    assert check_plan_against_fleet(after, servers_of(later)) == ()
+    assert plan_for(*later, former=after) == after
     before = {(cell.service, cell.regions, cell.part): (cell.name, cell.port) for cell in plan.cells}
     for cell in after.cells:
         key = cell.service, cell.regions, cell.part
@@ -172,77 +181,89 @@
 
 @settings(max_examples=30, deadline=None)
 @given(demands, st.integers(1, 400))
-def test_a_service_that_comes_moves_nothing(sizes: dict[tuple[str, str], tuple[int, int]], servers: int) -> None:
+def test_adding_a_service_moves_nothing(sizes: dict[tuple[str, str], tuple[int, int]], servers: int) -> None:
     demand = named(sizes)
     plan = plan_for(*demand)
     more = plan_for(*demand, *named({("new", "east"): (servers, 20)}), former=plan)
-    moved = movement(plan, more, servers_of(demand))
+    moved = compare_plans(plan, more, servers_of(demand))
     assert moved.servers_moved == moved.replicas_moved == moved.cells_removed == 0
     assert set(plan.cells) < set(more.cells)
 
 
 @given(st.integers(0, 10_000), st.dictionaries(st.text(max_size=3), st.integers(0, 50), min_size=1), st.integers(0, 3))
-def test_shares_add_up(total: int, weights: dict[str, int], least: int) -> None:
-    total += least * len(weights)
-    shares = apportion(total, weights, least)
+def test_shares_add_up(total: int, weights: dict[str, int], minimum: int) -> None:
+    total += minimum * len(weights)
+    shares = apportion(total, weights, minimum)
     if sum(weights.values()):
-        assert sum(shares.values()) == total and min(shares.values()) >= least
+        assert sum(shares.values()) == total
+        assert min(shares.values()) >= minimum
 
 
 @pytest.mark.parametrize(
-    ("servers", "planners", "told"),
+    ("servers", "planners", "message"),
     [
         ([ListedServer("a-1", "zone-9")], 5, r"instances\[0\].zone: unknown zone 'zone-9' of 'a-1'"),
         ([ListedServer("a-1", "zone-0")] * 2, 5, r"instances\[1\]: 'a-1' is also instances\[0\]"),
         ([ListedServer("a-1", "zone-0"), ListedServer("b-1", "zone-0")], 1, "planners: 1 for 2 services"),
     ],
 )
-def test_servers_that_no_plan_can_hold_are_refused(servers: list[ListedServer], planners: int, told: str) -> None:
-    with pytest.raises(CellPlanError, match=told):
-        demand_of(servers, REGIONS, planners)
+def test_servers_that_no_plan_can_hold_are_rejected(servers: list[ListedServer], planners: int, message: str) -> None:
+    with pytest.raises(CellPlanError, match=message):
+        demand_from_servers(servers, REGIONS, planners)
 
 
-# The whole size: 48,000 servers, 2,100 services, 85 zones in 36 regions, 15,000 planners, 17 relays.
+# The design size: 48,000 servers, 2,100 services, 85 zones in 36 regions, 15,000 planners, 17 relays.
 
 
 @pytest.fixture(scope="module")
 def servers() -> list[ListedServer]:
-    return fleet.servers(33)
+    return generated_fleet.servers(33)
 
 
 @pytest.fixture(scope="module")
-def whole(servers: list[ListedServer]) -> Plan:
+def full_plan(servers: list[ListedServer]) -> Plan:
     return designed(servers)
 
 
 def designed(
-    servers: list[ListedServer], former: Plan | None = None, relays: int = fleet.RELAYS, planners: int = fleet.PLANNERS
+    servers: list[ListedServer],
+    former: Plan | None = None,
+    relays: int = generated_fleet.RELAYS,
+    planners: int = generated_fleet.PLANNERS,
 ) -> Plan:
-    regions = fleet.regions()
-    return design(demand_of(servers, regions, planners), Limits(), regions, fleet.relays(relays), former)
-
-
-def test_at_size_all_servers_are_held_within_the_limits(servers: list[ListedServer], whole: Plan) -> None:
-    assert check_against(whole, servers) == () and designed(servers, whole) == whole
-    load = spread(whole, servers)
-    assert load.servers_by_cell.most <= 512 and load.cells_by_relay.mean == 2 * len(whole.cells) / 17
+    regions = generated_fleet.regions()
+    return design(
+        demand_from_servers(servers, regions, planners), Limits(), regions, generated_fleet.relays(relays), former
+    )
+
+
+def test_at_design_size_every_cell_is_within_its_limits(servers: list[ListedServer], full_plan: Plan) -> None:
+    assert check_plan_against_fleet(full_plan, servers) == ()
+    assert designed(servers, full_plan) == full_plan
+    load = measure_spread(full_plan, servers)
+    assert load.servers_by_cell.maximum <= 512
+    assert load.cells_by_relay.mean == 2 * len(full_plan.cells) / 17
     deviation = (load.cells_by_relay.mean * (1 - 1 / 17)) ** 0.5  # of a binomial; two draws a cell are even less
-    assert load.cells_by_relay.most - load.cells_by_relay.least < 8 * deviation
+    assert load.cells_by_relay.maximum - load.cells_by_relay.minimum < 8 * deviation
 
 
-def test_at_size_a_relay_more_moves_its_own_share_of_replicas(servers: list[ListedServer], whole: Plan) -> None:
-    moved = movement(whole, designed(servers, whole, relays=18), servers)
+def test_at_design_size_one_more_relay_moves_its_own_share_of_replicas(
+    servers: list[ListedServer], full_plan: Plan
+) -> None:
+    moved = compare_plans(full_plan, designed(servers, full_plan, relays=18), servers)
     expected = moved.replicas / 18  # it is one of the two of 2/18 of all cells
-    assert moved.servers_moved == 0 and abs(moved.replicas_moved - expected) < 5 * expected**0.5
+    assert moved.servers_moved == 0
+    assert abs(moved.replicas_moved - expected) < 5 * expected**0.5
 
 
-def test_at_size_a_tenth_more_servers_moves_few(servers: list[ListedServer], whole: Plan) -> None:
+def test_at_design_size_a_tenth_more_servers_moves_few(servers: list[ListedServer], full_plan: Plan) -> None:
     random = Random(5)
     more = [
         ListedServer(f"{service_of(server.name)}-more{n}", server.zone)
         for n, server in enumerate(random.sample(servers, 4800))
     ]
-    after = designed([*servers, *more], whole, planners=16_500)
-    moved = movement(whole, after, servers)
-    assert check_against(after, [*servers, *more]) == ()
-    assert 0 < moved.servers_moved < 0.06 * moved.servers and moved.replicas_moved == 0
+    after = designed([*servers, *more], full_plan, planners=16_500)
+    moved = compare_plans(full_plan, after, servers)
+    assert check_plan_against_fleet(after, [*servers, *more]) == ()
+    assert 0 < moved.servers_moved < 0.06 * moved.servers
+    assert moved.replicas_moved == 0
--- a/tests/cells/test_cell_plan.py
+++ b/tests/cells/test_cell_plan.py
@@ -1,4 +1,4 @@
-"""The plan file: whole or refused in one line that names the place."""
+"""The plan file: read completely or rejected in one line that names the place."""
 
 from __future__ import annotations
 
@@ -9,21 +9,11 @@
 
 import pytest
 
-from stackwheel.cells import plan as cell_plan
-from stackwheel.cells.plan import (
-    Cell,
-    CellPlanError,
-    Limits,
-    Plan,
-    Relay,
-    decode_plan,
-    encode_plan,
-    load_plan,
-    load_regions,
-    save_plan,
-)
+from stackwheel.cells import plan_file
+from stackwheel.cells.plan import Cell, CellPlanError, Limits, Plan, Relay
+from stackwheel.cells.plan_file import decode_plan, encode_plan, load_plan, load_regions, save_plan
 
-SOUND: dict[str, Any] = {
+VALID_PLAN: dict[str, Any] = {
     "version": 1,
     "limits": {"servers": 512, "planners": 16},
     "regions": {"zone-0": "east", "zone-1": "west"},
@@ -37,12 +27,12 @@
 
 
 def changed(*path: str | int, value: object) -> bytes:
-    found = json.loads(json.dumps(SOUND))
-    inner = found
+    document = json.loads(json.dumps(VALID_PLAN))
+    inner = document
     for step in path[:-1]:
         inner = inner[step]
     inner[path[-1]] = value
-    return json.dumps(found).encode()
+    return json.dumps(document).encode()
 
 
 def cell(name: str, service: str, regions: list[str], part: int = 0, parts: int = 1, port: int = 20004) -> object:
@@ -50,26 +40,29 @@
 
 
 def with_cells(*more: object) -> bytes:
-    return changed("cells", value=[*SOUND["cells"], *more])
+    return changed("cells", value=[*VALID_PLAN["cells"], *more])
 
 
 def test_a_plan_is_read_and_written_as_it_is(tmp_path: Path) -> None:
-    found = decode_plan(json.dumps(SOUND).encode())
-    assert found.limits == Limits() and found.relays[1] == Relay("relay-1", "127.0.1.2")
-    assert found.cells[1] == Cell("large.east.0", "large", ("east",), 0, 2, 20002)
+    plan = decode_plan(json.dumps(VALID_PLAN).encode())
+    assert plan.limits == Limits()
+    assert plan.relays[1] == Relay("relay-1", "127.0.1.2")
+    assert plan.cells[1] == Cell("large.east.0", "large", ("east",), 0, 2, 20002)
     path = tmp_path / "plan.json"
-    save_plan(found, path)
-    assert load_plan(path) == found and json.loads(path.read_bytes()) == SOUND
-    assert path.read_bytes() == encode_plan(found) and path.stat().st_mode & 0o777 == 0o644
+    save_plan(plan, path)
+    assert load_plan(path) == plan
+    assert json.loads(path.read_bytes()) == VALID_PLAN
+    assert path.read_bytes() == encode_plan(plan)
+    assert path.stat().st_mode & 0o777 == 0o644
 
 
 BAD = [
     (b"", "plan.json: no JSON: Input data was truncated"),
-    (json.dumps(SOUND).encode()[:-40], "plan.json: no JSON: Input data was truncated"),
+    (json.dumps(VALID_PLAN).encode()[:-40], "plan.json: no JSON: Input data was truncated"),
     (b"\xff\xfe", "plan.json: no JSON: "),
     (b"[" * 100_000, "plan.json: "),
     (b"[]", "plan.json: Expected `object`, got `array`"),
-    (json.dumps(SOUND).encode() + b"{}", "plan.json: no JSON: "),
+    (json.dumps(VALID_PLAN).encode() + b"{}", "plan.json: no JSON: "),
     (changed("version", value=2), "plan.json: version: 2 is unknown, 1 is known"),
     (changed("version", value="1"), "plan.json: version: Expected `int`, got `str`"),
     (changed("limits", "servers", value=float("nan")), "plan.json: no JSON: "),
@@ -82,10 +75,10 @@
     (changed("regions", "zone 2", value="east"), "plan.json: regions: Expected `str` matching regex"),
     (changed("regions", "zone-2", value=3), "plan.json: regions[...]: Expected `str`, got `int`"),
     (
-        json.dumps(SOUND).replace('"zone-1": "west"', '"zone-1": "west", "zone-0": "west"').encode(),
+        json.dumps(VALID_PLAN).replace('"zone-1": "west"', '"zone-1": "west", "zone-0": "west"').encode(),
         "plan.json: key 'zone-0' is given twice",
     ),
-    (changed("relays", value=SOUND["relays"][:1]), "plan.json: relays: 1 given, at least 2 needed"),
+    (changed("relays", value=VALID_PLAN["relays"][:1]), "plan.json: relays: 1 given, at least 2 needed"),
     (changed("relays", 1, "name", value="relay-0"), "plan.json: relays[1].name: 'relay-0' is also that of [0]"),
     (changed("relays", 1, "host", value="127.0.1.1"), "plan.json: relays[1].host: '127.0.1.1' is also that of [0]"),
     (changed("relays", 1, "host", value="h:80"), "plan.json: relays[1].host: Expected `str` matching regex"),
@@ -103,7 +96,7 @@
     (changed("cells", 2, "part", value=2), "plan.json: cells[2].part: 2 of 2 parts"),
     (changed("cells", 2, "part", value=0), "plan.json: cells[2].part: part 0 is also that of cells[1]"),
     (changed("cells", 2, "parts", value=3), "plan.json: cells[2].parts: 3, but cells[1] says 2"),
-    (changed("cells", value=SOUND["cells"][:2]), "plan.json: cells[1].parts: part 1 of 2 is missing"),
+    (changed("cells", value=VALID_PLAN["cells"][:2]), "plan.json: cells[1].parts: part 1 of 2 is missing"),
     (with_cells(cell("x", "small", [])), "plan.json: cells[3].part: part 0 is also that of cells[0]"),
     (
         with_cells(cell("x", "small", ["east"])),
@@ -117,35 +110,37 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "told"), BAD, ids=[told[11:60] for _, told in BAD])
-def test_a_plan_that_cannot_hold_is_refused_in_one_line(data: bytes, told: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("data", "message"), BAD, ids=[message[11:60] for _, message in BAD])
+def test_an_invalid_plan_is_rejected_in_one_line(data: bytes, message: str, tmp_path: Path) -> None:
     path = tmp_path / "plan.json"
     path.write_bytes(data)
     with pytest.raises(CellPlanError) as caught:
         load_plan(path)
     line = str(caught.value)
-    assert line.startswith(f"{tmp_path}/{told}") and "\n" not in line
+    assert line.startswith(f"{tmp_path}/{message}")
+    assert "\n" not in line
 
 
-def test_every_cut_of_a_plan_is_refused() -> None:
-    data = encode_plan(decode_plan(json.dumps(SOUND).encode()))
+def test_every_truncation_of_a_plan_is_rejected() -> None:
+    data = encode_plan(decode_plan(json.dumps(VALID_PLAN).encode()))
     for length in range(len(data) - 1):  # the last byte is the end of the line
         if length < len(data.rstrip()):
             with pytest.raises(CellPlanError):
                 decode_plan(data[:length])
 
 
-def test_a_file_that_is_not_there_is_told(tmp_path: Path) -> None:
+def test_a_missing_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(CellPlanError, match=r"none\.json: No such file or directory"):
         load_plan(tmp_path / "none.json")
 
 
-def test_a_plan_that_cannot_hold_is_not_written(tmp_path: Path) -> None:
+def test_an_invalid_plan_is_not_written(tmp_path: Path) -> None:
     path = tmp_path / "plan.json"
     path.write_bytes(b"former")
     with pytest.raises(CellPlanError, match="relays: 0 given"):
         save_plan(Plan(1, Limits(), {}, (), ()), path)
-    assert path.read_bytes() == b"former" and os.listdir(tmp_path) == ["plan.json"]
+    assert path.read_bytes() == b"former"
+    assert os.listdir(tmp_path) == ["plan.json"]
 
 
 @pytest.mark.parametrize("step", ["fsync", "replace"])
@@ -157,14 +152,15 @@
 
     path = tmp_path / "plan.json"
     path.write_bytes(b"former")
-    monkeypatch.setattr(cell_plan.os, step, fail)
+    monkeypatch.setattr(plan_file.os, step, fail)
     with pytest.raises(CellPlanError, match=r"plan\.json: No space left on device"):
-        save_plan(decode_plan(json.dumps(SOUND).encode()), path)
-    assert path.read_bytes() == b"former" and os.listdir(tmp_path) == ["plan.json"]
+        save_plan(decode_plan(json.dumps(VALID_PLAN).encode()), path)
+    assert path.read_bytes() == b"former"
+    assert os.listdir(tmp_path) == ["plan.json"]
 
 
 @pytest.mark.parametrize(
-    ("data", "told"),
+    ("data", "message"),
     [
         (b"{}", "no zone is given"),
         (b'{"zone-0":"east","zone-0":"west"}', "key 'zone-0' is given twice"),
@@ -172,10 +168,10 @@
         (b'{"zone-0":"ea', "no JSON"),
     ],
 )
-def test_regions_that_cannot_be_read_are_refused(data: bytes, told: str, tmp_path: Path) -> None:
+def test_malformed_regions_are_rejected(data: bytes, message: str, tmp_path: Path) -> None:
     path = tmp_path / "regions.json"
     path.write_bytes(data)
-    with pytest.raises(CellPlanError, match=f"regions.json: .*{told}"):
+    with pytest.raises(CellPlanError, match=f"regions.json: .*{message}"):
         load_regions(path)
     path.write_bytes(b'{"zone-0":"east"}')
     assert load_regions(path) == {"zone-0": "east"}
--- a/tests/cli/test_cells_command.py
+++ b/tests/cli/test_cells_command.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
+import generated_fleet
 import pytest
 
 from stackwheel.cells.check import ListedServer
-from stackwheel.cells.plan import load_plan
+from stackwheel.cells.plan_file import load_plan
 from stackwheel.cli import root
-from tests.cells import fleet
 
 ROOT = Path(__file__).parents[2]
 Call = Callable[..., tuple[int, str, str]]
@@ -31,8 +31,8 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    (tmp_path / "list.json").write_bytes(fleet.listing(fleet.servers(1, 300, 12)))
-    (tmp_path / "regions.json").write_text(json.dumps(fleet.regions()))
+    (tmp_path / "list.json").write_bytes(generated_fleet.encode_endpoint_list(generated_fleet.servers(1, 300, 12)))
+    (tmp_path / "regions.json").write_text(json.dumps(generated_fleet.regions()))
     return tmp_path
 
 
@@ -89,7 +89,9 @@
 def test_faults_against_a_list_are_told_with_their_places(folder: Path, call: Call) -> None:
     call(*plan_words(folder))
     path, other = folder / "plan.json", folder / "other.json"
-    other.write_bytes(fleet.listing([ListedServer("svc-0000-1", "zone-00"), ListedServer("new-1", "zone-99")]))
+    other.write_bytes(
+        generated_fleet.encode_endpoint_list([ListedServer("svc-0000-1", "zone-00"), ListedServer("new-1", "zone-99")])
+    )
     code, out, err = call("check", path, "--list", other)
     lines = out.splitlines()
     assert (code, err) == (1, "") and lines[0] == f"{other}: instances[1]: 'new-1' is in unknown zone 'zone-99'"
@@ -107,11 +109,11 @@
     ("data", "told"),
     [
         (b"", "no list of servers: Expecting value"),
-        (fleet.listing(fleet.servers(1, 20, 2))[:-30], "no list of servers: "),
+        (generated_fleet.encode_endpoint_list(generated_fleet.servers(1, 20, 2))[:-30], "no list of servers: "),
         (b"[]", "no list of servers: no list of instances"),
         (b"\xff", "no list of servers: "),
         (b'{"instances":[]}', "no list of servers: no 'generation'"),
-        (fleet.listing([]), "no server is listed"),
+        (generated_fleet.encode_endpoint_list([]), "no server is listed"),
         (json.dumps({"generation": 4, "reset": False, "instances": []}).encode(), "reset: false"),
         (json.dumps({"generation": 4, "reset": True, "instances": [entry(), {}]}).encode(), "entry 1 ("),
         (json.dumps({"generation": 4, "reset": True, "instances": [entry(weight=float("nan"))]}).encode(), "entry 0 ("),
--- a/tests/cells/fleet.py
+++ b/tests/generated_fleet.py
@@ -9,7 +9,12 @@
 from stackwheel.cells.check import ListedServer
 from stackwheel.cells.plan import Relay
 
-SERVERS, SERVICES, ZONES, REGIONS, RELAYS, PLANNERS = 48_000, 2_100, 85, 36, 17, 15_000
+SERVERS = 48_000
+SERVICES = 2_100
+ZONES = 85
+REGIONS = 36
+RELAYS = 17
+PLANNERS = 15_000
 SKEW = 0.9  # the size of the n-th service goes with n to the power of minus this
 
 
@@ -24,22 +29,22 @@
 def servers(
     seed: int, count: int = SERVERS, services: int = SERVICES, zones: Iterable[str] | None = None
 ) -> list[ListedServer]:
-    """Every service has one server at least; the others are drawn by a power law, each in a zone by chance."""
+    """Every service has one server at least; the others are drawn by a power law, each in a random zone."""
     random = Random(seed)
-    places = list(zones if zones is not None else regions())
+    zone_names = list(zones if zones is not None else regions())
     weights = [(number + 1) ** -SKEW for number in range(services)]
-    owners = [*range(services), *random.choices(range(services), weights, k=count - services)]
-    names = random.sample(range(1 << 32), count)
+    service_numbers = [*range(services), *random.choices(range(services), weights, k=count - services)]
+    suffixes = random.sample(range(1 << 32), count)
     return [
-        ListedServer(f"svc-{owner:04}-{name:08x}", random.choice(places))
-        for owner, name in zip(owners, names, strict=True)
+        ListedServer(f"svc-{service:04}-{suffix:08x}", random.choice(zone_names))
+        for service, suffix in zip(service_numbers, suffixes, strict=True)
     ]
 
 
-def listing(found: Iterable[ListedServer]) -> bytes:
+def encode_endpoint_list(listed: Iterable[ListedServer]) -> bytes:
     """The servers as discovery would answer them."""
     instances = [
         {"instanceId": server.name, "hostPort": "10.1.0.1:80", "zone": server.zone, "lifecycle": "in_service"}
-        for server in found
+        for server in listed
     ]
     return json.dumps({"generation": 1, "reset": True, "instances": instances}).encode()
--- a/tests/relay/test_cache.py
+++ b/tests/relay/test_cache.py
@@ -42,11 +42,13 @@
 def test_a_cell_is_told_its_part_and_its_changes_alone() -> None:
     held = cache()
     assert held.take(whole(5, server("a-1"), server("b-1"), server("c-1")), 0.0) == ()
-    assert part(held) == whole(5, server("a-1")) and part(held, "b") == whole(5, server("b-1"))
+    assert part(held) == whole(5, server("a-1"))
+    assert part(held, "b") == whole(5, server("b-1"))
     assert told(held.take(changes(6, server("a-2"), server("c-2")), 1.0)) == {"a": {"a-2": READY}}
     assert told(held.take(changes(7, server("c-3")), 2.0)) == {}
     assert part(held).generation == 7
-    assert held.whole("c") is None and isinstance(held.ask("c", None, 2.0), Unavailable)
+    assert held.whole("c") is None
+    assert isinstance(held.ask("c", None, 2.0), Unavailable)
 
 
 def test_who_goes_on_gets_the_last_word_of_each_change_after_it() -> None:
@@ -66,7 +68,8 @@
     held.take(whole(5, server("a-1")), 0.0)
     held.take(whole(9, server("a-1", DRAINING)), 1.0)
     assert held.ask("a", 7, 2.0) == WholeDue()
-    assert states(resumed(held, "a", 5, 2.0)) == {"a-1": DRAINING} and resumed(held, "a", 9, 2.0) == changes(9)
+    assert states(resumed(held, "a", 5, 2.0)) == {"a-1": DRAINING}
+    assert resumed(held, "a", 9, 2.0) == changes(9)
     held.take(whole(12, server("a-1", DRAINING)), 3.0)
     assert held.ask("a", 7, 4.0) == held.ask("a", 11, 4.0) == held.ask("a", 5, 4.0) == WholeDue()
     assert resumed(held, "a", 9, 4.0) == changes(12)
@@ -95,7 +98,9 @@
     held.take(whole(5, server("a-1")), 0.0)
     held.take(changes(6, server("a-1", DRAINING)), 0.0)
     first, second = held.ask("a", 5, 1.0), held.ask("a", 5, 1.0)
-    assert isinstance(first, Resumed) and isinstance(second, Resumed) and first.line is second.line
+    assert isinstance(first, Resumed)
+    assert isinstance(second, Resumed)
+    assert first.line is second.line
     held.take(changes(7, server("b-1")), 2.0)
     assert resumed(held, "a", 5, 3.0).generation == 7  # not the old generation
     for since in range(5, 8):
@@ -110,7 +115,8 @@
     held = cache()
     held.take(whole(5, server("a-1"), server("a-2"), server("b-1")), 0.0)
     assert told(held.take(whole(9, server("a-2")), 1.0)) == {"a": {"a-1": GONE}, "b": {"b-1": GONE}}
-    assert states(part(held)) == {"a-2": READY} and part(held, "b").instances == ()
+    assert states(part(held)) == {"a-2": READY}
+    assert part(held, "b").instances == ()
     assert states(resumed(held, "a", 5, 1.0)) == {"a-1": GONE}
 
 
@@ -150,7 +156,8 @@
     assert "a-1" not in told(held.take(whole(6, server("a-2"), unreadable=frozenset({name})), 1.0)).get("a", {})
     assert states(part(held)) == {"a-1": READY, "a-2": READY}
     anew = held.take(whole(2, server("a-2"), unreadable=frozenset({name}), generations_restarted=True), 2.0)
-    assert wholes(anew) == {"a", "b"} and states(part(held)) == {"a-1": READY, "a-2": READY}
+    assert wholes(anew) == {"a", "b"}
+    assert states(part(held)) == {"a-1": READY, "a-2": READY}
 
 
 @pytest.mark.parametrize("name", ["a-1", ""])
@@ -160,10 +167,12 @@
     before.take(whole(5, server("a-1"), server("a-2")), 0.0)
     assert follower.call(before, "a", 0.0)
     after.take(whole(6, server("a-2"), unreadable=frozenset({name})), 0.0)
-    assert follower.call(after, "a", 0.0) and follower.since == 6
+    assert follower.call(after, "a", 0.0)
+    assert follower.since == 6
     assert follower.holds() == {"a-1": READY, "a-2": READY}
     after.take(changes(7, server("a-1", GONE)), 1.0)
-    assert follower.call(after, "a", 1.0) and follower.holds() == {"a-2": READY}
+    assert follower.call(after, "a", 1.0)
+    assert follower.holds() == {"a-2": READY}
     after.take(whole(8, server("a-2")), 2.0)  # it has been read again: what is missing now has departed
     assert part(after).unreadable == frozenset()
 
@@ -244,8 +253,10 @@
     held = cache()
     held.take(whole(50, server("a-1"), server("a-2")), 0.0)
     assert held.take(whole(3, server("a-2")), 1.0) == ()
-    assert held.tick(timing.BEAT) == () and states(part(held)) == {"a-1": READY, "a-2": READY}
-    assert wholes(held.tick(timing.BEAT + 1.0)) == {"a", "b"} and part(held) == whole(3, server("a-2"))
+    assert held.tick(timing.BEAT) == ()
+    assert states(part(held)) == {"a-1": READY, "a-2": READY}
+    assert wholes(held.tick(timing.BEAT + 1.0)) == {"a", "b"}
+    assert part(held) == whole(3, server("a-2"))
 
 
 def test_an_older_whole_list_that_a_newer_word_follows_takes_nothing_back() -> None:
@@ -256,7 +267,8 @@
     held.take(whole(5, server("a-1")), 2.0)
     assert told(held.take(changes(6, server("a-2")), 3.0)) == {}
     held.heard(timing.BEAT + 3.0)
-    assert held.tick(timing.BEAT + 3.0) == () and part(held) == whole(6, server("a-1"), server("a-2"))
+    assert held.tick(timing.BEAT + 3.0) == ()
+    assert part(held) == whole(6, server("a-1"), server("a-2"))
 
 
 def test_an_older_list_that_revives_waits_as_long_as_a_list_can_be_old_and_what_follows_it_counts() -> None:
@@ -266,9 +278,11 @@
     held.take(whole(3, server("a-1"), server("a-2")), 0.0)
     assert told(held.take(changes(4, server("a-2", DRAINING)), 1.0)) == {"a": {"a-2": DRAINING}}  # at once
     held.heard(MAX_LIST_AGE - 1.0)
-    assert held.tick(MAX_LIST_AGE - 1.0) == () and states(part(held))["a-1"] is DRAINING
+    assert held.tick(MAX_LIST_AGE - 1.0) == ()
+    assert states(part(held))["a-1"] is DRAINING
     assert wholes(held.tick(MAX_LIST_AGE)) == {"a", "b"}
-    assert part(held).generation == 4 and states(part(held)) == {"a-1": READY, "a-2": DRAINING}
+    assert part(held).generation == 4
+    assert states(part(held)) == {"a-1": READY, "a-2": DRAINING}
 
 
 def test_an_older_word_counts_where_it_tells_something_and_reaches_who_knows_that_generation() -> None:
@@ -287,19 +301,24 @@
 def test_nothing_is_answered_before_the_first_list() -> None:
     held = cache()
     held.heard(0.0)
-    assert isinstance(held.ask("a", None, 1.0), Unavailable) and not held.vouches(1.0)
+    assert isinstance(held.ask("a", None, 1.0), Unavailable)
+    assert not held.vouches(1.0)
 
 
 def test_a_relay_that_has_lost_the_registry_vouches_for_nothing_until_it_is_back() -> None:
     held = cache()
     held.take(whole(5, server("a-1")), 0.0)
     held.heard(1000.0)
-    assert held.tick(999.0 + timing.SILENCE) == () and held.vouches(999.0 + timing.SILENCE)
+    assert held.tick(999.0 + timing.SILENCE) == ()
+    assert held.vouches(999.0 + timing.SILENCE)
     lost = 1000.0 + timing.SILENCE
-    assert isinstance(held.ask("a", 5, lost), Unavailable) and isinstance(held.ask("a", None, lost), Unavailable)
+    assert isinstance(held.ask("a", 5, lost), Unavailable)
+    assert isinstance(held.ask("a", None, lost), Unavailable)
     (ended,) = held.tick(lost)
-    assert isinstance(ended, EndWatches) and set(ended.cells) == {"a", "b"}
-    assert held.tick(lost + 1.0) == () and not held.vouches(lost + 1.0)
+    assert isinstance(ended, EndWatches)
+    assert set(ended.cells) == {"a", "b"}
+    assert held.tick(lost + 1.0) == ()
+    assert not held.vouches(lost + 1.0)
     held.take(changes(6, server("a-2")), lost + 9000.0)
     assert resumed(held, "a", 5, lost + 9000.0) == changes(6, server("a-2"))  # it has kept its entries
 
@@ -314,7 +333,8 @@
     assert told(tuple(others)) == {"c": {"c-1": READY}}  # to nobody: nobody watches it yet
     assert ended == EndWatches(("a",), ended.reason)  # type: ignore[union-attr]
     assert isinstance(held.ask("a", 5, 2.0), Unavailable)
-    assert part(held, "c") == whole(5, server("c-1")) and part(held, "b") == whole(5, server("b-1"))
+    assert part(held, "c") == whole(5, server("c-1"))
+    assert part(held, "b") == whole(5, server("b-1"))
     assert told(held.take(changes(6, server("c-1", GONE), server("a-1", GONE)), 3.0)) == {"c": {"c-1": GONE}}
 
 
--- a/tests/relay/test_listing_server.py
+++ b/tests/relay/test_listing_server.py
@@ -181,7 +181,8 @@
     async def work() -> None:
         served = await serving(server("a-1"), server("b-1"))
         head, _, body = (await (await Caller.open(served.address, f"GET {LIST}")).all()).partition(b"\r\n\r\n")
-        assert b"200 OK" in head and read(body) == whole(5, server("a-1"))
+        assert b"200 OK" in head
+        assert read(body) == whole(5, server("a-1"))
         first, second = await served.watch(), await served.watch(since=5)
         assert await first.listing() == whole(5, server("a-1"))
         assert await second.listing() == changes(5)
@@ -267,7 +268,9 @@
         await blocked(watch)
         served.take(changes(31, server("a-1", DRAINING)))
         first = await watcher.listing()
-        assert not first.complete and first.generation == 30 and "a-1" not in states(first)
+        assert not first.complete
+        assert first.generation == 30
+        assert "a-1" not in states(first)
         assert await watcher.listing() == changes(31, server("a-1", DRAINING))
 
     run(work)
@@ -361,7 +364,8 @@
         while not watch.whole_due:
             generation += 1
             served.take(large(generation))
-            assert watch.pending_bytes <= UNREAD_MOST and generation < 10_000
+            assert watch.pending_bytes <= UNREAD_MOST
+            assert generation < 10_000
             await asyncio.sleep(0)
         last = generation + 50
         for later in range(generation + 1, last):
@@ -374,9 +378,11 @@
         while told[-1].generation < last:
             told.append(await watcher.listing())
             assert told[-1].generation > told[-2].generation
-        assert any(found.complete for found in told) and len(told) < last - 5
+        assert any(found.complete for found in told)
+        assert len(told) < last - 5
         found = part(served.cache)
-        assert states(found)["a-1"] is DRAINING and len(found.instances) == 81
+        assert states(found)["a-1"] is DRAINING
+        assert len(found.instances) == 81
         assert all(one.weight == last - 1 for one in found.instances if one.name != "a-1")
         held = merged(told)
         assert held == {one.name: one for one in found.instances}
@@ -439,7 +445,8 @@
             waiting = [asyncio.create_task(hold(name, size, done)) for name, size in (("a", 9), ("b", 4), ("c", 5))]
             while len(budget.waiting) < 3:
                 await asyncio.sleep(0)
-            assert not budget.room(1) and order == []  # room for one, but others have asked before
+            assert not budget.room(1)
+            assert order == []
             waiting[0].cancel()
             await asyncio.wait(waiting[:1])
             assert budget.held == 8
@@ -450,7 +457,9 @@
             await asyncio.sleep(0)
         done.set()
         await asyncio.wait([late, *waiting])
-        assert order == ["b", "c", "d"] and budget.held == 0 and budget.room(1000)  # alone, even a larger one
+        assert order == ["b", "c", "d"]
+        assert budget.held == 0
+        assert budget.room(1000)
 
     run(work)
 
@@ -469,7 +478,8 @@
                 await asyncio.sleep(0)
         waiting.cancel()  # its turn has come, but it has not run since
         await asyncio.wait([waiting])
-        assert waiting.cancelled() and budget.held == 0
+        assert waiting.cancelled()
+        assert budget.held == 0
 
     run(work)
 
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -16,7 +16,8 @@
 from planner_process import MOST, PlannerProcess, full, run, send, started
 from scripted_discovery import ScriptedDiscovery
 
-from stackwheel.cells.plan import Cell, Limits, Plan, Relay, encode_plan
+from stackwheel.cells.plan import Cell, Limits, Plan, Relay
+from stackwheel.cells.plan_file import encode_plan
 from stackwheel.service.relay import RelayConfig, RelayService, load_serving
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import PATH
@@ -152,8 +153,11 @@
             await registry.update("s-0", lifecycle="terminated")
             await first.answers(port, 200)
             body = await get(first.address(port), PATH, MOST_MS, MOST_MS)
-            assert isinstance(body, bytes) and b"s-1" in body and b"s-0" not in body
-            assert await first.stop() == 0 and "Traceback" not in await first.log()
+            assert isinstance(body, bytes)
+            assert b"s-1" in body
+            assert b"s-0" not in body
+            assert await first.stop() == 0
+            assert "Traceback" not in await first.log()
 
     run(work())
 
@@ -166,7 +170,8 @@
             await first.answers(port, 200)
             await second.answers(port, 200)  # up before it is told to end
             watch = Call(first.address(port), f"{PATH}?follow=1")
-            assert await watch.open(MOST_MS, MOST_MS) is None and b"s-1" in await watch.chunk(MOST_MS)
+            assert await watch.open(MOST_MS, MOST_MS) is None
+            assert b"s-1" in await watch.chunk(MOST_MS)
             (tmp_path / "cells.json").write_bytes(encode_plan(found)[:200])
             send(first.process, signal.SIGHUP)
             await first.logged("plan not reloaded, the old one holds")
@@ -178,18 +183,17 @@
             await first.logged("plan reloaded: 2 cells")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
                 body = await get(first.address(served), PATH, MOST_MS, MOST_MS)
-                assert (
-                    isinstance(body, bytes)
-                    and name in body
-                    and body.count(b"instanceId") == (2 if served == other else 1)
-                )
+                assert isinstance(body, bytes)
+                assert name in body
+                assert body.count(b"instanceId") == (2 if served == other else 1)
             away = (Cell("u", "u", (), 0, 1, port),)
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, found.relays, away)))
             send(first.process, signal.SIGHUP)
             while isinstance(await watch.chunk(2 * timing.SILENCE), bytes):
                 pass
             watch.close()
-            assert await first.stop() == 0 and await second.stop() == 0
+            assert await first.stop() == 0
+            assert await second.stop() == 0
 
     run(work())
 
