--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -14,7 +14,9 @@
 
 from stackwheel.rules.violations import Rule
 from stackwheel.trials import measure as sizes
-from stackwheel.trials.defects import ALL_DEFECTS, named, planted, search_all
+from stackwheel.trials.defects.catalogue import ALL_DEFECTS, find_defect
+from stackwheel.trials.defects.planting import planted
+from stackwheel.trials.defects.search import search_all
 from stackwheel.trials.draw import draw
 from stackwheel.trials.runner import (
     Summary,
@@ -144,7 +146,7 @@
 def replay(what: str, trace: bool, defect: str | None, files: bool, relays: bool, as_json: bool) -> int:
     """Run one seed or script file again, step by step the same."""
     script = script_of(what, files, relays)
-    with planted(named(defect)):
+    with planted(find_defect(defect)):
         found = run_script(script, trace=click.echo if trace else None)
     if as_json:
         print(
@@ -186,7 +188,7 @@
 def shrink(what: str, out: Path, rule: str | None, runs: int, defect: str | None, files: bool, relays: bool) -> int:
     """Find the smallest script that still breaks the same rule, and save it."""
     script = script_of(what, files, relays)
-    with planted(named(defect)):
+    with planted(find_defect(defect)):
         verdicts = run_script(script).verdicts
         wanted = [v for v in verdicts if rule is None or v.rule is Rule[rule.upper()]]
         if not wanted:
@@ -226,16 +228,16 @@
         rows.append(
             {
                 "defect": defect.name,
-                "where": defect.where,
-                "what": defect.what,
-                "seeds": found.needed,
+                "where": defect.layer,
+                "what": defect.description,
+                "seeds": found.seeds_tried,
                 "seed": found.seed,
                 "rule": found.rule.value if found.rule is not None else None,
             }
         )
         if not as_json:
             told = found.rule.value if found.rule is not None else "NOT FOUND"
-            click.echo(f"{defect.name:26} {defect.where:16} {found.needed:>5} {found.seed:>6}  {told}")
+            click.echo(f"{defect.name:26} {defect.layer:16} {found.seeds_tried:>5} {found.seed:>6}  {told}")
     if as_json:
         print(json.dumps(rows))
     return 0 if all(row["rule"] for row in rows) else 1
--- /dev/null
+++ b/stackwheel/trials/defects/policy.py
@@ -0,0 +1,235 @@
+"""Deliberate defects of the policy: what it decides, and how much it lets out."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+from dataclasses import replace
+from typing import Any
+
+from stackwheel import balance
+from stackwheel import interface as face
+from stackwheel.balance import Outbox, Planner
+from stackwheel.interface import Availability, Retry
+from stackwheel.rules.violations import Rule
+from stackwheel.trials.defects.planting import Defect, Patch, returns
+from stackwheel.wire.connection import RateLimiter
+from stackwheel.wire.transport import SocketTransport
+
+UNLIMITED_STEP = 1e9  # share of a server's load that may move in one slot
+OVERLOAD_FACTOR = 10.0  # by which the share of a server that warms up is too large
+FIRST_EMPTIED_SLOT = 9  # the slots before fill the tables
+EMPTIED_EVERY_SLOTS = 3
+
+
+def draining_taken_as_ready() -> Sequence[Patch]:
+    """Each endpoint entry is believed to be ready."""
+    original = Planner.take_entry
+
+    def take_entry(self: Planner, entry: face.EndpointEntry) -> None:
+        original(self, replace(entry, availability=Availability.READY))
+
+    return [Patch(Planner, "take_entry", take_entry)]
+
+
+def removed_servers_kept() -> Sequence[Patch]:
+    """An endpoint update is extended by the servers that it lacks or removes."""
+    original = Planner.take_list
+
+    def take_list(self: Planner, update: face.EndpointUpdate) -> None:
+        listed = tuple(entry for entry in update.entries if entry.availability is not Availability.REMOVED)
+        listed_servers = {entry.server for entry in listed}
+        missing = tuple(view.entry for server, view in self.servers.items() if server not in listed_servers)
+        original(self, replace(update, entries=(*listed, *missing)))
+
+    return [Patch(Planner, "take_list", take_list)]
+
+
+def removals_never_sent() -> Sequence[Patch]:
+    """Changes to weight 0 are left out, and the others are never urgent."""
+    original = Planner.moves
+    least_urgent = 3
+
+    def moves(self: Planner, place: Any, table: Any) -> Any:
+        return [
+            (least_urgent, gain, at, server, weight)
+            for _, gain, at, server, weight in original(self, place, table)
+            if weight > 0
+        ]
+
+    return [Patch(Planner, "moves", moves)]
+
+
+def no_slow_start() -> Sequence[Patch]:
+    """A server that has just started counts as warm, and any load may move to it at once."""
+    return [Patch(Planner, "warmth", returns(1.0)), Patch(balance, "STEP", UNLIMITED_STEP)]
+
+
+def slow_start_share_exceeded() -> Sequence[Patch]:
+    """Servers that warm up get a multiple of the share that was worked out for them."""
+    original = Planner.as_shares
+
+    def as_shares(self: Planner, placed: dict[face.Server, float]) -> dict[face.Server, float]:
+        warming_up = {server for server in placed if self.warmth(self.servers[server]) < 1.0}
+        exceeded = {
+            server: rate * (OVERLOAD_FACTOR if server in warming_up else 1.0) for server, rate in placed.items()
+        }
+        return original(self, exceeded)
+
+    return [Patch(Planner, "as_shares", as_shares)]
+
+
+def retries_without_condition() -> Sequence[Patch]:
+    """Proxies are told to retry whatever failed."""
+    return [Patch(balance, "FURTHER_TRY", Retry.TWICE)]
+
+
+def joined_proxies_ignored() -> Sequence[Patch]:
+    """Proxies that joined are assigned no table."""
+    return [Patch(Planner, "bind_joined", returns(None))]
+
+
+def one_class_assigned() -> Sequence[Patch]:
+    """Tables of all classes but the first are never assigned."""
+    original = Planner.bind_joined
+
+    def bind_joined(self: Planner) -> None:
+        original(self)
+        self.actions = [
+            action
+            for action in self.actions
+            if not (isinstance(action, face.AssignTable) and action.classes and action.classes[0] > 0)
+        ]
+
+    return [Patch(Planner, "bind_joined", bind_joined)]
+
+
+def tables_emptied() -> Sequence[Patch]:
+    """In every third slot all weights of a table that is written become 0."""
+    original = Planner.write
+
+    def write(
+        self: Planner,
+        table: Any,
+        users: list[int],
+        changes: dict[face.Server, float],
+        levels: dict[int, face.AdmissionLevel],
+    ) -> None:
+        if self.slot >= FIRST_EMPTIED_SLOT and self.slot % EMPTIED_EVERY_SLOTS == 0:
+            changes = dict.fromkeys((*changes, *table.sent), 0.0)
+        original(self, table, users, changes, levels)
+
+    return [Patch(Planner, "write", write)]
+
+
+def queue_unbounded() -> Sequence[Patch]:
+    """The outbox always has capacity left."""
+    return [Patch(Outbox, "room", returns(math.inf))]
+
+
+def message_cap_ignored() -> Sequence[Patch]:
+    """Neither the policy nor the connections limit the messages to one proxy."""
+    return [
+        Patch(Outbox, "may_write", returns(True)),
+        Patch(RateLimiter, "wait", returns(0.0)),
+    ]
+
+
+def message_cap_by_stream() -> Sequence[Patch]:
+    """Each stream has a limiter of its own, so that a new stream begins a new count."""
+
+    def limiter(self: SocketTransport, _proxy: int) -> RateLimiter:
+        return RateLimiter(self.settings.message_cap, self.settings.message_window)
+
+    return [
+        Patch(SocketTransport, "limiter", limiter),
+        Patch(Outbox, "may_write", returns(True)),
+    ]
+
+
+POLICY_DEFECTS: tuple[Defect, ...] = (
+    Defect(
+        "drain-ignored",
+        "policy",
+        (Rule.DRAINS,),
+        draining_taken_as_ready,
+        "a draining server counts as ready",
+    ),
+    Defect(
+        "gone-kept",
+        "policy",
+        (Rule.DRAINS,),
+        removed_servers_kept,
+        "servers that left the list stay in tables",
+    ),
+    Defect(
+        "removals-late",
+        "policy",
+        (Rule.DRAINS,),
+        removals_never_sent,
+        "lines that go are never sent",
+    ),
+    Defect(
+        "cold-as-warm",
+        "policy",
+        (Rule.COLD,),
+        no_slow_start,
+        "a started server gets its full share at once",
+    ),
+    Defect(
+        "cold-share-tenfold",
+        "policy",
+        (Rule.COLD,),
+        slow_start_share_exceeded,
+        "the cold limit is taken times ten",
+    ),
+    Defect(
+        "repeats-ordered",
+        "policy",
+        (Rule.ONCE,),
+        retries_without_condition,
+        "proxies try again after any failure",
+    ),
+    Defect(
+        "never-bound",
+        "policy",
+        (Rule.SERVED, Rule.DRAINS),
+        joined_proxies_ignored,
+        "joined proxies get no tables",
+    ),
+    Defect(
+        "one-class-bound",
+        "policy",
+        (Rule.SERVED, Rule.DRAINS, Rule.AGREES),
+        one_class_assigned,
+        "only the first class gets its table",
+    ),
+    Defect(
+        "tables-emptied",
+        "policy",
+        (Rule.SERVED,),
+        tables_emptied,
+        "tables lose all their lines at times",
+    ),
+    Defect(
+        "queue-unbounded",
+        "policy",
+        (Rule.QUEUE,),
+        queue_unbounded,
+        "the channel's limit is not kept",
+    ),
+    Defect(
+        "cap-ignored",
+        "policy and wire",
+        (Rule.CAP,),
+        message_cap_ignored,
+        "nobody counts the messages to a proxy",
+    ),
+    Defect(
+        "cap-by-stream",
+        "policy and wire",
+        (Rule.CAP,),
+        message_cap_by_stream,
+        "a new stream begins a new count",
+    ),
+)
--- /dev/null
+++ b/stackwheel/trials/defects/relay.py
@@ -0,0 +1,158 @@
+"""Deliberate defects of the relay: the parts that it serves, its watches and its contact with the registry."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+from typing import Any
+
+from stackwheel.relay import cache
+from stackwheel.relay.contact import Contact
+from stackwheel.relay.part import Part
+from stackwheel.rules.violations import Rule
+from stackwheel.trials.defects.planting import Defect, Patch, returns
+from stackwheel.wire.listing_server import ListingServer
+from stackwheel.wire.listing_watch import UNREAD_MOST, ListingWatch
+
+WATCH_GAP_S = 1.0  # between a watch's first answer and its place among the watches
+
+
+def old_generation_served() -> Sequence[Patch]:
+    """The part that was encoded once is served under every later generation."""
+    return [Patch(Part, "_changed", returns(None))]
+
+
+def behind_served() -> Sequence[Patch]:
+    """A relay that is behind what its caller knows answers at once."""
+    return [Patch(Part, "waits_for", returns(False))]
+
+
+def gap_before_watch() -> Sequence[Patch]:
+    """The first answer of a watch is made a while before the watch is notified of changes."""
+    original = ListingServer._watch
+
+    async def watch(self: ListingServer, cell: str, resumed: bytes | None, reader: Any, writer: Any) -> None:
+        snapshot = resumed or self.cache.whole(cell)
+        await asyncio.sleep(WATCH_GAP_S)
+        await original(self, cell, snapshot, reader, writer)
+
+    return [Patch(ListingServer, "_watch", watch)]
+
+
+def lost_registry_vouched_for() -> Sequence[Patch]:
+    """A relay that has ever heard the registry vouches for its list for good."""
+    return [
+        Patch(Contact, "vouched", lambda self, _now: self.heard_at is not None),
+        Patch(Contact, "lapse", returns(False)),
+    ]
+
+
+def unreadable_taken_as_removed() -> Sequence[Patch]:
+    """An entry that can't be read counts as one that is not listed."""
+    return [
+        Patch(cache, "may_be_in", returns(False)),
+        Patch(cache.ListingCache, "_note_unreadable", returns(None)),
+    ]
+
+
+def removals_not_resumed() -> Sequence[Patch]:
+    """A watch that is resumed is not sent which servers were removed meanwhile."""
+    original = Part._changed_after
+
+    def changed_after(self: Part, since: int) -> list[bytes]:
+        departed = self.departed
+        self.departed = {}
+        try:
+            return original(self, since)
+        finally:
+            self.departed = departed
+
+    return [Patch(Part, "_changed_after", changed_after)]
+
+
+def resumed_below_log() -> Sequence[Patch]:
+    """A watch is resumed from any generation, also from one before the log of changes begins."""
+    return [Patch(Part, "resumes", lambda _self, since: since > 0)]
+
+
+def older_state_passed_on() -> Sequence[Patch]:
+    """Generations of single entries are not compared."""
+    return [Patch(cache.ListingCache, "_counts", returns(True))]
+
+
+def dropped_for_slow_reader() -> Sequence[Patch]:
+    """What a watcher leaves unread beyond the bound is dropped, and the complete part is not sent in its place."""
+    original = ListingWatch.tell
+
+    def tell(self: ListingWatch, data: bytes) -> None:
+        if not self.writing or self.pending_bytes + len(data) <= UNREAD_MOST:
+            original(self, data)
+
+    return [Patch(ListingWatch, "tell", tell)]
+
+
+RELAY_DEFECTS: tuple[Defect, ...] = (
+    Defect(
+        "old-generation-served",
+        "relay",
+        (Rule.PART, Rule.DRAINS),
+        old_generation_served,
+        "a relay serves the part of an old generation under the present one",
+    ),
+    Defect(
+        "behind-served",
+        "relay",
+        (Rule.PART, Rule.DRAINS),
+        behind_served,
+        "a relay answers callers that know more than it does",
+    ),
+    Defect(
+        "gap-before-watch",
+        "relay",
+        (Rule.PART, Rule.DRAINS),
+        gap_before_watch,
+        "what changes between a watch's first answer and its place among the watches is dropped",
+    ),
+    Defect(
+        "lost-registry-vouched-for",
+        "relay",
+        (Rule.VOUCHED,),
+        lost_registry_vouched_for,
+        "a relay goes on with empty lines and answers after it lost the registry",
+    ),
+    Defect(
+        "unreadable-as-departure",
+        "relay",
+        (Rule.PART, Rule.SERVED),
+        unreadable_taken_as_removed,
+        "a server whose entry can't be read counts as departed",
+    ),
+    Defect(
+        "departures-not-resumed",
+        "relay",
+        (Rule.PART, Rule.DRAINS),
+        removals_not_resumed,
+        "a watch that goes on is not told who has left meanwhile",
+    ),
+    Defect(
+        "resumed-below-the-log",
+        "relay",
+        (Rule.PART, Rule.DRAINS),
+        resumed_below_log,
+        "a relay that started later resumes a watch from before its log",
+    ),
+    Defect(
+        "older-told",
+        "relay",
+        (Rule.PART, Rule.DRAINS),
+        older_state_passed_on,
+        "an older state that the registry tells once more is told on",
+    ),
+    Defect(
+        "dropped-for-slow-reader",
+        "relay",
+        (Rule.PART, Rule.DRAINS),
+        dropped_for_slow_reader,
+        "changes that a slow reader has no room for are lost",
+    ),
+)
--- /dev/null
+++ b/stackwheel/trials/defects/state.py
@@ -0,0 +1,108 @@
+"""Deliberate defects of the planner's state: the endpoint cache, the proxy streams and the actor."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from dataclasses import replace
+from typing import Any
+
+from stackwheel import interface as face
+from stackwheel.rules.violations import Rule
+from stackwheel.state.endpoint_cache import EndpointCache, EndpointList
+from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.streams import ProxyStreams, carried
+from stackwheel.trials.defects.planting import Defect, Patch
+
+EVENTS_PROCESSED = 3  # of each batch
+
+
+def superseded_stream_ends_new_one() -> Sequence[Patch]:
+    """The end of any stream of a proxy counts as the end of its present one."""
+
+    def leave(self: ProxyStreams, proxy: int, _line: Any) -> Iterable[face.Event]:
+        self.silent.pop(proxy, None)
+        if self.by_proxy.pop(proxy, None) is not None:
+            yield face.ProxyLeft(proxy)
+
+    return [Patch(ProxyStreams, "leave", leave)]
+
+
+def superseded_stream_takes_over() -> Sequence[Patch]:
+    """The older stream of a proxy takes it over again with its late lines."""
+
+    def heard(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
+        stream = self.by_proxy.get(proxy)
+        if stream is not None and not carried(self.by_proxy, proxy, line):
+            stream.connection = line
+        return ()
+
+    return [Patch(ProxyStreams, "heard", heard)]
+
+
+def full_list_taken_as_delta() -> Sequence[Patch]:
+    """What a complete endpoint list lacks stays listed."""
+    original = EndpointCache.apply
+
+    def apply(self: EndpointCache, listing: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
+        return original(self, replace(listing, complete=False), now)
+
+    return [Patch(EndpointCache, "apply", apply)]
+
+
+def older_generation_believed() -> Sequence[Patch]:
+    """Generations are not compared: an older state brings back what drains."""
+
+    def newer(_self: EndpointCache, listing: EndpointList, _now: float) -> EndpointList:
+        return listing
+
+    return [Patch(EndpointCache, "newer", newer)]
+
+
+def batch_truncated() -> Sequence[Patch]:
+    """Only the last events of a batch are processed."""
+    original = PlannerActor.process_batch
+
+    def process_batch(self: PlannerActor) -> None:
+        self.mailbox = self.mailbox[-EVENTS_PROCESSED:]
+        original(self)
+
+    return [Patch(PlannerActor, "process_batch", process_batch)]
+
+
+STATE_DEFECTS: tuple[Defect, ...] = (
+    Defect(
+        "end-of-another",
+        "state",
+        (Rule.SERVED, Rule.DRAINS, Rule.COLD),
+        superseded_stream_ends_new_one,
+        "the old stream's end ends the new one",
+    ),
+    Defect(
+        "words-of-another",
+        "state",
+        (Rule.AGREES, Rule.SERVED, Rule.DRAINS, Rule.UPRIGHT),
+        superseded_stream_takes_over,
+        "late words of an old stream take its proxy back",
+    ),
+    Defect(
+        "whole-list-as-changes",
+        "state",
+        (Rule.DRAINS,),
+        full_list_taken_as_delta,
+        "what a whole list lacks stays listed",
+    ),
+    Defect(
+        "older-believed",
+        "state",
+        (Rule.DRAINS,),
+        older_generation_believed,
+        "an older generation undoes a drain",
+    ),
+    Defect(
+        "batch-cut",
+        "state",
+        (Rule.DRAINS, Rule.SERVED, Rule.AGREES),
+        batch_truncated,
+        "of a batch only the last three events count",
+    ),
+)
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -14,7 +14,7 @@
 
 from stackwheel.cli import entry
 from stackwheel.trials import script as s
-from stackwheel.trials.defects import ALL_DEFECTS
+from stackwheel.trials.defects.catalogue import ALL_DEFECTS
 
 ROOT = Path(__file__).parents[2]
 
@@ -147,4 +147,4 @@
 def test_defects_cover_all_rules() -> None:
     from stackwheel.rules.violations import Rule
 
-    assert len(ALL_DEFECTS) >= 15 and {rule for defect in ALL_DEFECTS for rule in defect.shows} == set(Rule)
+    assert len(ALL_DEFECTS) >= 15 and {rule for defect in ALL_DEFECTS for rule in defect.visible_rules} == set(Rule)
--- a/tests/trials/test_defects.py
+++ b/tests/trials/test_defects.py
@@ -4,7 +4,10 @@
 
 import pytest
 
-from stackwheel.trials.defects import ALL_DEFECTS, FILE_DEFECTS, Defect, found_by, planted
+from stackwheel.trials.defects.catalogue import ALL_DEFECTS
+from stackwheel.trials.defects.files import FILE_DEFECTS
+from stackwheel.trials.defects.planting import Defect, planted
+from stackwheel.trials.defects.search import rules_showing
 from stackwheel.trials.runner import run_seed
 
 SEEDS: dict[str, int] = {  # the first that shows it
@@ -48,8 +51,8 @@
 def test_each_defect_is_found(defect: Defect) -> None:
     seed = SEEDS[defect.name]
     with planted(defect):
-        shown = found_by(defect, run_seed(seed, defect in FILE_DEFECTS))
-    assert shown, f"{defect.what}: not found on seed {seed}"
+        shown = rules_showing(defect, run_seed(seed, defect in FILE_DEFECTS))
+    assert shown, f"{defect.description}: not found on seed {seed}"
     assert not shown <= {verdict.rule for verdict in run_seed(seed, defect in FILE_DEFECTS).verdicts}
 
 
--- a/tests/trials/test_relay_trials.py
+++ b/tests/trials/test_relay_trials.py
@@ -14,7 +14,9 @@
 from stackwheel.relay.messages import Unavailable
 from stackwheel.rules.violations import Rule
 from stackwheel.trials import script as s
-from stackwheel.trials.defects import RELAY_DEFECTS, Defect, found_by, planted
+from stackwheel.trials.defects.planting import Defect, planted
+from stackwheel.trials.defects.relay import RELAY_DEFECTS
+from stackwheel.trials.defects.search import rules_showing
 from stackwheel.trials.draw import draw
 from stackwheel.trials.relay_views import Reading
 from stackwheel.trials.runner import run_one
@@ -50,7 +52,7 @@
 def test_each_defect_of_a_relay_is_found(defect: Defect) -> None:
     """Without it the script keeps every rule: see test_what_was_broken_once_is_kept_now."""
     with planted(defect):
-        assert found_by(defect, run_one(script(SHOWN_BY[defect.name])))
+        assert rules_showing(defect, run_one(script(SHOWN_BY[defect.name])))
 
 
 def test_a_relay_trial_replays_and_its_seeds_are_others() -> None:
--- a/tests/trials/test_trials.py
+++ b/tests/trials/test_trials.py
@@ -11,7 +11,8 @@
 
 from stackwheel.rules.violations import Rule
 from stackwheel.trials import script as s
-from stackwheel.trials.defects import named, planted
+from stackwheel.trials.defects.catalogue import find_defect
+from stackwheel.trials.defects.planting import planted
 from stackwheel.trials.draw import draw
 from stackwheel.trials.runner import Summary, run_seeds
 from stackwheel.trials.shrink import Shrinker, fitting, shrink
@@ -65,7 +66,7 @@
         s.Shape(planners=2, proxies=8, servers=8, zones=1),
         (s.Renumber(4.0), s.Reset(5.0, ("proxy-1", "proxy-2")), needed, s.Demand(9.0, ("proxy-3",), 4.0, 2.0)),
     )
-    defect = named("drain-ignored")
+    defect = find_defect("drain-ignored")
     assert defect is not None
     with planted(defect):
         found = shrink(script, Rule.DRAINS)
