--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from stackwheel.cells.plan import encode_plan, load_plan
+from stackwheel.cells.plan_file import encode_plan, load_plan
 from stackwheel.config_language.load import load as load_operators
 from stackwheel.files.codec import KeyRing, decode, encode
 from stackwheel.files.disk import SystemDisk
