--- a/stackwheel/scale/holding.py
+++ b/stackwheel/scale/holding.py
@@ -61,7 +61,7 @@
         """Take a listing in; what it changed here. A server that a whole list leaves out is told as gone."""
         former = self.concerned(listing)
         told = self.apply(listing, now)
-        for server in self.outdated():
+        for server in self.excess_removed():
             self.forget(server)
         if told.kind is not UpdateKind.FULL:
             return [entry for entry in told.entries if former.get(entry.server) != entry]
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -49,7 +49,7 @@
 ASK_WITHIN = 10_000.0  # ms: `obligations.ask_within` of the example configuration; it bounds the back-off
 START_STEP = 0.002  # s between the planners of a process that begin to follow, so that a start is no herd
 SWEEP_LEAST = 10_000  # entries of a process below which none are forgotten
-SETTLE_EVERY = 0.5  # s between looks for lists that are held as doubtful, see `Roster.settled`
+SETTLE_EVERY = 0.5  # s between looks for lists that are held as doubtful, see `EndpointCache.confirmed_snapshot`
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
@@ -155,7 +155,7 @@
 
     def settle(self, now: float) -> None:
         """Take in a list that was held for an older state, once nothing newer can be on its way."""
-        if (listing := self.holding.settled(1000.0 * now)) is not None:
+        if (listing := self.holding.confirmed_snapshot(1000.0 * now)) is not None:
             self.records.add(self.planner.number, self.holding.take(listing, 1000.0 * now), now)
 
     def drop_entry(self) -> None:
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -1,13 +1,13 @@
-"""The list of servers as this planner last had it."""
+"""The endpoints as this planner knows them: discovery's lists in, updates for the policy out."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import replace
 from itertools import islice
 
 from loguru import logger
 
-from stackwheel import interface as face
 from stackwheel.endpoints import (
     MAX_LIST_AGE,
     MIN_REMOVED_KEPT,
@@ -20,165 +20,226 @@
     entry_freshness,
     latest_by_name,
 )
-from stackwheel.interface import Availability, EndpointEntry, Server, UpdateKind
+from stackwheel.interface import Availability, EndpointEntry, EndpointUpdate, Server, UpdateKind
 from stackwheel.state.server_ids import ServerIds, server_id
 
+MAX_ZONE_LOGGED = 40
+"""Characters of an unknown zone's name that are logged."""
+
 
 class EndpointCache:
+    """The endpoint list as known now, with what has left it lately; owned by the planner actor.
+
+    Attributes:
+        zones: zone names by number.
+        kinds: names of kinds by number; an unknown kind gets the number after the last.
+        server_ids: names by id, of all that is listed or remembered here.
+        removal_is_advisory: whether the policy may go on using what has left the list.
+        generation: that of the list as known.
+        entries: the listed servers; bounded by what discovery lists.
+        addresses: where this planner reaches them; one for each of `entries`.
+        removed: when the process of each removed server had started, the oldest removal first. The owner forgets
+            those of `excess_removed` that nothing names any more; each of them may return.
+        restarted: those of `entries` that had an earlier process under the same id.
+        stale_snapshot: a complete list that is held back, if any; for `MAX_LIST_AGE` at most.
+        refetch_needed: whether a held back list was overtaken by changes: if discovery had started its generations
+            again, the servers that left by that list are not known.
+    """
+
     def __init__(
         self, zones: tuple[str, ...], kinds: tuple[str, ...], ids: ServerIds, removal_is_advisory: bool = False
     ) -> None:
-        self.zones, self.kinds, self.server_ids = zones, kinds, ids
-        self.removal_is_advisory = removal_is_advisory  # then the policy goes on with what has left
+        self.zones = zones
+        self.kinds = kinds
+        self.server_ids = ids
+        self.removal_is_advisory = removal_is_advisory
         self.generation = 0
         self.entries: dict[Server, EndpointEntry] = {}
-        self.addresses: dict[Server, str] = {}  # where this planner reaches them
-        self.removed: dict[Server, float] = {}  # when each had started, the first to go first; each may return
-        self.renewed: dict[Server, None] = {}  # the present ones that had an earlier process under the same id
+        self.addresses: dict[Server, str] = {}
+        self.removed: dict[Server, float] = {}
+        self.restarted: dict[Server, None] = {}
         self.stale_snapshot: StaleSnapshot | None = None
-        self.unresolved = False  # changes passed a doubted list: if it had begun anew, who left by it is not known
-
-    def apply(self, listing: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
-        """Take a listing in; the event that tells the policy of it. Changes cost by what they name, not by the list."""
-        listing = replace(listing, instances=latest_by_name(listing.instances))
-        late_drains = self.late_drains(listing) if self.removal_is_advisory else []
-        listing = self.newer(listing, now)
-        entries = [entry for instance in listing.instances if (entry := self.entry(instance)) is not None]
-        here = {e.server: e for e in entries if e.availability is not Availability.REMOVED}
-        gone = {e.server: e.started_at for e in entries if e.availability is Availability.REMOVED}
-        self.renewed |= dict.fromkeys(s for s, e in here.items() if e.started_at > self.last_start(s, e.started_at))
-        if listing.complete:
-            kept = self.unread(listing, {e.server for e in entries})
-            gone |= {s: e.started_at for s, e in self.entries.items() if s not in here and s not in kept}
-            entries += kept.values()
-            self.entries = {**kept, **here}
-        else:
-            self.entries |= here
-        for server, started in gone.items():
-            self.entries.pop(server, None)
-            self.removed[server] = started
-            self.addresses.pop(server, None)
-            self.renewed.pop(server, None)
-        for server in here:
-            self.removed.pop(server, None)
-        self.generation = listing.generation
-        scope = UpdateKind.FULL if listing.complete else UpdateKind.DELTA
-        return face.EndpointUpdate(scope, listing.generation, (*entries, *late_drains))
+        self.refetch_needed = False
 
-    def late_drains(self, listing: EndpointList) -> list[EndpointEntry]:
-        """Drains that an older generation tells of processes that have left: they bind, where departures do not.
+    # Lists in
 
-        They are for the policy alone, which may still send there; what has left is not listed again.
-        """
-        if listing.generations_restarted or listing.complete or listing.generation >= self.generation:
-            return []
-        drains = [one for one in listing.instances if one.availability is Availability.DRAINING]
-        found = [self.entry(one) for one in drains if self.removed.get(server_id(one.name)) == one.started_at]
-        entries = [entry for entry in found if entry is not None]
-        for entry in entries:
-            self.addresses.pop(entry.server, None)
-        return entries
+    def apply(self, endpoint_list: EndpointList, now: float = 0.0) -> EndpointUpdate:
+        """Apply a list that discovery told; changes cost by what they name, not by the size of the list.
 
-    def unread(self, listing: EndpointList, read: set[Server]) -> dict[Server, EndpointEntry]:
-        """Known servers that a whole list may name in an entry which could not be read: that is no departure."""
-        named = {server_id(name) for name in listing.unreadable}
-        named |= {server_id(one.name) for one in listing.instances}  # an unknown zone, say
-        return {s: e for s, e in self.entries.items() if s not in read and ("" in listing.unreadable or s in named)}
+        Args:
+            endpoint_list: the list.
+            now: ms on the planner's clock.
 
-    def newer(self, listing: EndpointList, now: float) -> EndpointList:
-        """Of an older generation than is known, what still counts.
+        Returns:
+            The event that tells the policy.
+        """
+        received = replace(endpoint_list, instances=latest_by_name(endpoint_list.instances))
+        late_drains = self._late_drains(received) if self.removal_is_advisory else []
+        accepted = self.discard_stale(received, now)
+        entries = [entry for instance in accepted.instances if (entry := self.entry(instance)) is not None]
+        listed = {entry.server: entry for entry in entries if entry.availability is not Availability.REMOVED}
+        removed = {entry.server: entry.started_at for entry in entries if entry.availability is Availability.REMOVED}
+        self._note_restarts(listed.values())
+        if accepted.complete:
+            retained = self._unreadable_entries(accepted, {entry.server for entry in entries})
+            removed |= {
+                server: entry.started_at
+                for server, entry in self.entries.items()
+                if server not in listed and server not in retained
+            }
+            entries += retained.values()
+            self.entries = {**retained, **listed}
+        else:
+            self.entries |= listed
+        self._record_removals(removed)
+        for server in listed:
+            self.removed.pop(server, None)
+        self.generation = accepted.generation
+        kind = UpdateKind.FULL if accepted.complete else UpdateKind.DELTA
+        return EndpointUpdate(kind, accepted.generation, (*entries, *late_drains))
+
+    def discard_stale(self, received: EndpointList, now: float) -> EndpointList:
+        """Reduce a list of an older generation than is known to what still counts.
 
-        Of changes that is what is `EntryFreshness.NEW`: anything else would bring back what has left since. A whole
-        list that revives a process which left or drains is an older state, as a fetch that a watch has overtaken
-        tells it: it counts like changes. Where no newer word comes while a list can be that old, discovery
-        has begun anew, and what it says holds.
+        Of changes that is what is `EntryFreshness.NEW`: anything else would bring back what has left since. A
+        complete list with entries that are `REVIVED` is an older state, as a fetch that a watch has overtaken
+        gives it: it counts like changes, and is held back. Where nothing newer arrives while a list can be that
+        old, discovery has started its generations again and the list holds, see `confirmed_snapshot`.
         """
-        if listing.generations_restarted or listing.generation >= self.generation:
-            self.unresolved = not listing.complete and (self.unresolved or self.stale_snapshot is not None)
+        if received.generations_restarted or received.generation >= self.generation:
+            overtaken = self.refetch_needed or self.stale_snapshot is not None
+            self.refetch_needed = not received.complete and overtaken
             self.stale_snapshot = None
-            return listing
-        words = [(one, self.freshness(one)) for one in listing.instances]
-        if self.stale_snapshot is not None and not listing.complete:
-            self.stale_snapshot.advance(listing)
-        elif listing.complete and all(word is not EntryFreshness.REVIVED for _, word in words):
+            return received
+        compared = [(instance, self._freshness(instance)) for instance in received.instances]
+        if not received.complete:
+            if self.stale_snapshot is not None:
+                self.stale_snapshot.advance(received)
+        elif any(freshness is EntryFreshness.REVIVED for _, freshness in compared):
+            self._hold_back(received, now)
+        else:
             self.stale_snapshot = None
-            return listing
-        elif listing.complete:
-            logger.warning(
-                "list {} revives what left by list {}: it is believed only if nothing newer comes for {:g} s",
-                listing.generation,
-                self.generation,
-                MAX_LIST_AGE / 1000.0,
-            )
-            self.stale_snapshot = StaleSnapshot.from_list(
-                listing, now if self.stale_snapshot is None else self.stale_snapshot.first_received_at
-            )
-        return EndpointList(self.generation, False, tuple(one for one, word in words if word is EntryFreshness.NEW))
+            return received
+        fresh = tuple(instance for instance, freshness in compared if freshness is EntryFreshness.NEW)
+        return EndpointList(self.generation, False, fresh)
 
-    def settled(self, now: float) -> EndpointList | None:
-        """A whole list that was held for an older state, once nothing newer can be on its way."""
+    def confirmed_snapshot(self, now: float) -> EndpointList | None:
+        """The complete list that was held back, once nothing newer can be in transit; it is to be applied."""
         if self.stale_snapshot is None or now < self.stale_snapshot.first_received_at + MAX_LIST_AGE:
             return None
         return self.stale_snapshot.endpoint_list()
 
-    def lacks_whole(self) -> bool:
-        """Whether a whole list has to be asked for; true once for each time that there is need."""
-        unresolved, self.unresolved = self.unresolved, False
-        return unresolved
-
-    def last_start(self, server: Server, default: float) -> float:
-        """When the process last known under that id had started, whether it is here or gone."""
-        known = self.entries.get(server)
-        return known.started_at if known is not None else self.removed.get(server, default)
-
-    def freshness(self, instance: Instance) -> EntryFreshness:
-        """What an older generation's entry still tells beside what is known."""
-        return entry_freshness(instance, self.known_process(server_id(instance.name)))
-
-    def known_process(self, server: Server) -> KnownProcess | None:
-        """The latest process known under that id, listed or removed."""
-        if (entry := self.entries.get(server)) is not None:
-            return KnownProcess(entry.availability, entry.started_at)
-        if (started_at := self.removed.get(server)) is not None:
-            return KnownProcess(Availability.REMOVED, started_at)
-        return None
-
-    def past(self, server: Server, began: float) -> bool:
-        """Whether what was met since then may be of a former process under that id."""
-        entry = self.entries.get(server)
-        return entry is not None and server in self.renewed and began < entry.started_at
+    def take_refetch_needed(self) -> bool:
+        """Whether the complete list has to be fetched; true once each time that it has."""
+        needed = self.refetch_needed
+        self.refetch_needed = False
+        return needed
 
     def entry(self, instance: Instance) -> EndpointEntry | None:
+        """Translate an instance for the policy and note its address; None if it has to be left out."""
         if instance.zone not in self.zones:
-            logger.warning("discovery lists {} in unknown zone {}; left out", instance.name, instance.zone[:40])
+            logger.warning(
+                "endpoint left out: server={} reason=unknown zone {}", instance.name, instance.zone[:MAX_ZONE_LOGGED]
+            )
             return None
         server = self.server_ids.learn(instance.name)
         if server is None:
             return None
         self.addresses[server] = instance.address
-        kind = self.kinds.index(instance.kind) if instance.kind in self.kinds else len(self.kinds)
         return EndpointEntry(
-            server,
-            self.zones.index(instance.zone),
-            kind,
-            instance.cell,
-            instance.availability,
-            instance.weight,
-            instance.started_at,
+            server=server,
+            zone=self.zones.index(instance.zone),
+            kind=self.kinds.index(instance.kind) if instance.kind in self.kinds else len(self.kinds),
+            cell=instance.cell,
+            availability=instance.availability,
+            weight=instance.weight,
+            started_at=instance.started_at,
         )
 
-    def outdated(self) -> list[Server]:
-        """The gone servers beyond the bound, which are forgotten once nothing names them."""
-        most = max(MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO * len(self.entries))
-        return list(islice(self.removed, max(0, len(self.removed) - most)))
+    # Questions
+
+    def cached_update(self) -> EndpointUpdate:
+        """The event that tells a policy which starts of the list as known."""
+        return EndpointUpdate(UpdateKind.CACHED, self.generation, tuple(self.entries.values()))
+
+    def failed_update(self) -> EndpointUpdate:
+        """The event that tells the policy that a call for the list has failed."""
+        return EndpointUpdate(UpdateKind.FAILED, self.generation)
+
+    def predates_current_process(self, server: Server, since: float) -> bool:
+        """Whether what was measured at a server from `since` (ms) on may be of an earlier process under its id."""
+        entry = self.entries.get(server)
+        return entry is not None and server in self.restarted and since < entry.started_at
+
+    def excess_removed(self) -> list[Server]:
+        """The removed servers beyond the bound, to be forgotten once nothing names them."""
+        bound = max(MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO * len(self.entries))
+        return list(islice(self.removed, max(0, len(self.removed) - bound)))
 
     def forget(self, server: Server) -> None:
+        """Forget a removed server and its name."""
         self.removed.pop(server, None)
         self.server_ids.forget(server)
 
-    def cached(self) -> face.EndpointUpdate:
-        """The present list, for a policy that starts from it."""
-        return face.EndpointUpdate(UpdateKind.CACHED, self.generation, tuple(self.entries.values()))
+    # Steps
+
+    def _known_process(self, server: Server) -> KnownProcess | None:
+        """The latest process known under an id, listed or removed."""
+        entry = self.entries.get(server)
+        if entry is not None:
+            return KnownProcess(entry.availability, entry.started_at)
+        started_at = self.removed.get(server)
+        return None if started_at is None else KnownProcess(Availability.REMOVED, started_at)
 
-    def failed(self) -> face.EndpointUpdate:
-        return face.EndpointUpdate(UpdateKind.FAILED, self.generation)
+    def _freshness(self, instance: Instance) -> EntryFreshness:
+        return entry_freshness(instance, self._known_process(server_id(instance.name)))
+
+    def _late_drains(self, received: EndpointList) -> list[EndpointEntry]:
+        """Drains of processes that have left since, as changes of an older generation tell them.
+
+        Drains bind where removals do not. These are for the policy alone, which may still send there; what has
+        left is not listed again.
+        """
+        if received.generations_restarted or received.complete or received.generation >= self.generation:
+            return []
+        draining = [one for one in received.instances if one.availability is Availability.DRAINING]
+        departed = [one for one in draining if self.removed.get(server_id(one.name)) == one.started_at]
+        entries = [entry for instance in departed if (entry := self.entry(instance)) is not None]
+        for entry in entries:
+            self.addresses.pop(entry.server, None)
+        return entries
+
+    def _hold_back(self, received: EndpointList, now: float) -> None:
+        logger.warning(
+            "endpoint list held back: generation={} duration_s={:g} reason=it lists servers that drain or have left "
+            "by generation {}",
+            received.generation,
+            MAX_LIST_AGE / 1000.0,
+            self.generation,
+        )
+        first_received_at = now if self.stale_snapshot is None else self.stale_snapshot.first_received_at
+        self.stale_snapshot = StaleSnapshot.from_list(received, first_received_at)
+
+    def _unreadable_entries(self, complete: EndpointList, read: set[Server]) -> dict[Server, EndpointEntry]:
+        """Known servers that a complete list may name in an entry that can't be used: they have not left."""
+        named = {server_id(name) for name in complete.unreadable}
+        named |= {server_id(instance.name) for instance in complete.instances}  # of an unknown zone, say
+        any_server = "" in complete.unreadable
+        return {
+            server: entry
+            for server, entry in self.entries.items()
+            if server not in read and (any_server or server in named)
+        }
+
+    def _note_restarts(self, listed: Iterable[EndpointEntry]) -> None:
+        for entry in listed:
+            known = self._known_process(entry.server)
+            if known is not None and entry.started_at > known.started_at:
+                self.restarted[entry.server] = None
+
+    def _record_removals(self, removed: dict[Server, float]) -> None:
+        for server, started_at in removed.items():
+            self.entries.pop(server, None)
+            self.removed[server] = started_at
+            self.addresses.pop(server, None)
+            self.restarted.pop(server, None)
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -145,14 +145,14 @@
         items, self.mailbox = self.mailbox, []
         self.filled.clear()
         events = [event for item in items for event in self.events(item)]
-        if (listing := self.endpoints.settled(self.clock.now())) is not None:
+        if (listing := self.endpoints.confirmed_snapshot(self.clock.now())) is not None:
             logger.warning("list {} holds: nothing newer has come", listing.generation)
             events.append(self.endpoints.apply(listing))
-        if self.endpoints.lacks_whole():
+        if self.endpoints.take_refetch_needed():
             logger.warning("changes passed a list that was doubted: the whole list is asked for")
             self.ports.fetch_endpoints()
         self.decide([*events, *self.streams.fall_silent(self.clock.now())])
-        for server in self.endpoints.outdated():
+        for server in self.endpoints.excess_removed():
             if not self.tables.names(server):
                 self.endpoints.forget(server)
                 self.tables.forget(server)
@@ -183,13 +183,17 @@
             case EndpointList():
                 return [self.endpoints.apply(item, self.clock.now())]
             case EndpointListFailed():
-                return [self.endpoints.failed()]
+                return [self.endpoints.failed_update()]
             case HealthCheckCompleted(asked, result):
                 return [result] if asked == self.asked(result.server) else []
             case TimerElapsed(life, token):
                 return [face.TimerFired(token)] if life == self.incarnation else []
             case face.LoadReport():  # its span may reach back to a former process under that id
-                return [] if self.endpoints.past(item.server, self.clock.now() - item.window) else [item]
+                return (
+                    []
+                    if self.endpoints.predates_current_process(item.server, self.clock.now() - item.window)
+                    else [item]
+                )
             case face.DemandReport(proxy):
                 return [item] if proxy in self.streams.by_proxy else []
             case face.GossipReceived():
@@ -276,4 +280,4 @@
         """The new policy asks for the list itself: that a call of the former one's failed is not its news."""
         self.mailbox = [item for item in self.mailbox if not isinstance(item, EndpointListFailed)]
         self.planner = self.planner_factory(self.settings, self.seed + self.incarnation)
-        self.decide([self.endpoints.cached(), *self.streams.start_over()])
+        self.decide([self.endpoints.cached_update(), *self.streams.start_over()])
--- a/stackwheel/trials/defects.py
+++ b/stackwheel/trials/defects.py
@@ -200,10 +200,10 @@
 def older_believed() -> Sequence[Patch]:
     """Generations are not compared: an older state brings back what drains."""
 
-    def newer(self: EndpointCache, listing: EndpointList, now: float) -> EndpointList:
+    def discard_stale(self: EndpointCache, listing: EndpointList, now: float) -> EndpointList:
         return listing
 
-    return [(EndpointCache, "newer", newer)]
+    return [(EndpointCache, "discard_stale", discard_stale)]
 
 
 def batch_cut() -> Sequence[Patch]:
--- a/tests/service/test_configured_names.py
+++ b/tests/service/test_configured_names.py
@@ -122,7 +122,7 @@
     out = Written(Encoder(found.names, roster.server_ids), {new: old for old, new in names.items()})
     module = PlannerActor(found.settings, 0.0, 5, clock, roster, out)
     module.set_timer = lambda delay, token: None  # type: ignore[method-assign]
-    module.decide([roster.cached()])
+    module.decide([roster.cached_update()])
     for proxy in range(PROXIES):
         module.post(
             ProxyStream(
--- a/tests/state/test_endpoint_cache.py
+++ b/tests/state/test_endpoint_cache.py
@@ -53,9 +53,9 @@
     kept = Kept(changes(42, one("b", DRAINING)), changes(43, one("c", GONE)), changes(44, one("d")))
     kept.take(OVERTAKEN, now=1000.0)
     assert kept.ready() == {"a", "d"} and kept.roster.generation == 44
-    assert kept.roster.settled(1000.0 + MAX_LIST_AGE - 1.0) is None
+    assert kept.roster.confirmed_snapshot(1000.0 + MAX_LIST_AGE - 1.0) is None
     kept.take(changes(45, one("e")), now=2000.0)  # the line of generations goes on: it was stale
-    assert kept.roster.settled(1e9) is None
+    assert kept.roster.confirmed_snapshot(1e9) is None
     assert kept.ready() == {"a", "d", "e"}
 
 
@@ -64,31 +64,33 @@
     kept.take(whole(1, one("a"), one("b"), one("c")), now=1000.0)
     kept.take(changes(2, one("f"), one("a", DRAINING)), now=2000.0)
     assert kept.ready() == {"d", "f"}  # drains count from any generation
-    settled = kept.roster.settled(1000.0 + MAX_LIST_AGE)
+    settled = kept.roster.confirmed_snapshot(1000.0 + MAX_LIST_AGE)
     assert settled is not None
     kept.take(settled, now=1000.0 + MAX_LIST_AGE)
     assert kept.ready() == {"b", "c", "f"} and kept.roster.generation == 2
     kept.take(changes(3, one("g")))
-    assert kept.ready() == {"b", "c", "f", "g"} and kept.roster.settled(1e9) is None
+    assert kept.ready() == {"b", "c", "f", "g"} and kept.roster.confirmed_snapshot(1e9) is None
 
 
 def test_where_changes_pass_a_doubted_list_the_whole_list_is_asked_for_once() -> None:
     """Discovery began anew without c, and reached the old generations before its list could hold: c stayed listed."""
     kept = Kept(changes(42, one("b", DRAINING)))
-    assert not kept.roster.lacks_whole()
+    assert not kept.roster.take_refetch_needed()
     kept.take(whole(1, one("a"), one("b")), now=1000.0)
-    assert not kept.roster.lacks_whole()  # it may still hold by itself
+    assert not kept.roster.take_refetch_needed()  # it may still hold by itself
     kept.take(changes(42, one("d")), now=2000.0)
-    assert kept.ready() == {"a", "c", "d"} and kept.roster.lacks_whole() and not kept.roster.lacks_whole()
+    assert (
+        kept.ready() == {"a", "c", "d"} and kept.roster.take_refetch_needed() and not kept.roster.take_refetch_needed()
+    )
     kept.take(whole(42, one("a"), one("b"), one("d")), now=2100.0)
-    assert kept.ready() == {"a", "b", "d"} and not kept.roster.lacks_whole()
+    assert kept.ready() == {"a", "b", "d"} and not kept.roster.take_refetch_needed()
 
 
 @pytest.mark.parametrize("answer", [whole(42, one("a")), whole(7, one("a"), anew=True)])
 def test_a_whole_list_that_comes_by_itself_need_not_be_asked_for(answer: EndpointList) -> None:
     kept = Kept(changes(42, one("b", DRAINING)))
     kept.take(whole(1, one("a"), one("b")), changes(42, one("d")), answer)
-    assert kept.ready() == {"a"} and not kept.roster.lacks_whole()
+    assert kept.ready() == {"a"} and not kept.roster.take_refetch_needed()
 
 
 def test_a_discovery_that_began_anew_and_revives_nothing_is_believed_at_once() -> None:
@@ -166,10 +168,14 @@
 def test_what_was_met_at_a_former_process_is_told_apart() -> None:
     kept = Kept(changes(41, one("b", GONE, 100.0)), changes(42, one("b", READY, 5000.0), one("new", READY, 5000.0)))
     roster = kept.roster
-    assert roster.past(server_id("b"), 4999.0) and not roster.past(server_id("b"), 5000.0)
-    assert not roster.past(server_id("new"), 4000.0)  # nobody else had that id
+    assert roster.predates_current_process(server_id("b"), 4999.0) and not roster.predates_current_process(
+        server_id("b"), 5000.0
+    )
+    assert not roster.predates_current_process(server_id("new"), 4000.0)  # nobody else had that id
     kept.take(whole(43, one("a", READY, 7000.0)))
-    assert roster.past(server_id("a"), 6000.0) and list(roster.renewed) == [server_id("a")]  # and b is forgotten
+    assert roster.predates_current_process(server_id("a"), 6000.0) and list(roster.restarted) == [
+        server_id("a")
+    ]  # and b is forgotten
 
 
 class Unwalked(dict[face.Server, object]):
@@ -191,4 +197,4 @@
     update = roster.apply(changes(generation, *words))
     assert [str(roster.server_ids.name(entry.server)) for entry in update.entries] == ["a", "b", "c", "d"]
     assert {str(roster.server_ids.name(s)) for s in dict.__iter__(roster.entries)} == {"a", "c", "d"}
-    assert list(roster.renewed) == [server_id("c")] and list(dict.__iter__(roster.removed)) == [server_id("b")]
+    assert list(roster.restarted) == [server_id("c")] and list(dict.__iter__(roster.removed)) == [server_id("b")]
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -227,7 +227,7 @@
         assert [life.seed for life in setup.lives] == [40, 41]
         (start,) = setup.lives[1].batches
         assert start == [
-            setup.module.endpoints.cached(),
+            setup.module.endpoints.cached_update(),
             face.ProxyJoined(1, 0, 20.0, False),
             face.ProxyJoined(2, 0, 20.0, False),
         ]
@@ -447,7 +447,7 @@
         settings = replace(SETTINGS, planner_count=2, gossip_enabled=True, message_cap=0)
         module = PlannerActor(settings, 0.0, 40, clock, roster, outside, 60_000.0)  # type: ignore[arg-type]
         roster.apply(listing("s-0", "s-1", "s-2", "s-3"))
-        module.decide([roster.cached()])
+        module.decide([roster.cached_update()])
         module.post(stream(1, line))
         sizes = []
         for number in range(4, 604):
