--- a/tests/state/test_endpoint_cache.py
+++ b/tests/state/test_endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The list as kept: older states, discoveries that begin anew, former processes, entries that can't be read."""
+"""The endpoint cache: older lists, restarted generations, earlier processes, entries that can't be read."""
 
 from typing import NoReturn
 
@@ -10,191 +10,207 @@
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds, server_id
 
-READY, DRAINING, GONE = Availability.READY, Availability.DRAINING, Availability.REMOVED
+READY, DRAINING, REMOVED = Availability.READY, Availability.DRAINING, Availability.REMOVED
 
 
-def one(name: str, state: Availability = READY, started: float = 0.0, zone: str = "east") -> Instance:
-    return Instance(name, "127.0.0.1:1", zone, "small", 0, state, 1.0, started)
+def instance(name: str, availability: Availability = READY, started_at: float = 0.0, zone: str = "east") -> Instance:
+    return Instance(name, "127.0.0.1:1", zone, "small", 0, availability, 1.0, started_at)
 
 
-def whole(generation: int, *instances: Instance, unreadable: tuple[str, ...] = (), anew: bool = False) -> EndpointList:
-    return EndpointList(generation, True, instances, frozenset(unreadable), anew)
+def complete_list(
+    generation: int, *instances: Instance, unreadable: tuple[str, ...] = (), restarted: bool = False
+) -> EndpointList:
+    return EndpointList(generation, True, instances, frozenset(unreadable), restarted)
 
 
-def changes(generation: int, *instances: Instance) -> EndpointList:
+def delta(generation: int, *instances: Instance) -> EndpointList:
     return EndpointList(generation, False, instances)
 
 
-class Kept:
-    def __init__(self, *listings: EndpointList) -> None:
-        self.roster = EndpointCache(("east", "west"), ("small",), ServerIds())
-        self.told: dict[face.Server, face.EndpointEntry] = {}
-        self.take(whole(40, one("a"), one("b"), one("c")), *listings)
+class PolicyView:
+    """An endpoint cache and the endpoints as a policy knows them that is told its updates, and nothing else."""
 
-    def take(self, *listings: EndpointList, now: float = 0.0) -> None:
-        """As the policy keeps it: what it is told, and nothing else."""
-        for listing in listings:
-            update = self.roster.apply(listing, now)
+    def __init__(self, *lists: EndpointList) -> None:
+        self.cache = EndpointCache(("east", "west"), ("small",), ServerIds())
+        self.known: dict[face.Server, face.EndpointEntry] = {}
+        self.apply(complete_list(40, instance("a"), instance("b"), instance("c")), *lists)
+
+    def apply(self, *lists: EndpointList, now: float = 0.0) -> None:
+        for endpoint_list in lists:
+            update = self.cache.apply(endpoint_list, now)
             if update.kind is face.UpdateKind.FULL:
-                self.told = {}
-            self.told.update({entry.server: entry for entry in update.entries})
+                self.known = {}
+            self.known.update({entry.server: entry for entry in update.entries})
 
     def ready(self) -> set[str]:
-        told = {s for s, e in self.told.items() if e.availability is READY}
-        assert told == {s for s, e in self.roster.entries.items() if e.availability is READY}
-        return {str(self.roster.server_ids.name(s)) for s in told}
-
-
-OVERTAKEN = whole(41, one("a"), one("b"), one("c"))  # the state before b drained and c left
-
-
-def test_an_older_whole_list_brings_nothing_back() -> None:
-    """It was believed whole, and what drained or had left was ready again."""
-    kept = Kept(changes(42, one("b", DRAINING)), changes(43, one("c", GONE)), changes(44, one("d")))
-    kept.take(OVERTAKEN, now=1000.0)
-    assert kept.ready() == {"a", "d"} and kept.roster.generation == 44
-    assert kept.roster.confirmed_snapshot(1000.0 + MAX_LIST_AGE - 1.0) is None
-    kept.take(changes(45, one("e")), now=2000.0)  # the line of generations goes on: it was stale
-    assert kept.roster.confirmed_snapshot(1e9) is None
-    assert kept.ready() == {"a", "d", "e"}
-
-
-def test_a_discovery_that_began_anew_holds_once_nothing_newer_can_come() -> None:
-    kept = Kept(changes(42, one("b", DRAINING)), changes(43, one("c", GONE)), changes(44, one("d")))
-    kept.take(whole(1, one("a"), one("b"), one("c")), now=1000.0)
-    kept.take(changes(2, one("f"), one("a", DRAINING)), now=2000.0)
-    assert kept.ready() == {"d", "f"}  # drains count from any generation
-    settled = kept.roster.confirmed_snapshot(1000.0 + MAX_LIST_AGE)
-    assert settled is not None
-    kept.take(settled, now=1000.0 + MAX_LIST_AGE)
-    assert kept.ready() == {"b", "c", "f"} and kept.roster.generation == 2
-    kept.take(changes(3, one("g")))
-    assert kept.ready() == {"b", "c", "f", "g"} and kept.roster.confirmed_snapshot(1e9) is None
-
-
-def test_where_changes_pass_a_doubted_list_the_whole_list_is_asked_for_once() -> None:
-    """Discovery began anew without c, and reached the old generations before its list could hold: c stayed listed."""
-    kept = Kept(changes(42, one("b", DRAINING)))
-    assert not kept.roster.take_refetch_needed()
-    kept.take(whole(1, one("a"), one("b")), now=1000.0)
-    assert not kept.roster.take_refetch_needed()  # it may still hold by itself
-    kept.take(changes(42, one("d")), now=2000.0)
-    assert (
-        kept.ready() == {"a", "c", "d"} and kept.roster.take_refetch_needed() and not kept.roster.take_refetch_needed()
-    )
-    kept.take(whole(42, one("a"), one("b"), one("d")), now=2100.0)
-    assert kept.ready() == {"a", "b", "d"} and not kept.roster.take_refetch_needed()
-
-
-@pytest.mark.parametrize("answer", [whole(42, one("a")), whole(7, one("a"), anew=True)])
-def test_a_whole_list_that_comes_by_itself_need_not_be_asked_for(answer: EndpointList) -> None:
-    kept = Kept(changes(42, one("b", DRAINING)))
-    kept.take(whole(1, one("a"), one("b")), changes(42, one("d")), answer)
-    assert kept.ready() == {"a"} and not kept.roster.take_refetch_needed()
-
-
-def test_a_discovery_that_began_anew_and_revives_nothing_is_believed_at_once() -> None:
-    """Its departures bind from their telling: they may not wait."""
-    kept = Kept(changes(42, one("b", DRAINING)))
-    kept.take(whole(1, one("a")))
-    assert kept.ready() == {"a"} and kept.roster.generation == 1
-
-
-def test_a_list_of_a_discovery_that_moved_is_taken_whole() -> None:
-    kept = Kept(changes(42, one("b", GONE)))
-    kept.take(whole(7, one("b"), anew=True))
-    assert kept.ready() == {"b"} and kept.roster.generation == 7
-
-
-@pytest.mark.parametrize("state", [DRAINING, GONE])
-def test_a_former_process_takes_out_nothing(state: Availability) -> None:
-    """An older generation that tells the drain of a server's former process took its new one out."""
-    kept = Kept(changes(42, one("b", GONE, 100.0)), changes(43, one("b", READY, 500.0)))
-    kept.take(changes(41, one("b", state, 100.0)))
-    assert kept.ready() == {"a", "b", "c"}
-    kept.take(changes(41, one("b", state, 500.0)))  # but that of this one does
-    assert kept.ready() == {"a", "c"}
-
-
-def test_what_left_is_not_listed_again_as_draining() -> None:
-    kept = Kept(changes(43, one("b", GONE)))
-    kept.take(changes(42, one("b", DRAINING)))
-    assert server_id("b") not in kept.roster.entries
+        ready = {server for server, entry in self.known.items() if entry.availability is READY}
+        assert ready == {server for server, entry in self.cache.entries.items() if entry.availability is READY}
+        return {str(self.cache.server_ids.name(server)) for server in ready}
+
+
+OVERTAKEN_LIST = complete_list(41, instance("a"), instance("b"), instance("c"))  # the state before b drained and c left
+
+
+def test_an_older_complete_list_revives_nothing() -> None:
+    """It was accepted, and what drained or had left was ready again."""
+    view = PolicyView(delta(42, instance("b", DRAINING)), delta(43, instance("c", REMOVED)), delta(44, instance("d")))
+    view.apply(OVERTAKEN_LIST, now=1000.0)
+    assert view.ready() == {"a", "d"}
+    assert view.cache.generation == 44
+    assert view.cache.confirmed_snapshot(1000.0 + MAX_LIST_AGE - 1.0) is None
+    view.apply(delta(45, instance("e")), now=2000.0)  # generations go on from the known one: the list was stale
+    assert view.cache.confirmed_snapshot(1e9) is None
+    assert view.ready() == {"a", "d", "e"}
+
+
+def test_restarted_generations_are_accepted_once_nothing_newer_can_be_in_transit() -> None:
+    view = PolicyView(delta(42, instance("b", DRAINING)), delta(43, instance("c", REMOVED)), delta(44, instance("d")))
+    view.apply(complete_list(1, instance("a"), instance("b"), instance("c")), now=1000.0)
+    view.apply(delta(2, instance("f"), instance("a", DRAINING)), now=2000.0)
+    assert view.ready() == {"d", "f"}  # drains count from any generation
+    confirmed = view.cache.confirmed_snapshot(1000.0 + MAX_LIST_AGE)
+    assert confirmed is not None
+    view.apply(confirmed, now=1000.0 + MAX_LIST_AGE)
+    assert view.ready() == {"b", "c", "f"}
+    assert view.cache.generation == 2
+    view.apply(delta(3, instance("g")))
+    assert view.ready() == {"b", "c", "f", "g"}
+    assert view.cache.confirmed_snapshot(1e9) is None
+
+
+def test_changes_that_overtake_a_held_back_list_cause_one_fetch() -> None:
+    """Discovery restarted its generations without c and reached the old ones before the list was accepted: c stayed."""
+    view = PolicyView(delta(42, instance("b", DRAINING)))
+    assert not view.cache.take_refetch_needed()
+    view.apply(complete_list(1, instance("a"), instance("b")), now=1000.0)
+    assert not view.cache.take_refetch_needed()  # it may still be accepted
+    view.apply(delta(42, instance("d")), now=2000.0)
+    assert view.ready() == {"a", "c", "d"}
+    assert view.cache.take_refetch_needed()
+    assert not view.cache.take_refetch_needed()
+    view.apply(complete_list(42, instance("a"), instance("b"), instance("d")), now=2100.0)
+    assert view.ready() == {"a", "b", "d"}
+    assert not view.cache.take_refetch_needed()
+
+
+@pytest.mark.parametrize("answer", [complete_list(42, instance("a")), complete_list(7, instance("a"), restarted=True)])
+def test_a_complete_list_that_arrives_unasked_needs_no_fetch(answer: EndpointList) -> None:
+    view = PolicyView(delta(42, instance("b", DRAINING)))
+    view.apply(complete_list(1, instance("a"), instance("b")), delta(42, instance("d")), answer)
+    assert view.ready() == {"a"}
+    assert not view.cache.take_refetch_needed()
+
+
+def test_restarted_generations_that_revive_nothing_are_accepted_at_once() -> None:
+    """Its removals bind from the time they are told: they may not wait."""
+    view = PolicyView(delta(42, instance("b", DRAINING)))
+    view.apply(complete_list(1, instance("a")))
+    assert view.ready() == {"a"}
+    assert view.cache.generation == 1
+
+
+def test_the_list_of_a_discovery_that_moved_is_accepted() -> None:
+    view = PolicyView(delta(42, instance("b", REMOVED)))
+    view.apply(complete_list(7, instance("b"), restarted=True))
+    assert view.ready() == {"b"}
+    assert view.cache.generation == 7
+
+
+@pytest.mark.parametrize("availability", [DRAINING, REMOVED])
+def test_an_older_entry_of_an_earlier_process_removes_nothing(availability: Availability) -> None:
+    """The drain of a server's earlier process, told by an older generation, took its new process out."""
+    view = PolicyView(delta(42, instance("b", REMOVED, 100.0)), delta(43, instance("b", READY, 500.0)))
+    view.apply(delta(41, instance("b", availability, 100.0)))
+    assert view.ready() == {"a", "b", "c"}
+    view.apply(delta(41, instance("b", availability, 500.0)))  # but that of the present process does
+    assert view.ready() == {"a", "c"}
+
+
+def test_a_removed_server_is_not_listed_again_as_draining() -> None:
+    view = PolicyView(delta(43, instance("b", REMOVED)))
+    view.apply(delta(42, instance("b", DRAINING)))
+    assert server_id("b") not in view.cache.entries
 
 
 @pytest.mark.parametrize("removal_is_advisory", [True, False])
-def test_a_late_drain_of_what_has_left_is_told_where_departures_do_not_bind(removal_is_advisory: bool) -> None:
-    """The policy keeps what the list dropped there, and an older generation's drain of it was left out (seed 700451)."""
-    kept = Kept(changes(41, one("c", READY, 100.0)), changes(43, one("b", GONE), one("c", GONE, 100.0)))
-    kept.roster.removal_is_advisory = removal_is_advisory
-    update = kept.roster.apply(changes(42, one("a"), one("b", DRAINING), one("c", DRAINING)))  # c: its former process
-    told = [(kept.roster.server_ids.name(entry.server), entry.availability) for entry in update.entries]
+def test_a_late_drain_of_a_removed_server_is_told_where_removal_is_advisory(removal_is_advisory: bool) -> None:
+    """The policy keeps what the list dropped there; an older generation's drain of it was ignored (seed 700451)."""
+    view = PolicyView(
+        delta(41, instance("c", READY, 100.0)), delta(43, instance("b", REMOVED), instance("c", REMOVED, 100.0))
+    )
+    view.cache.removal_is_advisory = removal_is_advisory
+    # The drain of c is of its earlier process.
+    update = view.cache.apply(delta(42, instance("a"), instance("b", DRAINING), instance("c", DRAINING)))
+    told = [(view.cache.server_ids.name(entry.server), entry.availability) for entry in update.entries]
     assert told == ([("b", DRAINING)] if removal_is_advisory else [])
-    assert list(kept.roster.entries) == list(kept.roster.addresses) == [server_id("a")]
-    assert kept.roster.generation == 43 and list(kept.roster.removed) == [server_id("b"), server_id("c")]
+    assert list(view.cache.entries) == list(view.cache.addresses) == [server_id("a")]
+    assert view.cache.generation == 43
+    assert list(view.cache.removed) == [server_id("b"), server_id("c")]
 
 
-@pytest.mark.parametrize(("unreadable", "left"), [(("b",), {"a", "b"}), (("",), {"a", "b", "c"}), ((), {"a"})])
-def test_an_entry_that_cannot_be_read_is_no_departure(unreadable: tuple[str, ...], left: set[str]) -> None:
-    """A whole list without it took a good server away; of one whose name is lost nobody can say who it was."""
-    kept = Kept()
-    kept.take(whole(41, one("a"), unreadable=unreadable))
-    assert kept.ready() == left
+@pytest.mark.parametrize(("unreadable", "ready"), [(("b",), {"a", "b"}), (("",), {"a", "b", "c"}), ((), {"a"})])
+def test_an_unreadable_entry_is_no_removal(unreadable: tuple[str, ...], ready: set[str]) -> None:
+    """A complete list without it took a good server away; an entry without a name may be any server's."""
+    view = PolicyView()
+    view.apply(complete_list(41, instance("a"), unreadable=unreadable))
+    assert view.ready() == ready
 
 
-def test_an_unknown_zone_is_no_departure() -> None:
-    kept = Kept()
-    kept.take(whole(41, one("a"), one("b", zone="moon"), one("new", zone="moon")))
-    assert kept.ready() == {"a", "b"}
+def test_an_unknown_zone_is_no_removal() -> None:
+    view = PolicyView()
+    view.apply(complete_list(41, instance("a"), instance("b", zone="moon"), instance("new", zone="moon")))
+    assert view.ready() == {"a", "b"}
 
 
-def test_of_doubled_entries_the_later_process_or_the_last_word_counts() -> None:
-    kept = Kept()
-    kept.take(
-        changes(
+def test_of_repeated_entries_the_latest_process_or_the_last_entry_counts() -> None:
+    view = PolicyView()
+    view.apply(
+        delta(
             41,
-            one("a", GONE),
-            one("a", READY, 900.0),
-            one("b", READY, 900.0),
-            one("b", GONE, 100.0),
-            one("c"),
-            one("c", DRAINING),
+            instance("a", REMOVED),
+            instance("a", READY, 900.0),
+            instance("b", READY, 900.0),
+            instance("b", REMOVED, 100.0),
+            instance("c"),
+            instance("c", DRAINING),
         )
     )
-    assert kept.ready() == {"a", "b"}
-    assert kept.roster.entries[server_id("b")].started_at == 900.0
+    assert view.ready() == {"a", "b"}
+    assert view.cache.entries[server_id("b")].started_at == 900.0
 
 
-def test_what_was_met_at_a_former_process_is_told_apart() -> None:
-    kept = Kept(changes(41, one("b", GONE, 100.0)), changes(42, one("b", READY, 5000.0), one("new", READY, 5000.0)))
-    roster = kept.roster
-    assert roster.predates_current_process(server_id("b"), 4999.0) and not roster.predates_current_process(
-        server_id("b"), 5000.0
+def test_measurements_of_an_earlier_process_are_recognized() -> None:
+    view = PolicyView(
+        delta(41, instance("b", REMOVED, 100.0)),
+        delta(42, instance("b", READY, 5000.0), instance("new", READY, 5000.0)),
     )
-    assert not roster.predates_current_process(server_id("new"), 4000.0)  # nobody else had that id
-    kept.take(whole(43, one("a", READY, 7000.0)))
-    assert roster.predates_current_process(server_id("a"), 6000.0) and list(roster.restarted) == [
-        server_id("a")
-    ]  # and b is forgotten
+    cache = view.cache
+    assert cache.predates_current_process(server_id("b"), 4999.0)
+    assert not cache.predates_current_process(server_id("b"), 5000.0)
+    assert not cache.predates_current_process(server_id("new"), 4000.0)  # it had no earlier process
+    view.apply(complete_list(43, instance("a", READY, 7000.0)))
+    assert cache.predates_current_process(server_id("a"), 6000.0)
+    assert list(cache.restarted) == [server_id("a")]
 
 
-class Unwalked(dict[face.Server, object]):
-    """A mapping that is looked into and changed, never gone through."""
+class LookupOnly(dict[face.Server, object]):
+    """A mapping that may be looked into and changed, but not iterated over."""
 
     def __iter__(self) -> NoReturn:
-        raise AssertionError("gone through")
+        raise AssertionError("iterated over")
 
     keys = items = values = __iter__  # type: ignore[assignment]
 
 
 @pytest.mark.parametrize("generation", [41, 3])
-def test_changes_cost_by_what_they_name_and_not_by_the_list(generation: int) -> None:
-    """Each list of changes copied all that is listed and all that is gone."""
-    kept = Kept(changes(40, one("c", GONE, 100.0)))
-    roster = kept.roster
-    roster.entries, roster.removed = Unwalked(roster.entries), Unwalked(roster.removed)  # type: ignore[assignment]
-    words = (one("a", DRAINING), one("b", GONE), one("c", READY, 500.0), one("d"))
-    update = roster.apply(changes(generation, *words))
-    assert [str(roster.server_ids.name(entry.server)) for entry in update.entries] == ["a", "b", "c", "d"]
-    assert {str(roster.server_ids.name(s)) for s in dict.__iter__(roster.entries)} == {"a", "c", "d"}
-    assert list(roster.restarted) == [server_id("c")] and list(dict.__iter__(roster.removed)) == [server_id("b")]
+def test_changes_cost_by_what_they_name_and_not_by_the_size_of_the_list(generation: int) -> None:
+    """Each list of changes copied all that is listed and all that was removed."""
+    view = PolicyView(delta(40, instance("c", REMOVED, 100.0)))
+    cache = view.cache
+    cache.entries, cache.removed = LookupOnly(cache.entries), LookupOnly(cache.removed)  # type: ignore[assignment]
+    named = (instance("a", DRAINING), instance("b", REMOVED), instance("c", READY, 500.0), instance("d"))
+    update = cache.apply(delta(generation, *named))
+    assert [str(cache.server_ids.name(entry.server)) for entry in update.entries] == ["a", "b", "c", "d"]
+    assert {str(cache.server_ids.name(s)) for s in dict.__iter__(cache.entries)} == {"a", "c", "d"}
+    assert list(cache.restarted) == [server_id("c")]
+    assert list(dict.__iter__(cache.removed)) == [server_id("b")]
