--- a/stackwheel/trials/defects/wire.py
+++ b/stackwheel/trials/defects/wire.py
@@ -10,10 +10,11 @@
 from stackwheel.state.table_updates import UpdatePart
 from stackwheel.trials.defects.planting import Defect, Patch, returns
 from stackwheel.wire import connection, line_codec
-from stackwheel.wire.connection import BufferBudget, Connection
+from stackwheel.wire.connection import Connection
+from stackwheel.wire.connection_limits import BufferBudget
 from stackwheel.wire.discovery_client import DiscoveryClient
 from stackwheel.wire.line_codec import Encoder
-from stackwheel.wire.messages import MalformedMessage
+from stackwheel.wire.messages import MalformedMessageError
 from stackwheel.wire.transport import SocketTransport
 
 LOST_LENGTH = 17  # bytes: messages whose length is a multiple of it are lost
@@ -26,23 +27,23 @@
 
 def complete_flag_omitted() -> Sequence[Patch]:
     """A part that replaces a table is encoded as one that changes it."""
-    original = Encoder.part
+    original = Encoder.encode_part
 
-    def part(self: Encoder, part: UpdatePart) -> Any:
+    def encode_part(self: Encoder, part: UpdatePart) -> Any:
         return original(self, replace(part, complete=False))
 
-    return [Patch(Encoder, "part", part)]
+    return [Patch(Encoder, "encode_part", encode_part)]
 
 
 def zero_weights_omitted() -> Sequence[Patch]:
     """Lines with weight 0 are left out of what is encoded."""
-    original = Encoder.part
+    original = Encoder.encode_part
 
-    def part(self: Encoder, part: UpdatePart) -> Any:
+    def encode_part(self: Encoder, part: UpdatePart) -> Any:
         positive = tuple((server, weight) for server, weight in part.lines if weight > 0)
         return original(self, replace(part, lines=positive))
 
-    return [Patch(Encoder, "part", part)]
+    return [Patch(Encoder, "encode_part", encode_part)]
 
 
 def messages_lost() -> Sequence[Patch]:
@@ -58,15 +59,15 @@
 
 def weights_with_exponent() -> Sequence[Patch]:
     """Weights are written in a form that the protocol does not have."""
-    return [Patch(line_codec, "number", lambda value: f"{value:.5e}")]
+    return [Patch(line_codec, "format_number", lambda value: f"{value:.5e}")]
 
 
 def buffered_bytes_never_released() -> Sequence[Patch]:
     """The total of buffered bytes grows by each count, and forgets no connection."""
 
     def account(self: BufferBudget, peer: Connection, count: int) -> None:
-        self.total += count
-        self.held[peer] = count
+        self.total_bytes += count
+        self.bytes_by_connection[peer] = count
 
     return [Patch(BufferBudget, "account", account)]
 
@@ -82,7 +83,7 @@
 
     def initialise(self: SocketTransport, *args: Any, **keywords: Any) -> None:
         original(self, *args, **keywords)
-        self.unidentified = GrowingDict()
+        self.connection_table.unidentified = GrowingDict()
 
     return [Patch(SocketTransport, "__init__", initialise)]
 
@@ -92,10 +93,10 @@
     original = line_codec.decode
 
     def decode(line: bytes, names: Any) -> Any:
-        message = original(line, names)
-        if isinstance(message, MalformedMessage):
-            raise KeyError(message.reason)
-        return message
+        try:
+            return original(line, names)
+        except MalformedMessageError as error:
+            raise KeyError(str(error)) from error
 
     return [Patch(connection, "decode", decode)]
 
