--- a/stackwheel/scale/capacity.py
+++ b/stackwheel/scale/capacity.py
@@ -74,7 +74,8 @@
 
     def needs(self) -> dict[str, float]:
         """Need over budget, by what is budgeted."""
-        cost, budget = self.cost, self.budget
+        cost = self.cost
+        budget = self.budget
         told = [size for size in (cost.control_in, cost.control_out) if size is not None]
         control = sum(told) if told else None
         pairs = {
--- a/stackwheel/scale/capacity_control.py
+++ b/stackwheel/scale/capacity_control.py
@@ -19,7 +19,8 @@
 
 def discovery_rows(model: Model) -> Iterator[Row]:
     """The registry's side of the list, without cells: every planner watches it."""
-    whole, entry = model.start_bytes("whole list"), model.entry_bytes()
+    whole = model.start_bytes("whole list")
+    entry = model.entry_bytes()
     largest = model.sizes[0]
     beats = design.PLANNERS / design.BEAT_SECONDS
     yield registry_row(
@@ -63,9 +64,12 @@
 
 def control_rows(model: Model) -> Iterator[Row]:
     """One of the 17 machines as a relay: it holds the whole list and serves its part of the cells."""
-    entry, whole = model.entry_bytes(), model.start_bytes("whole list")
-    machines, watchers = design.CONTROL_MACHINES, design.watchers_of_a_change(model.sizes)
-    watches, cells = design.PLANNERS / machines, sum(one.cells for one in model.sizes)
+    entry = model.entry_bytes()
+    whole = model.start_bytes("whole list")
+    machines = design.CONTROL_MACHINES
+    watchers = design.watchers_of_a_change(model.sizes)
+    watches = design.PLANNERS / machines
+    cells = sum(one.cells for one in model.sizes)
     state = f"{design.SERVERS:,} entries, {2 * cells / machines:.0f} of {cells:,} cells, {watches:.0f} watches"
     yield relay_row(model, "mean", state, watches, design.LIST_CHANGES)
     more = design.PLANNERS / (machines - 1)
@@ -90,7 +94,8 @@
 
 def relay_row(model: Model, case: str, state: str, watches: float, changes: float) -> Row:
     """One relay: processor and memory by the slopes, each beyond its base added up; bytes by the entries' size."""
-    entry, watchers = model.entry_bytes(), design.watchers_of_a_change(model.sizes)
+    entry = model.entry_bytes()
+    watchers = design.watchers_of_a_change(model.sizes)
     told = changes * watchers / design.CONTROL_MACHINES
     beats = watches / design.BEAT_SECONDS
     cost = Cost(
--- a/stackwheel/scale/children.py
+++ b/stackwheel/scale/children.py
@@ -79,7 +79,8 @@
     """Owns all processes of a run; no more than `most` at a time."""
 
     def __init__(self, logs: Path, most: int) -> None:
-        self.logs, self.most = logs, most
+        self.logs = logs
+        self.most = most
         self.running: list[Child] = []
 
     async def start_module(self, role: Role, name: str, module: str) -> Child:
--- a/stackwheel/scale/choice.py
+++ b/stackwheel/scale/choice.py
@@ -33,7 +33,8 @@
     """Time choices from a table, some servers tried already; means of each repeat."""
     held = table(lines).routes[ROUTE]
     tried = held.open[:without]
-    random, under_way = Random(1), {name: number % 3 for number, name in enumerate(held.open)}
+    random = Random(1)
+    under_way = {name: number % 3 for number, name in enumerate(held.open)}
     means = []
     for _ in range(repeats):
         began = time.perf_counter_ns()
--- a/stackwheel/scale/control.py
+++ b/stackwheel/scale/control.py
@@ -196,7 +196,8 @@
     """Messages of one kind of union, a JSON object a line."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, kind: object) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
         self.decoder: msgspec.json.Decoder[T] = msgspec.json.Decoder(kind)
         self.encoder = msgspec.json.Encoder()
 
--- a/stackwheel/scale/entries.py
+++ b/stackwheel/scale/entries.py
@@ -28,4 +28,6 @@
     instances: list[Entry]
 
 
-IN_SERVICE, TERMINATING, TERMINATED = "in_service", "terminating", "terminated"
+IN_SERVICE = "in_service"
+TERMINATING = "terminating"
+TERMINATED = "terminated"
--- a/stackwheel/scale/findings.py
+++ b/stackwheel/scale/findings.py
@@ -51,7 +51,8 @@
 ) -> Findings:
     """Ask the registry for its list now, and everybody for what differs from it."""
     listed = await registry.ask(AskList(), WholeList)
-    by_cell, found = layout.entries_by_cell(listed.entries), Findings(listed)
+    by_cell = layout.entries_by_cell(listed.entries)
+    found = Findings(listed)
     cells: dict[int, set[str]] = {}  # of each hollow process, by its id
     processes = {child.pid: child for child in hollow.values()}
     for number, child in hollow.items():
--- a/stackwheel/scale/holding.py
+++ b/stackwheel/scale/holding.py
@@ -18,7 +18,9 @@
     """
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
-        self.zones, self.kinds, self.ids = zones, kinds, ServerIds()
+        self.zones = zones
+        self.kinds = kinds
+        self.ids = ServerIds()
         self.entries: dict[EndpointEntry, EndpointEntry] = {}
         self.addresses: dict[str, str] = {}
 
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -105,8 +105,11 @@
     """One hollow planner: its watch, and what it holds."""
 
     def __init__(self, planner: HollowPlanner, shared: Shared, records: InForceRecords) -> None:
-        self.planner, self.shared, self.records = planner, shared, records
-        self.former_failures, self.lives = 0, 0
+        self.planner = planner
+        self.shared = shared
+        self.records = records
+        self.former_failures = 0
+        self.lives = 0
         self.ended = 0.0  # s, when it ended to start anew
         self.task: asyncio.Task[None] | None = None
         self.begin()
@@ -214,9 +217,13 @@
     async def compare(self, message: Compare) -> Compared:
         """Each planner's entries against those listed for its cell."""
         listed = {cell: self.listed(entries) for cell, entries in message.cells.items()}
-        compared, right, wrong, digests = 0, 0, [], {cell: set[str]() for cell in listed}
+        compared = 0
+        right = 0
+        wrong = []
+        digests = {cell: set[str]() for cell in listed}
         for number, follower in self.followers.items():
-            held, due = follower.holding.listed(), listed[follower.planner.cell]
+            held = follower.holding.listed()
+            due = listed[follower.planner.cell]
             difference = compare(held, due)
             compared += len(due)
             if difference.count() or not follower.holds:
@@ -250,7 +257,8 @@
 async def main(loop: CountingLoop) -> None:
     """Do as the run says until told to stop, or until its end of the control connection is gone."""
     logger.remove()  # a thousand planners' logs tell nothing that the counters don't
-    lines, process = await standard_lines(), HollowProcess(loop)
+    lines = await standard_lines()
+    process = HollowProcess(loop)
     settling = asyncio.create_task(process.settle())
     await lines.send(Ready())
     gc.freeze()
--- a/stackwheel/scale/inforce.py
+++ b/stackwheel/scale/inforce.py
@@ -55,7 +55,8 @@
     change was made has it in force once it holds a list again, which is counted as a restart.
     """
     found = InForce()
-    held, pauses = times_of(records), pauses_of(restarts)
+    held = times_of(records)
+    pauses = pauses_of(restarts)
     for name, history in by_server(changes).items():
         for planner in planners_of.get(name, ()):
             measure_one(found, planner, history, held, pauses.get(planner, []))
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -98,7 +98,8 @@
     def join(self, address: str, names: Sequence[str]) -> None:
         settings = ProxySettings(address, ROUTES, frozenset(names), REQUESTS_PER_PROXY)
         random = Random(self.seed)
-        streams, reports = self.counters[Channel.STREAMS], self.counters[Channel.COLLECTORS]
+        streams = self.counters[Channel.STREAMS]
+        reports = self.counters[Channel.COLLECTORS]
         for number in range(self.point.proxies):
             zone = self.point.zone(number)
             proxy = HollowProxy(number, zone, settings, streams, Random(random.getrandbits(64)))
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -47,8 +47,11 @@
     """One proxy: joins, applies orders, answers marks after a drawn time, reports its demand once a cycle."""
 
     def __init__(self, number: int, zone: str, settings: ProxySettings, traffic: Traffic, random: Random) -> None:
-        self.number, self.zone, self.settings = number, zone, settings
-        self.traffic, self.random = traffic, random
+        self.number = number
+        self.zone = zone
+        self.settings = settings
+        self.traffic = traffic
+        self.random = random
         self.holdings = ForwarderState(settings.routes, settings.listed)
         self.state = ProxyState()
         self.writer: asyncio.StreamWriter | None = None
@@ -139,8 +142,11 @@
     """The collector of one zone: once a cycle, what the zone's proxies met at each of some servers."""
 
     def __init__(self, zone: str, address: str, servers: Sequence[str], traffic: Traffic, random: Random) -> None:
-        self.zone, self.address, self.servers = zone, address, servers
-        self.traffic, self.random = traffic, random
+        self.zone = zone
+        self.address = address
+        self.servers = servers
+        self.traffic = traffic
+        self.random = random
 
     async def run(self) -> None:
         """Report until cancelled; a broken connection is dialled again."""
@@ -165,7 +171,8 @@
             writer.transport.abort()
 
     def load(self, server: str) -> str:
-        count, mean = self.random.randint(10, 30), self.random.lognormvariate(math.log(40.0), 0.3)
+        count = self.random.randint(10, 30)
+        mean = self.random.lognormvariate(math.log(40.0), 0.3)
         return (
             f"LOAD site={self.zone} target={server} count={count} fail=0 mean={mean:.1f} "
             f"over={CYCLE_MS:.1f} util=inflight:{self.random.randint(0, 3)}"
--- a/stackwheel/scale/registry.py
+++ b/stackwheel/scale/registry.py
@@ -62,7 +62,8 @@
     """All connections of the registry, and what they are told."""
 
     def __init__(self, listing: RegistryList) -> None:
-        self.listing, self.framer = listing, Framer()
+        self.listing = listing
+        self.framer = Framer()
         self.watches: set[asyncio.StreamWriter] = set()
         self.connections = 0
         self.pending = 0  # bytes of first answers that are still being written
--- a/stackwheel/scale/relay_bench.py
+++ b/stackwheel/scale/relay_bench.py
@@ -17,7 +17,8 @@
 from stackwheel.scale.proxies import until
 from stackwheel.scale.surroundings import LIST_PATH, READ_BYTES, ListFeed
 
-NAME, TWIN = "relay-0", "relay-1"
+NAME = "relay-0"
+TWIN = "relay-1"
 TWIN_HOST = "127.78.0.1"  # nobody listens there: each cell is served by both relays, one of them is measured
 FIRST_PORT = 20_001
 HOSTS = iter(range(1, 1 << 16))  # of the loopback network: each relay of this process listens at one of its own
--- a/stackwheel/scale/run.py
+++ b/stackwheel/scale/run.py
@@ -59,7 +59,9 @@
     """All that one run owns."""
 
     def __init__(self, arguments: Arguments, folder: Path, progress: Progress) -> None:
-        self.arguments, self.folder, self.progress = arguments, folder, progress
+        self.arguments = arguments
+        self.folder = folder
+        self.progress = progress
         self.children = Children(folder, bounds.PROCESSES_MOST)
         self.fleet = draw_fleet(shape_of(arguments))
         self.schedule: Schedule = draw_schedule(
@@ -89,7 +91,8 @@
 
     def estimate(self) -> Estimate:
         """What this run takes; ScaleError where the machine can't hold that."""
-        held, arguments = self.layout.held_entries(self.fleet), self.arguments
+        held = self.layout.held_entries(self.fleet)
+        arguments = self.arguments
         real = sum(held[number] for number in self.real_numbers)
         whole = arguments.whole_list_planners
         return bounds.check(
@@ -287,7 +290,8 @@
         hollow = await self.ask_hollow(AskTraffic(), Traffic)
         now = time.monotonic()
         self.outcome.traffic.append((registry, hollow))
-        hollow_in, hollow_out = sum(t.bytes_in for t in hollow), sum(t.bytes_out for t in hollow)
+        hollow_in = sum(t.bytes_in for t in hollow)
+        hollow_out = sum(t.bytes_out for t in hollow)
         real_in, real_out = self.real_bytes(Role.REAL_PLANNER)
         whole_in, whole_out = self.real_bytes(Role.WHOLE_LIST_PLANNER)
         self.outcome.sampler.bytes[Role.REGISTRY].add(registry.bytes_in, registry.bytes_out, now)
--- a/stackwheel/scale/sampling.py
+++ b/stackwheel/scale/sampling.py
@@ -29,7 +29,8 @@
         elif now - self.last_at >= SHORTEST:
             self.highest_in = max(self.highest_in, (bytes_in - self.last[0]) / (now - self.last_at))
             self.highest_out = max(self.highest_out, (bytes_out - self.last[1]) / (now - self.last_at))
-        self.last, self.last_at = (bytes_in, bytes_out), now
+        self.last = (bytes_in, bytes_out)
+        self.last_at = now
 
     def total(self) -> tuple[int, int]:
         """Bytes in and out between the first reading and the last."""
--- a/stackwheel/scale/summary.py
+++ b/stackwheel/scale/summary.py
@@ -51,7 +51,9 @@
 
 def make_report(outcome: Outcome, findings: Findings) -> Report:
     """The report; it takes a while for many records."""
-    arguments, sampler, duration = outcome.arguments, outcome.sampler, outcome.duration
+    arguments = outcome.arguments
+    sampler = outcome.sampler
+    duration = outcome.duration
     return Report(
         version=VERSION,
         arguments=arguments,
@@ -136,7 +138,8 @@
     """Datagrams by the formula and for real, between the first reading and the last."""
     if outcome.duration <= 0:
         return Datagrams()
-    first, last = outcome.traffic[0][1], outcome.traffic[-1][1]
+    first = outcome.traffic[0][1]
+    last = outcome.traffic[-1][1]
 
     def rate(count: Callable[[Traffic], int]) -> float:
         return round((sum(map(count, last)) - sum(map(count, first))) / outcome.duration, 1)
--- a/stackwheel/scale/surroundings.py
+++ b/stackwheel/scale/surroundings.py
@@ -33,7 +33,9 @@
     """
 
     def __init__(self, entries: Sequence[Entry], traffic: Traffic) -> None:
-        self.entries, self.traffic = list(entries), traffic  # with those that have left, each at its place
+        # with those that have left, each at its place
+        self.entries = list(entries)
+        self.traffic = traffic
         self.list = RegistryList(entries)
         self.watches: dict[asyncio.StreamWriter, h11.Connection] = {}
         self.place = 0  # of the server that is being restarted
@@ -171,7 +173,8 @@
 
     def __init__(self, servers: Sequence[str], datagrams_most: int, traffic: Traffic) -> None:
         self.payloads = peers.pack(PEER_PROXIES, {server_id(name): RATE_OF_A_PEER for name in servers})
-        self.datagrams_most, self.traffic = datagrams_most, traffic
+        self.datagrams_most = datagrams_most
+        self.traffic = traffic
         self.everyone = PeerEnd(traffic)
         self.ends: list[PeerEnd] = []
 
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -69,12 +69,14 @@
             seconds = await sample(process.pid, bench.counters, timing.span)
         except AccountingError as error:
             raise BenchError(f"ended while it was measured at {point}: {error}") from None
-        first, last = seconds[0], seconds[-1]
+        first = seconds[0]
+        last = seconds[-1]
         span = last.at - first.at
         counted = last.traffic.since(first.traffic)
         peak = highest([usage_between(one, other) for one, other in pairwise(seconds)])
         channels = {channel.value: channel_rates(one, span) for channel, one in counted.channels.items()}
-        load, orders = os.getloadavg()[0], bench.orders()
+        load = os.getloadavg()[0]
+        orders = bench.orders()
         return Repeat(size, usage_between(first, last), round(span, 3), peak, channels, round(load, 2), listed, orders)
 
 
@@ -105,8 +107,10 @@
 
 def usage_between(before: Reading, after: Reading) -> Usage:
     """Rates between two readings. Memory is that of the later."""
-    span, counted = after.at - before.at, after.traffic.since(before.traffic)
-    control, data = list(counted.control()), list(counted.data_path())
+    span = after.at - before.at
+    counted = after.traffic.since(before.traffic)
+    control = list(counted.control())
+    data = list(counted.data_path())
     rates = {
         f"{name}_{field}": round(sum(getattr(one, field) for one in group) / span, 2)
         for name, group in (("control", control), ("data", data))
