--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -18,7 +18,7 @@
 
 def health_check_call(address: str, names: Names) -> Call:
     """The call that checks the server at an address, not opened yet."""
-    return Call(address, LOAD_REPORT_PATH if names.load_on_probe else LIVENESS_PATH)
+    return Call(address, LOAD_REPORT_PATH if names.health_check_returns_load else LIVENESS_PATH)
 
 
 async def check_health(server: Server, call: Call, names: Names, clock: Clock) -> face.HealthCheckResult:
@@ -32,7 +32,7 @@
         return face.HealthCheckResult(server, outcome_of(error), clock.now() - started_at)
     elapsed = clock.now() - started_at
     try:
-        load = read_load(body.decode().strip(), "=") if names.load_on_probe else ()
+        load = read_load(body.decode().strip(), "=") if names.health_check_returns_load else ()
     except (UnicodeDecodeError, FieldError):
         return face.HealthCheckResult(server, HealthCheckOutcome.ERROR, elapsed)
     return face.HealthCheckResult(server, HealthCheckOutcome.OK, elapsed, columns_in_order(load, names.columns))
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -12,8 +12,8 @@
 from stackwheel.scale import registry as module
 from stackwheel.scale.control import Apply
 from stackwheel.scale.entries import TERMINATED, Entry
-from stackwheel.scale.listing import RegistryList
 from stackwheel.scale.registry import Registry
+from stackwheel.scale.registry_list import RegistryList
 from stackwheel.wire.discovery_calls import fetch_endpoint_list
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH, parse_endpoint_list
 from stackwheel.wire.http import Call, CallError, get
@@ -59,11 +59,15 @@
 def test_whole_list_and_watch_tell_the_same_and_changes_follow() -> None:
     async def work(registry: Registry, address: str) -> None:
         whole, calls = await fetch_endpoint_list(address), [await watch(address) for _ in range(3)]
-        assert whole.complete and len(whole.instances) == 2
+        assert isinstance(whole, EndpointList)
+        assert whole.complete
+        assert len(whole.instances) == 2
         assert [await listing(call) for call in calls] == [whole] * 3
         registry.apply(Apply([entry(2, TERMINATED), entry(3)]))
         told = [await listing(call) for call in calls]
-        assert told[0] == told[1] == told[2] and told[0].generation == 2 and not told[0].complete
+        assert told[0] == told[1] == told[2]
+        assert told[0].generation == 2
+        assert not told[0].complete
         resumed = await listing(late := await watch(address, "&since=1"))
         assert resumed == told[0]
         for call in (*calls, late):
@@ -76,7 +80,8 @@
     async def work(_registry: Registry, address: str) -> None:
         call = await watch(address)
         await listing(call)
-        assert await line(call) == b"\n" and await line(call) == b"\n"
+        assert await line(call) == b"\n"
+        assert await line(call) == b"\n"
         call.close()
 
     monkeypatch.setattr(module, "BEAT", 0.05)
@@ -88,11 +93,12 @@
         registry.pending = 1  # one answer is still being written
         with pytest.raises(CallError) as rejected:
             await get(address, INSTANCES_PATH, LIMIT, LIMIT)
-        assert rejected.value.status == 503 and registry.refused == 1
+        assert rejected.value.status == 503
+        assert registry.refused == 1
         registry.pending = 0
         assert isinstance(await fetch_endpoint_list(address), EndpointList)
 
-    monkeypatch.setattr(module, "PENDING_MOST", 10)
+    monkeypatch.setattr(module, "MAX_PENDING_BYTES", 10)
     with_registry(work)
 
 
@@ -101,9 +107,10 @@
         call = await watch(address)
         await listing(call)
         (writer,) = registry.watches
-        monkeypatch.setattr(module, "UNSENT_MOST", -1)
+        monkeypatch.setattr(module, "MAX_UNSENT_BYTES", -1)
         registry.apply(Apply([entry(1)]))
-        assert not registry.watches and writer.transport.is_closing()
+        assert not registry.watches
+        assert writer.transport.is_closing()
         assert await has_ended(call)
         call.close()
 
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -16,7 +16,8 @@
 from planner_process import MOST, PlannerProcess, full, run, send, started
 from scripted_discovery import ScriptedDiscovery
 
-from stackwheel.cells.plan import Cell, Limits, Plan, Relay, encode_plan
+from stackwheel.cells.plan import Cell, Limits, Plan, Relay
+from stackwheel.cells.plan_file import encode_plan
 from stackwheel.service.relay import RelayConfig, RelayService, load_serving
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH
@@ -162,8 +163,11 @@
             await registry.update("s-0", lifecycle="terminated")
             await first.answers(port, 200)
             body = await get(first.address(port), INSTANCES_PATH, MOST_MS, MOST_MS)
-            assert b"s-1" in body and b"s-0" not in body
-            assert await first.stop() == 0 and "Traceback" not in await first.log()
+            assert isinstance(body, bytes)
+            assert b"s-1" in body
+            assert b"s-0" not in body
+            assert await first.stop() == 0
+            assert "Traceback" not in await first.log()
 
     run(work())
 
@@ -189,13 +193,16 @@
             await first.logged("plan reloaded: 2 cells")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
                 body = await get(first.address(served), INSTANCES_PATH, MOST_MS, MOST_MS)
-                assert name in body and body.count(b"instanceId") == (2 if served == other else 1)
+                assert isinstance(body, bytes)
+                assert name in body
+                assert body.count(b"instanceId") == (2 if served == other else 1)
             away = (Cell("u", "u", (), 0, 1, port),)
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, found.relays, away)))
             send(first.process, signal.SIGHUP)
             await read_to_end(watch)
             watch.close()
-            assert await first.stop() == 0 and await second.stop() == 0
+            assert await first.stop() == 0
+            assert await second.stop() == 0
 
     run(work())
 
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -141,7 +141,7 @@
                 listing = parse_endpoint_list(document(event))
                 if event.kind is face.UpdateKind.CACHED:
                     roster.apply(listing)
-                    module.decide([roster.cached()])
+                    module.decide([roster.cached_update()])
                 else:
                     module.post(listing)
                 continue
--- a/tests/wire/test_health_checks.py
+++ b/tests/wire/test_health_checks.py
@@ -13,7 +13,7 @@
 
 SERVER = Server(b"\0" * 6)
 LIVENESS = Names()
-LOAD_REPORTS = Names(columns=("backlog", "outstanding"), load_on_probe=True)
+LOAD_REPORTS = Names(columns=("backlog", "outstanding"), health_check_returns_load=True)
 
 
 def check(serve: Serve, names: Names) -> HealthCheckResult:
