--- a/stackwheel/wire/connection_table.py
+++ b/stackwheel/wire/connection_table.py
@@ -100,7 +100,7 @@
         Those whose first bytes may still be unread stay, and so does who is identified.
         """
         excess = self.in_use - len(self.closing) - (self.capacity - timing.accept_reserve(self.capacity))
-        latest_start = asyncio.get_running_loop().time() - timing.CROWDED_FIRST_READ_MS / 1000.0
+        latest_start = asyncio.get_running_loop().time() - timing.BURST_FIRST_READ_MS / 1000.0
         for connection in list(islice(self.unidentified, max(0, excess))):
             if connection.unidentified_since > latest_start:
                 return
--- a/stackwheel/wire/datagrams.py
+++ b/stackwheel/wire/datagrams.py
@@ -30,11 +30,11 @@
         self,
         peers: Sequence[str],
         group_address: str,
-        own_number: int,
+        planner_number: int,
         post: Callable[[face.GossipReceived], None],
     ) -> None:
-        """Make the protocol of planner `own_number`; `post` gets what its peers send."""
-        self.own_number = own_number
+        """Make the protocol of planner `planner_number`; `post` gets what its peers send."""
+        self.planner_number = planner_number
         self.post = post
         self.update_peers(peers, group_address)
         self.transport: asyncio.DatagramTransport | None = None
@@ -56,7 +56,7 @@
             self._log_dropped(data, address, "too large")
         elif sender is None:
             self._log_dropped(data, address, "unknown sender")
-        elif sender != self.own_number:
+        elif sender != self.planner_number:
             self.post(face.GossipReceived(sender, data))
 
     def error_received(self, error: Exception) -> None:
--- a/stackwheel/wire/timing.py
+++ b/stackwheel/wire/timing.py
@@ -50,7 +50,7 @@
 FIRST_READ_MS = 50.0
 
 # The same while turns of the event loop take up to 60 ms, as in a crowd of new connections; nobody waits yet.
-CROWDED_FIRST_READ_MS = 4 * FIRST_READ_MS
+BURST_FIRST_READ_MS = 4 * FIRST_READ_MS
 
 # That a client may leave unread; the protocol's own limit towards the planner is half of it.
 MAX_UNSENT_BYTES = 256 * 1024
@@ -113,15 +113,15 @@
     return max(LINE_TIMEOUT_MS, planners * HEARTBEAT_INTERVAL_MS)
 
 
-def stream_silence_timeout(report_interval: float, full_queue_time: float, transit_time: float) -> float:
+def stream_silence_timeout(report_interval: float, queue_drain_time: float, transit_time: float) -> float:
     """How long, in ms, a joined proxy may send nothing and leave a nonce unacknowledged.
 
     Args:
         report_interval: ms between two reports of a proxy.
-        full_queue_time: ms that an acknowledgement may wait in a full queue.
+        queue_drain_time: ms that an acknowledgement may wait in a full queue.
         transit_time: ms that an update takes to the proxy, and its acknowledgement back.
     """
-    return MAX_SILENT_REPORT_INTERVALS * report_interval + full_queue_time + 2 * transit_time
+    return MAX_SILENT_REPORT_INTERVALS * report_interval + queue_drain_time + 2 * transit_time
 
 
 def buffer_limit_bytes(memory_mb: float) -> int:
--- /dev/null
+++ b/tests/wire/test_discovery_calls.py
@@ -0,0 +1,60 @@
+"""The parts of a watch that need no connection: lines, their deadline, and the renewal of a watch."""
+
+from __future__ import annotations
+
+from random import Random
+
+import pytest
+
+from stackwheel.wire import timing
+from stackwheel.wire.discovery_calls import LineSplitter, watch_call
+from stackwheel.wire.discovery_protocol import INSTANCES_PATH
+from stackwheel.wire.watch_renewal import RenewalTimer
+
+
+def lines_of(splitter: LineSplitter, now_ms: float = 0.0) -> list[bytes]:
+    lines = []
+    while (line := splitter.next_line(now_ms)) is not None:
+        lines.append(line)
+    return lines
+
+
+@pytest.mark.parametrize("piece_size", [1, 2, 3, 7, 100])
+def test_lines_do_not_depend_on_how_they_are_cut(piece_size: int) -> None:
+    data = b"{1}\n\n \r\n{22}\n{333"
+    splitter = LineSplitter(0.0)
+    lines = []
+    for start in range(0, len(data), piece_size):
+        splitter.append(data[start : start + piece_size])
+        lines += lines_of(splitter)
+    assert lines == [b"{1}", b"", b"", b"{22}"]
+    assert splitter.partial == b"{333"
+
+
+def test_deadline_counts_from_the_last_complete_line() -> None:
+    splitter = LineSplitter(100.0)
+    assert splitter.deadline_ms == 100.0 + timing.LINE_TIMEOUT_MS
+    splitter.append(b"{")
+    assert splitter.next_line(200.0) is None
+    assert splitter.deadline_ms == 100.0 + timing.LINE_TIMEOUT_MS
+    splitter.append(b"}\n{")
+    assert splitter.next_line(300.0) == b"{}"
+    assert splitter.deadline_ms == 300.0 + timing.LINE_TIMEOUT_MS
+
+
+def test_watch_resumes_after_a_generation() -> None:
+    assert watch_call("h:1", None).target == f"{INSTANCES_PATH}?follow=1"
+    assert watch_call("h:1", 0).target == f"{INSTANCES_PATH}?follow=1&since=0"
+
+
+def test_renewal_is_due_ever_later_until_a_list_comes() -> None:
+    timer = RenewalTimer(1000.0, Random(1))
+    assert not timer.is_due(1e9)  # no list has come yet
+    timer.restart(0.0)
+    assert not timer.is_due(0.49)
+    assert timer.is_due(1.51)
+    timer.back_off(0.0)
+    assert not timer.is_due(0.99)
+    assert timer.is_due(3.01)
+    timer.restart(0.0)
+    assert timer.is_due(1.51)
--- a/tests/wire/test_discovery_protocol.py
+++ b/tests/wire/test_discovery_protocol.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "replacement"),
+    ("original", "replacement"),
     [
         (b"43", b"-1"),
         (b"43", b'"x"'),
@@ -39,13 +39,13 @@
         (VALID, b"[" * 100_000),
     ],
 )
-def test_document_that_is_no_list_is_invalid_input(part: bytes, replacement: bytes) -> None:
+def test_document_that_is_no_list_is_invalid_input(original: bytes, replacement: bytes) -> None:
     with pytest.raises(InvalidInputError):
-        parse_endpoint_list(VALID.replace(part, replacement))
+        parse_endpoint_list(VALID.replace(original, replacement))
 
 
 @pytest.mark.parametrize(
-    ("part", "replacement", "reason"),
+    ("original", "replacement", "reason"),
     [
         (b"43", b"-1", "generation: negative: '-1'"),
         (b"43", b'"x"', "generation: a whole number expected, found str"),
@@ -56,13 +56,13 @@
         (VALID, b"", "not JSON: Expecting value"),
     ],
 )
-def test_invalid_document_names_field_and_value(part: bytes, replacement: bytes, reason: str) -> None:
+def test_invalid_document_names_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
     with pytest.raises(InvalidInputError, match=re.escape(reason)):
-        parse_endpoint_list(VALID.replace(part, replacement))
+        parse_endpoint_list(VALID.replace(original, replacement))
 
 
 @pytest.mark.parametrize(
-    ("part", "replacement", "unreadable_name"),
+    ("original", "replacement", "unreadable_name"),
     [
         (b'"s-1"', b'""', ""),
         (b'"s-1"', b"7", ""),
@@ -78,19 +78,19 @@
         (b'{"instanceId"', b'7,{"instanceId"', ""),
     ],
 )
-def test_unreadable_entry_is_left_out_and_named(part: bytes, replacement: bytes, unreadable_name: str) -> None:
+def test_unreadable_entry_is_left_out_and_named(original: bytes, replacement: bytes, unreadable_name: str) -> None:
     """Once the whole list failed for it; now its neighbours count, and the reader knows what the list lacks."""
     neighbour = b'{"instanceId":"s-0","hostPort":"h:1","zone":"a","lifecycle":"in_service"}'
-    data = VALID.replace(part, replacement).replace(b"]}]}", b"]}," + neighbour + b"]}")
+    data = VALID.replace(original, replacement).replace(b"]}]}", b"]}," + neighbour + b"]}")
     endpoints = parse_endpoint_list(data)
     names = {instance.name for instance in endpoints.instances}
     assert endpoints.unreadable == {unreadable_name}
     assert "s-0" in names
-    assert ("s-1" in names) == (part == b'{"instanceId"')
+    assert ("s-1" in names) == (original == b'{"instanceId"')
 
 
 @pytest.mark.parametrize(
-    ("part", "replacement", "reason"),
+    ("original", "replacement", "reason"),
     [
         (b'"s-1"', b'"s 1"', "list 43: entry 0 ('s 1'): instanceId: a name that no update can carry: 's 1'"),
         (
@@ -104,9 +104,9 @@
         (b'{"instanceId"', b'7,{"instanceId"', "list 43: entry 0 ('None'): an object expected, found int"),
     ],
 )
-def test_unreadable_entry_names_entry_field_and_value(part: bytes, replacement: bytes, reason: str) -> None:
+def test_unreadable_entry_names_entry_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
     errors: list[InvalidInputError] = []
-    read_endpoint_list(json.loads(VALID.replace(part, replacement)), errors.append)
+    read_endpoint_list(json.loads(VALID.replace(original, replacement)), errors.append)
     assert len(errors) == 1
     assert str(errors[0]).startswith(reason)
 
