--- a/tests/wire/test_discovery_calls.py
+++ b/tests/wire/test_discovery_calls.py
@@ -1,16 +1,53 @@
-"""The parts of a watch that need no connection: lines, their deadline, and the renewal of a watch."""
+"""The calls of the discovery service: unusable answers, and the lines, deadline and renewal of a watch."""
 
 from __future__ import annotations
 
 from random import Random
 
 import pytest
+from canned_server import canned, run_against
+from scripted_discovery import ScriptedDiscovery, run, start_watching
 
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_calls import LineSplitter, watch_call
+from stackwheel.wire.discovery_calls import LineSplitter, fetch_endpoint_list, watch_call
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH
+from stackwheel.wire.http import CallError, Stage
 from stackwheel.wire.watch_renewal import RenewalTimer
 
+INVALID_DOCUMENTS = [
+    b'{"generation":-1,"reset":false,"instances":[]}',
+    b'{"generation":"x","reset":false,"instances":[]}',
+    b'{"generation":true,"reset":false,"instances":[]}',
+    b'{"generation":43,"reset":0,"instances":[]}',
+    b'{"generation":43,"reset":false,"instances":[',
+    b"[]",
+    b"\xff",
+    b"[" * 100_000,
+]
+
+
+@pytest.mark.parametrize("body", [*INVALID_DOCUMENTS, b""])
+def test_fetched_document_that_is_no_list_is_failed_call(body: bytes) -> None:
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+    with pytest.raises(CallError) as caught:
+        run_against(canned(response), fetch_endpoint_list)
+    assert caught.value.stage is Stage.CONTENT
+    assert not caught.value.timed_out
+    assert len(caught.value.reason) <= 200
+
+
+@pytest.mark.parametrize("line", INVALID_DOCUMENTS)
+def test_line_that_is_no_list_ends_watch(line: bytes) -> None:
+    async def work() -> None:
+        discovery = await ScriptedDiscovery().start()
+        harness, watch = await start_watching(discovery, 8, "a")
+        watch.send(line + b"\n")
+        assert await harness.next_is_failure()
+        await watch.ended.wait()
+        assert harness.client.generation == 8
+
+    run(work)
+
 
 def lines_of(splitter: LineSplitter, now_ms: float = 0.0) -> list[bytes]:
     lines = []
