--- a/stackwheel/relay/__init__.py
+++ b/stackwheel/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relay: the registry's list, kept and told cell by cell; decided without I/O or a clock of its own."""
+"""Relay: serves each cell its endpoint list as a resumable watch; decided without I/O or a clock of its own."""
--- a/stackwheel/relay/encoding.py
+++ b/stackwheel/relay/encoding.py
@@ -4,11 +4,12 @@
 
 import json
 from collections.abc import Iterable
+from typing import Final
 
 from stackwheel.endpoints import Instance
 from stackwheel.interface import Availability
 
-LIFECYCLES = {
+LIFECYCLES: Final = {
     Availability.READY: "in_service",
     Availability.DRAINING: "terminating",
     Availability.REMOVED: "terminated",
@@ -17,7 +18,7 @@
 
 def encode_instance(instance: Instance) -> bytes:
     """One entry of a list, a JSON object."""
-    return _compact(
+    return _compact_json(
         {
             "instanceId": instance.name,
             "hostPort": instance.address,
@@ -25,26 +26,26 @@
             "machineType": instance.kind,
             "cell": instance.cell,
             "lifecycle": LIFECYCLES[instance.availability],
-            "weight": _plain(instance.weight),
-            "startedAtMs": _plain(instance.started_at),
+            "weight": _integer_if_exact(instance.weight),
+            "startedAtMs": _integer_if_exact(instance.started_at),
         }
     )
 
 
 def encode_unreadable(name: str) -> bytes:
-    """An entry that no client can read, so that none takes its absence for a departure; "" for one without a name."""
-    return _compact({"instanceId": name} if name else {})
+    """An entry that no client can read, so that none takes its absence for a removal; "" for one without a name."""
+    return _compact_json({"instanceId": name} if name else {})
 
 
-def encode_line(generation: int, whole: bool, entries: Iterable[bytes]) -> bytes:
-    """A list as one line: the whole one, or changes."""
-    reset = b"true" if whole else b"false"
+def encode_line(generation: int, complete: bool, entries: Iterable[bytes]) -> bytes:
+    """A list as one line: a snapshot if it is complete, otherwise a delta."""
+    reset = b"true" if complete else b"false"
     return b'{"generation":%d,"reset":%b,"instances":[%b]}\n' % (generation, reset, b",".join(entries))
 
 
-def _plain(value: float) -> float | int:
+def _integer_if_exact(value: float) -> float | int:
     return int(value) if value.is_integer() else value
 
 
-def _compact(value: object) -> bytes:
+def _compact_json(value: object) -> bytes:
     return json.dumps(value, separators=(",", ":")).encode()
--- a/stackwheel/relay/messages.py
+++ b/stackwheel/relay/messages.py
@@ -1,53 +1,55 @@
-"""What a relay answers to a call, and what it has to do after an event."""
+"""What a relay answers to a call for a cell's list, and what it has to do after an event."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from stackwheel.errors import StackwheelError
 
-@dataclass(frozen=True, slots=True)
-class Unavailable:
-    """No answer now (503): the caller goes on at another replica, or tries again later."""
 
-    reason: str
+class UnavailableError(StackwheelError):
+    """The call can't be answered now (503): the caller goes on at another replica, or tries again later.
+
+    Its text is the body of the response.
+    """
 
 
 @dataclass(frozen=True, slots=True)
-class WholeDue:
-    """The caller is owed the whole part, as `ListingCache.whole` has it when it is written."""
+class SnapshotDue:
+    """The caller needs the cell's snapshot, as `WatchCache.snapshot` gives it at the moment it is written."""
 
 
 @dataclass(frozen=True, slots=True)
-class Resumed:
-    """What changed after the generation that the caller knows."""
+class Delta:
+    """What changed after the generation that the caller knows, as one encoded line."""
 
     line: bytes
 
 
-Answer = Unavailable | WholeDue | Resumed
+Answer = SnapshotDue | Delta
 
 
 @dataclass(frozen=True, slots=True)
-class TellChanges:
-    """All watchers of a cell are told this line."""
+class SendDelta:
+    """Send this encoded line to all watchers of a cell."""
 
     cell: str
     line: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class TellWhole:
-    """All watchers of a cell are owed the whole part."""
+class SendSnapshot:
+    """Send the cell's snapshot to all its watchers."""
 
     cell: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndWatches:
-    """The watches of these cells end, so that callers go on at another replica."""
+    """End the watches of these cells, so that callers go on at another replica."""
 
     cells: tuple[str, ...]
     reason: str
 
 
-Action = TellChanges | TellWhole | EndWatches
+Action = SendDelta | SendSnapshot | EndWatches
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -1,4 +1,4 @@
-"""One relay process: follows the registry, serves the cells that the plan gives it, reads the plan again on SIGHUP."""
+"""One relay process: follows the discovery service, serves its cells, reads the cell plan again on SIGHUP."""
 
 from __future__ import annotations
 
@@ -12,91 +12,31 @@
 from dataclasses import dataclass
 from pathlib import Path
 from random import Random
+from typing import Final
 
 from loguru import logger
 
-from stackwheel.cells.assignment import CellIndex, relays_for_cell
-from stackwheel.cells.plan import CellPlanError, Plan
-from stackwheel.cells.plan_file import load_plan
-from stackwheel.config_language.load import OperatorsError, load
 from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
-from stackwheel.relay.cache import ListingCache
-from stackwheel.service.config import replicated
+from stackwheel.relay.watch_cache import WatchCache
 from stackwheel.service.logging_setup import start_logging
+from stackwheel.service.relay_config import (
+    RelayAssignment,
+    RelayConfig,
+    RelayConfigError,
+    load_assignment,
+    load_relay_config,
+)
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import DiscoveryClient
-from stackwheel.wire.listing_server import ListingServer, stand_open
+from stackwheel.wire.endpoint_list_server import EndpointListServer, open_listener
 
-CONNECTIONS_MOST = 20_000  # descriptors that one process may hold, whatever the system would allow
+MAX_DESCRIPTORS = 20_000  # of one process, whatever the system would allow
+EXIT_CANNOT_START = 2  # the exit code
 
 
-class RelayError(ValueError):
-    """A relay can't start; one line that names the place."""
-
-
-@dataclass(frozen=True, slots=True)
-class RelayConfig:
-    """What the operators' file says of a relay."""
-
-    name: str
-    upstream: str
-    plan: Path
-
-
-def load_relay_config(path: Path) -> RelayConfig:
-    """RelayError where the file can't be used or turns no relay on."""
-    try:
-        found = load(path).records.relay
-    except OperatorsError as error:
-        raise RelayError(str(error)) from None
-    if not found.on:
-        raise RelayError(f"{path}: relay.on is false")
-    try:
-        upstream = replicated({"relay.upstream": found.upstream}, "relay.upstream")
-    except ValueError as error:
-        raise RelayError(f"{path}: {error}") from None
-    return RelayConfig(found.name, upstream, path.parent / found.plan)
-
-
-@dataclass(frozen=True, slots=True)
-class Serving:
-    """What a plan gives one relay to do."""
-
-    plan: Plan
-    locate: Callable[[str, str], str | None]
-    addresses: dict[str, str]  # where it listens: the cell that is served there
-
-    @property
-    def cells(self) -> list[str]:
-        return list(self.addresses.values())
-
-
-def load_serving(name: str, path: Path) -> Serving:
-    """RelayError where the plan can't be used or does not name the relay."""
-    try:
-        plan = load_plan(path)
-    except CellPlanError as error:
-        raise RelayError(str(error)) from None
-    return serving_of(name, plan, str(path))
-
-
-def serving_of(name: str, plan: Plan, source: str) -> Serving:
-    """RelayError where the plan, which stands in `source`, does not name the relay."""
-    relay = next((relay for relay in plan.relays if relay.name == name), None)
-    if relay is None:
-        raise RelayError(f"{source}: relays: none is named {name!r}, as relay.name says")
-    index = CellIndex(plan)
-
-    def locate(instance: str, zone: str) -> str | None:
-        cell = index.cell_of(instance, zone)
-        return None if cell is None else cell.name
-
-    served = [cell for cell in plan.cells if relay in relays_for_cell(cell.name, plan.relays)]
-    return Serving(plan, locate, {f"{relay.host}:{cell.port}": cell.name for cell in served})
-
-
-def unblock_reload() -> None:
+def unblock_reload_signal() -> None:
+    """Let SIGHUP through; `main` blocks it until there is a handler."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
 
@@ -104,103 +44,121 @@
 class RelayEnvironment:
     """Listeners, plan and signals as the system gives them; a trial hands in its own."""
 
-    listen_at: Callable[[str], socket.socket] = stand_open
-    load: Callable[[str, Path], Serving] = load_serving
-    signals_on: Callable[[], None] = unblock_reload  # once signals find somebody who hears them
+    open_listener: Callable[[str], socket.socket] = open_listener
+    load_assignment: Callable[[str, Path], RelayAssignment] = load_assignment
+    unblock_reload_signal: Callable[[], None] = unblock_reload_signal
 
 
-PROCESS = RelayEnvironment()
+SYSTEM_ENVIRONMENT: Final = RelayEnvironment()
 
 
 class RelayService:
-    """One relay's parts, put together and not yet started."""
+    """One relay's parts, put together and not yet started.
+
+    Attributes:
+        assignment: the cells that the relay serves.
+        cache: the discovery service's list, and a view for each cell.
+        server: answers planners.
+        upstream: watches the discovery service.
+        reload_requested: set by SIGHUP.
+    """
 
     def __init__(
         self,
         config: RelayConfig,
-        serving: Serving,
-        connections: int,
-        around: RelayEnvironment = PROCESS,
+        assignment: RelayAssignment,
+        max_connections: int,
+        environment: RelayEnvironment = SYSTEM_ENVIRONMENT,
     ) -> None:
-        self.config, self.serving, self.around = config, serving, around
-        self.cache = ListingCache(serving.locate, serving.cells, timing.SILENCE, timing.BEAT)
-        self.server = ListingServer(self.cache, connections, listen_at=around.listen_at)
+        self.config = config
+        self.assignment = assignment
+        self.environment = environment
+        self.cache = WatchCache(assignment.locate, assignment.cells, timing.SILENCE, timing.BEAT)
+        self.server = EndpointListServer(self.cache, max_connections, open_listener=environment.open_listener)
         self.upstream = DiscoveryClient(
             config.upstream,
             0,
             True,
-            self.take,
+            self.apply_endpoint_list,
             Random(config.name),
-            MAX_LIST_AGE,  # asked again at the latest after a part of the time that any list may be old
-            timing.renewal(len(serving.plan.relays)),
-            self.heard,
+            MAX_LIST_AGE,  # polled again at the latest after a part of the time that any list may be old
+            timing.renewal(len(assignment.plan.relays)),
+            self.mark_upstream_alive,
         )
-        self.reload_asked = asyncio.Event()
+        self.reload_requested = asyncio.Event()
 
-    def take(self, item: EndpointList | EndpointListFailed) -> None:
+    def apply_endpoint_list(self, item: EndpointList | EndpointListFailed) -> None:
+        """Pass a list of the discovery service on; a failed call changes nothing."""
         if isinstance(item, EndpointList):
-            self.server.perform(self.cache.take(item, self.server.now()))
+            self.server.perform(self.cache.apply(item, self.server.now()))
 
-    def heard(self) -> None:
-        self.cache.heard(self.server.now())
+    def mark_upstream_alive(self) -> None:
+        """The discovery service has sent a heartbeat."""
+        self.cache.mark_upstream_alive(self.server.now())
 
     async def run(self) -> None:
-        """Serve until cancelled; OSError if an address can't be had."""
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload_asked.set)
-        self.around.signals_on()
-        await self.server.listen(self.serving.addresses)
-        logger.info("ready: {} cells, upstream {}", len(self.serving.addresses), self.config.upstream)
+        """Serve until cancelled.
+
+        Raises:
+            OSError: an address can't be had.
+        """
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload_requested.set)
+        self.environment.unblock_reload_signal()
+        await self.server.listen(self.assignment.cell_by_address)
+        logger.info("relay ready: source={} count={}", self.config.upstream, len(self.assignment.cell_by_address))
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.upstream.run())
-            tasks.create_task(self.server.keep_time())
-            tasks.create_task(self.follow_plan())
+            tasks.create_task(self.server.run_timers())
+            tasks.create_task(self.reload_on_request())
 
-    async def follow_plan(self) -> None:
+    async def reload_on_request(self) -> None:
+        """Reload the plan after each SIGHUP."""
         while True:
-            await self.reload_asked.wait()
-            self.reload_asked.clear()
+            await self.reload_requested.wait()
+            self.reload_requested.clear()
             await self.reload()
 
     async def reload(self) -> None:
-        """Serve by the plan as it is now; one that can't be used is a line in the log, and the old one holds."""
+        """Serve by the plan as it is now; the one in force stays where the new one can't be used."""
         try:
-            serving = self.around.load(self.config.name, self.config.plan)
-            await self.server.listen(serving.addresses)
-        except (RelayError, OSError) as error:
-            logger.error("plan not reloaded, the old one holds: {}", error)
+            assignment = self.environment.load_assignment(self.config.name, self.config.plan)
+            await self.server.listen(assignment.cell_by_address)
+        except (RelayConfigError, OSError) as error:
+            logger.error("cell plan not reloaded, the one in force stays: reason={}", error)
             return
-        self.serving = serving
-        self.server.perform(self.cache.replan(serving.locate, serving.cells, self.server.now()))
-        logger.info("plan reloaded: {} cells", len(serving.addresses))
+        self.assignment = assignment
+        self.server.perform(self.cache.apply_plan(assignment.locate, assignment.cells, self.server.now()))
+        logger.info("cell plan reloaded: count={}", len(assignment.cell_by_address))
 
 
-def connections_most(listeners: int) -> int:
-    """Connections that may be open at once, with what the process holds beside them."""
-    descriptors = min(resource.getrlimit(resource.RLIMIT_NOFILE)[0], CONNECTIONS_MOST)
+def connection_limit(listeners: int) -> int:
+    """Connections that may be open at once, beside the other descriptors that the process holds."""
+    descriptors = min(resource.getrlimit(resource.RLIMIT_NOFILE)[0], MAX_DESCRIPTORS)
     return max(1, descriptors - listeners - timing.KEPT_SOCKETS)
 
 
-async def serve(config: RelayConfig, serving: Serving) -> None:
-    service = RelayService(config, serving, connections_most(len(serving.addresses)))
+async def serve(config: RelayConfig, assignment: RelayAssignment) -> None:
+    """Run a relay until cancelled."""
+    service = RelayService(config, assignment, connection_limit(len(assignment.cell_by_address)))
     await service.run()
 
 
-def stop(_signal: int, _frame: object) -> None:
-    """There is nothing to save: callers go on at the twin, and a new start asks the registry."""
+def exit_immediately(_signal: int, _frame: object) -> None:
+    """End the process. There is nothing to save: callers go on at the other replica, and a new start polls anew."""
     os._exit(0)
 
 
 def main(operators: Path) -> int:
-    """Run until SIGTERM; 2 where it can't start."""
-    signal.signal(signal.SIGTERM, stop)
-    signal.signal(signal.SIGINT, stop)
+    """Run a relay until SIGTERM; the exit code, 2 where it can't start."""
+    signal.signal(signal.SIGTERM, exit_immediately)
+    signal.signal(signal.SIGINT, exit_immediately)
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # it waits until there is something to reload
     try:
         config = load_relay_config(operators)
-        serving = load_serving(config.name, config.plan)
+        assignment = load_assignment(config.name, config.plan)
         start_logging(config.name, os.environ.get("STACKWHEEL_LOG", "INFO"))
-        asyncio.run(serve(config, serving))
-    except (RelayError, OSError) as error:
+        asyncio.run(serve(config, assignment))
+    except (RelayConfigError, OSError) as error:
         print(f"stackwheel: {error}", file=sys.stderr)
-        return 2
+        return EXIT_CANNOT_START
     return 0
--- a/stackwheel/trials/defects/relay.py
+++ b/stackwheel/trials/defects/relay.py
@@ -1,4 +1,4 @@
-"""Deliberate defects of the relay: the parts that it serves, its watches and its contact with the registry."""
+"""Deliberate defects of the relay: the lists that it serves, its watches and its upstream liveness."""
 
 from __future__ import annotations
 
@@ -6,89 +6,89 @@
 from collections.abc import Sequence
 from typing import Any
 
-from stackwheel.relay import cache
-from stackwheel.relay.contact import Contact
-from stackwheel.relay.part import Part
+from stackwheel.relay import watch_cache
+from stackwheel.relay.cell_view import CellView
+from stackwheel.relay.upstream_liveness import UpstreamLiveness
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.defects.planting import Defect, Patch, returns
-from stackwheel.wire.listing_server import ListingServer
-from stackwheel.wire.listing_watch import UNREAD_MOST, ListingWatch
+from stackwheel.wire.endpoint_list_server import EndpointListServer
+from stackwheel.wire.endpoint_watch import MAX_PENDING_BYTES, EndpointWatch
 
 WATCH_GAP_S = 1.0  # between a watch's first answer and its place among the watches
 
 
 def old_generation_served() -> Sequence[Patch]:
-    """The part that was encoded once is served under every later generation."""
-    return [Patch(Part, "_changed", returns(None))]
+    """The list that was encoded once is served under every later generation."""
+    return [Patch(CellView, "_invalidate_encodings", returns(None))]
 
 
 def behind_served() -> Sequence[Patch]:
     """A relay that is behind what its caller knows answers at once."""
-    return [Patch(Part, "waits_for", returns(False))]
+    return [Patch(CellView, "may_catch_up", returns(False))]
 
 
 def gap_before_watch() -> Sequence[Patch]:
     """The first answer of a watch is made a while before the watch is notified of changes."""
-    original = ListingServer._watch
+    original = EndpointListServer._watch
 
-    async def watch(self: ListingServer, cell: str, resumed: bytes | None, reader: Any, writer: Any) -> None:
-        snapshot = resumed or self.cache.whole(cell)
+    async def watch(self: EndpointListServer, cell: str, delta: bytes | None, reader: Any, writer: Any) -> None:
+        first_answer = delta or self.cache.snapshot(cell)
         await asyncio.sleep(WATCH_GAP_S)
-        await original(self, cell, snapshot, reader, writer)
+        await original(self, cell, first_answer, reader, writer)
 
-    return [Patch(ListingServer, "_watch", watch)]
+    return [Patch(EndpointListServer, "_watch", watch)]
 
 
 def lost_registry_vouched_for() -> Sequence[Patch]:
-    """A relay that has ever heard the registry vouches for its list for good."""
+    """A relay that was ever connected to the discovery service serves its list for good."""
     return [
-        Patch(Contact, "vouched", lambda self, _now: self.heard_at is not None),
-        Patch(Contact, "lapse", returns(False)),
+        Patch(UpstreamLiveness, "is_alive", lambda self, _now: self.last_seen_at is not None),
+        Patch(UpstreamLiveness, "detect_loss", returns(False)),
     ]
 
 
 def unreadable_taken_as_removed() -> Sequence[Patch]:
     """An entry that can't be read counts as one that is not listed."""
     return [
-        Patch(cache, "may_be_in", returns(False)),
-        Patch(cache.ListingCache, "_note_unreadable", returns(None)),
+        Patch(watch_cache, "may_be_unreadable", returns(False)),
+        Patch(watch_cache.WatchCache, "_remember_unreadable", returns(None)),
     ]
 
 
 def removals_not_resumed() -> Sequence[Patch]:
     """A watch that is resumed is not sent which servers were removed meanwhile."""
-    original = Part._changed_after
+    original = CellView._changed_after
 
-    def changed_after(self: Part, since: int) -> list[bytes]:
-        departed = self.departed
-        self.departed = {}
+    def changed_after(self: CellView, since: int) -> list[bytes]:
+        removed = self.removed
+        self.removed = {}
         try:
             return original(self, since)
         finally:
-            self.departed = departed
+            self.removed = removed
 
-    return [Patch(Part, "_changed_after", changed_after)]
+    return [Patch(CellView, "_changed_after", changed_after)]
 
 
 def resumed_below_log() -> Sequence[Patch]:
     """A watch is resumed from any generation, also from one before the log of changes begins."""
-    return [Patch(Part, "resumes", lambda _self, since: since > 0)]
+    return [Patch(CellView, "can_resume", lambda _self, since: since > 0)]
 
 
 def older_state_passed_on() -> Sequence[Patch]:
     """Generations of single entries are not compared."""
-    return [Patch(cache.ListingCache, "_counts", returns(True))]
+    return [Patch(watch_cache.WatchCache, "_is_new", returns(True))]
 
 
 def dropped_for_slow_reader() -> Sequence[Patch]:
-    """What a watcher leaves unread beyond the bound is dropped, and the complete part is not sent in its place."""
-    original = ListingWatch.tell
+    """What a watcher leaves unread beyond the bound is dropped, and no snapshot is sent in its place."""
+    original = EndpointWatch.enqueue
 
-    def tell(self: ListingWatch, data: bytes) -> None:
-        if not self.writing or self.pending_bytes + len(data) <= UNREAD_MOST:
+    def enqueue(self: EndpointWatch, data: bytes) -> None:
+        if not self.writing or self.pending_bytes + len(data) <= MAX_PENDING_BYTES:
             original(self, data)
 
-    return [Patch(ListingWatch, "tell", tell)]
+    return [Patch(EndpointWatch, "enqueue", enqueue)]
 
 
 RELAY_DEFECTS: tuple[Defect, ...] = (
--- a/stackwheel/trials/relay_views.py
+++ b/stackwheel/trials/relay_views.py
@@ -206,7 +206,7 @@
             self.compare(part, self.held_by(planner), planner.number, str(planner.machine))
         for relay in relays:
             assert relay.service is not None
-            held = {one.name: (one.availability, one.started_at) for one in relay.service.cache.known.values()}
+            held = {one.name: (one.availability, one.started_at) for one in relay.service.cache.instances.values()}
             everything = {r.name: (r.state, r.started) for r in self.world.discovery.records.values()}
             for name in sorted(name for name in {*held, *everything} if held.get(name) != everything.get(name)):
                 self.break_part(
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -15,15 +15,16 @@
 from stackwheel.cells.plan import FORMAT_VERSION, Cell, Limits, Plan, Relay
 from stackwheel.interface import Availability
 from stackwheel.rules.violations import Rule
-from stackwheel.service.relay import RelayConfig, RelayEnvironment, RelayService, Serving, serving_of
+from stackwheel.service.relay import RelayEnvironment, RelayService
+from stackwheel.service.relay_config import RelayAssignment, RelayConfig, assignment_for_relay
 from stackwheel.trials.discovery import Call, Record
 from stackwheel.trials.loop import Machine
 from stackwheel.trials.network import Conditions, Transport
 from stackwheel.trials.planners import EPOCH
 from stackwheel.trials.relay_views import RelayViews, ways_open_since
 from stackwheel.wire import timing
+from stackwheel.wire.endpoint_watch import HEARTBEAT_CHUNK
 from stackwheel.wire.http import split_address
-from stackwheel.wire.listing_watch import EMPTY_LINE
 
 if TYPE_CHECKING:
     from stackwheel.trials.planners import PlannerHost
@@ -68,19 +69,21 @@
         world.network.return_of(old)
         self.lives += 1
         config = RelayConfig(self.machine.name, "{}:{}".format(*world.discovery.address), Path("plan"))
-        around = RelayEnvironment(self.listen_at, self.load, lambda: None)
+        environment = RelayEnvironment(self.open_listener, self.load_assignment, lambda: None)
         previous, world.loop.machine = world.loop.machine, self.machine
         try:
-            self.service = RelayService(config, self.load(config.name, config.plan), CONNECTIONS, around)
+            self.service = RelayService(
+                config, self.load_assignment(config.name, config.plan), CONNECTIONS, environment
+            )
         finally:
             world.loop.machine = previous
         world.loop.start(self.machine, self.service.run()).add_done_callback(self.ended)
 
-    def listen_at(self, address: str) -> socket.socket:
+    def open_listener(self, address: str) -> socket.socket:
         return cast(socket.socket, self.group.world.network.listen(self.machine, split_address(address)))
 
-    def load(self, name: str, path: Path) -> Serving:
-        return serving_of(name, self.group.plan(), str(path))
+    def load_assignment(self, name: str, path: Path) -> RelayAssignment:
+        return assignment_for_relay(name, self.group.plan(), str(path))
 
     def ended(self, task: asyncio.Task[Any]) -> None:
         world = self.group.world
@@ -233,7 +236,7 @@
     def wrote(self, end: Transport, data: bytes) -> None:
         """A relay says that the list is the present one by answering a call, or by an empty line."""
         relay = self.by_name.get(end.machine.name)
-        if relay is None or not (data.startswith(b"HTTP/1.1 200") or EMPTY_LINE in data):
+        if relay is None or not (data.startswith(b"HTTP/1.1 200") or HEARTBEAT_CHUNK in data):
             return
         quiet = self.world.loop.now - relay.heard_at
         if quiet > VOUCHES_MOST:
--- /dev/null
+++ b/stackwheel/wire/endpoint_requests.py
@@ -0,0 +1,97 @@
+"""Requests for a cell's endpoint list: one GET on a connection, read within bounds of size and time."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from http import HTTPStatus
+from urllib.parse import parse_qsl, urlsplit
+
+import h11
+
+from stackwheel.errors import StackwheelError
+from stackwheel.wire import timing
+from stackwheel.wire.discovery_client import PATH
+from stackwheel.wire.http import within
+
+MAX_REQUEST_HEAD_BYTES = 8 << 10  # a planner's has some 150
+REQUEST_TIMEOUT_MS = timing.ANSWER  # for the complete request: a caller gives up its call after that
+MAX_GENERATION_DIGITS = 18  # so that it fits into 64 bits
+MAX_QUERY_FIELDS = 16  # two are known
+
+
+@dataclass(frozen=True, slots=True)
+class ListRequest:
+    """A request for the list, or for a watch (`follow`) that resumes after the generation `since`."""
+
+    follow: bool
+    since: int | None
+
+
+class RequestRejectedError(StackwheelError):
+    """A request that gets a response other than 200.
+
+    Attributes:
+        status: the status of the response.
+        reason: the body of the response.
+    """
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(f"{status}: {reason}")
+        self.status = status
+        self.reason = reason
+
+
+async def read_request(reader: asyncio.StreamReader) -> ListRequest | None:
+    """The first request of a connection; None if the caller left or sent none within REQUEST_TIMEOUT_MS.
+
+    Raises:
+        RequestRejectedError: it is malformed, or not a request for a list.
+        OSError: the connection broke.
+    """
+    http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_REQUEST_HEAD_BYTES)
+    try:
+        return await within(REQUEST_TIMEOUT_MS, _next_request(http, reader))
+    except h11.RemoteProtocolError as error:
+        raise RequestRejectedError(error.error_status_hint, str(error)) from error
+
+
+async def _next_request(http: h11.Connection, reader: asyncio.StreamReader) -> ListRequest | None:
+    while True:
+        event = http.next_event()
+        if event is h11.NEED_DATA:
+            http.receive_data(await reader.read(MAX_REQUEST_HEAD_BYTES))
+        elif isinstance(event, h11.Request):
+            return parse_request(event)
+        else:
+            return None
+
+
+def parse_request(request: h11.Request) -> ListRequest:
+    """What a request is for.
+
+    Raises:
+        RequestRejectedError: 404, 405 or 400.
+    """
+    try:
+        target = urlsplit(request.target.decode("ascii"))
+        query = dict(parse_qsl(target.query, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS))
+    except ValueError as error:
+        raise RequestRejectedError(HTTPStatus.BAD_REQUEST, f"no target: {error}") from error
+    if target.path != PATH:
+        raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no such path")
+    if request.method != b"GET":
+        raise RequestRejectedError(HTTPStatus.METHOD_NOT_ALLOWED, "only GET")
+    if request.http_version != b"1.1":
+        raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "only HTTP/1.1")
+    return _parse_query(query)
+
+
+def _parse_query(query: dict[str, str]) -> ListRequest:
+    follow = query.get("follow", "0")
+    if follow not in ("0", "1"):
+        raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "follow is 0 or 1")
+    since = query.get("since")
+    if since is not None and not (since.isascii() and since.isdigit() and len(since) <= MAX_GENERATION_DIGITS):
+        raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "since is no generation")
+    return ListRequest(follow == "1", None if since is None else int(since))
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -18,7 +18,8 @@
 
 from stackwheel.cells.plan import Cell, Limits, Plan, Relay
 from stackwheel.cells.plan_file import encode_plan
-from stackwheel.service.relay import RelayConfig, RelayService, load_serving
+from stackwheel.service.relay import RelayService
+from stackwheel.service.relay_config import RelayConfig, load_assignment
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import PATH
 from stackwheel.wire.http import Call, CallFailed, get
@@ -131,7 +132,9 @@
     await proxy.until(full({"s-2", "s-3"}))
     code, log = await planner.stop()
     failures = [line for line in log.splitlines() if " failed at " in line]
-    assert code == 0 and len(failures) == 2 and all("the next one" in line for line in failures), log
+    assert code == 0, log
+    assert len(failures) == 2, log
+    assert all("the next one" in line for line in failures), log
 
 
 def test_a_relay_vouches_only_while_it_hears_the_registry(tmp_path: Path) -> None:
@@ -174,13 +177,13 @@
             assert b"s-1" in await watch.chunk(MOST_MS)
             (tmp_path / "cells.json").write_bytes(encode_plan(found)[:200])
             send(first.process, signal.SIGHUP)
-            await first.logged("plan not reloaded, the old one holds")
+            await first.logged("cell plan not reloaded, the one in force stays")
             await first.answers(port, 200)
             other = free_port()
             moved = (Cell("t", "t", (), 0, 1, port), Cell("s", "s", (), 0, 1, other))
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, found.relays, moved)))
             send(first.process, signal.SIGHUP)
-            await first.logged("plan reloaded: 2 cells")
+            await first.logged("cell plan reloaded: count=2")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
                 body = await get(first.address(served), PATH, MOST_MS, MOST_MS)
                 assert isinstance(body, bytes)
@@ -202,16 +205,16 @@
     async def work() -> None:
         registry = await ScriptedDiscovery().start()
         (tmp_path / "cells.json").write_bytes(encode_plan(plan("s")))
-        serving = load_serving("relay-0", tmp_path / "cells.json")
+        serving = load_assignment("relay-0", tmp_path / "cells.json")
         service = RelayService(RelayConfig("relay-0", registry.address, tmp_path / "cells.json"), serving, 100)
         following = asyncio.create_task(service.upstream.run())
         watch = await registry.calls.get()
         watch.line(5, True, "s-1")
         while service.cache.generation is None:
             await asyncio.sleep(0)
-        listed_at = service.cache.contact.heard_at
+        listed_at = service.cache.upstream.last_seen_at
         watch.tell(b"\n")
-        while service.cache.contact.heard_at == listed_at:
+        while service.cache.upstream.last_seen_at == listed_at:
             await asyncio.sleep(0)
         following.cancel()
 
@@ -239,7 +242,9 @@
     (tmp_path / "bad.cue").write_text(record + "\n")
     command = [sys.executable, "-m", "stackwheel", "relay", "--operators", str(tmp_path / "bad.cue")]
     ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=MOST, check=False)
-    assert ended.returncode == 2 and named in ended.stderr and len(ended.stderr.splitlines()) == 1, ended.stderr
+    assert ended.returncode == 2, ended.stderr
+    assert named in ended.stderr, ended.stderr
+    assert len(ended.stderr.splitlines()) == 1, ended.stderr
 
 
 def test_the_plain_planner_imports_nothing_of_it() -> None:
@@ -253,6 +258,16 @@
         check=True,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     ).stdout.split()
-    unwanted = ("stackwheel.relay", "stackwheel.cells", "stackwheel.wire.listing", "msgspec", "xxhash", "lark", "click")
+    unwanted = (
+        "stackwheel.relay",
+        "stackwheel.cells",
+        "stackwheel.wire.endpoint_list_server",
+        "stackwheel.wire.endpoint_watch",
+        "stackwheel.wire.endpoint_requests",
+        "msgspec",
+        "xxhash",
+        "lark",
+        "click",
+    )
     assert "stackwheel.wire.discovery_client" in loaded
     assert [name for name in loaded if name.startswith(unwanted)] == []
--- a/tests/trials/test_relay_trials.py
+++ b/tests/trials/test_relay_trials.py
@@ -11,7 +11,7 @@
 import pytest
 
 from stackwheel.interface import Availability
-from stackwheel.relay.messages import Unavailable
+from stackwheel.relay.messages import UnavailableError
 from stackwheel.rules.violations import Rule
 from stackwheel.trials import script as s
 from stackwheel.trials.defects.planting import Defect, planted
@@ -22,7 +22,7 @@
 from stackwheel.trials.runner import run_one
 from stackwheel.trials.world import World, run_script
 from stackwheel.wire.backoff import Backoff
-from stackwheel.wire.listing_watch import ListingWatch
+from stackwheel.wire.endpoint_watch import EndpointWatch
 
 SCRIPTS = Path(__file__).parent / "scripts"
 SHAPE = s.Shape(planners=2, proxies=4, servers=6, relays=2, use=0.3)
@@ -63,51 +63,52 @@
 # what the scripts make happen
 
 
-def test_a_relay_that_is_behind_refuses_those_who_know_more() -> None:
-    refused: list[str] = []
+def test_a_relay_that_is_behind_rejects_callers_that_are_ahead() -> None:
+    rejected: list[str] = []
     world = World(script("relay-overtaken-by-its-twin"))
 
     def look() -> None:
         for relay in world.relays.hosts if world.relays is not None else ():
-            if relay.service is not None and not hasattr(relay.service.cache.ask, "watched"):
-                relay.service.cache.ask = watched(relay.service.cache.ask)  # type: ignore[method-assign]
+            if relay.service is not None and not hasattr(relay.service.cache.answer, "watched"):
+                relay.service.cache.answer = watched(relay.service.cache.answer)  # type: ignore[method-assign]
         world.loop.at(world.loop.now + 0.05, None, look)
 
-    def watched(honest: Any) -> Any:
-        def ask(*about: Any) -> Any:
-            answer = honest(*about)
-            if isinstance(answer, Unavailable):
-                refused.append(answer.reason)
-            return answer
+    def watched(original: Any) -> Any:
+        def answer(*arguments: Any) -> Any:
+            try:
+                return original(*arguments)
+            except UnavailableError as error:
+                rejected.append(str(error))
+                raise
 
-        ask.watched = True  # type: ignore[attr-defined]
-        return ask
+        answer.watched = True  # type: ignore[attr-defined]
+        return answer
 
     world.loop.at(0.01, None, look)
     assert verdicts(world) == []
-    assert "behind what the caller knows" in refused
+    assert "behind what the caller knows" in rejected
 
 
 def test_a_relay_without_the_registry_ends_its_watches_and_its_twin_goes_on() -> None:
     told: list[str] = []
     world = World(script("relay-cut-off-and-healed"), trace=told.append)
     assert verdicts(world) == []
-    assert any("relay-1: watch ended: the registry is lost" in line for line in told)
-    assert not any("relay-0: watch ended: the registry is lost" in line for line in told)
+    assert any("relay-1: watch ended: reason=upstream lost" in line for line in told)
+    assert not any("relay-0: watch ended: reason=upstream lost" in line for line in told)
 
 
-def test_a_slow_reader_is_owed_the_whole_part(monkeypatch: pytest.MonkeyPatch) -> None:
-    owed: list[int] = []
-    honest = ListingWatch.owe_whole
+def test_a_slow_reader_gets_a_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
+    dropped: list[int] = []
+    original = EndpointWatch.request_snapshot
 
-    def owe_whole(self: ListingWatch) -> None:
+    def request_snapshot(self: EndpointWatch) -> None:
         if self.writing:
-            owed.append(self.pending_bytes)
-        honest(self)
+            dropped.append(self.pending_bytes)
+        original(self)
 
-    monkeypatch.setattr(ListingWatch, "owe_whole", owe_whole)
+    monkeypatch.setattr(EndpointWatch, "request_snapshot", request_snapshot)
     assert verdicts(World(script("slow-planner-reader"))) == []
-    assert owed and min(owed) > 32 << 10
+    assert dropped and min(dropped) > 32 << 10
 
 
 def test_both_relays_restart_and_planners_find_them_again() -> None:
--- /dev/null
+++ b/tests/wire/test_byte_budget.py
@@ -0,0 +1,64 @@
+"""The bound on bytes of snapshots being sent: reserved in order, released on cancellation."""
+
+from __future__ import annotations
+
+import asyncio
+
+from stackwheel.wire.byte_budget import ByteBudget
+
+TEST_TIMEOUT_S = 15
+
+
+def test_bytes_are_reserved_in_order_and_a_cancelled_wait_is_skipped() -> None:
+    async def scenario() -> None:
+        budget = ByteBudget(10)
+        order: list[str] = []
+
+        async def hold(name: str, size: int, done: asyncio.Event) -> None:
+            async with budget.hold(size):
+                order.append(name)
+                assert budget.held <= 10
+                await done.wait()
+
+        done = asyncio.Event()
+        async with budget.hold(8):
+            waiting = [asyncio.create_task(hold(name, size, done)) for name, size in (("a", 9), ("b", 4), ("c", 5))]
+            while len(budget.waiting) < 3:
+                await asyncio.sleep(0)
+            assert not budget.room(1)
+            assert order == []
+            waiting[0].cancel()
+            await asyncio.wait(waiting[:1])
+            assert budget.held == 8
+        while order != ["b", "c"]:
+            await asyncio.sleep(0)
+        late = asyncio.create_task(hold("d", 3, done))
+        while not budget.waiting:
+            await asyncio.sleep(0)
+        done.set()
+        await asyncio.wait([late, *waiting])
+        assert order == ["b", "c", "d"]
+        assert budget.held == 0
+        assert budget.room(1000)
+
+    asyncio.run(asyncio.wait_for(scenario(), TEST_TIMEOUT_S))
+
+
+def test_a_reservation_that_is_cancelled_as_it_is_granted_is_released() -> None:
+    async def scenario() -> None:
+        budget = ByteBudget(1)
+
+        async def hold() -> None:
+            async with budget.hold(1):
+                pass
+
+        async with budget.hold(1):
+            waiting = asyncio.create_task(hold())
+            while not budget.waiting:
+                await asyncio.sleep(0)
+        waiting.cancel()  # its turn has come, but it has not run since
+        await asyncio.wait([waiting])
+        assert waiting.cancelled()
+        assert budget.held == 0
+
+    asyncio.run(asyncio.wait_for(scenario(), TEST_TIMEOUT_S))
--- /dev/null
+++ b/tests/wire/test_endpoint_list_server.py
@@ -0,0 +1,321 @@
+"""The relay's server on real sockets: requests, watches, heartbeats, slow readers, bounds."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+
+import pytest
+from endpoint_lists import (
+    DRAINING,
+    READY,
+    REMOVED,
+    availability_by_name,
+    cell_list,
+    decode_line,
+    delta_list,
+    instance,
+    snapshot_list,
+)
+from relay_server_harness import (
+    FILLER,
+    LIST_PATH,
+    Caller,
+    RelayServer,
+    large_delta,
+    merge_lists,
+    run,
+    started_relay,
+    until_blocked,
+    until_idle,
+)
+
+from stackwheel.relay.watch_cache import WatchCache
+from stackwheel.wire import endpoint_requests, timing
+from stackwheel.wire.endpoint_watch import MAX_PENDING_BYTES
+
+
+def test_a_list_and_a_watch_send_the_entries_of_the_cell_and_their_changes() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"), instance("b-1"))
+        head, _, body = (await (await relay.get_list()).receive_all()).partition(b"\r\n\r\n")
+        assert b"200 OK" in head
+        assert decode_line(body) == snapshot_list(5, instance("a-1"))
+        first = await relay.watch()
+        second = await relay.watch(since=5)
+        assert await first.next_list() == snapshot_list(5, instance("a-1"))
+        assert await second.next_list() == delta_list(5)
+        relay.apply(delta_list(6, instance("a-1", DRAINING)))
+        assert await first.next_list() == await second.next_list() == delta_list(6, instance("a-1", DRAINING))
+
+    run(scenario)
+
+
+@pytest.mark.parametrize(
+    ("request_line", "status"),
+    [
+        ("GET /other", 404),
+        (f"POST {LIST_PATH}", 405),
+        (f"GET {LIST_PATH}?follow=2", 400),
+        (f"GET {LIST_PATH}?follow=1&since=-4", 400),
+        (f"GET {LIST_PATH}?since=1e3&follow=1", 400),
+        ("what is this", 400),
+        (f"GET {LIST_PATH}?" + "x" * 3 * endpoint_requests.MAX_REQUEST_HEAD_BYTES, 431),
+    ],
+)
+def test_bad_requests_are_rejected(request_line: str, status: int) -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"))
+        assert await (await Caller.open(relay.address, request_line)).status() == status
+
+    run(scenario)
+
+
+def test_calls_are_rejected_before_the_first_list_and_without_the_upstream() -> None:
+    async def scenario() -> None:
+        relay = await started_relay()
+        for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1"):
+            assert await (await Caller.open(relay.address, request)).status() == 503
+        relay.apply(snapshot_list(5, instance("a-1")))
+        relay.lose_upstream(timing.SILENCE)
+        for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1&since=5"):
+            assert await (await Caller.open(relay.address, request)).status() == 503
+
+    run(scenario)
+
+
+def test_a_connection_without_a_complete_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(endpoint_requests, "REQUEST_TIMEOUT_MS", 50.0)
+
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"))
+        silent = await Caller.open(relay.address)
+        slow = await Caller.open(relay.address)
+        await slow.send(f"GET {LIST_PATH} HT")
+        assert await silent.receive_all() == await slow.receive_all() == b""
+        while relay.server.connections:
+            await asyncio.sleep(0)
+
+    run(scenario)
+
+
+def test_connections_are_bounded() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"), max_connections=2)
+        watchers = [await relay.watch(), await relay.watch()]
+        await relay.watches(2)
+        assert await (await relay.get_list()).status() == 503
+        watchers.pop().caller.socket.close()
+        await relay.watches(1)
+        while relay.server.connections > 1:
+            await asyncio.sleep(0)
+        assert await (await relay.get_list()).status() == 200
+
+    run(scenario)
+
+
+# Between the first answer and what follows it
+
+
+def test_a_drain_while_the_first_delta_is_being_written_is_sent_after_it() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"))
+        for generation in range(6, 30):
+            relay.apply(large_delta(generation))
+        relay.apply(delta_list(30, *(instance(f"a-{n}{FILLER * 40}") for n in range(400))))  # beyond all buffers
+        watcher = await relay.watch(since=5, receive_buffer=4096)
+        (watch,) = await relay.watches(1)
+        await until_blocked(watch)
+        relay.apply(delta_list(31, instance("a-1", DRAINING)))
+        first = await watcher.next_list()
+        assert not first.complete
+        assert first.generation == 30
+        assert "a-1" not in availability_by_name(first)
+        assert await watcher.next_list() == delta_list(31, instance("a-1", DRAINING))
+
+    run(scenario)
+
+
+def test_a_drain_before_the_snapshot_is_written_is_in_it() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"), instance("a-2"), max_snapshot_bytes=1)
+        watcher = await relay.watch()
+        assert (await watcher.next_list()).complete
+        other = relay.server.budget.hold(1)  # the snapshot that is due has to wait
+        await other.__aenter__()
+        (watch,) = await relay.watches(1)
+        watch.request_snapshot()
+        while watch.wakeup.is_set():  # until it waits for its turn
+            await asyncio.sleep(0)
+        relay.apply(delta_list(6, instance("a-1", DRAINING)))
+        await other.__aexit__(None, None, None)
+        assert await watcher.next_list() == snapshot_list(6, instance("a-2"), instance("a-1", DRAINING))
+        relay.apply(delta_list(7, instance("a-1", REMOVED)))
+        assert await watcher.next_list() == delta_list(7, instance("a-1", REMOVED))
+
+    run(scenario)
+
+
+# Heartbeats and upstream liveness
+
+
+def test_heartbeats_stop_and_watches_end_when_the_upstream_is_lost() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"))
+        watcher = await relay.watch()
+        await watcher.next_list()
+        (watch,) = await relay.watches(1)
+        await until_idle(watch)
+        relay.send_heartbeats()
+        assert await watcher.next_line() == b""
+        await until_idle(watch)
+        relay.lose_upstream(timing.SILENCE)
+        relay.send_heartbeats()
+        assert not watch.pending  # nothing was sent
+        relay.server.perform(relay.cache.tick(relay.server.now()))
+        with pytest.raises(EOFError):
+            await watcher.next_line()
+        await relay.watches(0)
+
+    run(scenario)
+
+
+def test_timers_send_heartbeats_and_end_watches(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(timing, "BEAT", 80.0)
+
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"))
+        watcher = await relay.watch()
+        await watcher.next_list()
+        timers = asyncio.create_task(relay.server.run_timers())
+        assert await watcher.next_line() == await watcher.next_line() == b""
+        relay.lose_upstream(timing.SILENCE)
+        with pytest.raises(EOFError):
+            await watcher.read_to_end()
+        timers.cancel()
+
+    run(scenario)
+
+
+def test_restarted_generations_are_sent_to_all_watchers_as_a_snapshot() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"), max_snapshot_bytes=1)
+        watchers = [await relay.watch(since=5) for _ in range(5)]
+        for watcher in watchers:
+            await watcher.next_list()
+        relay.apply(snapshot_list(2, instance("a-2"), generations_restarted=True))
+        for watcher in watchers:
+            assert await watcher.next_list() == snapshot_list(2, instance("a-2"))
+
+    run(scenario)
+
+
+# Slow readers, and many at once
+
+
+def test_what_a_slow_reader_leaves_unread_is_bounded_and_it_gets_a_snapshot() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"))
+        watcher = await relay.watch(since=5, receive_buffer=4096)
+        await watcher.next_list()
+        (watch,) = await relay.watches(1)
+        generation = 5
+        while not watch.snapshot_due:
+            generation += 1
+            relay.apply(large_delta(generation))
+            assert watch.pending_bytes <= MAX_PENDING_BYTES
+            assert generation < 10_000
+            await asyncio.sleep(0)
+        last = generation + 50
+        for later in range(generation + 1, last):
+            relay.apply(large_delta(later))
+            await asyncio.sleep(0)
+            assert watch.pending_bytes <= MAX_PENDING_BYTES
+            assert watch.writer.transport.get_write_buffer_size() <= 2 * MAX_PENDING_BYTES
+        relay.apply(delta_list(last, instance("a-1", DRAINING)))
+        received = [await watcher.next_list()]
+        while received[-1].generation < last:
+            received.append(await watcher.next_list())
+            assert received[-1].generation > received[-2].generation
+        assert any(one.complete for one in received)
+        assert len(received) < last - 5
+        present = cell_list(relay.cache)
+        assert availability_by_name(present)["a-1"] is DRAINING
+        assert len(present.instances) == 81
+        assert all(one.weight == last - 1 for one in present.instances if one.name != "a-1")
+        assert merge_lists(received) == {one.name: one for one in present.instances}
+
+    run(scenario)
+
+
+def test_the_watch_of_a_watcher_that_never_reads_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(timing, "SILENCE", 100.0)
+
+    async def scenario() -> None:
+        relay = await RelayServer(WatchCache(lambda *_: "a", ["a"], 60_000.0, 2000.0)).start()
+        relay.apply(snapshot_list(5, instance("a-1")))
+        watcher = await relay.watch(since=5, receive_buffer=4096)
+        await watcher.next_list()
+        (watch,) = await relay.watches(1)
+        generation = 5
+        while not watch.writer.transport.get_write_buffer_size():
+            generation += 1
+            relay.apply(large_delta(generation))
+            await asyncio.sleep(0)
+        await relay.watches(0)
+        assert watch.end_reason.startswith("not read for")
+
+    run(scenario)
+
+
+def test_snapshots_being_sent_are_bounded() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(
+            *(instance(f"a-{n}{FILLER * 40}") for n in range(400)), max_snapshot_bytes=7_000_000
+        )
+        slow = [await relay.watch(receive_buffer=4096), await relay.watch(receive_buffer=4096)]
+        for watch in await relay.watches(2):
+            await until_blocked(watch)
+        relay.cache.mark_upstream_alive(relay.server.now())
+        for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1", f"GET {LIST_PATH}?follow=1&since=4"):
+            assert await (await Caller.open(relay.address, request)).status() == 503
+        resumed = await relay.watch(since=5)  # a delta is no snapshot
+        assert await resumed.next_list() == delta_list(5)
+        assert (await slow[0].next_list()).complete
+        while not relay.server.budget.room(len(relay.cache.snapshot("a") or b"")):
+            await asyncio.sleep(0)
+        relay.cache.mark_upstream_alive(relay.server.now())  # reading may have taken long
+        assert await (await relay.get_list()).status() == 200
+
+    run(scenario)
+
+
+# Listeners
+
+
+def test_listeners_follow_the_plan_or_stay_as_they_were() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"))
+        other = await started_relay(instance("a-1"))
+        with pytest.raises(OSError, match="already in use"):
+            await relay.server.listen({other.address: "a"})  # taken
+        assert await (await relay.get_list()).status() == 200
+        await relay.server.listen({})
+        with contextlib.suppress(ConnectionRefusedError):
+            assert await (await relay.get_list()).receive_all() == b""
+            raise AssertionError("it still listens")
+
+    run(scenario)
+
+
+def test_the_watch_of_a_disconnected_watcher_is_removed() -> None:
+    async def scenario() -> None:
+        relay = await started_relay(instance("a-1"))
+        watcher = await relay.watch()
+        assert availability_by_name(await watcher.next_list()) == {"a-1": READY}
+        await relay.watches(1)
+        watcher.caller.socket.close()
+        await relay.watches(0)
+        assert relay.server.watches == {}
+
+    run(scenario)
