--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -73,7 +73,9 @@
         self.config = config
         self.assignment = assignment
         self.environment = environment
-        self.cache = WatchCache(assignment.locate, assignment.cells, timing.SILENCE, timing.BEAT)
+        self.cache = WatchCache(
+            assignment.locate, assignment.cells, timing.WATCH_SILENCE_TIMEOUT_MS, timing.HEARTBEAT_INTERVAL_MS
+        )
         self.server = EndpointListServer(self.cache, max_connections, open_listener=environment.open_listener)
         self.upstream = DiscoveryClient(
             config.upstream,
@@ -82,7 +84,7 @@
             self.apply_endpoint_list,
             Random(config.name),
             MAX_LIST_AGE,  # polled again at the latest after a part of the time that any list may be old
-            timing.renewal(len(assignment.plan.relays)),
+            timing.watch_renewal_interval(len(assignment.plan.relays)),
             self.mark_upstream_alive,
         )
         self.reload_requested = asyncio.Event()
@@ -134,7 +136,7 @@
 def connection_limit(listeners: int) -> int:
     """Connections that may be open at once, beside the other descriptors that the process holds."""
     descriptors = min(resource.getrlimit(resource.RLIMIT_NOFILE)[0], MAX_DESCRIPTORS)
-    return max(1, descriptors - listeners - timing.KEPT_SOCKETS)
+    return max(1, descriptors - listeners - timing.RESERVED_DESCRIPTORS)
 
 
 async def serve(config: RelayConfig, assignment: RelayAssignment) -> None:
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -53,10 +53,10 @@
 def older_generation_believed() -> Sequence[Patch]:
     """Generations are not compared: an older state brings back what drains."""
 
-    def newer(_self: EndpointCache, listing: EndpointList, _now: float) -> EndpointList:
+    def discard_stale(_self: EndpointCache, listing: EndpointList, _now: float) -> EndpointList:
         return listing
 
-    return [Patch(EndpointCache, "newer", newer)]
+    return [Patch(EndpointCache, "discard_stale", discard_stale)]
 
 
 def batch_truncated() -> Sequence[Patch]:
--- a/stackwheel/wire/endpoint_list_server.py
+++ b/stackwheel/wire/endpoint_list_server.py
@@ -148,13 +148,13 @@
 
     async def run_timers(self) -> None:
         """Send heartbeats, and do what time alone brings about, until cancelled."""
-        step = timing.BEAT / HEARTBEAT_SLICES
+        step = timing.HEARTBEAT_INTERVAL_MS / HEARTBEAT_SLICES
         heartbeat_slice = 0
         while True:
             due = self.now() + step
             await asyncio.sleep(step / 1000.0)
-            if self.now() > due + timing.GRACE:  # this process stood still: bytes that are ready to read count
-                await asyncio.sleep(timing.GRACE / 1000.0)
+            if self.now() > due + timing.STALL_GRACE_MS:  # this process stood still: bytes that are ready to read count
+                await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
             self.perform(self.cache.tick(self.now()))
             heartbeat_slice = (heartbeat_slice + 1) % HEARTBEAT_SLICES
             self.send_heartbeats(heartbeat_slice)
@@ -234,11 +234,11 @@
     async def _send_last(writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write the last bytes of a connection; a caller that does not read loses them."""
         writer.write(data)
-        await within(timing.LINE, writer.drain())
+        await within(timing.LINE_TIMEOUT_MS, writer.drain())
         with contextlib.suppress(OSError, RuntimeError):
             writer.write_eof()
             writer.close()
-            await within(timing.ANSWER, writer.wait_closed())
+            await within(timing.RESPONSE_TIMEOUT_MS, writer.wait_closed())
 
     async def _watch(
         self, cell: str, delta: bytes | None, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/stackwheel/wire/endpoint_requests.py
+++ b/stackwheel/wire/endpoint_requests.py
@@ -15,7 +15,7 @@
 from stackwheel.wire.http import within
 
 MAX_REQUEST_HEAD_BYTES = 8 << 10  # a planner's has some 150
-REQUEST_TIMEOUT_MS = timing.ANSWER  # for the complete request: a caller gives up its call after that
+REQUEST_TIMEOUT_MS = timing.RESPONSE_TIMEOUT_MS  # for the complete request: a caller gives up its call after that
 MAX_GENERATION_DIGITS = 18  # so that it fits into 64 bits
 MAX_QUERY_FIELDS = 16  # two are known
 
--- a/stackwheel/wire/endpoint_watch.py
+++ b/stackwheel/wire/endpoint_watch.py
@@ -96,7 +96,7 @@
                 async with self.budget.hold(len(self.snapshot() or b"")):
                     await self._write_snapshot()
             elif self.pending:
-                await self._write(self._take_pending(), timing.SILENCE)
+                await self._write(self._take_pending(), timing.WATCH_SILENCE_TIMEOUT_MS)
         logger.info("watch ended: reason={}", self.end_reason)
 
     async def _write_snapshot(self) -> None:
@@ -107,7 +107,7 @@
         if line is None:
             self.end("cell served elsewhere")
         elif not self.end_reason:
-            await self._write(chunk(line), timing.LINE)
+            await self._write(chunk(line), timing.LINE_TIMEOUT_MS)
 
     async def _write(self, data: bytes, timeout: float) -> None:
         """Hand all of it to the network; a watcher that takes longer than `timeout` (ms) does not read."""
--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -14,18 +14,20 @@
 
 def probe_call(address: str, names: Names) -> Call:
     """The call that probes the server at an address, not yet opened."""
-    return Call(address, "/stats" if names.load_on_probe else "/health/live")
+    return Call(address, "/stats" if names.health_check_returns_load else "/health/live")
 
 
 async def probe(server: Server, call: Call, names: Names, clock: Clock) -> face.HealthCheckResult:
     """Make the call, and tell what came of it."""
     began = clock.now()
-    body = await exchange(call, timing.PROBE, timing.PROBE, timing.PROBE_MOST)
+    body = await exchange(
+        call, timing.HEALTH_CHECK_TIMEOUT_MS, timing.HEALTH_CHECK_TIMEOUT_MS, timing.MAX_HEALTH_CHECK_BYTES
+    )
     elapsed = clock.now() - began
     if isinstance(body, CallFailed):
         return face.HealthCheckResult(server, outcome(body), elapsed)
     try:
-        load = read_load(body.decode().strip(), "=") if names.load_on_probe else ()
+        load = read_load(body.decode().strip(), "=") if names.health_check_returns_load else ()
     except (UnicodeDecodeError, FieldError):
         return face.HealthCheckResult(server, HealthCheckOutcome.ERROR, elapsed)
     return face.HealthCheckResult(server, HealthCheckOutcome.OK, elapsed, columns_in_order(load, names.columns))
--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -43,7 +43,7 @@
 
 
 def watch_cache_of(*cells: str, locate: Any = by_service) -> WatchCache:
-    return WatchCache(locate, cells or ("a", "b"), timing.SILENCE, timing.BEAT)
+    return WatchCache(locate, cells or ("a", "b"), timing.WATCH_SILENCE_TIMEOUT_MS, timing.HEARTBEAT_INTERVAL_MS)
 
 
 def decode_line(line: bytes) -> EndpointList:
--- a/tests/relay/test_random_histories.py
+++ b/tests/relay/test_random_histories.py
@@ -137,7 +137,7 @@
                 relay.start()
             case "cut" if random.random() < 0.3:
                 relay.connected = False
-                now += timing.SILENCE
+                now += timing.WATCH_SILENCE_TIMEOUT_MS
             case "break" if planner.relay is not None:
                 planner.relay.watchers.remove(planner)
                 planner.relay = None
--- a/tests/relay/test_watch_cache.py
+++ b/tests/relay/test_watch_cache.py
@@ -242,7 +242,7 @@
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     assert is_unavailable(cache, "a", 900, 0.0)
-    cache.tick(timing.SILENCE)
+    cache.tick(timing.WATCH_SILENCE_TIMEOUT_MS)
     cache.mark_upstream_alive(MAX_LIST_AGE)
     assert is_unavailable(cache, "a", 900, MAX_LIST_AGE)
     cache.mark_upstream_alive(2 * MAX_LIST_AGE)
@@ -282,9 +282,9 @@
     cache = watch_cache_of()
     cache.apply(snapshot_list(50, instance("a-1"), instance("a-2")), 0.0)
     assert cache.apply(snapshot_list(3, instance("a-2")), 1.0) == ()
-    assert cache.tick(timing.BEAT) == ()
+    assert cache.tick(timing.HEARTBEAT_INTERVAL_MS) == ()
     assert availability_by_name(cell_list(cache)) == {"a-1": READY, "a-2": READY}
-    assert snapshot_cells(cache.tick(timing.BEAT + 1.0)) == {"a", "b"}
+    assert snapshot_cells(cache.tick(timing.HEARTBEAT_INTERVAL_MS + 1.0)) == {"a", "b"}
     assert cell_list(cache) == snapshot_list(3, instance("a-2"))
 
 
@@ -295,8 +295,8 @@
     cache.apply(delta_list(6, instance("a-2")), 1.0)
     cache.apply(snapshot_list(5, instance("a-1")), 2.0)
     assert deltas_by_cell(cache.apply(delta_list(6, instance("a-2")), 3.0)) == {}
-    cache.mark_upstream_alive(timing.BEAT + 3.0)
-    assert cache.tick(timing.BEAT + 3.0) == ()
+    cache.mark_upstream_alive(timing.HEARTBEAT_INTERVAL_MS + 3.0)
+    assert cache.tick(timing.HEARTBEAT_INTERVAL_MS + 3.0) == ()
     assert cell_list(cache) == snapshot_list(6, instance("a-1"), instance("a-2"))
 
 
@@ -340,9 +340,9 @@
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     cache.mark_upstream_alive(1000.0)
-    assert cache.tick(999.0 + timing.SILENCE) == ()
-    assert cache.is_current(999.0 + timing.SILENCE)
-    lost = 1000.0 + timing.SILENCE
+    assert cache.tick(999.0 + timing.WATCH_SILENCE_TIMEOUT_MS) == ()
+    assert cache.is_current(999.0 + timing.WATCH_SILENCE_TIMEOUT_MS)
+    lost = 1000.0 + timing.WATCH_SILENCE_TIMEOUT_MS
     assert is_unavailable(cache, "a", 5, lost)
     assert is_unavailable(cache, "a", None, lost)
     (ended,) = cache.tick(lost)
--- a/tests/wire/test_endpoint_list_server.py
+++ b/tests/wire/test_endpoint_list_server.py
@@ -77,7 +77,7 @@
         for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1"):
             assert await (await Caller.open(relay.address, request)).status() == 503
         relay.apply(snapshot_list(5, instance("a-1")))
-        relay.lose_upstream(timing.SILENCE)
+        relay.lose_upstream(timing.WATCH_SILENCE_TIMEOUT_MS)
         for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1&since=5"):
             assert await (await Caller.open(relay.address, request)).status() == 503
 
@@ -169,7 +169,7 @@
         relay.send_heartbeats()
         assert await watcher.next_line() == b""
         await until_idle(watch)
-        relay.lose_upstream(timing.SILENCE)
+        relay.lose_upstream(timing.WATCH_SILENCE_TIMEOUT_MS)
         relay.send_heartbeats()
         assert not watch.pending  # nothing was sent
         relay.server.perform(relay.cache.tick(relay.server.now()))
@@ -181,7 +181,7 @@
 
 
 def test_timers_send_heartbeats_and_end_watches(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(timing, "BEAT", 80.0)
+    monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 80.0)
 
     async def scenario() -> None:
         relay = await started_relay(instance("a-1"))
@@ -189,7 +189,7 @@
         await watcher.next_list()
         timers = asyncio.create_task(relay.server.run_timers())
         assert await watcher.next_line() == await watcher.next_line() == b""
-        relay.lose_upstream(timing.SILENCE)
+        relay.lose_upstream(timing.WATCH_SILENCE_TIMEOUT_MS)
         with pytest.raises(EOFError):
             await watcher.read_to_end()
         timers.cancel()
@@ -249,7 +249,7 @@
 
 
 def test_the_watch_of_a_watcher_that_never_reads_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(timing, "SILENCE", 100.0)
+    monkeypatch.setattr(timing, "WATCH_SILENCE_TIMEOUT_MS", 100.0)
 
     async def scenario() -> None:
         relay = await RelayServer(WatchCache(lambda *_: "a", ["a"], 60_000.0, 2000.0)).start()
