--- a/tests/cells/test_cell_plan.py
+++ b/tests/cells/test_cell_plan.py
@@ -9,7 +9,6 @@
 
 import pytest
 
-from stackwheel.cells import plan_file
 from stackwheel.cells.plan import Cell, CellPlanError, Limits, Plan, Relay
 from stackwheel.cells.plan_file import decode_plan, encode_plan, load_plan, load_regions, save_plan
 
@@ -152,7 +151,7 @@
 
     path = tmp_path / "plan.json"
     path.write_bytes(b"former")
-    monkeypatch.setattr(plan_file.os, step, fail)
+    monkeypatch.setattr(os, step, fail)
     with pytest.raises(CellPlanError, match=r"plan\.json: No space left on device"):
         save_plan(decode_plan(json.dumps(VALID_PLAN).encode()), path)
     assert path.read_bytes() == b"former"
--- a/tests/relay/test_random_histories.py
+++ b/tests/relay/test_random_histories.py
@@ -87,10 +87,10 @@
                     for planner in self.watchers:
                         planner.view.receive(line)
                 case SendSnapshot(cell):
-                    line = self.cache.snapshot(cell)
-                    assert line is not None
+                    snapshot = self.cache.snapshot(cell)
+                    assert snapshot is not None
                     for planner in self.watchers:
-                        planner.view.receive(line)
+                        planner.view.receive(snapshot)
                 case EndWatches():
                     self.end_watches()
 
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -1,4 +1,4 @@
-"""Relay processes between a registry and a planner, as operators start them."""
+"""Relay processes between a discovery service and a planner, as operators start them."""
 
 from __future__ import annotations
 
@@ -36,7 +36,8 @@
 
 class RelayProcess:
     def __init__(self, folder: Path, number: int, upstream: str) -> None:
-        self.folder, self.number = folder, number
+        self.folder = folder
+        self.number = number
         self.path = folder / f"relay-{number}.cue"
         self.path.write_text(f'relay: {{on: true, name: "relay-{number}", upstream: "{upstream}"}}\n')
 
@@ -51,20 +52,20 @@
     def address(self, port: int) -> str:
         return f"{HOSTS[self.number]}:{port}"
 
-    async def answers(self, port: int, status: int) -> None:
-        """Until a call for the list gets this status."""
+    async def until_status(self, port: int, status: int) -> None:
+        """Wait until a call for the list gets this status."""
         async with asyncio.timeout(MOST):
             while True:
-                found = await get(self.address(port), PATH, 1000.0, 1000.0)
-                if (found.status if isinstance(found, CallFailed) else 200) == status:
+                response = await get(self.address(port), PATH, 1000.0, 1000.0)
+                if (response.status if isinstance(response, CallFailed) else 200) == status:
                     return
                 assert self.process.returncode is None, await self.log()
                 await asyncio.sleep(0.02)
 
-    async def logged(self, words: str) -> None:
+    async def until_logged(self, text: str) -> None:
         assert self.process.stderr is not None
-        while words not in (line := (await asyncio.wait_for(self.process.stderr.readline(), MOST)).decode()):
-            assert line, f"the log ended before {words!r}"
+        while text not in (line := (await asyncio.wait_for(self.process.stderr.readline(), MOST)).decode()):
+            assert line, f"the log ended before {text!r}"
 
     async def log(self) -> str:
         assert self.process.stderr is not None
@@ -76,59 +77,60 @@
 
 
 @contextlib.asynccontextmanager
-async def relays(folder: Path, registry: Discovery, found: Plan) -> AsyncIterator[list[RelayProcess]]:
-    (folder / "cells.json").write_bytes(encode_plan(found))
-    processes = [RelayProcess(folder, number, registry.address) for number in range(len(found.relays))]
+async def relays(folder: Path, discovery: Discovery, cell_plan: Plan) -> AsyncIterator[list[RelayProcess]]:
+    (folder / "cells.json").write_bytes(encode_plan(cell_plan))
+    processes = [RelayProcess(folder, number, discovery.address) for number in range(len(cell_plan.relays))]
     try:
-        for one in processes:
-            await one.start()
+        for relay in processes:
+            await relay.start()
         yield processes
     finally:
-        for one in processes:
-            if one.process.returncode is None:
-                one.process.kill()
-                await one.process.wait()
+        for relay in processes:
+            if relay.process.returncode is None:
+                relay.process.kill()
+                await relay.process.wait()
 
 
-async def registry_of(servers: int) -> Discovery:
-    found = Discovery()
-    await found.start()
+async def discovery_listing(servers: int) -> Discovery:
+    discovery = Discovery()
+    await discovery.start()
     for number in range(servers):
-        found.add(f"s-{number}", f"127.0.0.1:{9000 + number}", "east")
-    found.add("t-0", "127.0.0.1:9100", "east")
-    return found
-
-
-def test_a_planner_goes_from_a_relay_that_dies_to_its_twin_and_back(tmp_path: Path) -> None:
-    async def work() -> None:
-        registry, found = await registry_of(4), plan("s")
-        port = found.cells[0].port
-        async with relays(tmp_path, registry, found) as (first, second):
-            for one in (first, second):
-                await one.answers(port, 200)
+        discovery.add(f"s-{number}", f"127.0.0.1:{9000 + number}", "east")
+    discovery.add("t-0", "127.0.0.1:9100", "east")
+    return discovery
+
+
+def test_a_planner_fails_over_to_the_other_replica_and_back(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        discovery = await discovery_listing(4)
+        cell_plan = plan("s")
+        port = cell_plan.cells[0].port
+        async with relays(tmp_path, discovery, cell_plan) as (first, second):
+            for relay in (first, second):
+                await relay.until_status(port, 200)
             settings = config(f"{first.address(port)},{second.address(port)}")
             command = (sys.executable, "-m", "stackwheel")
-            async with started(settings, tmp_path, registry, command) as planner:
-                await follow(planner, registry, first, second, port)
+            async with started(settings, tmp_path, discovery, command) as planner:
+                await follow_through_restarts(planner, discovery, first, second, port)
 
-    run(work())
+    run(scenario())
 
 
-async def follow(
-    planner: PlannerProcess, registry: Discovery, first: RelayProcess, second: RelayProcess, port: int
+async def follow_through_restarts(
+    planner: PlannerProcess, discovery: Discovery, first: RelayProcess, second: RelayProcess, port: int
 ) -> None:
     proxy = await planner.join(0)
     await proxy.until(full({"s-0", "s-1", "s-2", "s-3"}))  # of its cell alone
-    await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)  # a watch that has held so long is gone on with at once
+    await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)  # a watch that lasted so long is resumed at once
     await first.stop(signal.SIGKILL)
-    await registry.update("s-0", lifecycle="terminating")
+    await discovery.update("s-0", lifecycle="terminating")
     await proxy.until(full({"s-1", "s-2", "s-3"}))
     await first.start()
-    await first.answers(port, 200)
+    await first.until_status(port, 200)
     await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)
-    await registry.update("s-0", lifecycle="terminated")
+    await discovery.update("s-0", lifecycle="terminated")
     await second.stop(signal.SIGKILL)
-    await registry.update("s-1", lifecycle="terminated")
+    await discovery.update("s-1", lifecycle="terminated")
     await proxy.until(full({"s-2", "s-3"}))
     code, log = await planner.stop()
     failures = [line for line in log.splitlines() if " failed at " in line]
@@ -137,24 +139,25 @@
     assert all("the next one" in line for line in failures), log
 
 
-def test_a_relay_vouches_only_while_it_hears_the_registry(tmp_path: Path) -> None:
-    async def work() -> None:
-        registry, found = await registry_of(2), plan("s")
-        port = found.cells[0].port
-        host, _, upstream_port = registry.address.rpartition(":")
-        async with relays(tmp_path, registry, found) as (first, _):
-            await first.answers(port, 200)
+def test_a_relay_is_available_only_while_its_upstream_is_alive(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        discovery = await discovery_listing(2)
+        cell_plan = plan("s")
+        port = cell_plan.cells[0].port
+        host, _, upstream_port = discovery.address.rpartition(":")
+        async with relays(tmp_path, discovery, cell_plan) as (first, _):
+            await first.until_status(port, 200)
             watch = Call(first.address(port), f"{PATH}?follow=1")
             assert await watch.open(MOST_MS, MOST_MS) is None
-            await registry.shut()
+            await discovery.shut()
             while isinstance(await watch.chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS), bytes):
                 pass
             watch.close()
-            await first.answers(port, 503)
-            await registry.server.wait_closed()
-            registry.server = await asyncio.start_server(registry.serve, host, int(upstream_port))
-            await registry.update("s-0", lifecycle="terminated")
-            await first.answers(port, 200)
+            await first.until_status(port, 503)
+            await discovery.server.wait_closed()
+            discovery.server = await asyncio.start_server(discovery.serve, host, int(upstream_port))
+            await discovery.update("s-0", lifecycle="terminated")
+            await first.until_status(port, 200)
             body = await get(first.address(port), PATH, MOST_MS, MOST_MS)
             assert isinstance(body, bytes)
             assert b"s-1" in body
@@ -162,35 +165,38 @@
             assert await first.stop() == 0
             assert "Traceback" not in await first.log()
 
-    run(work())
+    run(scenario())
 
 
-def test_a_plan_is_read_again_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
-    async def work() -> None:
-        registry, found = await registry_of(2), plan("s")
-        port = found.cells[0].port
-        async with relays(tmp_path, registry, found) as (first, second):
-            await first.answers(port, 200)
-            await second.answers(port, 200)  # up before it is told to end
+def test_a_plan_is_reloaded_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        discovery = await discovery_listing(2)
+        cell_plan = plan("s")
+        port = cell_plan.cells[0].port
+        async with relays(tmp_path, discovery, cell_plan) as (first, second):
+            await first.until_status(port, 200)
+            await second.until_status(port, 200)  # up before it is told to end
             watch = Call(first.address(port), f"{PATH}?follow=1")
             assert await watch.open(MOST_MS, MOST_MS) is None
-            assert b"s-1" in await watch.chunk(MOST_MS)
-            (tmp_path / "cells.json").write_bytes(encode_plan(found)[:200])
+            first_answer = await watch.chunk(MOST_MS)
+            assert isinstance(first_answer, bytes)
+            assert b"s-1" in first_answer
+            (tmp_path / "cells.json").write_bytes(encode_plan(cell_plan)[:200])
             send(first.process, signal.SIGHUP)
-            await first.logged("cell plan not reloaded, the one in force stays")
-            await first.answers(port, 200)
+            await first.until_logged("cell plan not reloaded, the one in force stays")
+            await first.until_status(port, 200)
             other = free_port()
             moved = (Cell("t", "t", (), 0, 1, port), Cell("s", "s", (), 0, 1, other))
-            (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, found.relays, moved)))
+            (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, moved)))
             send(first.process, signal.SIGHUP)
-            await first.logged("cell plan reloaded: count=2")
+            await first.until_logged("cell plan reloaded: count=2")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
                 body = await get(first.address(served), PATH, MOST_MS, MOST_MS)
                 assert isinstance(body, bytes)
                 assert name in body
                 assert body.count(b"instanceId") == (2 if served == other else 1)
-            away = (Cell("u", "u", (), 0, 1, port),)
-            (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, found.relays, away)))
+            elsewhere = (Cell("u", "u", (), 0, 1, port),)
+            (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, elsewhere)))
             send(first.process, signal.SIGHUP)
             while isinstance(await watch.chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS), bytes):
                 pass
@@ -198,17 +204,17 @@
             assert await first.stop() == 0
             assert await second.stop() == 0
 
-    run(work())
+    run(scenario())
 
 
-def test_an_empty_line_of_the_registry_vouches(tmp_path: Path) -> None:
-    async def work() -> None:
-        registry = await ScriptedDiscovery().start()
+def test_a_heartbeat_of_the_upstream_keeps_the_relay_available(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        discovery = await ScriptedDiscovery().start()
         (tmp_path / "cells.json").write_bytes(encode_plan(plan("s")))
-        serving = load_assignment("relay-0", tmp_path / "cells.json")
-        service = RelayService(RelayConfig("relay-0", registry.address, tmp_path / "cells.json"), serving, 100)
+        assignment = load_assignment("relay-0", tmp_path / "cells.json")
+        service = RelayService(RelayConfig("relay-0", discovery.address, tmp_path / "cells.json"), assignment, 100)
         following = asyncio.create_task(service.upstream.run())
-        watch = await registry.calls.get()
+        watch = await discovery.calls.get()
         watch.line(5, True, "s-1")
         while service.cache.generation is None:
             await asyncio.sleep(0)
@@ -218,11 +224,11 @@
             await asyncio.sleep(0)
         following.cancel()
 
-    run(asyncio.wait_for(work(), 15))
+    run(asyncio.wait_for(scenario(), 15))
 
 
 @pytest.mark.parametrize(
-    ("record", "named"),
+    ("record", "expected"),
     [
         ("relay: on: false", "relay.on is false"),
         ('relay: {on: true, name: "other", upstream: "127.0.0.1:1"}', "none is named 'other'"),
@@ -233,21 +239,21 @@
         ('relay: {on: true, name: "relay-1", upstream: "127.0.0.1:1"}', "address"),
     ],
 )
-def test_bad_input_is_one_line_that_names_the_place(tmp_path: Path, record: str, named: str) -> None:
-    found = plan("s")
+def test_invalid_input_is_one_line_that_names_the_place(tmp_path: Path, record: str, expected: str) -> None:
+    cell_plan = plan("s")
     (tmp_path / "cells.json").write_bytes(
-        encode_plan(Plan(1, Limits(), {}, (Relay("relay-0", HOSTS[0]), Relay("relay-1", "192.0.2.1")), found.cells))
+        encode_plan(Plan(1, Limits(), {}, (Relay("relay-0", HOSTS[0]), Relay("relay-1", "192.0.2.1")), cell_plan.cells))
     )
-    (tmp_path / "cut.json").write_bytes(encode_plan(found)[:200])
+    (tmp_path / "cut.json").write_bytes(encode_plan(cell_plan)[:200])
     (tmp_path / "bad.cue").write_text(record + "\n")
     command = [sys.executable, "-m", "stackwheel", "relay", "--operators", str(tmp_path / "bad.cue")]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=MOST, check=False)
-    assert ended.returncode == 2, ended.stderr
-    assert named in ended.stderr, ended.stderr
-    assert len(ended.stderr.splitlines()) == 1, ended.stderr
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=MOST, check=False)
+    assert completed.returncode == 2, completed.stderr
+    assert expected in completed.stderr, completed.stderr
+    assert len(completed.stderr.splitlines()) == 1, completed.stderr
 
 
-def test_the_plain_planner_imports_nothing_of_it() -> None:
+def test_a_planner_process_imports_nothing_of_a_relay() -> None:
     """Nor the libraries that only a relay needs."""
     program = "import sys, stackwheel.__main__, stackwheel.service.app, stackwheel.service.config; print(*sys.modules)"
     loaded = subprocess.run(
