--- a/stackwheel/wire/endpoint_list_server.py
+++ b/stackwheel/wire/endpoint_list_server.py
@@ -206,7 +206,7 @@
             answer = self.cache.answer(cell, request.since if request.follow else None, self.now())
         except UnavailableError as error:
             raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, str(error)) from error
-        if isinstance(answer, SnapshotDue) and not self.budget.room(len(self.cache.snapshot(cell) or b"")):
+        if isinstance(answer, SnapshotDue) and not self.budget.has_capacity(len(self.cache.snapshot(cell) or b"")):
             raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, "too many whole answers under way")
         if request.follow:
             await self._watch(cell, answer.line if isinstance(answer, Delta) else None, reader, writer)
@@ -222,7 +222,7 @@
 
     async def _send_list(self, cell: str, writer: asyncio.StreamWriter) -> None:
         line = self.cache.snapshot(cell) or b""
-        async with self.budget.hold(len(line)):
+        async with self.budget.reserve(len(line)):
             headers = [
                 ("Content-Type", "application/json"),
                 ("Content-Length", str(len(line))),
--- a/stackwheel/wire/endpoint_requests.py
+++ b/stackwheel/wire/endpoint_requests.py
@@ -11,7 +11,7 @@
 
 from stackwheel.errors import StackwheelError
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import PATH
+from stackwheel.wire.discovery_protocol import INSTANCES_PATH
 from stackwheel.wire.http import within
 
 MAX_REQUEST_HEAD_BYTES = 8 << 10  # a planner's has some 150
@@ -78,7 +78,7 @@
         query = dict(parse_qsl(target.query, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS))
     except ValueError as error:
         raise RequestRejectedError(HTTPStatus.BAD_REQUEST, f"no target: {error}") from error
-    if target.path != PATH:
+    if target.path != INSTANCES_PATH:
         raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no such path")
     if request.method != b"GET":
         raise RequestRejectedError(HTTPStatus.METHOD_NOT_ALLOWED, "only GET")
--- a/stackwheel/wire/endpoint_watch.py
+++ b/stackwheel/wire/endpoint_watch.py
@@ -93,7 +93,7 @@
             if self.end_reason:
                 break
             if self.snapshot_due:
-                async with self.budget.hold(len(self.snapshot() or b"")):
+                async with self.budget.reserve(len(self.snapshot() or b"")):
                     await self._write_snapshot()
             elif self.pending:
                 await self._write(self._take_pending(), timing.WATCH_SILENCE_TIMEOUT_MS)
--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -11,7 +11,7 @@
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 READY = Availability.READY
 DRAINING = Availability.DRAINING
@@ -47,9 +47,7 @@
 
 
 def decode_line(line: bytes) -> EndpointList:
-    endpoint_list = parse_listing(line)
-    assert isinstance(endpoint_list, EndpointList), endpoint_list
-    return endpoint_list
+    return parse_endpoint_list(line)
 
 
 def availability_by_name(endpoint_list: EndpointList) -> dict[str, Availability]:
--- a/tests/relay/test_watch_cache.py
+++ b/tests/relay/test_watch_cache.py
@@ -27,7 +27,7 @@
 from stackwheel.relay.messages import Delta, EndWatches, SnapshotDue, UnavailableError
 from stackwheel.relay.watch_cache import MAX_UNREADABLE_NAMES, PLAN_PROPAGATION_MS, WatchCache
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 
 def is_unavailable(cache: WatchCache, cell: str, since: int | None, now: float) -> bool:
@@ -44,7 +44,7 @@
         instance("a-1", DRAINING, started=1_700_000_000_123.0, weight=0.25),
         instance('a-ü"\\-2', REMOVED, "west", 0.5, address="[::1]:80"),
     )
-    parsed = parse_listing(encode_line(7, False, map(encode_instance, listed)))
+    parsed = parse_endpoint_list(encode_line(7, False, map(encode_instance, listed)))
     assert parsed == delta_list(7, *listed)
 
 
--- a/tests/scale/test_registry_list.py
+++ b/tests/scale/test_registry_list.py
@@ -7,7 +7,7 @@
 from stackwheel.scale import registry_list as module
 from stackwheel.scale.entries import TERMINATED, TERMINATING, Entry
 from stackwheel.scale.registry_list import RegistryList
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 
 def entry(number: int, lifecycle: str = "in_service", started: int = 0) -> Entry:
@@ -37,7 +37,7 @@
             }
         ],
     }
-    read = parse_listing(line)
+    read = parse_endpoint_list(line)
     assert len(getattr(read, "instances", ())) == 1
 
 
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -21,8 +21,8 @@
 from stackwheel.service.relay import RelayService
 from stackwheel.service.relay_config import RelayConfig, load_assignment
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import PATH
-from stackwheel.wire.http import Call, CallFailed, get
+from stackwheel.wire.discovery_protocol import INSTANCES_PATH
+from stackwheel.wire.http import Call, CallError, get
 
 MOST_MS = MOST * 1000.0
 HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
@@ -56,8 +56,12 @@
         """Wait until a call for the list gets this status."""
         async with asyncio.timeout(MOST):
             while True:
-                response = await get(self.address(port), PATH, 1000.0, 1000.0)
-                if (response.status if isinstance(response, CallFailed) else 200) == status:
+                try:
+                    await get(self.address(port), INSTANCES_PATH, 1000.0, 1000.0)
+                    answered = 200
+                except CallError as error:
+                    answered = error.status
+                if answered == status:
                     return
                 assert self.process.returncode is None, await self.log()
                 await asyncio.sleep(0.02)
@@ -100,6 +104,13 @@
     return discovery
 
 
+async def read_to_end(watch: Call) -> None:
+    """Read a watch until it ends, however it does."""
+    with contextlib.suppress(CallError):
+        while await watch.read_chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS) is not None:
+            pass
+
+
 def test_a_planner_fails_over_to_the_other_replica_and_back(tmp_path: Path) -> None:
     async def scenario() -> None:
         discovery = await discovery_listing(4)
@@ -133,10 +144,10 @@
     await discovery.update("s-1", lifecycle="terminated")
     await proxy.until(full({"s-2", "s-3"}))
     code, log = await planner.stop()
-    failures = [line for line in log.splitlines() if " failed at " in line]
+    failures = [line for line in log.splitlines() if "discovery call failed" in line]
     assert code == 0, log
     assert len(failures) == 2, log
-    assert all("the next one" in line for line in failures), log
+    assert all("next replica follows" in line for line in failures), log
 
 
 def test_a_relay_is_available_only_while_its_upstream_is_alive(tmp_path: Path) -> None:
@@ -147,18 +158,17 @@
         host, _, upstream_port = discovery.address.rpartition(":")
         async with relays(tmp_path, discovery, cell_plan) as (first, _):
             await first.until_status(port, 200)
-            watch = Call(first.address(port), f"{PATH}?follow=1")
-            assert await watch.open(MOST_MS, MOST_MS) is None
+            watch = Call(first.address(port), f"{INSTANCES_PATH}?follow=1")
+            await watch.open(MOST_MS, MOST_MS)
             await discovery.shut()
-            while isinstance(await watch.chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS), bytes):
-                pass
+            await read_to_end(watch)
             watch.close()
             await first.until_status(port, 503)
             await discovery.server.wait_closed()
             discovery.server = await asyncio.start_server(discovery.serve, host, int(upstream_port))
             await discovery.update("s-0", lifecycle="terminated")
             await first.until_status(port, 200)
-            body = await get(first.address(port), PATH, MOST_MS, MOST_MS)
+            body = await get(first.address(port), INSTANCES_PATH, MOST_MS, MOST_MS)
             assert isinstance(body, bytes)
             assert b"s-1" in body
             assert b"s-0" not in body
@@ -176,9 +186,9 @@
         async with relays(tmp_path, discovery, cell_plan) as (first, second):
             await first.until_status(port, 200)
             await second.until_status(port, 200)  # up before it is told to end
-            watch = Call(first.address(port), f"{PATH}?follow=1")
-            assert await watch.open(MOST_MS, MOST_MS) is None
-            first_answer = await watch.chunk(MOST_MS)
+            watch = Call(first.address(port), f"{INSTANCES_PATH}?follow=1")
+            await watch.open(MOST_MS, MOST_MS)
+            first_answer = await watch.read_chunk(MOST_MS)
             assert isinstance(first_answer, bytes)
             assert b"s-1" in first_answer
             (tmp_path / "cells.json").write_bytes(encode_plan(cell_plan)[:200])
@@ -191,15 +201,14 @@
             send(first.process, signal.SIGHUP)
             await first.until_logged("cell plan reloaded: count=2")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
-                body = await get(first.address(served), PATH, MOST_MS, MOST_MS)
+                body = await get(first.address(served), INSTANCES_PATH, MOST_MS, MOST_MS)
                 assert isinstance(body, bytes)
                 assert name in body
                 assert body.count(b"instanceId") == (2 if served == other else 1)
             elsewhere = (Cell("u", "u", (), 0, 1, port),)
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, elsewhere)))
             send(first.process, signal.SIGHUP)
-            while isinstance(await watch.chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS), bytes):
-                pass
+            await read_to_end(watch)
             watch.close()
             assert await first.stop() == 0
             assert await second.stop() == 0
@@ -215,11 +224,11 @@
         service = RelayService(RelayConfig("relay-0", discovery.address, tmp_path / "cells.json"), assignment, 100)
         following = asyncio.create_task(service.upstream.run())
         watch = await discovery.calls.get()
-        watch.line(5, True, "s-1")
+        watch.send_list(5, True, "s-1")
         while service.cache.generation is None:
             await asyncio.sleep(0)
         listed_at = service.cache.upstream.last_seen_at
-        watch.tell(b"\n")
+        watch.send_heartbeat()
         while service.cache.upstream.last_seen_at == listed_at:
             await asyncio.sleep(0)
         following.cancel()
--- a/tests/wire/test_endpoint_list_server.py
+++ b/tests/wire/test_endpoint_list_server.py
@@ -141,7 +141,7 @@
         relay = await started_relay(instance("a-1"), instance("a-2"), max_snapshot_bytes=1)
         watcher = await relay.watch()
         assert (await watcher.next_list()).complete
-        other = relay.server.budget.hold(1)  # the snapshot that is due has to wait
+        other = relay.server.budget.reserve(1)  # the snapshot that is due has to wait
         await other.__aenter__()
         (watch,) = await relay.watches(1)
         watch.request_snapshot()
@@ -282,7 +282,7 @@
         resumed = await relay.watch(since=5)  # a delta is no snapshot
         assert await resumed.next_list() == delta_list(5)
         assert (await slow[0].next_list()).complete
-        while not relay.server.budget.room(len(relay.cache.snapshot("a") or b"")):
+        while not relay.server.budget.has_capacity(len(relay.cache.snapshot("a") or b"")):
             await asyncio.sleep(0)
         relay.cache.mark_upstream_alive(relay.server.now())  # reading may have taken long
         assert await (await relay.get_list()).status() == 200
