--- a/stackwheel/wire/endpoint_list_server.py
+++ b/stackwheel/wire/endpoint_list_server.py
@@ -27,6 +27,8 @@
 HEARTBEAT_SLICES = 8  # heartbeats go out in so many slices of an interval, so that they don't all come at once
 LISTEN_BACKLOG = 1024  # connections that wait to be accepted, of a cell: all of its planners and their retries
 MAX_REASON_CHARACTERS = 200  # of the body of a rejection
+TOO_MANY_CONNECTIONS = "too many connections"  # this and the next are bodies of 503 responses
+TOO_MANY_SNAPSHOTS = "too many whole answers under way"
 REASON_PHRASES: Final = {
     200: b"OK",
     400: b"Bad Request",
@@ -193,7 +195,7 @@
 
     async def _read_request(self, reader: asyncio.StreamReader) -> ListRequest | None:
         if self.connections > self.max_connections:
-            raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections")
+            raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, TOO_MANY_CONNECTIONS)
         return await read_request(reader)
 
     async def _answer(
@@ -207,7 +209,7 @@
         except UnavailableError as error:
             raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, str(error)) from error
         if isinstance(answer, SnapshotDue) and not self.budget.has_capacity(len(self.cache.snapshot(cell) or b"")):
-            raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, "too many whole answers under way")
+            raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, TOO_MANY_SNAPSHOTS)
         if request.follow:
             await self._watch(cell, answer.line if isinstance(answer, Delta) else None, reader, writer)
         else:
