--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -146,7 +146,10 @@
 
 
 def exit_immediately(_signal: int, _frame: object) -> None:
-    """End the process. There is nothing to save: callers go on at the other replica, and a new process polls the discovery service."""
+    """End the process at once.
+
+    There is nothing to save: callers go on at the other replica, and a new process polls the discovery service.
+    """
     os._exit(0)
 
 
