--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -146,7 +146,7 @@
 
 
 def exit_immediately(_signal: int, _frame: object) -> None:
-    """End the process. There is nothing to save: callers go on at the other replica, and a new process polls the discovery service."""
+    """End the process: nothing has to be saved, callers resume at the other replica and a new process starts empty."""
     os._exit(0)
 
 
