--- a/stackwheel/simulator/__init__.py
+++ b/stackwheel/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the policy and the simulator's wire."""
+"""The adapter between the policy and the simulator's wire: binary frames on two pipes."""
--- a/stackwheel/simulator/__main__.py
+++ b/stackwheel/simulator/__main__.py
@@ -5,18 +5,21 @@
 import sys
 from typing import BinaryIO
 
+from stackwheel.simulator.errors import WireError
+from stackwheel.simulator.framing import read_frame
 from stackwheel.simulator.host import Host
-from stackwheel.simulator.wire import WireError, read_frame
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer each batch with one reply until the input ends."""
     host = Host()
     while (frame := read_frame(source)) is not None:
-        sink.write(host.answer(*frame))
+        sink.write(host.reply_to(frame))
         sink.flush()
 
 
 def main() -> int:
+    """Serve the simulator on standard input and output; 1 if the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- /dev/null
+++ b/stackwheel/simulator/field_reader.py
@@ -0,0 +1,94 @@
+"""Reads the fields of one record in their order and never past its end."""
+
+from __future__ import annotations
+
+import struct
+
+from stackwheel.interface import Server
+from stackwheel.simulator.errors import WireError
+from stackwheel.simulator.framing import RECORD_HEADER, Record
+
+SERVER_ID_BYTES = 6
+UINT8 = struct.Struct(">B")
+UINT16 = struct.Struct(">H")
+UINT32 = struct.Struct(">I")
+UINT64 = struct.Struct(">Q")
+FLOAT32 = struct.Struct(">f")
+FLOAT64 = struct.Struct(">d")
+
+
+class FieldReader:
+    """A position in a record's body; each call reads one field and moves on."""
+
+    def __init__(self, record: Record) -> None:
+        self.place = record.place
+        self._body = record.body
+        self._offset = 0
+
+    @property
+    def remaining(self) -> int:
+        """Bytes of the body that are still unread."""
+        return len(self._body) - self._offset
+
+    def read_bytes(self, length: int) -> bytes:
+        """The next bytes as they are; WireError if the record has fewer."""
+        end = self._offset + length
+        if end > len(self._body):
+            offset_in_record = self._offset + RECORD_HEADER.size
+            raise WireError(self.place, f"field at byte {offset_in_record} runs past the record's end")
+        field = self._body[self._offset : end]
+        self._offset = end
+        return field
+
+    def read_uint8(self) -> int:
+        """An unsigned integer of one byte."""
+        return self._read_integer(UINT8)
+
+    def read_uint16(self) -> int:
+        """An unsigned integer of two bytes."""
+        return self._read_integer(UINT16)
+
+    def read_uint32(self) -> int:
+        """An unsigned integer of four bytes."""
+        return self._read_integer(UINT32)
+
+    def read_uint64(self) -> int:
+        """An unsigned integer of eight bytes."""
+        return self._read_integer(UINT64)
+
+    def read_float32(self) -> float:
+        """A number of single precision."""
+        return self._read_float(FLOAT32)
+
+    def read_float64(self) -> float:
+        """A number of double precision."""
+        return self._read_float(FLOAT64)
+
+    def read_server(self) -> Server:
+        """A server's id."""
+        return Server(self.read_bytes(SERVER_ID_BYTES))
+
+    def read_flag(self) -> bool:
+        """A byte that is 0 or 1; WireError if it is another."""
+        value = self.read_uint8()
+        if value > 1:
+            offset_in_record = self._offset - 1 + RECORD_HEADER.size
+            raise WireError(self.place, f"flag at byte {offset_in_record} is {value}")
+        return value == 1
+
+    def read_load(self) -> tuple[float, ...]:
+        """Load columns: their count in one byte, then each in single precision."""
+        count = self.read_uint8()
+        layout = f">{count}f"
+        return struct.unpack(layout, self.read_bytes(struct.calcsize(layout)))
+
+    def expect_end(self) -> None:
+        """Raise WireError if bytes are left."""
+        if self.remaining:
+            raise WireError(self.place, f"{self.remaining} bytes too many")
+
+    def _read_integer(self, layout: struct.Struct) -> int:
+        return int(layout.unpack(self.read_bytes(layout.size))[0])
+
+    def _read_float(self, layout: struct.Struct) -> float:
+        return float(layout.unpack(self.read_bytes(layout.size))[0])
--- a/stackwheel/simulator/host.py
+++ b/stackwheel/simulator/host.py
@@ -1,50 +1,64 @@
-"""Hosts many planner instances in one process and keeps them apart."""
+"""Runs many planner instances in one process and keeps them apart."""
 
 from __future__ import annotations
 
 from stackwheel.balance import Planner
 from stackwheel.interface import Event
 from stackwheel.settings import SettingsError, parse_settings
-from stackwheel.simulator import wire
-from stackwheel.simulator.wire import Batch, Create, Decoder, Down, WireError
+from stackwheel.simulator.decoder import Batch, CreatePlanner, Decoder, StopPlanner
+from stackwheel.simulator.encoder import encode_action, encode_fault
+from stackwheel.simulator.errors import WireError
+from stackwheel.simulator.framing import Frame, encode_reply
 
 
 class Host:
-    """Gives each instance its own events and gathers its actions into one reply."""
+    """Gives each planner instance its own events and gathers all actions into one reply."""
 
     def __init__(self) -> None:
-        self.decoder = Decoder()
-        self.planners: dict[int, Planner] = {}
+        self._decoder = Decoder()
+        self._planners: dict[int, Planner] = {}
 
-    def answer(self, header: bytes, body: bytes) -> bytes:
-        batch = self.decoder.batch(header, body)
+    def reply_to(self, frame: Frame) -> bytes:
+        """Apply one batch to the planners that it names; the reply with their actions.
+
+        Raises:
+            WireError: the batch is malformed, names an unknown instance or has settings that can't be used.
+        """
+        batch = self._decoder.decode_batch(frame)
+        events_by_instance = self._sort_events(batch)
         records: list[bytes] = []
-        pending: dict[int, list[Event]] = {}
-        for instance, item in batch.records:
-            if isinstance(item, Down):
-                self.planners.pop(instance, None)
-                pending.pop(instance, None)
-            elif isinstance(item, Create):
-                pending[instance] = []
-                self.planners[instance] = create_planner(batch, instance, item)
-            elif instance in self.planners:
-                pending.setdefault(instance, []).append(item)
+        for instance, events in events_by_instance.items():
+            records += self._run_planner(instance, batch.clock, events)
+        return encode_reply(batch.number, records)
+
+    def _sort_events(self, batch: Batch) -> dict[int, list[Event]]:
+        """Start and stop planners; the events of each that runs at the end of the batch."""
+        events_by_instance: dict[int, list[Event]] = {}
+        for instance, item in batch.items:
+            if isinstance(item, StopPlanner):
+                self._planners.pop(instance, None)
+                events_by_instance.pop(instance, None)
+            elif isinstance(item, CreatePlanner):
+                events_by_instance[instance] = []
+                self._planners[instance] = create_planner(batch.number, instance, item)
+            elif instance in self._planners:
+                events_by_instance.setdefault(instance, []).append(item)
             else:
-                raise WireError(f"batch {batch.number}: an event for unknown instance {instance}")
-        for instance, events in pending.items():
-            records += self.turn(instance, batch.clock, events)
-        return wire.encode_reply(batch.number, records)
+                raise WireError(f"batch {batch.number}", f"an event for unknown instance {instance}")
+        return events_by_instance
 
-    def turn(self, instance: int, clock: float, events: list[Event]) -> list[bytes]:
+    def _run_planner(self, instance: int, clock: float, events: list[Event]) -> list[bytes]:
+        """The actions of one planner as records; whatever it raises becomes one fault record."""
         try:
-            actions = self.planners[instance].handle(clock, events)
-            return [wire.encode_action(instance, action) for action in actions]
+            actions = self._planners[instance].handle(clock, events)
+            return [encode_action(instance, action) for action in actions]
         except Exception as error:
-            return [wire.encode_fault(instance, f"{type(error).__name__}: {error}")]
+            return [encode_fault(instance, f"{type(error).__name__}: {error}")]
 
 
-def create_planner(batch: Batch, instance: int, item: Create) -> Planner:
+def create_planner(batch_number: int, instance: int, request: CreatePlanner) -> Planner:
+    """A planner with the settings and seed that the simulator gives it; WireError if the settings can't be used."""
     try:
-        return Planner(parse_settings(item.settings), item.seed)
+        return Planner(parse_settings(request.settings), request.seed)
     except SettingsError as error:
-        raise WireError(f"batch {batch.number}, settings of instance {instance}: {error}") from None
+        raise WireError(f"batch {batch_number}, settings of instance {instance}", str(error)) from error
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -1,4 +1,4 @@
-"""The same events give the same decisions through the drill and through the service."""
+"""The same events give the same decisions through the simulator's adapter and through the service."""
 
 import asyncio
 import json
@@ -11,175 +11,214 @@
 from stackwheel.interface import Action, Event, Settings
 from stackwheel.service.config import Config, read_config
 from stackwheel.settings import build_all, flatten, parse_settings
+from stackwheel.simulator.decoder import Batch, CreatePlanner, Decoder, InstanceItem, StopPlanner
+from stackwheel.simulator.encoder import encode_action
 from stackwheel.simulator.host import Host
-from stackwheel.simulator.wire import Batch, Create, Decoder, encode_action
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.wire.discovery_client import parse_listing
 from stackwheel.wire.transport import SocketTransport
 
-NAMES = {server_id(f"s-{number}"): f"s-{number}" for number in range(6)}
+ZONES = ("east", "west")
+KINDS = ("big", "small")
+CLASSES = ("read", "write")
+SERVER_NAMES = {server_id(f"s-{number}"): f"s-{number}" for number in range(simulator_frames.SERVERS)}
 LIFECYCLES = {0: "terminated", 1: "in_service", 2: "terminating"}
+LIST_SETTINGS = ("kinds", "zones", "load_report.columns")
+SEED = 40  # of the only instance
 
 
-def day() -> list[bytes]:
-    """The drill's day, with the ids that the service gives these servers."""
-    found = simulator_frames.day(0)
-    for number in range(6):
-        found = [frame.replace(simulator_frames.server(number), server_id(f"s-{number}")) for frame in found]
-    return found
+def short_day() -> list[bytes]:
+    """The simulator's short day, with the ids that the service gives these servers."""
+    batches = simulator_frames.short_day(0)
+    for number in range(simulator_frames.SERVERS):
+        id_on_wire = simulator_frames.server_id(number)
+        batches = [data.replace(id_on_wire, server_id(f"s-{number}")) for data in batches]
+    return batches
 
 
-def nested() -> dict[str, object]:
-    """The drill's settings as JSON has them."""
-    found: dict[str, object] = {"services": [{}, {}]}
+def json_value(path: str, text: str) -> object:
+    """A setting's value as JSON has it."""
+    if text in ("true", "false"):
+        return text == "true"
+    if "," in text or path in LIST_SETTINGS:
+        return text.split(",")
+    return float(text) if text[0].isdigit() else text
+
+
+def nested_settings() -> dict[str, object]:
+    """The simulator's settings as JSON has them."""
+    services: list[dict[str, object]] = [{}, {}]
+    settings: dict[str, object] = {"services": services}
     for line in simulator_frames.SETTINGS.splitlines():
         path, _, text = line.partition("=")
-        value: object = {"true": True, "false": False}.get(
-            text,
-            text.split(",")
-            if "," in text or path in ("kinds", "zones", "load_report.columns")
-            else float(text)
-            if text[0].isdigit()
-            else text,
-        )
-        place = found
         if path == "services.count":
             continue
-        *folders, last = path.split(".")
+        *folders, name = path.split(".")
         if folders and folders[0] == "services":
-            found["services"][int(folders[1])][last] = value  # type: ignore[index]
+            services[int(folders[1])][name] = json_value(path, text)
             continue
-        for folder in folders:
-            place = place.setdefault(folder, {})  # type: ignore[assignment]
-        place[last] = value
-    return found
+        folder = settings
+        for part in folders:
+            folder = folder.setdefault(part, {})  # type: ignore[assignment]
+        folder[name] = json_value(path, text)
+    return settings
 
 
-def test_json_settings_are_the_drills() -> None:
-    pairs = dict(flatten(nested()))
-    blob = "\n".join(f"{path}={value}" for path, value in pairs.items()).encode()
-    assert parse_settings(blob) == parse_settings(simulator_frames.SETTINGS.encode())
+def test_json_settings_equal_the_simulators_settings() -> None:
+    pairs = dict(flatten(nested_settings()))
+    text = "\n".join(f"{path}={value}" for path, value in pairs.items()).encode()
+    assert parse_settings(text) == parse_settings(simulator_frames.SETTINGS.encode())
     _, names, _ = build_all(pairs)
-    assert names.classes == ("read", "write") and names.columns == ("outstanding",)
+    assert names.classes == CLASSES
+    assert names.columns == ("outstanding",)
 
 
-def document(event: face.EndpointUpdate) -> bytes:
-    return json.dumps(
+def list_document(event: face.EndpointUpdate) -> bytes:
+    """An endpoint update as discovery answers it."""
+    instances = [
         {
-            "generation": event.version,
-            "reset": event.kind is not face.UpdateKind.DELTA,
-            "instances": [
-                {
-                    "instanceId": NAMES[e.server],
-                    "hostPort": "127.0.0.1:1",
-                    "zone": ("east", "west")[e.zone],
-                    "machineType": ("big", "small")[e.kind],
-                    "cell": e.cell,
-                    "lifecycle": LIFECYCLES[e.availability],
-                    "weight": e.weight,
-                    "startedAtMs": e.started_at,
-                }
-                for e in event.entries
-            ],
+            "instanceId": SERVER_NAMES[entry.server],
+            "hostPort": "127.0.0.1:1",
+            "zone": ZONES[entry.zone],
+            "machineType": KINDS[entry.kind],
+            "cell": entry.cell,
+            "lifecycle": LIFECYCLES[entry.availability],
+            "weight": entry.weight,
+            "startedAtMs": entry.started_at,
         }
-    ).encode()
+        for entry in event.entries
+    ]
+    reset = event.kind is not face.UpdateKind.DELTA
+    return json.dumps({"generation": event.version, "reset": reset, "instances": instances}).encode()
 
 
-def line(event: Event) -> tuple[str, str]:
-    """Who says it, and how."""
+def protocol_line(event: Event) -> tuple[str, str]:
+    """The sender of an event on the line protocol, and its line."""
     match event:
-        case face.LoadReport(zone, server, tries, bad, mean, window, load):
+        case face.LoadReport(zone, server, attempts, failures, mean, window, load):
             return "collector", (
-                f"LOAD site={('east', 'west')[zone]} target={NAMES[server]} count={tries} fail={bad} "
+                f"LOAD site={ZONES[zone]} target={SERVER_NAMES[server]} count={attempts} fail={failures} "
                 f"mean={mean} over={window} util=inflight:{load[0]}"
             )
-        case face.DemandReport(proxy, place, requests, unanswered, window):
+        case face.DemandReport(proxy, request_class, requests, unanswered, window):
             return (
                 f"proxy {proxy}",
-                f"RATE id={proxy} lane={('read', 'write')[place]} count={requests} fail={unanswered} over={window}",
+                f"RATE id={proxy} lane={CLASSES[request_class]} count={requests} fail={unanswered} over={window}",
             )
-        case face.ProxyJoined(proxy, zone, rate, fresh):
-            return f"proxy {proxy}", f"SUBSCRIBE id={proxy} site={('east', 'west')[zone]} rps={rate} new={int(fresh)}"
+        case face.ProxyJoined(proxy, zone, rate, newly_started):
+            return f"proxy {proxy}", f"SUBSCRIBE id={proxy} site={ZONES[zone]} rps={rate} new={int(newly_started)}"
     raise AssertionError(event)
 
 
-class Watched(Planner):
-    """The policy itself, with a note of what it decides."""
+class RecordingPlanner(Planner):
+    """The policy itself, with a record of what it decides."""
 
-    decided: list[list[Action]]
+    decisions: list[list[Action]]
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.decided = []
+        self.decisions = []
 
     def handle(self, now: float, events: object) -> list[Action]:
-        self.decided.append(super().handle(now, events))  # type: ignore[arg-type]
-        return self.decided[-1]
+        self.decisions.append(super().handle(now, events))  # type: ignore[arg-type]
+        return self.decisions[-1]
+
 
+class ManualClock:
+    """A clock that stands where the test sets it."""
 
-class SetClock:
     def __init__(self) -> None:
-        self.at = 0.0
+        self.time = 0.0
 
     def now(self) -> float:
-        return self.at
+        return self.time
+
+
+def events_of(batch: Batch) -> list[Event]:
+    return [event_of(item) for item in batch.items if not isinstance(item.item, CreatePlanner)]
 
 
-async def through_the_service(batches: list[Batch], found: Config) -> list[list[Action]]:
-    roster, clock = EndpointCache(found.names.zones, found.names.kinds, ServerIds()), SetClock()
-    links = SocketTransport(found.addresses, found.settings, found.names, roster, clock)  # type: ignore[arg-type]
-    module = PlannerActor(found.settings, 0.0, 40, clock, roster, links, 1e12, Watched)  # type: ignore[arg-type]
-    await links.open(module.post)
-    host, _, port = found.addresses.listen.rpartition(":")
-    speakers: dict[str, asyncio.StreamWriter] = {}
+def event_of(item: InstanceItem) -> Event:
+    assert not isinstance(item.item, CreatePlanner | StopPlanner)
+    return item.item
+
+
+async def decisions_of_the_service(batches: list[Batch], service_config: Config) -> list[list[Action]]:
+    """Feed the batches to a planner by sockets and discovery's answers, one event after another."""
+    endpoints = EndpointCache(service_config.names.zones, service_config.names.kinds, ServerIds())
+    clock = ManualClock()
+    transport = SocketTransport(
+        service_config.addresses,
+        service_config.settings,
+        service_config.names,
+        endpoints,
+        clock,  # type: ignore[arg-type]
+    )
+    actor = PlannerActor(service_config.settings, 0.0, SEED, clock, endpoints, transport, 1e12, RecordingPlanner)  # type: ignore[arg-type]
+    await transport.open(actor.post)
+    host, _, port = service_config.addresses.listen.rpartition(":")
+    writers: dict[str, asyncio.StreamWriter] = {}
     for batch in batches:
-        clock.at, events = batch.clock, [item for _, item in batch.records if not isinstance(item, Create)]
+        clock.time = batch.clock
+        events = events_of(batch)
         for event in events:
             if isinstance(event, face.EndpointUpdate):
-                listing = parse_listing(document(event))
+                update = parse_listing(list_document(event))
                 if event.kind is face.UpdateKind.CACHED:
-                    roster.apply(listing)  # type: ignore[arg-type]
-                    module.decide([roster.cached()])
+                    endpoints.apply(update)  # type: ignore[arg-type]
+                    actor.decide([endpoints.cached()])
                 else:
-                    module.post(listing)  # type: ignore[arg-type]
+                    actor.post(update)  # type: ignore[arg-type]
                 continue
-            who, text = line(event)
-            if who not in speakers:
-                _, speakers[who] = await asyncio.open_connection(host, int(port))
-                speakers[who].write(b"SOURCE site=east\r\n" if who == "collector" else b"")
-            waiting = len(module.mailbox)
-            speakers[who].write(text.encode() + b"\r\n")
-            while len(module.mailbox) == waiting:  # in the order of the batch
+            sender, line = protocol_line(event)
+            if sender not in writers:
+                _, writers[sender] = await asyncio.open_connection(host, int(port))
+                writers[sender].write(b"SOURCE site=east\r\n" if sender == "collector" else b"")
+            messages_before = len(actor.mailbox)
+            writers[sender].write(line.encode() + b"\r\n")
+            while len(actor.mailbox) == messages_before:  # in the order of the batch
                 await asyncio.sleep(0.001)
         if (events and not isinstance(events[0], face.EndpointUpdate)) or len(events) > 1:
-            module.process_batch()
-    assert isinstance(module.planner, Watched)
-    return module.planner.decided
+            actor.process_batch()
+    assert isinstance(actor.planner, RecordingPlanner)
+    return actor.planner.decisions
 
 
-def test_same_decisions() -> None:
-    async def work() -> tuple[list[Batch], list[list[Action]]]:
-        discovery = Discovery()
-        await discovery.start()
-        discovery.troubles = ["silence"] * 9  # the test tells the list itself
-        found = read_config(config(discovery.address, peers=[], settings={**nested(), "me": 0}))
-        decoder = Decoder()
-        batches = [decoder.batch(frame[:20], frame[20:]) for frame in day()]
-        return batches, await asyncio.wait_for(through_the_service(batches, found), 60)
+def decisions_of_the_policy(batches: list[Batch]) -> list[list[Action]]:
+    planner = Planner(parse_settings(simulator_frames.SETTINGS.encode()), SEED)
+    return [planner.handle(batch.clock, events_of(batch)) for batch in batches if batch.items]
+
 
-    batches, decided = asyncio.run(work())
+def records_of_the_simulator() -> list[list[bytes]]:
+    """What the adapter answers to the batches that hold something for a planner."""
     host = Host()
-    replies = [simulator_frames.replies(host.answer(frame[:20], frame[20:]))[0][1] for frame in day()]
-    expected = [records for records, batch in zip(replies, batches, strict=True) if batch.records]
-    assert sum(len(actions) for actions in decided) > 100
     decoder = Decoder()
-    planner = Planner(parse_settings(simulator_frames.SETTINGS.encode()), 40)
-    again: list[list[Action]] = []
-    for frame in day():
-        batch = decoder.batch(frame[:20], frame[20:])
-        if batch.records:
-            again.append(planner.handle(batch.clock, [i for _, i in batch.records if not isinstance(i, Create)]))  # type: ignore[misc]
-    assert [[encode_action(0, action) for action in actions] for actions in again] == expected  # the drill's
-    assert again == decided
+    records = []
+    for data in short_day():
+        frame = simulator_frames.frame_of(data)
+        (reply,) = simulator_frames.split_replies(host.reply_to(frame))
+        if decoder.decode_batch(frame).items:
+            records.append(reply.records)
+    return records
+
+
+def test_same_decisions() -> None:
+    decoder = Decoder()
+    batches = [decoder.decode_batch(simulator_frames.frame_of(data)) for data in short_day()]
+
+    async def run_service() -> list[list[Action]]:
+        discovery = Discovery()
+        await discovery.start()
+        discovery.troubles = ["silence"] * 9  # the test passes the endpoint list on itself
+        settings = {**nested_settings(), "me": 0}
+        service_config = read_config(config(discovery.address, peers=[], settings=settings))
+        return await asyncio.wait_for(decisions_of_the_service(batches, service_config), 60)
+
+    by_service = asyncio.run(run_service())
+    assert sum(len(actions) for actions in by_service) > 100
+    by_policy = decisions_of_the_policy(batches)
+    encoded = [[encode_action(0, action) for action in actions] for actions in by_policy]
+    assert encoded == records_of_the_simulator()
+    assert by_policy == by_service
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -9,6 +9,10 @@
 import pytest
 import simulator_frames
 
+from stackwheel.balance import Planner
+from stackwheel.simulator.host import Host
+from stackwheel.simulator.wire import ActionCode, EventCode
+
 ROOT = Path(__file__).parents[2]
 
 
@@ -25,74 +29,94 @@
     )
 
 
-def test_a_day_is_answered_batch_by_batch() -> None:
-    done = run(b"".join(simulator_frames.day(0)))
-    assert done.returncode == 0 and done.stderr == b""
-    answers = simulator_frames.replies(done.stdout)
-    assert [number for number, _ in answers] == list(range(1, 12))
-    codes = {record[0] for _, records in answers for record in records}
-    assert {65, 70, 72, 75, 76} <= codes  # timer, subscription, lines, tables and levels
-    assert 69 not in codes
-
-
-def test_end_of_input_is_no_error() -> None:
+def test_each_batch_gets_one_reply() -> None:
+    done = run(b"".join(simulator_frames.short_day(0)))
+    assert done.returncode == 0
+    assert done.stderr == b""
+    replies = simulator_frames.split_replies(done.stdout)
+    assert [reply.batch_number for reply in replies] == list(range(1, 12))
+    codes = {record[0] for reply in replies for record in reply.records}
+    assert {
+        ActionCode.SET_TIMER,
+        ActionCode.WATCH_ENDPOINTS,
+        ActionCode.SET_WEIGHT,
+        ActionCode.ASSIGN_TABLE,
+        ActionCode.SET_ADMISSION,
+    } <= codes
+    assert ActionCode.FAULT not in codes
+
+
+def test_end_of_input_is_not_an_error() -> None:
     done = run(b"")
     assert (done.returncode, done.stdout, done.stderr) == (0, b"", b"")
 
 
 def test_same_actions_with_any_hash_seed() -> None:
-    data = b"".join(simulator_frames.day(0, 1, 2))
+    data = b"".join(simulator_frames.short_day(0, 1, 2))
     assert run(data, "1").stdout == run(data, "4711").stdout
 
 
+def instance_of(record: bytes) -> int:
+    instance: int = struct.unpack_from(">H", record, simulator_frames.RECORD_HEADER_BYTES)[0]
+    return instance
+
+
 def test_instances_share_nothing() -> None:
     """Each instance acts in company as it acts alone."""
-    together = simulator_frames.replies(run(b"".join(simulator_frames.day(0, 1, 2))).stdout)
+    together = simulator_frames.split_replies(run(b"".join(simulator_frames.short_day(0, 1, 2))).stdout)
     for instance in (0, 1, 2):
-        alone = simulator_frames.replies(run(b"".join(simulator_frames.day(instance))).stdout)
-        mine = [(n, [r for r in rs if struct.unpack_from(">H", r, 5)[0] == instance]) for n, rs in together]
-        assert mine == alone
-        assert any(records for _, records in mine)
+        alone = simulator_frames.split_replies(run(b"".join(simulator_frames.short_day(instance))).stdout)
+        selected = [(number, [r for r in records if instance_of(r) == instance]) for number, records in together]
+        assert selected == alone
+        assert any(records for _, records in selected)
 
 
-def test_a_killed_instance_is_silent_and_starts_anew() -> None:
-    down = simulator_frames.record(6, struct.pack(">H", 0))
+def test_a_killed_instance_is_silent_and_can_restart() -> None:
+    stop = simulator_frames.record(EventCode.STOP_PLANNER, struct.pack(">H", 0))
     tail = [
-        simulator_frames.batch(20000.0, 50, down, simulator_frames.create(0), simulator_frames.directory(0)),
+        simulator_frames.batch(
+            20000.0, 50, stop, simulator_frames.create_planner(0), simulator_frames.endpoint_update(0)
+        ),
         simulator_frames.batch(20100.0, 51),
     ]
-    answers = dict(simulator_frames.replies(run(b"".join(simulator_frames.day(0) + tail)).stdout))
-    assert [r[0] for r in answers[50]] == [70, 67, 65]  # subscribes, tells that it has no proxies, sets its timer
-    assert answers[51] == []
+    replies = dict(simulator_frames.split_replies(run(b"".join(simulator_frames.short_day(0) + tail)).stdout))
+    codes = [record[0] for record in replies[50]]
+    assert codes == [ActionCode.WATCH_ENDPOINTS, ActionCode.SEND_GOSSIP, ActionCode.SET_TIMER]
+    assert replies[51] == []
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
         (b"\0" * 7, b"inside a header"),
-        (simulator_frames.batch(1.0, 1, simulator_frames.reminder(1))[:-3], b"inside a batch"),
+        (simulator_frames.batch(1.0, 1, simulator_frames.timer_fired(1))[:-3], b"inside a batch"),
         (struct.pack(">dIII", 1.0, 0xFFFFFFFF, 1, 1), b"over the"),
         (simulator_frames.batch(1.0, 1, simulator_frames.record(98, b"")), b"unknown event code 98"),
-        (simulator_frames.batch(1.0, 1, simulator_frames.reminder(1)), b"unknown instance 0"),
-        (simulator_frames.batch(1.0, 1, simulator_frames.create(settings="instances=many")), b"instances is no number"),
+        (simulator_frames.batch(1.0, 1, simulator_frames.timer_fired(1)), b"unknown instance 0"),
+        (
+            simulator_frames.batch(1.0, 1, simulator_frames.create_planner(settings="instances=many")),
+            b"instances is no number",
+        ),
     ],
 )
-def test_malformed_input_gets_one_plain_line(data: bytes, says: bytes) -> None:
-    good = simulator_frames.batch(0.0, 0)
-    done = run(good + data)
+def test_malformed_input_ends_with_one_line(data: bytes, message: bytes) -> None:
+    empty_batch = simulator_frames.batch(0.0, 0)
+    done = run(empty_batch + data)
     assert done.returncode != 0
-    assert says in done.stderr and done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
-    assert [number for number, _ in simulator_frames.replies(done.stdout)] == [0]  # no half-written reply
-
+    assert message in done.stderr
+    assert done.stderr.count(b"\n") == 1
+    assert b"Traceback" not in done.stderr
+    replies = simulator_frames.split_replies(done.stdout)
+    assert [reply.batch_number for reply in replies] == [0]  # no half-written reply
 
-def test_policy_exception_becomes_the_fault_action(monkeypatch: pytest.MonkeyPatch) -> None:
-    from stackwheel.balance import Planner
-    from stackwheel.simulator.host import Host
 
+def test_a_policy_exception_becomes_a_fault_record(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise KeyError("table")
 
     monkeypatch.setattr(Planner, "handle", broken)
-    frame = simulator_frames.batch(0.0, 7, simulator_frames.create())
-    ((number, (record,)),) = simulator_frames.replies(Host().answer(frame[:20], frame[20:]))
-    assert number == 7 and record[0] == 69 and b"KeyError" in record
+    data = simulator_frames.batch(0.0, 7, simulator_frames.create_planner())
+    ((number, (record,)),) = simulator_frames.split_replies(Host().reply_to(simulator_frames.frame_of(data)))
+    assert number == 7
+    assert record[0] == ActionCode.FAULT
+    assert b"KeyError" in record
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -6,26 +6,28 @@
 import simulator_frames
 
 from stackwheel import interface as face
-from stackwheel.simulator import wire
-from stackwheel.simulator.wire import Create, Decoder, Down, WireError
+from stackwheel.simulator.decoder import CreatePlanner, Decoder, StopPlanner
+from stackwheel.simulator.encoder import encode_action, encode_fault
+from stackwheel.simulator.errors import WireError
+from stackwheel.simulator.framing import Frame, encode_reply
 
 ADDRESS = face.Server(bytes.fromhex("0a9011f21b84"))
 
 
-def decode(*records: bytes, decoder: Decoder | None = None) -> list[tuple[int, object]]:
-    frame = simulator_frames.batch(8412.25, 12, *records)
-    return list((decoder or Decoder()).batch(frame[:20], frame[20:]).records)
+def decode(*records: bytes) -> list[tuple[int, object]]:
+    frame = simulator_frames.frame_of(simulator_frames.batch(8412.25, 12, *records))
+    return list(Decoder().decode_batch(frame).items)
 
 
-def one(hexes: str) -> object:
+def decode_one(hexes: str) -> object:
     ((instance, event),) = decode(bytes.fromhex(hexes.replace(" ", "")))
     assert instance == 3
     return event
 
 
 def test_header() -> None:
-    got = Decoder().batch(bytes.fromhex("40c06e2000000000000000000000000000000001"), b"")
-    assert (got.clock, got.number, got.records) == (8412.25, 1, [])
+    batch = Decoder().decode_batch(Frame(bytes.fromhex("40c06e2000000000000000000000000000000001"), b""))
+    assert (batch.clock, batch.number, batch.items) == (8412.25, 1, [])
 
 
 @pytest.mark.parametrize(
@@ -48,32 +50,36 @@
         ("0c 00000016 0003 00000001 0002 408f400000000000 00000005 0009", face.KeyRangeDemand(9, 2, 5, 1, 1000.0)),
         ("0d 00000005 0003 0009 01", face.KeyRangeGranted(9, True)),
         ("0e 0000000e 0003 3f800000 0009 0a9011f21b84", face.KeyRangeWeight(9, ADDRESS, 1.0)),
-        ("06 00000002 0003", Down()),
+        ("06 00000002 0003", StopPlanner()),
     ],
 )
 def test_events(hexes: str, event: object) -> None:
-    assert one(hexes) == event
+    assert decode_one(hexes) == event
 
 
-def test_create() -> None:
-    ((instance, event),) = decode(simulator_frames.create(3, 9, "a=b"))
-    assert (instance, event) == (3, Create(9, b"a=b"))
+def test_create_planner() -> None:
+    ((instance, event),) = decode(simulator_frames.create_planner(3, 9, "a=b"))
+    assert (instance, event) == (3, CreatePlanner(9, b"a=b"))
 
 
-def test_list_pages_are_replaced_in_order() -> None:
+def test_endpoint_pages_are_replaced_in_order() -> None:
     records = [
-        simulator_frames.ledger(0, simulator_frames.entry(1)),
-        simulator_frames.directory(0),
-        simulator_frames.ledger(0, simulator_frames.entry(2, zone=1, kind=1, state=2, size=1.5, start=6070.5)),
-        simulator_frames.directory(0, 3),
+        simulator_frames.endpoint_page(0, simulator_frames.entry(1)),
+        simulator_frames.endpoint_update(0),
+        simulator_frames.endpoint_page(
+            0, simulator_frames.entry(2, zone=1, kind=1, availability=2, weight=1.5, started_at=6070.5)
+        ),
+        simulator_frames.endpoint_update(0, 3),
     ]
     (_, first), (_, second) = decode(*records)
-    assert isinstance(first, face.EndpointUpdate) and isinstance(second, face.EndpointUpdate)
-    assert first.kind is face.UpdateKind.CACHED and first.entries[0].server == simulator_frames.server(1)
+    assert isinstance(first, face.EndpointUpdate)
+    assert isinstance(second, face.EndpointUpdate)
+    assert first.kind is face.UpdateKind.CACHED
+    assert first.entries[0].server == simulator_frames.server_id(1)
     entry = second.entries[0]
     assert second.kind is face.UpdateKind.DELTA
     assert (entry.server, entry.zone, entry.kind, entry.weight, entry.started_at) == (
-        simulator_frames.server(2),
+        simulator_frames.server_id(2),
         1,
         1,
         1.5,
@@ -82,8 +88,8 @@
     assert entry.availability is face.Availability.DRAINING
 
 
-def test_failed_list_needs_no_page() -> None:
-    ((_, event),) = decode(simulator_frames.directory(9, scope=2))
+def test_a_failed_update_needs_no_page() -> None:
+    ((_, event),) = decode(simulator_frames.endpoint_update(9, scope=2))
     assert event == face.EndpointUpdate(face.UpdateKind.FAILED, 1)
 
 
@@ -107,47 +113,50 @@
     ],
 )
 def test_actions(action: face.Action, hexes: str) -> None:
-    assert wire.encode_action(3, action).hex() == hexes.replace(" ", "")
+    assert encode_action(3, action).hex() == hexes.replace(" ", "")
 
 
 def test_fault_and_reply() -> None:
-    fault = wire.encode_fault(3, "bad")
+    fault = encode_fault(3, "bad")
     assert fault == struct.pack(">BIHH3s", 69, 7, 3, 3, b"bad")
-    assert wire.encode_reply(12, [fault]) == struct.pack(">III", 1, len(fault), 12) + fault
+    assert encode_reply(12, [fault]) == struct.pack(">III", 1, len(fault), 12) + fault
 
 
 @pytest.mark.parametrize(
-    ("record", "says"),
+    ("record", "message"),
     [
         (simulator_frames.record(99, b""), "unknown event code 99"),
         (simulator_frames.record(3, b"\0\3"), "runs past the record's end"),
         (simulator_frames.record(8, b"\0\3\0\1\0"), "bytes too many"),
-        (simulator_frames.directory(4), "list 4 was never defined"),
-        (simulator_frames.directory(0, scope=7), "unknown scope 7"),
-        (simulator_frames.ledger(16), "list number 16"),
-        (simulator_frames.ledger(0, simulator_frames.entry(1, state=3)), "availability 3 is reserved"),
+        (simulator_frames.endpoint_update(4), "list 4 was never defined"),
+        (simulator_frames.endpoint_update(0, scope=7), "unknown scope 7"),
+        (simulator_frames.endpoint_page(16), "list number 16"),
+        (simulator_frames.endpoint_page(0, simulator_frames.entry(1, availability=3)), "availability 3 is reserved"),
         (simulator_frames.record(15, b"\0\0\0\0\2"), "2 entries do not fill"),
         (simulator_frames.record(13, b"\0\3\0\1\2"), "flag at byte"),
         (
-            simulator_frames.record(4, b"\0\3" + simulator_frames.server(1) + struct.pack(">HdB", 8, 1.0, 0)),
+            simulator_frames.record(4, b"\0\3" + simulator_frames.server_id(1) + struct.pack(">HdB", 8, 1.0, 0)),
             "outcome 8 is reserved",
         ),
     ],
 )
-def test_malformed_records(record: bytes, says: str) -> None:
-    with pytest.raises(WireError, match=says):
+def test_malformed_records(record: bytes, message: str) -> None:
+    with pytest.raises(WireError, match=message):
         decode(record)
 
 
-def test_lengths_that_do_not_fit() -> None:
-    frame = simulator_frames.batch(1.0, 1, simulator_frames.reminder(1))
-    with pytest.raises(WireError, match="where the header says"):
-        Decoder().batch(frame[:20], frame[20:-1])
-    longer = struct.pack(">dIII", 1.0, 15, 2, 1)
-    with pytest.raises(WireError, match="missing"):
-        Decoder().batch(longer, frame[20:])
-    nothing = struct.pack(">dIII", 1.0, 15, 0, 1)
-    with pytest.raises(WireError, match="after the last record"):
-        Decoder().batch(nothing, frame[20:])
-    with pytest.raises(WireError, match="finite"):
-        Decoder().batch(struct.pack(">dIII", float("nan"), 0, 0, 1), b"")
+@pytest.mark.parametrize(
+    ("header", "cut", "message"),
+    [
+        ((1.0, 15, 1, 1), 1, "where the header says"),
+        ((1.0, 15, 2, 1), 0, "missing"),
+        ((1.0, 15, 0, 1), 0, "after the last record"),
+        ((float("nan"), 15, 1, 1), 0, "finite"),
+        ((float("nan"), 0, 0, 1), 15, "finite"),
+    ],
+)
+def test_headers_that_do_not_fit(header: tuple[float, int, int, int], cut: int, message: str) -> None:
+    body = simulator_frames.timer_fired(1)
+    assert len(body) == 15
+    with pytest.raises(WireError, match=message):
+        Decoder().decode_batch(Frame(struct.pack(">dIII", *header), body[: len(body) - cut]))
--- a/tests/simulator_frames.py
+++ b/tests/simulator_frames.py
@@ -3,7 +3,15 @@
 from __future__ import annotations
 
 import struct
+from typing import NamedTuple
 
+from stackwheel.simulator.framing import Frame
+
+BATCH_HEADER_BYTES = 20
+REPLY_HEADER_BYTES = 12
+RECORD_HEADER_BYTES = 5
+SERVERS = 6  # of the short day
+PROXIES = 3
 SETTINGS = """
 instances=2
 me=0
@@ -44,6 +52,18 @@
 """.strip()
 
 
+class Reply(NamedTuple):
+    """What an instance host answered to one batch."""
+
+    batch_number: int
+    records: list[bytes]
+
+
+def frame_of(data: bytes) -> Frame:
+    """An encoded batch, cut where its header ends."""
+    return Frame(data[:BATCH_HEADER_BYTES], data[BATCH_HEADER_BYTES:])
+
+
 def record(code: int, body: bytes) -> bytes:
     return struct.pack(">BI", code, len(body)) + body
 
@@ -53,84 +73,97 @@
     return struct.pack(">dIII", clock, len(body), len(records), number) + body
 
 
-def server(number: int) -> bytes:
+def server_id(number: int) -> bytes:
     return bytes([10, 0, 0, number]) + struct.pack(">H", 7000)
 
 
-def create(instance: int = 0, seed: int = 5, settings: str = SETTINGS) -> bytes:
-    blob = settings.encode()
-    return record(1, struct.pack(">HQI", instance, seed, len(blob)) + blob)
+def create_planner(instance: int = 0, seed: int = 5, settings: str = SETTINGS) -> bytes:
+    encoded = settings.encode()
+    return record(1, struct.pack(">HQI", instance, seed, len(encoded)) + encoded)
 
 
-def entry(number: int, zone: int = 0, kind: int = 0, state: int = 1, size: float = 1.0, start: float = 0) -> bytes:
-    return server(number) + struct.pack(">HHHBfd", zone, kind, 0, state, size, start)
+def entry(
+    number: int, zone: int = 0, kind: int = 0, availability: int = 1, weight: float = 1.0, started_at: float = 0
+) -> bytes:
+    return server_id(number) + struct.pack(">HHHBfd", zone, kind, 0, availability, weight, started_at)
 
 
-def ledger(page: int, *entries: bytes) -> bytes:
+def endpoint_page(page: int, *entries: bytes) -> bytes:
     return record(15, struct.pack(">BI", page, len(entries)) + b"".join(entries))
 
 
-def directory(page: int, scope: int = 0, instance: int = 0, version: int = 1) -> bytes:
+def endpoint_update(page: int, scope: int = 0, instance: int = 0, version: int = 1) -> bytes:
     return record(2, struct.pack(">HBQB", instance, scope, version, page))
 
 
-def joined(proxy: int, zone: int = 0, instance: int = 0, rate: float = 20.0) -> bytes:
+def proxy_joined(proxy: int, zone: int = 0, instance: int = 0, rate: float = 20.0) -> bytes:
     return record(7, struct.pack(">HHHfB", instance, proxy, zone, rate, 1))
 
 
-def digest(
+def load_report(
     number: int,
     zone: int = 0,
-    tries: int = 10,
-    bad: int = 0,
+    attempts: int = 10,
+    failures: int = 0,
     mean: float = 100.0,
     instance: int = 0,
     window: float = 1000.0,
 ) -> bytes:
-    fixed = struct.pack(">HH", instance, zone) + server(number)
-    return record(10, fixed + struct.pack(">IIddBf", tries, bad, mean, window, 1, 3.0))
+    head = struct.pack(">HH", instance, zone) + server_id(number)
+    return record(10, head + struct.pack(">IIddBf", attempts, failures, mean, window, 1, 3.0))
 
 
-def usage(proxy: int, place: int, total: int, instance: int = 0) -> bytes:
-    return record(11, struct.pack(">HIHIdH", instance, 0, proxy, total, 1000.0, place))
+def demand_report(proxy: int, request_class: int, requests: int, instance: int = 0) -> bytes:
+    return record(11, struct.pack(">HIHIdH", instance, 0, proxy, requests, 1000.0, request_class))
 
 
-def reminder(token: int, instance: int = 0) -> bytes:
+def timer_fired(token: int, instance: int = 0) -> bytes:
     return record(3, struct.pack(">HQ", instance, token))
 
 
-def day(*instances: int) -> list[bytes]:
+def short_day(*instances: int) -> list[bytes]:
     """A short scripted day: start, joins, reports, a drain and a restart."""
-    servers = [entry(n, zone=n % 2) for n in range(6)]
-    simulator_frames = [batch(0.0, 1)]
-    starts = [ledger(0, *servers)]
-    for i in instances:
-        starts += [create(i, seed=40 + i), directory(0, instance=i)]
-    simulator_frames.append(batch(1000.0, 2, *starts))
-    simulator_frames.append(batch(1100.0, 3, *(joined(p, p % 2, i) for i in instances for p in range(3))))
-    for tick in range(8):
-        reports = []
-        if tick == 4:
-            reports.append(ledger(1, entry(1, zone=1, state=2), entry(2, start=5000.0)))
-            reports += [directory(1, scope=3, instance=i, version=2) for i in instances]
-        for i in instances:
-            reports += [digest(n, z, 8 + n, tick % 3, 90.0 + 10 * n, i) for n in range(6) for z in (0, 1)]
-            reports += [usage(p, c, 12, i) for p in range(3) for c in (0, 1)]
-        simulator_frames.append(batch(2000.0 + 1000 * tick, 4 + tick, *reports))
-    return simulator_frames
-
-
-def replies(stream: bytes) -> list[tuple[int, list[bytes]]]:
-    """Split standard output into (batch number, records)."""
-    found, at = [], 0
-    while at < len(stream):
-        count, length, number = struct.unpack_from(">III", stream, at)
-        at += 12
-        end, records = at + length, []
+    batches = [batch(0.0, 1)]
+    starts = [endpoint_page(0, *(entry(number, zone=number % 2) for number in range(SERVERS)))]
+    for instance in instances:
+        starts += [create_planner(instance, seed=40 + instance), endpoint_update(0, instance=instance)]
+    batches.append(batch(1000.0, 2, *starts))
+    joins = [proxy_joined(proxy, proxy % 2, instance) for instance in instances for proxy in range(PROXIES)]
+    batches.append(batch(1100.0, 3, *joins))
+    batches += [batch(2000.0 + 1000 * tick, 4 + tick, *_records_of_tick(tick, instances)) for tick in range(8)]
+    return batches
+
+
+def _records_of_tick(tick: int, instances: tuple[int, ...]) -> list[bytes]:
+    records = []
+    if tick == 4:
+        records.append(endpoint_page(1, entry(1, zone=1, availability=2), entry(2, started_at=5000.0)))
+        records += [endpoint_update(1, scope=3, instance=instance, version=2) for instance in instances]
+    for instance in instances:
+        records += [
+            load_report(number, zone, 8 + number, tick % 3, 90.0 + 10 * number, instance)
+            for number in range(SERVERS)
+            for zone in (0, 1)
+        ]
+        records += [
+            demand_report(proxy, request_class, 12, instance) for proxy in range(PROXIES) for request_class in (0, 1)
+        ]
+    return records
+
+
+def split_replies(stream: bytes) -> list[Reply]:
+    """Split what a host wrote into replies and their records."""
+    replies = []
+    offset = 0
+    while offset < len(stream):
+        count, length, number = struct.unpack_from(">III", stream, offset)
+        offset += REPLY_HEADER_BYTES
+        end = offset + length
+        records = []
         for _ in range(count):
-            size = struct.unpack_from(">I", stream, at + 1)[0]
-            records.append(stream[at : at + 5 + size])
-            at += 5 + size
-        assert at == end
-        found.append((number, records))
-    return found
+            size = RECORD_HEADER_BYTES + struct.unpack_from(">I", stream, offset + 1)[0]
+            records.append(stream[offset : offset + size])
+            offset += size
+        assert offset == end
+        replies.append(Reply(number, records))
+    return replies
