--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -12,9 +12,9 @@
 from fake_services import Discovery, config, free_port
 from planner_process import MOST, PlannerProcess, full, run, run_line, running, send, signals, started
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
 from stackwheel.service.reload import Reload
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 from stackwheel.wire.transport import Addresses
@@ -263,7 +263,7 @@
         actor = Reload(found, apply, lambda: moved)
         task = asyncio.create_task(actor.run())
         for count in (1, 2):
-            actor.ask()
+            actor.request()
             while len(applied) < count:
                 await asyncio.sleep(0)
         assert not task.done()
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -168,7 +168,7 @@
                 update = parse_listing(list_document(event))
                 if event.kind is face.UpdateKind.CACHED:
                     endpoints.apply(update)  # type: ignore[arg-type]
-                    actor.decide([endpoints.cached()])
+                    actor.decide([endpoints.cached_update()])
                 else:
                     actor.post(update)  # type: ignore[arg-type]
                 continue
