--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -15,18 +15,12 @@
 
 from loguru import logger
 
-<<<<<<< HEAD
-from stackwheel.cells.assignment import CellIndex, replicas
-from stackwheel.cells.plan import CellPlanError, Plan, load_plan
-from stackwheel.config_language.errors import OperatorsFileError
-from stackwheel.config_language.load import load
-=======
 from stackwheel.cells.assignment import CellIndex, relays_for_cell
 from stackwheel.cells.plan import CellPlanError, Plan
 from stackwheel.cells.plan_file import load_plan
-from stackwheel.config_language.load import OperatorsError, load
+from stackwheel.config_language.errors import OperatorsFileError
+from stackwheel.config_language.load import load
 from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
->>>>>>> main
 from stackwheel.relay.cache import ListingCache
 from stackwheel.service.config import replicated
 from stackwheel.service.logging_setup import start_logging
