--- a/stackwheel/cli/files.py
+++ b/stackwheel/cli/files.py
@@ -10,10 +10,21 @@
 import click
 import msgspec
 
-from stackwheel.files.codec import NO_KEYS, KeyRing, Refusal, decode, encode
+from stackwheel.files.codec import NO_KEYS, KeyRing, decode, encode
 from stackwheel.files.disk import SystemDisk, read_file
-from stackwheel.files.keys import KeyFileError, load_keys
-from stackwheel.files.records import Document, Orders
+from stackwheel.files.errors import FileRejectedError, KeyFileError, ReplaceError
+from stackwheel.files.key_file import load_keys
+from stackwheel.files.records import Document, TableUpdate
+
+COMPARED_FIELDS = {  # name in files and output: attribute
+    "planner": "planner",
+    "sequence": "sequence",
+    "zone": "zone",
+    "proxy": "proxy",
+    "base": "base_sequence",
+    "made": "created_at",
+    "until": "expires_at",
+}
 
 
 class Keys(click.ParamType[KeyRing]):
@@ -34,10 +45,10 @@
 as_json_flag = click.option("--json", "as_json", is_flag=True, help="End with one JSON object.")
 
 
-def open_file(path: str, keys: KeyRing) -> Document | Refusal:
+def open_file(path: str, keys: KeyRing) -> Document:
+    """FileRejectedError where the file can't be read, is not complete or is not genuine."""
     place = Path(path)
-    data = read_file(SystemDisk(), str(place.parent), place.name)
-    return data if isinstance(data, Refusal) else decode(data, keys)
+    return decode(read_file(SystemDisk(), str(place.parent), place.name), keys)
 
 
 @click.group()
@@ -51,13 +62,14 @@
 @as_json_flag
 def check(path: str, keys: KeyRing, as_json: bool) -> int:
     """Whether a file is whole and genuine; exit 1 with the reason where it is not."""
-    found = open_file(path, keys)
-    if isinstance(found, Refusal):
-        reason = {"ok": False, "stage": found.stage.name.lower(), "reason": found.reason}
-        click.echo(json.dumps(reason) if as_json else f"{path}: {found}")
+    try:
+        found = open_file(path, keys)
+    except FileRejectedError as error:
+        reason = {"ok": False, "stage": error.stage.name.lower(), "reason": error.reason}
+        click.echo(json.dumps(reason) if as_json else f"{path}: {error}")
         return 1
-    over = isinstance(found, Orders) and found.until <= time.time() * 1000.0
-    told = {"ok": True, "kind": "orders" if isinstance(found, Orders) else "answer", "over": over}
+    over = isinstance(found, TableUpdate) and found.expires_at <= time.time() * 1000.0
+    told = {"ok": True, "kind": "orders" if isinstance(found, TableUpdate) else "answer", "over": over}
     click.echo(json.dumps(told) if as_json else f"{path}: sound{', but its time is over' if over else ''}")
     return 0
 
@@ -68,9 +80,10 @@
 @as_json_flag
 def show(path: str, keys: KeyRing, as_json: bool) -> int:
     """What a file says."""
-    found = open_file(path, keys)
-    if isinstance(found, Refusal):
-        click.echo(f"{path}: {found}", err=True)
+    try:
+        found = open_file(path, keys)
+    except FileRejectedError as error:
+        click.echo(f"{path}: {error}", err=True)
         return 1
     if as_json:
         click.echo(msgspec.json.encode(found, order="deterministic").decode())
@@ -81,26 +94,26 @@
 
 
 def told(document: Document) -> list[str]:
-    if not isinstance(document, Orders):
+    if not isinstance(document, TableUpdate):
         return [
             f"answer {document.sequence} of proxy {document.proxy} in {document.zone}: applied "
-            f"{document.applied} of {document.planner or 'nobody'}, {len(document.came)} classes, "
-            f"{len(document.met)} servers met"
+            f"{document.applied_sequence} of {document.planner or 'nobody'}, {len(document.demand)} classes, "
+            f"{len(document.observations)} servers met"
         ]
-    what = "whole file" if document.whole else f"change {document.sequence} on whole file {document.base}"
+    what = "whole file" if document.complete else f"change {document.sequence} on whole file {document.base_sequence}"
     whom = "all" if document.proxy is None else f"proxy {document.proxy}"
     life = document.incarnation
     lines = [
-        f"{what} {document.sequence if document.whole else ''}".rstrip() + f" of {document.planner}, life "
+        f"{what} {document.sequence if document.complete else ''}".rstrip() + f" of {document.planner}, life "
         f"{life.epoch}.{life.started}.{life.salt}, for {whom} in {document.zone}, usable for "
-        f"{(document.until - document.made) / 1000.0:g} s from {document.made / 1000.0:.3f}"
+        f"{(document.expires_at - document.created_at) / 1000.0:g} s from {document.created_at / 1000.0:.3f}"
     ]
     for table in document.tables:
-        level = "" if table.level is None else f", level {table.level.admit:g}, policy {table.level.policy}"
-        lines.append(f"  {table.route}: {len(table.lines)} lines{level}")
+        level = "" if table.level is None else f", level {table.level.admitted:g}, policy {table.level.retry}"
+        lines.append(f"  {table.request_class}: {len(table.lines)} lines{level}")
         lines += [f"    {server} {weight:g}" for server, weight in sorted(table.lines.items())]
-    lines += [f"  withdrawn: {', '.join(document.withdrawn)}"] if document.withdrawn else []
-    lines += [f"  booking order {b.id}: {b.grant} of {b.route}" for b in document.bookings]
+    lines += [f"  withdrawn: {', '.join(document.ejected)}"] if document.ejected else []
+    lines += [f"  booking order {b.id}: {b.requests} of {b.request_class}" for b in document.reservations]
     return lines
 
 
@@ -111,11 +124,14 @@
 @as_json_flag
 def diff(old: str, new: str, keys: KeyRing, as_json: bool) -> int:
     """What differs between two files of orders; exit 1 where something does."""
-    found: list[Orders] = []
+    found: list[TableUpdate] = []
     for path in (old, new):
-        document = open_file(path, keys)
-        if not isinstance(document, Orders):
-            raise click.UsageError(f"{path}: {document if isinstance(document, Refusal) else 'no file of orders'}")
+        try:
+            document = open_file(path, keys)
+        except FileRejectedError as error:
+            raise click.UsageError(f"{path}: {error}") from error
+        if not isinstance(document, TableUpdate):
+            raise click.UsageError(f"{path}: no file of orders")
         found.append(document)
     rows = differences(*found)
     click.echo(
@@ -126,25 +142,25 @@
     return 1 if rows else 0
 
 
-def differences(old: Orders, new: Orders) -> list[dict[str, Any]]:
+def differences(old: TableUpdate, new: TableUpdate) -> list[dict[str, Any]]:
     rows: list[dict[str, Any]] = []
 
     def row(what: str, before: object, after: object) -> None:
         if before != after:
             rows.append({"what": what, "old": before, "new": after})
 
-    for field in ("planner", "sequence", "zone", "proxy", "base", "made", "until"):
-        row(field, getattr(old, field), getattr(new, field))
+    for shown, field in COMPARED_FIELDS.items():
+        row(shown, getattr(old, field), getattr(new, field))
     row("incarnation", msgspec.to_builtins(old.incarnation), msgspec.to_builtins(new.incarnation))
-    tables = [{t.route: t for t in orders.tables} for orders in (old, new)]
+    tables = [{t.request_class: t for t in orders.tables} for orders in (old, new)]
     for route in sorted({*tables[0], *tables[1]}):
         sides = [side.get(route) for side in tables]
         lines = [side.lines if side is not None else {} for side in sides]
         for server in sorted({*lines[0], *lines[1]}):
             row(f"{route} {server}", lines[0].get(server), lines[1].get(server))
         row(f"{route} level", *(msgspec.to_builtins(side.level) if side is not None else None for side in sides))
-    row("withdrawn", list(old.withdrawn), list(new.withdrawn))
-    row("bookings", [b.id for b in old.bookings], [b.id for b in new.bookings])
+    row("withdrawn", list(old.ejected), list(new.ejected))
+    row("bookings", [b.id for b in old.reservations], [b.id for b in new.reservations])
     return rows
 
 
@@ -154,7 +170,7 @@
 @key_file
 def make(source: Path, out: Path, keys: KeyRing) -> int:
     """Make a file from a document in JSON, as `show --json` prints it; signed where keys are given."""
-    from stackwheel.files.disk import swap
+    from stackwheel.files.atomic_replace import replace_file
     from stackwheel.files.records import DECODER
 
     try:
@@ -163,9 +179,10 @@
         raise click.UsageError(f"{source}: {error.strerror or error}") from None
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
         raise click.UsageError(f"{source}: {error}") from None
-    failed = swap(SystemDisk(), str(out.parent), out.name, encode(document, keys))
-    if failed is not None:
-        raise click.UsageError(f"{out}: {failed.step}: {failed.reason}")
+    try:
+        replace_file(SystemDisk(), str(out.parent), out.name, encode(document, keys))
+    except ReplaceError as error:
+        raise click.UsageError(f"{out}: {error}") from error
     return 0
 
 
@@ -206,9 +223,9 @@
     import contextlib
     import tempfile
 
-    from stackwheel.files.precedence import Terms
-    from stackwheel.files.reader import Place
-    from stackwheel.files.serve import Server
+    from stackwheel.files.follower import FolderFollower
+    from stackwheel.files.precedence import PrecedenceSettings
+    from stackwheel.files.reader import ReaderConfig
 
     def tell(news: dict[str, object]) -> None:
         if as_json:
@@ -220,9 +237,10 @@
 
     with contextlib.ExitStack() as stack:
         kept = state or stack.enter_context(tempfile.TemporaryDirectory())
-        server = Server(Place(zone, proxy, folders, answers, kept), lambda: keys, Terms(), sinks, tell, poll)
+        config = ReaderConfig(zone, proxy, folders, answers, kept)
+        follower = FolderFollower(config, lambda: keys, PrecedenceSettings(), sinks, tell, poll)
         try:
-            return 0 if asyncio.run(server.run(once)) or not once else 1
+            return 0 if asyncio.run(follower.run(once)) or not once else 1
         except KeyboardInterrupt:
             return 0
 
@@ -240,9 +258,9 @@
     as_json: bool,
 ) -> int:
     """Tell what a reader of folders would apply and refuse, as it happens."""
-    from stackwheel.files.serve import Sinks
+    from stackwheel.files.follower import Outputs
 
-    return run_server(folders, zone, proxy, state, keys, poll, once, as_json, "", Sinks())
+    return run_server(folders, zone, proxy, state, keys, poll, once, as_json, "", Outputs())
 
 
 @files.command()
@@ -264,9 +282,9 @@
     command: str,
 ) -> int:
     """Read folders for a forwarder that can't itself: what is in force goes to a file and a command."""
-    from stackwheel.files.serve import Sinks
+    from stackwheel.files.follower import Outputs
 
-    return run_server(folders, zone, proxy, state, keys, poll, once, as_json, answers, Sinks(out, command))
+    return run_server(folders, zone, proxy, state, keys, poll, once, as_json, answers, Outputs(out, command))
 
 
 @files.command()
--- a/stackwheel/files/__init__.py
+++ b/stackwheel/files/__init__.py
@@ -1,1 +1,1 @@
-"""Tables, orders and reports as files that are pushed and swapped whole."""
+"""Weight tables and proxy status exchanged by files, each replaced atomically; `docs/files.md` is the format."""
--- a/stackwheel/files/disk.py
+++ b/stackwheel/files/disk.py
@@ -1,71 +1,82 @@
-"""The steps by which a file is swapped whole, on a disk that is handed in: the system's, or a model of one.
-
-Written to a name of its own in the same folder, synced, renamed over the old one, the folder synced. Whatever step
-the writer dies at, a reader finds the old file or the new one.
-"""
+"""What table files need of a disk, the machine's own disk, and reading one file from it."""
 
 from __future__ import annotations
 
-import contextlib
 import errno
 import os
 import stat
-from collections.abc import Callable
-from dataclasses import dataclass
 from pathlib import PurePosixPath
-from typing import Protocol, TypeVar
-
-from stackwheel.files.codec import SIZE_MOST, Refusal, Stage
+from typing import Protocol
 
-T = TypeVar("T")
+from stackwheel.files.codec import MAX_FILE_BYTES
+from stackwheel.files.errors import FileRejectedError, Stage
 
-SUFFIX, PART = ".table", ".part"
-NAME_MOST = 120
+SUFFIX = ".table"
+PART_SUFFIX = ".part"  # of a temporary file that has not been renamed yet
+MAX_NAME_LENGTH = 120  # characters; the longest name of ours has under 100
+READ_CHUNK_BYTES = 1 << 20
 
 
 class Disk(Protocol):
-    """What swapping and reading need. Failures are OSError."""
+    """File operations; failures are OSError. Paths are absolute, handles are opaque."""
 
-    def create(self, path: str) -> int: ...
+    def create(self, path: str) -> int:
+        """Open an empty file for writing and return its handle."""
 
-    def write(self, handle: int, data: bytes) -> int: ...
+    def write(self, handle: int, data: bytes) -> int:
+        """Write some of the bytes and return how many."""
 
-    def sync(self, handle: int) -> None: ...
+    def sync(self, handle: int) -> None:
+        """Make a file's content durable."""
 
-    def close(self, handle: int) -> None: ...
+    def close(self, handle: int) -> None:
+        """Release a handle."""
 
-    def rename(self, old: str, new: str) -> None: ...
+    def rename(self, old: str, new: str) -> None:
+        """Put a file in place of another atomically."""
 
-    def sync_folder(self, path: str) -> None: ...
+    def sync_folder(self, path: str) -> None:
+        """Make a folder's entries durable."""
 
-    def remove(self, path: str) -> None: ...
+    def remove(self, path: str) -> None:
+        """Delete a file."""
 
-    def names(self, path: str) -> list[str]: ...
+    def names(self, path: str) -> list[str]:
+        """The names in a folder, sorted."""
 
-    def read(self, path: str, most: int) -> bytes: ...
+    def read(self, path: str, limit: int) -> bytes:
+        """A regular file of at most `limit` bytes."""
 
 
 class SystemDisk:
-    """The machine's own. What is no plain file is never opened to the end: a pipe would not return, a link would
-    lead elsewhere."""
+    """The machine's own disk.
+
+    Only regular files are read: a pipe would block, a link could lead out of the folder.
+    """
 
     def create(self, path: str) -> int:
+        """Open an empty file for writing and return its handle; links are not followed."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC | os.O_NOFOLLOW
         return os.open(path, flags, 0o644)
 
     def write(self, handle: int, data: bytes) -> int:
+        """Write some of the bytes and return how many."""
         return os.write(handle, data)
 
     def sync(self, handle: int) -> None:
+        """Make a file's content durable."""
         os.fsync(handle)
 
     def close(self, handle: int) -> None:
+        """Release a handle."""
         os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
+        """Put a file in place of another atomically."""
         os.rename(old, new)
 
     def sync_folder(self, path: str) -> None:
+        """Make a folder's entries durable."""
         handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(handle)
@@ -73,97 +84,74 @@
             os.close(handle)
 
     def remove(self, path: str) -> None:
+        """Delete a file."""
         os.unlink(path)
 
     def names(self, path: str) -> list[str]:
+        """The names in a folder, sorted."""
         return sorted(os.listdir(path))
 
-    def read(self, path: str, most: int) -> bytes:
+    def read(self, path: str, limit: int) -> bytes:
+        """A regular file of at most `limit` bytes; one byte more where it has grown since it was opened."""
         handle = os.open(path, os.O_RDONLY | os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK)
         try:
-            found = os.fstat(handle)
-            if not stat.S_ISREG(found.st_mode):
+            status = os.fstat(handle)
+            if not stat.S_ISREG(status.st_mode):
                 raise OSError(errno.EINVAL, "not a plain file")
-            if found.st_size > most:
-                raise OSError(errno.EFBIG, f"{found.st_size} bytes, at most {most}")
-            pieces: list[bytes] = []
-            left = most + 1
-            while left > 0 and (piece := os.read(handle, min(left, 1 << 20))):
-                pieces.append(piece)
-                left -= len(piece)
-            return b"".join(pieces)
+            if status.st_size > limit:
+                raise OSError(errno.EFBIG, f"{status.st_size} bytes, at most {limit}")
+            return _read_up_to(handle, limit + 1)
         finally:
             os.close(handle)
 
 
-@dataclass(frozen=True, slots=True)
-class SwapFailed:
-    """A swap that did not come through, and how far it had come; the old file stands."""
-
-    step: str
-    reason: str
-
-
-def swap(disk: Disk, folder: str, name: str, data: bytes) -> SwapFailed | None:
-    """Put a file in the place of another, whole; None once it is there for good.
-
-    Source of the steps: POSIX rename is atomic for names, and only a synced file behind a synced folder outlives a
-    crash.
-    """
-    path, part = join(folder, name), join(folder, "." + name + PART)
-    step, handle = "create", -1
-    try:
-        handle = disk.create(part)
-        step, at = "write", 0
-        while at < len(data):
-            count = disk.write(handle, data[at:])
-            if count <= 0:
-                raise OSError(errno.EIO, "nothing was written")
-            at += count
-        step = "sync"
-        disk.sync(handle)
-        step, open_handle, handle = "close", handle, -1
-        disk.close(open_handle)
-        step = "rename"
-        disk.rename(part, path)
-        step = "sync folder"
-        disk.sync_folder(folder)
-        return None
-    except OSError as error:
-        if handle >= 0:
-            quietly(disk.close, handle)
-        if step != "sync folder":
-            quietly(disk.remove, part)
-        return SwapFailed(step, error.strerror or str(error))
-
-
-def quietly(call: Callable[[T], None], argument: T) -> None:
-    with contextlib.suppress(OSError):  # what can't be cleaned up is overwritten by the next swap
-        call(argument)
+def _read_up_to(handle: int, limit: int) -> bytes:
+    chunks: list[bytes] = []
+    left = limit
+    while left > 0:
+        chunk = os.read(handle, min(left, READ_CHUNK_BYTES))
+        if not chunk:
+            break
+        chunks.append(chunk)
+        left -= len(chunk)
+    return b"".join(chunks)
 
 
 def join(folder: str, name: str) -> str:
+    """The path of a name in a folder."""
     return f"{folder.rstrip('/')}/{name}"
 
 
-def safe_name(name: str) -> bool:
-    """Whether a file's name stays in its folder and is no half-written file."""
+def is_safe_name(name: str) -> bool:
+    """Whether a table file's name stays in its folder and is not a temporary one."""
     return (
         name.endswith(SUFFIX)
         and not name.startswith(".")
-        and len(name) <= NAME_MOST
+        and len(name) <= MAX_NAME_LENGTH
         and PurePosixPath(name).name == name
         and "\x00" not in name
     )
 
 
-def read_file(disk: Disk, folder: str, name: str) -> bytes | Refusal:
-    """A file's bytes as they are at once; whether they are whole, the codec tells."""
-    if not safe_name(name):
-        return Refusal(Stage.OPEN, f"name {name[:60]!r} is not taken")
+def list_names(disk: Disk, folder: str) -> list[str]:
+    """The names in a folder; none where it does not exist or can't be read."""
+    try:
+        return disk.names(folder)
+    except OSError:
+        return []
+
+
+def read_file(disk: Disk, folder: str, name: str) -> bytes:
+    """The present bytes of a table file, complete or not.
+
+    Raises:
+        FileRejectedError: the name is not allowed, or the file can't be read.
+    """
+    if not is_safe_name(name):
+        raise FileRejectedError(Stage.OPEN, f"name {name[:60]!r} is not taken")
     try:
-        return disk.read(join(folder, name), SIZE_MOST)
+        return disk.read(join(folder, name), MAX_FILE_BYTES)
     except OSError as error:
         stage = Stage.SIZE if error.errno == errno.EFBIG else Stage.OPEN
-        why = "a symbolic link" if error.errno == errno.ELOOP else error.strerror or str(error)
-        return Refusal(stage, why)
+        reason = "a symbolic link" if error.errno == errno.ELOOP else error.strerror or str(error)
+        raise FileRejectedError(stage, reason) from error
--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -1,4 +1,4 @@
-"""What files cost: bytes and files a second by size, the way from decision to application, stalls by a slow disk."""
+"""Measures what table files cost on this machine: encoding, atomic replaces, time to application, stalls."""
 
 from __future__ import annotations
 
@@ -8,207 +8,232 @@
 import time
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 
-from stackwheel.files.accept import Content, difference
+from stackwheel.files.atomic_replace import replace_file
 from stackwheel.files.codec import KeyRing, decode, encode
-from stackwheel.files.disk import Disk, SystemDisk, swap
-from stackwheel.files.ledger import Ledger, Terms
+from stackwheel.files.content import TableContent, delta_tables
+from stackwheel.files.disk import Disk, SystemDisk
+from stackwheel.files.environment import FileEnvironment, unix_ms
+from stackwheel.files.file_builder import PublisherSettings
 from stackwheel.files.publisher import FilePublisher, Folders
-from stackwheel.files.push import Pace, Pusher
-from stackwheel.files.reader import Place, Reader
-from stackwheel.files.records import Answer, Incarnation, Level, Orders, Table
+from stackwheel.files.publisher_state import PublisherState
+from stackwheel.files.push_scheduler import PushLimits, PushScheduler
+from stackwheel.files.reader import FileReader, ReaderConfig
+from stackwheel.files.records import Incarnation, ProxyStatus, TableLevel, TableUpdate, WeightTable
 from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.settings import Names
 from stackwheel.state.planner_actor import Item
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
-SERVERS, FORWARDERS = (10, 150, 1000), (24, 500, 5000)
+CODEC_SERVERS = (10, 150, 1000)  # of a table, in the measurements of encoding
+PUSH_PROXIES = (24, 500, 5000)  # each with a folder of its own
+PUSH_SERVERS = 150  # of a table that is pushed
+EXCHANGE_SERVERS = (30, 150)  # of a table, in the measurements of application
 CLASSES = ("a", "b", "c")
-MOVED = 0.1  # of the lines, in a change file
+CHANGED_SHARE = 0.1  # of the lines, in a delta
 KEYS = KeyRing({"k1": b"measurement key, thirty-two byte"}, "k1")
-SPAN = 0.5  # s that a rate is taken over
-ROUNDS = 100
+RATE_SPAN_S = 0.5  # that a rate is taken over
+EXCHANGE_ROUNDS = 100
+SLOW_SYNC_S = 1.0
+SLOW_ROUNDS = 3
+LAG_SLEEP_S = 0.005  # how often the event loop's lag is sampled
+LEVEL = TableLevel(1.0, 1)
+TABLE_NAME = "x.table"
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
+    """One measured figure."""
+
     what: str
     size: str
     value: float
     unit: str
 
 
-def rate(work: Callable[[], object]) -> float:
-    """Calls a second."""
-    count, began = 0, time.perf_counter()
-    while (spent := time.perf_counter() - began) < SPAN:
-        work()
-        count += 1
-    return count / spent
+@dataclass(frozen=True, slots=True)
+class ExchangeResult:
+    """What a run of exchanges took.
 
+    Attributes:
+        delays_ms: from each update to its application.
+        longest_stall_ms: of the event loop.
+    """
 
-def orders_of(servers: int) -> tuple[Orders, Orders]:
-    """A whole file for so many servers, and a change on it in which a tenth moved."""
-    life, now = Incarnation(0, 1, 1), 1e12
-    lines = {f"s-{n:08x}": 1.0 + n / servers for n in range(servers)}
-    whole = Orders(
-        "n0", life, 1, now, now + 3e4, "east", tables=tuple(Table(name, lines, Level(1.0, 1)) for name in CLASSES)
-    )
-    moved = {s: w * 2 if at < MOVED * servers else w for at, (s, w) in enumerate(lines.items())}
-    content = Content(dict.fromkeys(CLASSES, moved), dict.fromkeys(CLASSES, Level(1.0, 1)))
-    change = Orders("n0", life, 2, now, now + 3e4, "east", base=1, tables=difference(whole, content))
-    return whole, change
+    delays_ms: list[float]
+    longest_stall_ms: float
+
+
+def measure() -> Iterator[Row]:
+    """All rows; the disk is the one that holds temporary files."""
+    yield from codec_rows()
+    with tempfile.TemporaryDirectory() as name:
+        yield from disk_rows(Path(name))
+        yield from exchange_rows(Path(name))
 
 
 def codec_rows() -> Iterator[Row]:
-    for servers in SERVERS:
-        for kind, document in zip(("whole", "change"), orders_of(servers), strict=True):
-            data = encode(document, KEYS)
+    """Bytes of a file, and files encoded and decoded a second."""
+    for servers in CODEC_SERVERS:
+        for kind, update in zip(("whole", "change"), sample_updates(servers), strict=True):
+            data = encode(update, KEYS)
             size = f"{servers} servers, {kind}"
             yield Row("bytes of a file", size, len(data), "bytes")
-            yield Row("files encoded", size, rate(lambda d=document: encode(d, KEYS)), "a second")  # type: ignore[misc]
-            yield Row("files decoded", size, rate(lambda d=data: decode(d, KEYS)), "a second")  # type: ignore[misc]
+            yield Row("files encoded", size, calls_per_second(partial(encode, update, KEYS)), "a second")
+            yield Row("files decoded", size, calls_per_second(partial(decode, data, KEYS)), "a second")
 
 
 def disk_rows(folder: Path) -> Iterator[Row]:
-    data = encode(orders_of(150)[0], KEYS)
-    yield Row(
-        "swaps, one after the other",
-        f"{len(data)} bytes",
-        rate(lambda: swap(SystemDisk(), str(folder), "x.table", data)),
-        "a second",
-    )
-    for forwarders in FORWARDERS:
-        places = [folder / f"proxy-{n}" for n in range(forwarders)]
-        for place in places:
-            place.mkdir(exist_ok=True)
-        took = asyncio.run(push_all(places, data))
-        yield Row("a push to all", f"{forwarders} forwarders, 150 servers", took, "s")
-
-
-async def push_all(places: list[Path], data: bytes) -> float:
-    """s until every folder has its file, under the pusher's bounds."""
-    pusher, disk, began = Pusher(Pace(), 1), SystemDisk(), time.perf_counter()
-    for place in places:
-        pusher.offer(str(place), data, 1, 0.0)
+    """Atomic replaces a second, and how long all folders of a deployment take."""
+    complete, _ = sample_updates(PUSH_SERVERS)
+    data = encode(complete, KEYS)
+    replace = partial(replace_file, SystemDisk(), str(folder), TABLE_NAME, data)
+    yield Row("swaps, one after the other", f"{len(data)} bytes", calls_per_second(replace), "a second")
+    for proxies in PUSH_PROXIES:
+        targets = [folder / f"proxy-{number}" for number in range(proxies)]
+        for target in targets:
+            target.mkdir(exist_ok=True)
+        seconds = asyncio.run(push_to_all(targets, data))
+        yield Row("a push to all", f"{proxies} forwarders, {PUSH_SERVERS} servers", seconds, "s")
+
+
+def exchange_rows(folder: Path) -> Iterator[Row]:
+    """Time from a decision to its application, and stalls of the event loop."""
+    for servers in EXCHANGE_SERVERS:
+        result = asyncio.run(exchange(folder / f"e{servers}", SystemDisk(), servers, EXCHANGE_ROUNDS))
+        percentiles = statistics.quantiles(result.delays_ms, n=100)
+        size = f"{servers} servers"
+        yield Row("from decision to application, median", size, percentiles[49], "ms")
+        yield Row("from decision to application, 99 in 100", size, percentiles[98], "ms")
+        yield Row("the loop's longest stall", size, result.longest_stall_ms, "ms")
+    result = asyncio.run(exchange(folder / "slow", SlowDisk(SLOW_SYNC_S), 30, SLOW_ROUNDS))
+    yield Row("the loop's longest stall", "30 servers, a sync takes 1 s", result.longest_stall_ms, "ms")
+
+
+def calls_per_second(call: Callable[[], object]) -> float:
+    """How often a function can be called in a second."""
+    count = 0
+    began = time.perf_counter()
+    while (elapsed := time.perf_counter() - began) < RATE_SPAN_S:
+        call()
+        count += 1
+    return count / elapsed
+
+
+def sample_updates(servers: int) -> tuple[TableUpdate, TableUpdate]:
+    """A complete update with so many servers, and a delta that changes a share of its lines."""
+    incarnation = Incarnation(0, 1, 1)
+    now = 1e12
+    expires_at = now + 3e4
+    lines = {f"s-{number:08x}": 1.0 + number / servers for number in range(servers)}
+    tables = tuple(WeightTable(name, lines, LEVEL) for name in CLASSES)
+    complete = TableUpdate("n0", incarnation, 1, now, expires_at, "east", tables=tables)
+    changed = {
+        server: weight * 2 if number < CHANGED_SHARE * servers else weight
+        for number, (server, weight) in enumerate(lines.items())
+    }
+    content = TableContent(dict.fromkeys(CLASSES, changed), dict.fromkeys(CLASSES, LEVEL))
+    changes = delta_tables(complete, content)
+    delta = TableUpdate("n0", incarnation, 2, now, expires_at, "east", base_sequence=1, tables=changes)
+    return complete, delta
+
+
+async def push_to_all(targets: list[Path], data: bytes) -> float:
+    """Seconds until every folder has its file, under the scheduler's limits."""
+    scheduler = PushScheduler(PushLimits(), 1)
+    disk = SystemDisk()
+    began = time.perf_counter()
+    for target in targets:
+        scheduler.submit(str(target), data, 1, 0.0)
     while True:
-        attempts = pusher.attempts(0.0)
+        attempts = scheduler.start_attempts(0.0)
         if not attempts:
             return time.perf_counter() - began
-        done = await asyncio.gather(*(asyncio.to_thread(swap, disk, a.target, "x.table", a.data) for a in attempts))
-        for attempt, failed in zip(attempts, done, strict=True):
-            pusher.ended(attempt, failed is None, 0.0)
+        writes = (
+            asyncio.to_thread(replace_file, disk, attempt.target, TABLE_NAME, attempt.data) for attempt in attempts
+        )
+        results = await asyncio.gather(*writes, return_exceptions=True)
+        for attempt, result in zip(attempts, results, strict=True):
+            scheduler.finish(attempt, not isinstance(result, BaseException), 0.0)
 
 
 class SlowDisk(SystemDisk):
     """A disk that takes a while to sync."""
 
-    def __init__(self, sync: float) -> None:
-        self.takes = sync
+    def __init__(self, sync_s: float) -> None:
+        self.sync_s = sync_s
 
     def sync(self, handle: int) -> None:
-        time.sleep(self.takes)
+        """Make a file's content durable, late."""
+        time.sleep(self.sync_s)
         super().sync(handle)
 
 
-def unix() -> float:
-    return time.time() * 1000.0
-
-
-def build(folder: Path, disk: Disk, servers: int) -> tuple[FilePublisher, Reader]:
-    for name in ("out/zone-east", "answers", "state"):
-        (folder / name).mkdir(parents=True, exist_ok=True)
+def build_publisher(folder: Path, disk: Disk, servers: int) -> FilePublisher:
+    """A publisher for one zone that serves so many servers."""
     ids = ServerIds()
     for number in range(servers):
         ids.learn(f"s-{number}")
-    ledger = Ledger("n0", Names(CLASSES, ("east",), ("k",), ()), 4, Terms(3e4, 20, 1e6), ids.name, 1)
+    names = Names(CLASSES, ("east",), ("k",), ())
+    settings = PublisherSettings(file_lifetime=3e4, deltas_per_base=20, report_interval=1e6)
     posted: list[Item] = []
-    desk = FilePublisher(
-        ledger,
-        Pusher(Pace(), 1),
+    return FilePublisher(
+        PublisherState("n0", names, 4, settings, ids.name, 1),
+        PushScheduler(PushLimits(), 1),
         Folders(str(folder / "out"), str(folder / "answers")),
-        disk,
-        unix,
+        FileEnvironment(disk, unix_ms),
         posted.append,
         KEYS,
-        look=0.05,
-    )
-    reader = Reader(
-        Place("east", 0, (str(folder / "out/zone-east"),), str(folder / "answers"), str(folder / "state")),
-        SystemDisk(),
-        unix,
-        lambda: KEYS,
+        poll_interval_s=0.05,
     )
-    return desk, reader
 
 
-async def exchange(folder: Path, disk: Disk, servers: int, rounds: int) -> tuple[list[float], float]:
-    """ms from each order to its application by a reader that looks without pause; the loop's longest stall, ms."""
-    desk, reader = build(folder, disk, servers)
-    running = asyncio.create_task(desk.run())
+def build_reader(folder: Path) -> FileReader:
+    """The reader of the zone's first proxy."""
+    config = ReaderConfig("east", 0, (str(folder / "out/zone-east"),), str(folder / "answers"), str(folder / "state"))
+    return FileReader(config, FileEnvironment(SystemDisk(), unix_ms), lambda: KEYS)
+
+
+async def exchange(folder: Path, disk: Disk, servers: int, rounds: int) -> ExchangeResult:
+    """Deliver updates one by one to a reader that polls without pause."""
+    for name in ("out/zone-east", "answers", "state"):
+        (folder / name).mkdir(parents=True, exist_ok=True)
+    publisher = build_publisher(folder, disk, servers)
+    reader = build_reader(folder)
+    running = asyncio.create_task(publisher.run())
     await reader.start()
-    while desk.ledger.incarnation is None:
+    while publisher.state.incarnation is None:
         await asyncio.sleep(0.01)
-    list(desk.ledger.answer(Answer(0, "east", reader.life, 1, unix()), unix()))
-    line, took = desk.ledger.forwarders[0].line, []
-    watching = asyncio.create_task(stalls())
+    list(publisher.state.receive_status(ProxyStatus(0, "east", reader.incarnation, 1, unix_ms()), unix_ms()))
+    connection = publisher.state.proxies[0].connection
+    lags_ms: list[float] = []
+    sampling = asyncio.create_task(sample_loop_lag(lags_ms))
+    delays_ms: list[float] = []
     for number in range(rounds):
-        lines = tuple((server_id(f"s-{n}"), 1.0 + number + n) for n in range(servers))
+        update = sample_proxy_update(servers, number)
         began = time.perf_counter()
-        desk.deliver(
-            [
-                (
-                    line,
-                    ProxyUpdate(
-                        0,
-                        (
-                            UpdatePart(
-                                tuple(range(len(CLASSES))),
-                                number == 0,
-                                lines,
-                                AdmissionLevel(1.0, Retry.ONCE_IF_NOT_EXECUTED),
-                            ),
-                        ),
-                    ),
-                )
-            ]
-        )
-        while not await reader.look():
+        publisher.deliver([(connection, update)])
+        while not await reader.poll():
             await asyncio.sleep(0.001)
-        took.append((time.perf_counter() - began) * 1000.0)
-    watching.cancel()
+        delays_ms.append((time.perf_counter() - began) * 1000.0)
+    sampling.cancel()
     running.cancel()
-    return took, max(STALLS, default=0.0)
+    return ExchangeResult(delays_ms, max(lags_ms, default=0.0))
 
 
-STALLS: list[float] = []
+def sample_proxy_update(servers: int, number: int) -> ProxyUpdate:
+    """An update for the first proxy; the first one is complete, and each one changes all weights."""
+    lines = tuple((server_id(f"s-{server}"), 1.0 + number + server) for server in range(servers))
+    level = AdmissionLevel(1.0, Retry.ONCE_IF_NOT_EXECUTED)
+    return ProxyUpdate(0, (UpdatePart(tuple(range(len(CLASSES))), number == 0, lines, level),))
 
 
-async def stalls() -> None:
-    """Notes by how much a sleep of 5 ms comes late."""
-    STALLS.clear()
+async def sample_loop_lag(lags_ms: list[float]) -> None:
+    """Note by how many ms short sleeps come late, until cancelled."""
     while True:
         began = time.perf_counter()
-        await asyncio.sleep(0.005)
-        STALLS.append((time.perf_counter() - began) * 1000.0 - 5.0)
-
-
-def exchange_rows(folder: Path) -> Iterator[Row]:
-    for servers in (30, 150):
-        took, stall = asyncio.run(exchange(folder / f"e{servers}", SystemDisk(), servers, ROUNDS))
-        cuts = statistics.quantiles(took, n=100)
-        yield Row("from decision to application, median", f"{servers} servers", cuts[49], "ms")
-        yield Row("from decision to application, 99 in 100", f"{servers} servers", cuts[98], "ms")
-        yield Row("the loop's longest stall", f"{servers} servers", stall, "ms")
-    _, stall = asyncio.run(exchange(folder / "slow", SlowDisk(1.0), 30, 3))
-    yield Row("the loop's longest stall", "30 servers, a sync takes 1 s", stall, "ms")
-
-
-def measure() -> Iterator[Row]:
-    """All rows; the disk is the one that holds temporary files."""
-    yield from codec_rows()
-    with tempfile.TemporaryDirectory() as name:
-        yield from disk_rows(Path(name))
-        yield from exchange_rows(Path(name))
+        await asyncio.sleep(LAG_SLEEP_S)
+        lags_ms.append((time.perf_counter() - began - LAG_SLEEP_S) * 1000.0)
--- a/stackwheel/files/memory.py
+++ b/stackwheel/files/memory.py
@@ -1,39 +1,38 @@
-"""Keeps what a reader must not forget: swapped whole, sealed like every file."""
+"""Saves and loads a reader's memory: a file replaced atomically and sealed as every other one, but never signed."""
 
 from __future__ import annotations
 
 import msgspec
 
-from stackwheel.files.accept import Memory
-from stackwheel.files.codec import Refusal, Stage, seal, unseal
-from stackwheel.files.disk import Disk, SwapFailed, read_file, swap
+from stackwheel.files.acceptor import ReaderMemory
+from stackwheel.files.atomic_replace import replace_file
+from stackwheel.files.codec import decode_body, seal, unseal
+from stackwheel.files.disk import Disk, list_names, read_file
+from stackwheel.files.errors import FileRejectedError, Stage
 
 NAME = "memory.table"
-DECODER = msgspec.json.Decoder(Memory)
+DECODER = msgspec.json.Decoder(ReaderMemory)
 
 
-def keep(disk: Disk, folder: str, memory: Memory) -> SwapFailed | None:
-    return swap(disk, folder, NAME, seal(msgspec.json.encode(memory)))
+def save_memory(disk: Disk, folder: str, memory: ReaderMemory) -> None:
+    """Put a memory in place of the former one; it is durable on return.
 
+    Raises:
+        ReplaceError: it could not be written.
+    """
+    replace_file(disk, folder, NAME, seal(msgspec.json.encode(memory)))
 
-def recall(disk: Disk, folder: str, now: float) -> tuple[Memory, Refusal | None]:
-    """The memory as kept. Where there is none, or none that can be used, one that begins now: orders for bookings made
-    before may have taken effect, and are not applied. The reason is told unless there simply was none."""
-    data = read_file(disk, folder, NAME)
-    if isinstance(data, Refusal):
-        missing = data.stage is Stage.OPEN and NAME not in listed(disk, folder)
-        return Memory(since=now), None if missing else data
-    body = unseal(data)
-    if isinstance(body, Refusal):
-        return Memory(since=now), body
-    try:
-        return DECODER.decode(body), None
-    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Memory(since=now), Refusal(Stage.CONTENT, str(error)[:200])
 
+def load_memory(disk: Disk, folder: str) -> ReaderMemory | None:
+    """The memory as it was saved, or None where there is none.
 
-def listed(disk: Disk, folder: str) -> list[str]:
+    Raises:
+        FileRejectedError: there is one, but it can't be used.
+    """
     try:
-        return disk.names(folder)
-    except OSError:
-        return []
+        data = read_file(disk, folder, NAME)
+    except FileRejectedError as error:
+        if error.stage is Stage.OPEN and NAME not in list_names(disk, folder):
+            return None
+        raise
+    return decode_body(DECODER, unseal(data))
--- a/stackwheel/files/precedence.py
+++ b/stackwheel/files/precedence.py
@@ -1,15 +1,15 @@
-"""Which of a forwarder's sources holds: its stream, a planner's files, or what is left of either. No I/O.
+"""Selects which of a proxy's sources is in force: its stream, a planner's files, or what remains of either. No I/O.
 
 The rules, in this order:
 
-1. What a planner has told to be out stays out, whichever source told it, until a later word of the same planner lets
-   it back, or a source that prevails lists it after the telling. A drain told by file binds while a stream is half
-   open, and the other way round.
-2. A stream that is heard and has ordered whole tables prevails. A new one prevails once it has ordered them.
-3. Else the files of the planner that prevails already, while they are fresh; else those made last among the
-   fresh. A stream's tables count as made when its last order was applied: older files do not take their place.
-4. What is over its time is kept for `keep` ms at most. Then `after` holds: `even` spreads over all servers known
-   and not out, by even weights; `refuse` holds nothing, and says so.
+1. A server that a planner has ejected stays ejected, whichever source said so, until a later update of the same planner
+   restores it. A drain announced by file is binding while a stream is half open, and the other way round.
+2. A connected stream that is not silent and has sent complete tables takes precedence. A new one does once it has
+   sent them.
+3. Otherwise the unexpired files of the planner preferred so far do; else those of the planner whose files are newest.
+   A stream's tables are as old as its last update: older files do not take their place.
+4. Expired tables are kept for `expired_grace` ms at most. Then `fallback` holds: `even` spreads over all servers that
+   are known and not ejected, with equal weights; `refuse` has no tables at all.
 """
 
 from __future__ import annotations
@@ -19,161 +19,240 @@
 from enum import Enum
 from typing import Literal
 
-from stackwheel.files.accept import Content, Held
+from stackwheel.files.acceptor import CurrentTables
+from stackwheel.files.content import TableContent
 
-After = Literal["even", "refuse"]
-OUT_MOST = 10_000  # servers remembered as out; the first to go out are forgotten first
+Fallback = Literal["even", "refuse"]
+MAX_SERVERS = 10_000  # remembered as ejected, and as known; the oldest are forgotten first
 
 
 class Source(Enum):
-    NOTHING = "nothing"
+    """Where the tables in force come from; the values are those of the JSON output."""
+
+    NONE = "nothing"
     STREAM = "stream"
     FILE = "file"
-    KEPT = "kept"  # over its time, but not for long
+    EXPIRED = "kept"  # expired, but within the grace period
     EVEN = "even"
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What the settings allow, ms."""
+class PrecedenceSettings:
+    """What the operators' file sets.
+
+    Attributes:
+        stream_timeout: ms without a message after which a stream has no precedence.
+        table_lifetime: ms that a stream's tables are valid once it is silent.
+        expired_grace: ms that expired tables are still used.
+        fallback: what holds afterwards.
+    """
 
-    silence: float = 3_000.0  # a stream unheard of for so long no longer prevails
-    life: float = 30_000.0  # of a stream's tables once it is silent
-    keep: float = 10_000.0  # of tables that are over their time
-    after: After = "even"
+    stream_timeout: float = 3_000.0
+    table_lifetime: float = 30_000.0
+    expired_grace: float = 10_000.0
+    fallback: Fallback = "even"
 
 
 @dataclass(slots=True)
 class StreamState:
-    """What came by stream."""
+    """The proxy's stream; points in time are Unix ms.
 
-    content: Content | None = None  # None until whole tables have been ordered
+    Attributes:
+        content: all that its updates amount to; None until complete tables have come.
+        planner: at its other end.
+        connected: whether it is open.
+        last_received_at: when anything came.
+        last_updated_at: when an update came.
+    """
+
+    content: TableContent | None = None
     planner: str = ""
-    up: bool = False
-    heard: float = 0.0
-    ordered: float = 0.0
+    connected: bool = False
+    last_received_at: float = 0.0
+    last_updated_at: float = 0.0
 
 
 @dataclass(slots=True)
-class Out:
-    """A server that a planner took out."""
+class Ejection:
+    """Which planner ejected a server, and when."""
 
-    by: str  # planner
-    at: float
+    planner: str
+    ejected_at: float
 
 
 @dataclass(slots=True)
-class Choice:
-    """What the forwarder goes by now."""
+class Selection:
+    """What is in force.
+
+    Attributes:
+        source: where it comes from.
+        planner: whose tables they are, "" where nobody's.
+        content: the tables.
+        recheck_at: when to select again, Unix ms; 0: only after an update.
+    """
 
     source: Source
     planner: str = ""
-    content: Content = field(default_factory=Content)
-    until: float = 0.0  # when this has to be looked at again; 0: only at news
+    content: TableContent = field(default_factory=TableContent)
+    recheck_at: float = 0.0
 
 
-class SourcePrecedence:
-    """Keeps what the sources said; `choose` answers from it alone."""
+@dataclass(frozen=True, slots=True)
+class _Tables:
+    """Tables of some source, and when they expire."""
 
-    def __init__(self, terms: Terms) -> None:
-        self.terms = terms
-        self.stream = StreamState()
-        self.files: dict[str, Held] = {}  # by target
-        self.chosen = ""  # planner that prevails among those that push files
-        self.out: dict[str, Out] = {}
-        self.known: dict[str, None] = {}  # servers named by anyone, for an even spread
+    expires_at: float
+    planner: str
+    content: TableContent
 
-    # what the sources say
 
-    def stream_up(self, planner: str, now: float) -> None:
-        """A stream has come up; what the last one ordered is no longer its word."""
-        self.stream = StreamState(None, planner, True, now, self.stream.ordered if self.stream.content else 0.0)
+class SourcePrecedence:
+    """Keeps what the sources said; `select` depends on that alone.
 
-    def stream_heard(self, now: float) -> None:
-        self.stream.heard = now
+    Attributes:
+        files: tables by target key.
+        preferred_planner: whose files are in force among those of several planners.
+        ejections: by server, in their order.
+        known_servers: servers that any source named, for an even spread.
+    """
 
-    def stream_ordered(self, content: Content, whole: bool, now: float) -> None:
-        """Orders came; `content` is all that the stream's tables say by now."""
+    def __init__(self, settings: PrecedenceSettings) -> None:
+        self.settings = settings
+        self.stream = StreamState()
+        self.files: dict[str, CurrentTables] = {}
+        self.preferred_planner = ""
+        self.ejections: dict[str, Ejection] = {}
+        self.known_servers: dict[str, None] = {}
+
+    def stream_connected(self, planner: str, now: float) -> None:
+        """A stream has been opened; the tables of the former one are no longer its own."""
+        last_updated_at = self.stream.last_updated_at if self.stream.content is not None else 0.0
+        self.stream = StreamState(None, planner, True, now, last_updated_at)
+
+    def stream_received(self, now: float) -> None:
+        """Something came by the stream."""
+        self.stream.last_received_at = now
+
+    def stream_updated(self, content: TableContent, complete: bool, now: float) -> None:
+        """An update came by the stream.
+
+        Args:
+            content: what all of the stream's updates amount to.
+            complete: whether this one held complete tables.
+            now: Unix ms.
+        """
         stream = self.stream
-        stream.heard = stream.ordered = now
-        if whole or stream.content is not None:
+        stream.last_received_at = now
+        stream.last_updated_at = now
+        if complete or stream.content is not None:
             stream.content = content
-        self.told(stream.planner, content, now)
+        self._record_servers(stream.planner, content, now)
 
-    def stream_down(self) -> None:
-        self.stream.up = False
+    def stream_disconnected(self) -> None:
+        """The stream has ended."""
+        self.stream.connected = False
 
-    def file(self, key: str, held: Held, now: float) -> None:
-        self.files[key] = held
-        self.told(held.orders.planner, held.content, now)
+    def file_applied(self, key: str, tables: CurrentTables, now: float) -> None:
+        """A file for that target has been applied."""
+        self.files[key] = tables
+        self._record_servers(tables.update.planner, tables.content, now)
 
-    def forget_file(self, key: str) -> None:
+    def remove_file(self, key: str) -> None:
+        """Forget the tables of a target. No actor calls this yet."""
         self.files.pop(key, None)
 
-    def told(self, planner: str, content: Content, now: float) -> None:
-        """Servers out by this planner's word, and those that it lets back: it may undo only what it said itself."""
-        for server in content.withdrawn:
-            self.out.setdefault(server, Out(planner, now))
-        for server, out in list(self.out.items()):
-            if out.by == planner and server not in content.withdrawn:
-                del self.out[server]
+    def select(self, now: float) -> Selection:
+        """What is in force now."""
+        stream = self.stream
+        stream_timeout_at = stream.last_received_at + self.settings.stream_timeout
+        if stream.content is not None and stream.connected and now < stream_timeout_at:
+            return self._in_force(Source.STREAM, _Tables(stream_timeout_at, stream.planner, stream.content))
+        file = self._preferred_file(now)
+        if file is not None:
+            update = file.update
+            return self._in_force(Source.FILE, _Tables(update.expires_at, update.planner, file.content))
+        expired = self._last_expired()
+        if expired is not None:
+            grace_ends_at = expired.expires_at + self.settings.expired_grace
+            if now < grace_ends_at:
+                return self._in_force(Source.EXPIRED, _Tables(grace_ends_at, expired.planner, expired.content))
+        return self._fallback()
+
+    def _record_servers(self, planner: str, content: TableContent, now: float) -> None:
+        """Note ejected and known servers; a planner restores only those that it ejected itself."""
+        for server in content.ejected:
+            self.ejections.setdefault(server, Ejection(planner, now))
+        for server, ejection in list(self.ejections.items()):
+            if ejection.planner == planner and server not in content.ejected:
+                del self.ejections[server]
         for lines in content.tables.values():
-            self.known.update(dict.fromkeys(lines))
-        for server in list(self.out)[: max(0, len(self.out) - OUT_MOST)]:
-            del self.out[server]
-        for server in list(self.known)[: max(0, len(self.known) - OUT_MOST)]:
-            del self.known[server]
-
-    # what follows
-
-    def choose(self, now: float) -> Choice:
-        terms, stream = self.terms, self.stream
-        if stream.content is not None and stream.up and now < stream.heard + terms.silence:
-            return self.usable(Source.STREAM, stream.planner, stream.content, stream.heard + terms.silence)
-        fresh = {key: held for key, held in self.files.items() if held.orders.until > now}
-        ordered = stream.ordered if stream.content is not None else 0.0
-        newer = {key: held for key, held in fresh.items() if held.orders.made >= ordered}
-        if newer:
-            if all(held.orders.planner != self.chosen for held in newer.values()):
-                last = max(newer.values(), key=lambda held: (held.orders.made, held.orders.planner))
-                self.chosen = last.orders.planner
-            # a planner says the same to all of a zone or something else to one: its newest word holds
-            held = max(
-                (one for one in newer.values() if one.orders.planner == self.chosen),
-                key=lambda one: (one.orders.incarnation, one.orders.made, one.orders.proxy is not None),
-            )
-            return self.usable(Source.FILE, held.orders.planner, held.content, held.orders.until)
-        candidates = [(held.orders.until, held.orders.planner, held.content) for held in self.files.values()]
+            self.known_servers.update(dict.fromkeys(lines))
+        _forget_oldest(self.ejections)
+        _forget_oldest(self.known_servers)
+
+    def _preferred_file(self, now: float) -> CurrentTables | None:
+        """The unexpired file that is in force once the stream is not; None where all are older than its tables."""
+        stream = self.stream
+        oldest = stream.last_updated_at if stream.content is not None else 0.0
+        candidates = [
+            file for file in self.files.values() if file.update.expires_at > now and file.update.created_at >= oldest
+        ]
+        if not candidates:
+            return None
+        if all(file.update.planner != self.preferred_planner for file in candidates):
+            newest = max(candidates, key=lambda file: (file.update.created_at, file.update.planner))
+            self.preferred_planner = newest.update.planner
+        # Of a planner's file for the zone and its file for this proxy, the newer one counts.
+        return max(
+            (file for file in candidates if file.update.planner == self.preferred_planner),
+            key=lambda file: (file.update.incarnation, file.update.created_at, file.update.proxy is not None),
+        )
+
+    def _last_expired(self) -> _Tables | None:
+        """Of all tables ever received and still remembered, those that expired last."""
+        candidates = [
+            _Tables(file.update.expires_at, file.update.planner, file.content) for file in self.files.values()
+        ]
+        stream = self.stream
         if stream.content is not None:
-            candidates.append((stream.heard + terms.life, stream.planner, stream.content))
-        until, planner, content = max(candidates, key=lambda c: c[0], default=(0.0, "", Content()))
-        if candidates and now < until + terms.keep:
-            return self.usable(Source.KEPT, planner, content, until + terms.keep)
-        return self.last_resort()
-
-    def usable(self, source: Source, planner: str, content: Content, until: float) -> Choice:
-        """Lines of servers that are out go; a class left bare gets what is known and not out, evenly."""
-        tables = {route: self.open(lines) for route, lines in content.tables.items()}
-        if self.terms.after == "even":
-            spare = self.even()
-            tables = {route: lines or dict(spare) for route, lines in tables.items()}
-        return Choice(source, planner, Content(tables, dict(content.levels), tuple(self.out)), until)
-
-    def open(self, lines: Mapping[str, float]) -> dict[str, float]:
-        return {server: weight for server, weight in lines.items() if server not in self.out}
-
-    def even(self) -> dict[str, float]:
-        return {server: 1.0 for server in self.known if server not in self.out}
-
-    def last_resort(self) -> Choice:
-        if self.terms.after == "refuse" or not self.even():
-            return Choice(Source.NOTHING, content=Content(withdrawn=tuple(self.out)))
-        routes = self.routes()
-        return Choice(Source.EVEN, content=Content({r: self.even() for r in routes}, {}, tuple(self.out)))
-
-    def routes(self) -> Iterable[str]:
-        """Classes that any source ever had a table for."""
-        found: dict[str, None] = dict.fromkeys(self.stream.content.tables if self.stream.content else ())
-        for held in self.files.values():
-            found.update(dict.fromkeys(held.content.tables))
-        return found
+            expires_at = stream.last_received_at + self.settings.table_lifetime
+            candidates.append(_Tables(expires_at, stream.planner, stream.content))
+        return max(candidates, key=lambda tables: tables.expires_at, default=None)
+
+    def _in_force(self, source: Source, tables: _Tables) -> Selection:
+        """Lines of ejected servers go; a class left without any gets all known servers that are not ejected."""
+        content = tables.content
+        by_class = {request_class: self._not_ejected(lines) for request_class, lines in content.tables.items()}
+        if self.settings.fallback == "even":
+            even = self._even_weights()
+            by_class = {request_class: lines or dict(even) for request_class, lines in by_class.items()}
+        result = TableContent(by_class, dict(content.levels), tuple(self.ejections))
+        return Selection(source, tables.planner, result, tables.expires_at)
+
+    def _fallback(self) -> Selection:
+        ejected = tuple(self.ejections)
+        if self.settings.fallback == "refuse" or not self._even_weights():
+            return Selection(Source.NONE, content=TableContent(ejected=ejected))
+        tables = {request_class: self._even_weights() for request_class in self._known_classes()}
+        return Selection(Source.EVEN, content=TableContent(tables, {}, ejected))
+
+    def _not_ejected(self, lines: Mapping[str, float]) -> dict[str, float]:
+        return {server: weight for server, weight in lines.items() if server not in self.ejections}
+
+    def _even_weights(self) -> dict[str, float]:
+        return {server: 1.0 for server in self.known_servers if server not in self.ejections}
+
+    def _known_classes(self) -> Iterable[str]:
+        """The request classes that a remembered source has a table for."""
+        classes: dict[str, None] = {}
+        if self.stream.content is not None:
+            classes.update(dict.fromkeys(self.stream.content.tables))
+        for file in self.files.values():
+            classes.update(dict.fromkeys(file.content.tables))
+        return classes
+
+
+def _forget_oldest(servers: dict[str, Ejection] | dict[str, None]) -> None:
+    excess = max(0, len(servers) - MAX_SERVERS)
+    for server in list(servers)[:excess]:
+        del servers[server]
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -1,185 +1,230 @@
-"""The planner's actor for files: beside the sockets or in their place, it writes orders and reads answers.
+"""A planner's actor for table files: writes tables and reads status files, beside the sockets or in their place.
 
-It takes the module's orders for the forwarders that it knows. Disks are touched in threads only, each write
-within the pusher's bounds; a disk that fails is told of once, and what it missed is written when it works again.
+It takes the planner's updates for the proxies that it serves. Disks are touched in threads only, each write within the
+scheduler's limits; a failing disk is logged once, and what it missed is written when it works again.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import Any, TypeVar
 
 from loguru import logger
 
-from stackwheel.files.codec import NO_KEYS, KeyRing, Refusal, decode, encode
-from stackwheel.files.disk import SUFFIX, Disk, SwapFailed, join, read_file, swap
-from stackwheel.files.ledger import FileLine, Ledger
-from stackwheel.files.push import Attempt, Pusher
-from stackwheel.files.records import Answer, Incarnation, Orders
+from stackwheel.files.atomic_replace import replace_file
+from stackwheel.files.codec import NO_KEYS, KeyRing, decode, encode
+from stackwheel.files.disk import SUFFIX, join, list_names, read_file
+from stackwheel.files.environment import FileEnvironment
+from stackwheel.files.errors import FileRejectedError, ReplaceError, ReplaceStep, Stage
+from stackwheel.files.file_proxy import FileConnection
+from stackwheel.files.publisher_state import PublisherState
+from stackwheel.files.push_scheduler import PushScheduler, WriteAttempt
+from stackwheel.files.records import Document, Incarnation, ProxyStatus
 from stackwheel.state.planner_actor import Item
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 
-T = TypeVar("T")
-Aside = Callable[..., Awaitable[Any]]  # runs something that may block, out of the loop's way
-ANSWERS_MOST = 20_000  # files looked at in one go
-LOOK = 0.25  # s between looks at the folder of answers
+MAX_STATUS_FILES = 20_000  # read in one poll; a proxy writes one
+POLL_INTERVAL_S = 0.25  # between polls of the status folder
 
 
 @dataclass(frozen=True, slots=True)
 class Folders:
-    out: str  # one folder in it for each zone, and for each forwarder that differs
-    answers: str
+    """Where a planner's files are.
+
+    Attributes:
+        tables: holds a folder for each zone, and one for each proxy that differs from its zone.
+        statuses: where proxies put their status files.
+    """
+
+    tables: str
+    statuses: str
+
+
+@dataclass(frozen=True, slots=True)
+class _StatusFile:
+    name: str
+    data: bytes
 
 
 class FilePublisher:
+    """Writes what the state says is due, and posts what status files say.
+
+    Attributes:
+        failures: why the last attempt at a target failed, by target.
+        last_statuses: bytes by name as last read, so that an unchanged file is not read again.
+    """
+
     def __init__(
         self,
-        ledger: Ledger,
-        pusher: Pusher,
+        state: PublisherState,
+        scheduler: PushScheduler,
         folders: Folders,
-        disk: Disk,
-        now: Callable[[], float],
+        environment: FileEnvironment,
         post: Callable[[Item], None],
         keys: KeyRing = NO_KEYS,
-        aside: Aside = asyncio.to_thread,
-        look: float = LOOK,
+        poll_interval_s: float = POLL_INTERVAL_S,
     ) -> None:
-        self.ledger, self.pusher, self.folders, self.disk = ledger, pusher, folders, disk
-        self.now, self.post, self.keys, self.aside, self.look = now, post, keys, aside, look
-        self.woken = asyncio.Event()
-        self.failing: dict[str, str] = {}  # target: what it was said to fail at
-        self.answers: dict[str, bytes] = {}  # name: bytes as last taken, so that what stands is not read anew
+        self.state = state
+        self.scheduler = scheduler
+        self.folders = folders
+        self.disk = environment.disk
+        self.now = environment.now
+        self.run_blocking = environment.run_blocking
+        self.post = post
+        self.keys = keys
+        self.poll_interval_s = poll_interval_s
+        self.wake_up = asyncio.Event()
+        self.failures: dict[str, str] = {}
+        self.last_statuses: dict[str, bytes] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
-        for line, message in messages:
-            if isinstance(line, FileLine) and self.ledger.order(message):
-                self.woken.set()
+        """Take those of the planner's updates that are for proxies served by files."""
+        for connection, update in messages:
+            if isinstance(connection, FileConnection) and self.state.apply_update(update):
+                self.wake_up.set()
 
     async def run(self) -> None:
-        """Begin a life above all former ones that can be seen, then write and read until cancelled."""
-        seen = await self.aside(self.former_lives)
-        life = self.ledger.begin(self.now(), seen)
+        """Begin an incarnation above all earlier ones that can be seen, then write and read until cancelled."""
+        earlier = await self.run_blocking(self.earlier_incarnations)
+        incarnation = self.state.start_incarnation(self.now(), earlier)
         logger.info(
-            "files: life {}.{}.{} of {}, {} former ones seen",
-            life.epoch,
-            life.started,
-            life.salt,
-            self.ledger.planner,
-            len(seen),
+            "file publisher started: planner={} incarnation={}.{}.{} count={}",
+            self.state.planner,
+            incarnation.epoch,
+            incarnation.started,
+            incarnation.salt,
+            len(earlier),
         )
-        looking = asyncio.create_task(self.read_answers())
+        polling = asyncio.create_task(self.poll_statuses())
         try:
             while True:
-                self.write()
+                self.start_writes()
                 try:
-                    await asyncio.wait_for(self.woken.wait(), self.pause())
+                    await asyncio.wait_for(self.wake_up.wait(), self.next_wait_s())
                 except TimeoutError:
                     continue
                 finally:
-                    self.woken.clear()
+                    self.wake_up.clear()
         finally:
-            looking.cancel()
+            polling.cancel()
 
-    def pause(self) -> float:
-        """s until there is something to write if nothing else happens."""
-        due = self.pusher.next_at(self.now())
-        return self.look if due is None else min(self.look, max(0.0, (due - self.now()) / 1000.0))
+    def next_wait_s(self) -> float:
+        """Seconds until there is something to write if nothing else happens."""
+        next_event_at = self.scheduler.next_event_at()
+        if next_event_at is None:
+            return self.poll_interval_s
+        return min(self.poll_interval_s, max(0.0, (next_event_at - self.now()) / 1000.0))
 
-    def write(self) -> None:
-        """Offer the files that are due, and begin the attempts that may go."""
+    def start_writes(self) -> None:
+        """Submit the files that are due, and start the attempts that the scheduler allows."""
         now = self.now()
-        for orders in self.ledger.due(now):
-            target = target_name(orders.planner, orders.zone, orders.proxy)
-            if not self.pusher.offer(target, encode(orders, self.keys), orders.sequence, now):
-                logger.error("files: too many targets, {} left out", target)
-        for attempt in self.pusher.attempts(now):
-            task = asyncio.create_task(self.attempt(attempt))
+        for update in self.state.due_updates(now):
+            target = target_path(update.planner, update.zone, update.proxy)
+            if not self.scheduler.submit(target, encode(update, self.keys), update.sequence, now):
+                logger.error("table file dropped: file={} reason=too many targets", target)
+        for attempt in self.scheduler.start_attempts(now):
+            task = asyncio.create_task(self.write(attempt))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def attempt(self, attempt: Attempt) -> None:
+    async def write(self, attempt: WriteAttempt) -> None:
+        """Make one attempt, and tell the scheduler how it ended."""
         folder, _, name = attempt.target.rpartition("/")
+        failure: ReplaceError | None = None
         try:
-            failed = await self.aside(swap, self.disk, join(self.folders.out, folder), name, attempt.data)
-        except Exception as error:  # of the disk's own making: it too is a failure of this attempt alone
-            failed = SwapFailed("swap", repr(error))
-        self.pusher.ended(attempt, failed is None, self.now())
-        self.tell(attempt.target, failed)
-        self.woken.set()
-
-    def tell(self, target: str, failed: SwapFailed | None) -> None:
-        """A failure is said once, and its end."""
-        if failed is None:
-            if self.failing.pop(target, None) is not None:
-                logger.info("files: {} can be written again", target)
-        elif self.failing.get(target) != failed.reason:
-            self.failing[target] = failed.reason
-            logger.warning("files: {} not written, at {}: {}", target, failed.step, failed.reason)
-
-    def former_lives(self) -> list[Incarnation]:
-        """Of this planner's own name: in the files it left, and in its readers' answers."""
-        seen: list[Incarnation] = []
-        out = [join(self.folders.out, name) for name in names_of(self.disk, self.folders.out)]
-        for folder in (self.folders.answers, *out):
-            for name in names_of(self.disk, folder):
-                data = read_file(self.disk, folder, name)
-                found = decode(data, self.keys) if isinstance(data, bytes) else data
-                if (
-                    isinstance(found, Orders | Answer)
-                    and found.planner == self.ledger.planner
-                    and (found.incarnation is not None)
-                ):
-                    seen.append(found.incarnation)
-        return seen
-
-    async def read_answers(self) -> None:
+            await self.run_blocking(replace_file, self.disk, join(self.folders.tables, folder), name, attempt.data)
+        except ReplaceError as error:
+            failure = error
+        except Exception as error:  # a fault of the disk's own: it too is a failure of this attempt alone
+            failure = ReplaceError(ReplaceStep.UNKNOWN, repr(error))
+        self.scheduler.finish(attempt, failure is None, self.now())
+        self.log_result(attempt.target, failure)
+        self.wake_up.set()
+
+    def log_result(self, target: str, failure: ReplaceError | None) -> None:
+        """Log a failure once, and its end."""
+        if failure is None:
+            if self.failures.pop(target, None) is not None:
+                logger.info("table file write recovered: file={}", target)
+        elif self.failures.get(target) != failure.reason:
+            self.failures[target] = failure.reason
+            logger.warning("table file write failed: file={} stage={} reason={}", target, failure.step, failure.reason)
+
+    def earlier_incarnations(self) -> list[Incarnation]:
+        """Of this planner's name, from the table files it left and from its readers' status files. Blocks."""
+        table_folders = [join(self.folders.tables, name) for name in list_names(self.disk, self.folders.tables)]
+        found: list[Incarnation] = []
+        for folder in (self.folders.statuses, *table_folders):
+            for name in list_names(self.disk, folder):
+                incarnation = self._incarnation_in(folder, name)
+                if incarnation is not None:
+                    found.append(incarnation)
+        return found
+
+    def _incarnation_in(self, folder: str, name: str) -> Incarnation | None:
+        """The incarnation of this planner that a file names, if it is usable and names one."""
+        try:
+            document = decode(read_file(self.disk, folder, name), self.keys)
+        except FileRejectedError:
+            return None
+        if document.planner != self.state.planner:
+            return None
+        return document.planner_incarnation if isinstance(document, ProxyStatus) else document.incarnation
+
+    async def poll_statuses(self) -> None:
+        """Read changed status files and expire silent proxies, until cancelled."""
         while True:
-            for name, data in await self.aside(self.new_answers):
-                self.take(name, data)
-            for item in self.ledger.silent(self.now()):
+            for file in await self.run_blocking(self.changed_statuses):
+                self.receive(file.name, file.data)
+            for item in self.state.expire_silent(self.now()):
                 self.post(item)
-            await asyncio.sleep(self.look)
+            await asyncio.sleep(self.poll_interval_s)
 
-    def new_answers(self) -> list[tuple[str, bytes]]:
-        """What has changed in the folder of answers, whatever events were missed: in a thread."""
-        found: list[tuple[str, bytes]] = []
-        names = [n for n in names_of(self.disk, self.folders.answers) if n.endswith(SUFFIX)][:ANSWERS_MOST]
+    def changed_statuses(self) -> list[_StatusFile]:
+        """The status files whose bytes differ from the last poll. Blocks."""
+        folder = self.folders.statuses
+        names = [name for name in list_names(self.disk, folder) if name.endswith(SUFFIX)][:MAX_STATUS_FILES]
+        changed: list[_StatusFile] = []
         for name in names:
-            data = read_file(self.disk, self.folders.answers, name)
-            if isinstance(data, bytes) and self.answers.get(name) != data:
-                self.answers[name] = data
-                found.append((name, data))
-        for gone in self.answers.keys() - set(names):
-            del self.answers[gone]
-        return found
-
-    def take(self, name: str, data: bytes) -> None:
-        found = decode(data, self.keys)
-        if not isinstance(found, Answer):
+            try:
+                data = read_file(self.disk, folder, name)
+            except FileRejectedError:
+                continue
+            if self.last_statuses.get(name) != data:
+                self.last_statuses[name] = data
+                changed.append(_StatusFile(name, data))
+        for removed in self.last_statuses.keys() - set(names):
+            del self.last_statuses[removed]
+        return changed
+
+    def receive(self, name: str, data: bytes) -> None:
+        """Post what a status file says, and acknowledge the files that it has applied."""
+        try:
+            status = _as_status(decode(data, self.keys))
+        except FileRejectedError as error:
             logger.warning(
-                "files: answer {} not taken: {}", name[:60], found if isinstance(found, Refusal) else "no answer"
+                "status file rejected: file={} stage={} reason={}", name[:60], error.stage.name.lower(), error.reason
             )
             return
-        for item in self.ledger.answer(found, self.now()):
+        for item in self.state.receive_status(status, self.now()):
             self.post(item)
-        if found.planner == self.ledger.planner:
-            for proxy in (None, found.proxy):
-                self.pusher.confirm(target_name(found.planner, found.zone, proxy), found.applied, self.now())
-        self.woken.set()
+        if status.planner == self.state.planner:
+            for proxy in (None, status.proxy):
+                target = target_path(status.planner, status.zone, proxy)
+                self.scheduler.confirm(target, status.applied_sequence)
+        self.wake_up.set()
 
 
-def names_of(disk: Disk, folder: str) -> list[str]:
-    try:
-        return disk.names(folder)
-    except OSError:
-        return []  # it is not there yet, or gone: nothing to read
+def _as_status(document: Document) -> ProxyStatus:
+    if not isinstance(document, ProxyStatus):
+        raise FileRejectedError(Stage.CONTENT, "no answer")
+    return document
 
 
-def target_name(planner: str, zone: str, proxy: int | None) -> str:
-    """The folder and name of a file below the folder of all: for a zone, or for one forwarder."""
-    place = f"zone-{zone}" if proxy is None else f"proxy-{proxy}"
-    return f"{place}/orders-{planner}{SUFFIX}"
+def target_path(planner: str, zone: str, proxy: int | None) -> str:
+    """Folder and name of a target's file below the folder of tables."""
+    folder = f"zone-{zone}" if proxy is None else f"proxy-{proxy}"
+    return f"{folder}/orders-{planner}{SUFFIX}"
--- a/stackwheel/files/reader.py
+++ b/stackwheel/files/reader.py
@@ -1,216 +1,320 @@
-"""A forwarder's actor for files: looks at its folders, takes what may be taken, keeps its memory, answers.
+"""A proxy's actor for table files: polls its folders, applies what may be applied, saves its memory, writes its status.
 
-What counts is the folders' state: a missed event costs a poll at most. Nothing takes effect before the memory that
-forbids its repetition is kept; where it can't be kept, tables are used and orders for bookings are not.
+Only the state of the folders counts: a missed event costs one poll at most. Nothing takes effect before the memory that
+forbids its repetition is saved; where it can't be saved, tables are used and reservations are not.
 """
 
 from __future__ import annotations
 
-import asyncio
 import hashlib
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 from loguru import logger
 
-from stackwheel.files.accept import Accepted, Acceptor, Held, Known, Memory, target
-from stackwheel.files.codec import NO_KEYS, KeyRing, Refusal, Stage, decode, encode
-from stackwheel.files.disk import SUFFIX, Disk, SwapFailed, read_file, swap
-from stackwheel.files.memory import keep, recall
-from stackwheel.files.publisher import Aside, names_of
-from stackwheel.files.records import Answer, Booking, Came, Incarnation, Met, Orders
+from stackwheel.files.acceptor import Acceptance, Acceptor, CurrentTables, ReaderMemory, target_key
+from stackwheel.files.atomic_replace import replace_file
+from stackwheel.files.codec import NO_KEYS, KeyRing, decode, encode
+from stackwheel.files.disk import SUFFIX, list_names, read_file
+from stackwheel.files.environment import FileEnvironment
+from stackwheel.files.errors import FileRejectedError, ReplaceError, Stage
+from stackwheel.files.memory import load_memory, save_memory
+from stackwheel.files.records import (
+    ClassDemand,
+    Incarnation,
+    ProxyStatus,
+    Reservation,
+    ServerObservation,
+    TableUpdate,
+)
 
-SEEN_MOST = 4096  # files of a folder whose last bytes are remembered
+MAX_DIGESTS = 4096  # files whose bytes are remembered; a reader has a few dozen
+DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Whose reader this is, and where it reads, answers and remembers."""
+class ReaderConfig:
+    """Whose reader this is, and where its files are.
+
+    Attributes:
+        zone: name of the proxy's zone.
+        proxy: its number.
+        folders: to be polled: the zone's, then the proxy's own.
+        status_folder: where its status goes.
+        state_folder: where its memory is.
+    """
 
     zone: str
     proxy: int
-    folders: Sequence[str]  # its zone's, then its own
-    answers: str
-    state: str
+    folders: Sequence[str]
+    status_folder: str
+    state_folder: str
+
+
+@dataclass(frozen=True, slots=True)
+class FileApplied:
+    """A file is in force, and these reservations take effect now."""
+
+    name: str
+    current: CurrentTables
+    reservations: tuple[Reservation, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """A file took effect."""
+class FileRejected:
+    """A file was not applied."""
 
     name: str
-    held: Held
-    bookings: tuple[Booking, ...]
+    stage: Stage
+    reason: str
+
+
+ReadOutcome = FileApplied | FileRejected
 
 
 @dataclass(frozen=True, slots=True)
-class NotTaken:
+class StatusReport:
+    """What a proxy has to say in its next status, besides what it has applied.
+
+    Attributes:
+        expected_rate: requests a second, roughly.
+        window: ms that the reports cover; 0 where there are none.
+        demand: by request class.
+        observations: by server.
+        newly_started: the proxy holds only its standing tables.
+    """
+
+    expected_rate: float = 0.0
+    window: float = 0.0
+    demand: Iterable[ClassDemand] = ()
+    observations: Iterable[ServerObservation] = ()
+    newly_started: bool = False
+
+
+class _FileId(NamedTuple):
+    folder: str
     name: str
-    refusal: Refusal
 
 
-News = Taken | NotTaken
+@dataclass(frozen=True, slots=True)
+class _ChangedFile:
+    name: str
+    data: bytes
 
 
-class Reader:
+@dataclass(frozen=True, slots=True)
+class _DecodedUpdate:
+    name: str
+    update: TableUpdate
+
+
+class FileReader:
+    """Reads for one proxy.
+
+    Attributes:
+        acceptor: set once the reader has started.
+        digests: of the bytes as last read.
+        newest: the newest tables applied, which the status acknowledges.
+        apply_delay: ms from their making to their use.
+        sequence: of the newest status.
+        incarnation: of this process.
+        memory_saved: whether the memory could be saved the last time.
+    """
+
     def __init__(
         self,
-        place: Place,
-        disk: Disk,
-        now: Callable[[], float],
+        config: ReaderConfig,
+        environment: FileEnvironment,
         keys: Callable[[], KeyRing] = lambda: NO_KEYS,
-        aside: Aside = asyncio.to_thread,
         salt: int = 0,
     ) -> None:
-        self.place, self.disk, self.now, self.keys, self.aside = place, disk, now, keys, aside
+        self.config = config
+        self.disk = environment.disk
+        self.now = environment.now
+        self.run_blocking = environment.run_blocking
+        self.keys = keys
         self.salt = salt
         self.acceptor: Acceptor | None = None
-        self.seen: dict[tuple[str, str], bytes] = {}  # folder and name: digest of the bytes as last looked at
-        self.newest: Held | None = None  # what an answer speaks of
-        self.took = 0.0
+        self.digests: dict[_FileId, bytes] = {}
+        self.newest: CurrentTables | None = None
+        self.apply_delay = 0.0
         self.sequence = 0
-        self.life = Incarnation()
-        self.kept = True  # the memory could be written last time
+        self.incarnation = Incarnation()
+        self.memory_saved = True
 
-    async def start(self) -> Memory:
-        """Recall what must not be forgotten."""
+    async def start(self) -> ReaderMemory:
+        """Load the memory, or begin one that takes no reservation made before now."""
         now = self.now()
-        found: tuple[Memory, Refusal | None] = await self.aside(recall, self.disk, self.place.state, now)
-        memory, refusal = found
-        if refusal is not None:
-            logger.warning("files: memory not used: {}; orders for bookings made before are not applied", refusal)
-        self.acceptor = Acceptor(self.place.zone, self.place.proxy, memory)
-        self.life = Incarnation(0, int(now), self.salt)
+        memory: ReaderMemory | None = None
+        try:
+            memory = await self.run_blocking(load_memory, self.disk, self.config.state_folder)
+        except FileRejectedError as error:
+            logger.warning(
+                "reader memory unusable, earlier reservations are ignored: stage={} reason={}",
+                error.stage.name.lower(),
+                error.reason,
+            )
+        if memory is None:
+            memory = ReaderMemory(valid_since=now)
+        self.acceptor = Acceptor(self.config.zone, self.config.proxy, memory)
+        self.incarnation = Incarnation(0, int(now), self.salt)
         return memory
 
-    async def look(self) -> list[News]:
-        """All that has changed in the folders, in the order that lets a change find its whole file."""
-        found: list[tuple[str, Orders]] = []
-        news: list[News] = []
-        for name, data in await self.aside(self.changed):
-            document = decode(data, self.keys())
-            if isinstance(document, Orders):
-                found.append((name, document))
-            else:
-                news.append(
-                    NotTaken(
-                        name, document if isinstance(document, Refusal) else Refusal(Stage.CONTENT, "no file of orders")
-                    )
-                )
-        for name, orders in sorted(found, key=lambda one: (one[1].mark, one[1].base is not None)):
-            if (one := await self.offer(name, orders)) is not None:
-                news.append(one)
-        return news
-
-    def changed(self) -> list[tuple[str, bytes]]:
-        """Files whose bytes are others than at the last look: in a thread."""
-        found: list[tuple[str, bytes]] = []
-        for folder in self.place.folders:
-            for name in names_of(self.disk, folder):
+    async def poll(self) -> list[ReadOutcome]:
+        """Process all files that have changed, each complete update before the deltas on it."""
+        updates: list[_DecodedUpdate] = []
+        outcomes: list[ReadOutcome] = []
+        for file in await self.run_blocking(self.changed_files):
+            try:
+                updates.append(_DecodedUpdate(file.name, self._decode(file.data)))
+            except FileRejectedError as error:
+                outcomes.append(FileRejected(file.name, error.stage, error.reason))
+        for decoded in sorted(updates, key=lambda one: (one.update.version, not one.update.complete)):
+            outcome = await self.process(decoded.name, decoded.update)
+            if outcome is not None:
+                outcomes.append(outcome)
+        return outcomes
+
+    def _decode(self, data: bytes) -> TableUpdate:
+        document = decode(data, self.keys())
+        if not isinstance(document, TableUpdate):
+            raise FileRejectedError(Stage.CONTENT, "no file of orders")
+        return document
+
+    def changed_files(self) -> list[_ChangedFile]:
+        """The files whose bytes differ from the last poll. Blocks."""
+        changed: list[_ChangedFile] = []
+        for folder in self.config.folders:
+            for name in list_names(self.disk, folder):
                 if not name.endswith(SUFFIX):
                     continue
-                data = read_file(self.disk, folder, name)
-                if isinstance(data, Refusal):
-                    data = b"\x00" + str(data).encode()  # told as what can't be used, once
-                mark = hashlib.blake2b(data, digest_size=16).digest()
-                if self.seen.get((folder, name)) != mark:
-                    self.seen[folder, name] = mark
-                    found.append((name, data))
-        for key in list(self.seen)[: max(0, len(self.seen) - SEEN_MOST)]:
-            del self.seen[key]
-        return found
-
-    async def offer(self, name: str, orders: Orders) -> News | None:
-        """Take a file, or not; None where it is the one applied already."""
+                data = self._read(folder, name)
+                file_id = _FileId(folder, name)
+                digest = hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
+                if self.digests.get(file_id) != digest:
+                    self.digests[file_id] = digest
+                    changed.append(_ChangedFile(name, data))
+        excess = max(0, len(self.digests) - MAX_DIGESTS)
+        for file_id in list(self.digests)[:excess]:
+            del self.digests[file_id]
+        return changed
+
+    def _read(self, folder: str, name: str) -> bytes:
+        """The bytes of a file; of one that can't be read, bytes that are rejected once for each reason."""
+        try:
+            return read_file(self.disk, folder, name)
+        except FileRejectedError as error:
+            return b"\x00" + str(error).encode()
+
+    async def process(self, name: str, update: TableUpdate) -> ReadOutcome | None:
+        """Apply an update or reject it; None where it is the one applied already."""
         assert self.acceptor is not None
         now = self.now()
-        found = self.acceptor.offer(orders, now)
-        if isinstance(found, Known):
+        try:
+            acceptance = self.acceptor.validate(update, now)
+        except FileRejectedError as error:
+            return FileRejected(name, error.stage, error.reason)
+        if acceptance is None:
             return None
-        if isinstance(found, Refusal):
-            return NotTaken(name, found)
-        return await self.apply(name, found, now)
+        return await self._apply(name, acceptance, now)
 
-    async def apply(self, name: str, accepted: Accepted, now: float) -> News:
-        """Memory first, then effect."""
+    async def _apply(self, name: str, acceptance: Acceptance, now: float) -> ReadOutcome:
+        """Save the memory, then let the update take effect."""
+        saved = await self._record(acceptance, now)
+        current = acceptance.current
+        update = current.update
+        if self.expired(update):  # the disk took longer than the file may be used
+            return FileRejected(name, Stage.AGE, "its time was over once the memory was kept")
+        if self.newest is None or update.created_at >= self.newest.update.created_at:
+            self.newest = current
+            self.apply_delay = max(0.0, self.now() - update.created_at)
+        return FileApplied(name, current, acceptance.reservations if saved else ())
+
+    async def _record(self, acceptance: Acceptance, now: float) -> bool:
+        """Count an update as applied; whether the memory that says so could be saved."""
         assert self.acceptor is not None
-        before = self.acceptor.memory
-        memory = self.acceptor.commit(accepted, now)
-        failed = await self.aside(keep, self.disk, self.place.state, memory)
-        bookings = accepted.bookings
-        if failed is not None:
-            bookings = ()  # they come again with the next file, and are taken once the memory can be kept
-            self.acceptor.memory = Memory(1, memory.since, memory.marks, before.bookings)
-        if self.kept != (failed is None):
-            self.kept = failed is None
-            self.say_kept(failed)
-        held = accepted.held
-        if self.over(held.orders):  # the disk took longer than the file may be used
-            return NotTaken(name, Refusal(Stage.AGE, "its time was over once the memory was kept"))
-        if self.newest is None or held.orders.made >= self.newest.orders.made:
-            self.newest, self.took = held, max(0.0, self.now() - held.orders.made)
-        return Taken(name, held, bookings)
-
-    def over(self, orders: Orders) -> bool:
-        return orders.until <= self.now()
-
-    @staticmethod
-    def say_kept(failed: SwapFailed | None) -> None:
-        if failed is None:
-            logger.info("files: the memory can be kept again")
-        else:
-            logger.warning("files: memory not kept, at {}: {}; orders for bookings wait", failed.step, failed.reason)
-
-    def forget_lapsed(self, keep_for: float) -> list[str]:
+        former = self.acceptor.memory
+        memory = self.acceptor.record_applied(acceptance, now)
+        failure: ReplaceError | None = None
+        try:
+            await self.run_blocking(save_memory, self.disk, self.config.state_folder, memory)
+        except ReplaceError as error:
+            failure = error
+            # The reservations come again with the next file, and take effect once the memory can be saved.
+            self.acceptor.memory = ReaderMemory(1, memory.valid_since, memory.applied, former.reservations)
+        if self.memory_saved != (failure is None):
+            self.memory_saved = failure is None
+            _log_memory_state(failure)
+        return failure is None
+
+    def expired(self, update: TableUpdate) -> bool:
+        """Whether an update may no longer be used."""
+        return update.expires_at <= self.now()
+
+    def forget_expired(self, grace: float) -> list[str]:
+        """Forget tables that expired `grace` ms ago; the keys of these. No actor calls this yet."""
         assert self.acceptor is not None
-        return self.acceptor.lapse(self.now(), keep_for)
+        return self.acceptor.forget_expired(self.now(), grace)
+
+    async def write_status(self, report: StatusReport) -> None:
+        """Acknowledge what is applied and report what was measured, in this proxy's own file.
 
-    async def answer(
-        self, rate: float, over: float, came: Iterable[Came], met: Iterable[Met], fresh: bool
-    ) -> SwapFailed | None:
-        """Say what is applied, what came and what was met, in this forwarder's own file."""
+        Raises:
+            ReplaceError: the file could not be written.
+        """
         self.sequence += 1
-        orders = self.newest.orders if self.newest is not None else None
-        document = Answer(
-            self.place.proxy,
-            self.place.zone,
-            self.life,
-            self.sequence,
-            self.now(),
-            orders.planner if orders else None,
-            orders.incarnation if orders else None,
-            orders.sequence if orders else 0,
-            self.took,
-            fresh,
-            rate,
-            over,
-            tuple(came),
-            tuple(met),
+        update = self.newest.update if self.newest is not None else None
+        status = ProxyStatus(
+            proxy=self.config.proxy,
+            zone=self.config.zone,
+            proxy_incarnation=self.incarnation,
+            sequence=self.sequence,
+            created_at=self.now(),
+            planner=update.planner if update else None,
+            planner_incarnation=update.incarnation if update else None,
+            applied_sequence=update.sequence if update else 0,
+            apply_delay=self.apply_delay,
+            newly_started=report.newly_started,
+            expected_rate=report.expected_rate,
+            window=report.window,
+            demand=tuple(report.demand),
+            observations=tuple(report.observations),
+        )
+        name = f"answer-{self.config.proxy}{SUFFIX}"
+        data = encode(status, self.keys())
+        await self.run_blocking(replace_file, self.disk, self.config.status_folder, name, data)
+
+
+def _log_memory_state(failure: ReplaceError | None) -> None:
+    if failure is None:
+        logger.info("reader memory write recovered")
+    else:
+        logger.warning(
+            "reader memory write failed, reservations wait: stage={} reason={}", failure.step, failure.reason
         )
-        name = f"answer-{self.place.proxy}{SUFFIX}"
-        failed = await self.aside(swap, self.disk, self.place.answers, name, encode(document, self.keys()))
-        return failed  # type: ignore[no-any-return]
 
 
-def described(news: News) -> dict[str, object]:
-    """News as an object for `--json`, and for people behind `follow`."""
-    if isinstance(news, NotTaken):
+def outcome_document(outcome: ReadOutcome) -> dict[str, object]:
+    """An outcome as the JSON object that `files follow --json` prints."""
+    if isinstance(outcome, FileRejected):
         return {
-            "file": news.name,
+            "file": outcome.name,
             "taken": False,
-            "stage": news.refusal.stage.name.lower(),
-            "reason": news.refusal.reason,
+            "stage": outcome.stage.name.lower(),
+            "reason": outcome.reason,
         }
-    orders = news.held.orders
+    update = outcome.current.update
+    tables = outcome.current.content.tables
     return {
-        "file": news.name,
+        "file": outcome.name,
         "taken": True,
-        "target": target(orders),
-        "sequence": orders.sequence,
-        "whole": orders.whole,
-        "lines": {r: len(lines) for r, lines in news.held.content.tables.items()},
-        "withdrawn": list(orders.withdrawn),
-        "bookings": [b.id for b in news.bookings],
-        "incarnation": msgspec.to_builtins(orders.incarnation),
+        "target": target_key(update),
+        "sequence": update.sequence,
+        "whole": update.complete,
+        "lines": {request_class: len(lines) for request_class, lines in tables.items()},
+        "withdrawn": list(update.ejected),
+        "bookings": [reservation.id for reservation in outcome.reservations],
+        "incarnation": msgspec.to_builtins(update.incarnation),
     }
--- a/stackwheel/files/records.py
+++ b/stackwheel/files/records.py
@@ -1,119 +1,249 @@
-"""What a file says, as typed records. Times are Unix ms, spans ms; `docs/files.md` is the format."""
+"""The documents of table files as typed records; `docs/files.md` is the format.
+
+Fields have the names that the code uses; `rename` maps them to the names in the files, which never change. Points in
+time are Unix ms, durations ms.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta, Struct
 
-VERSION = 1
-Time = Annotated[float, Meta(ge=0, le=1e14)]
-Number = Annotated[int, Meta(ge=0, le=(1 << 53) - 1)]  # exact in any JSON reader
-Word = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[^\x00-\x20\x7f/]+$")]
-Weight = Annotated[float, Meta(ge=0, le=1e12)]
-LINES_MOST, TABLES_MOST, ORDERS_MOST, REPORTS_MOST = 10_000, 64, 1_000, 100_000
+VERSION = 1  # of the format
+MAX_TABLES = 64  # of a document: request classes
+MAX_LINES = 10_000  # of a weight table, and ejected servers of a document
+MAX_RESERVATIONS = 1_000  # of a document
+MAX_OBSERVATIONS = 100_000  # of a document: servers that one proxy reports on
+
+UnixMs = Annotated[float, Meta(ge=0, le=1e14)]
+Count = Annotated[int, Meta(ge=0, le=(1 << 53) - 1)]  # exact in any JSON reader
+SequenceNumber = Annotated[int, Meta(ge=1, le=(1 << 53) - 1)]
+Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[^\x00-\x20\x7f/]+$")]
+Quantity = Annotated[float, Meta(ge=0, le=1e12)]
+ProxyNumber = Annotated[int, Meta(ge=0, le=65535)]
 
 
 class Incarnation(Struct, frozen=True, order=True, forbid_unknown_fields=True):
-    """One life of a planner. Lives order by epoch, then start, then by chance: what is greater is later.
+    """One run of a planner or proxy process under its name; of two, the greater one is the later.
 
-    `epoch` comes from a fence the operators keep, where there is one; without it lives order by the clock.
+    Attributes:
+        epoch: a fencing token that the operators hand out, where there is one; without it the clock decides.
+        started: when the process started.
+        salt: a random number that tells apart starts within one millisecond.
     """
 
-    epoch: Number = 0
-    started: Number = 0
-    salt: Number = 0
+    epoch: Count = 0
+    started: Count = 0
+    salt: Count = 0
 
 
-class Level(Struct, frozen=True, forbid_unknown_fields=True):
-    """What is let in of a class, and how it is tried again (0 to 3, as on the stream)."""
+class FileVersion(NamedTuple):
+    """Orders the files of one planner: a greater version is newer."""
 
-    admit: Weight
-    policy: Annotated[int, Meta(ge=0, le=3)]
+    incarnation: Incarnation
+    sequence: int
 
 
-class Table(Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """The lines of one class. In a change file a weight of 0 takes a line out, others are set."""
+class TableLevel(Struct, frozen=True, forbid_unknown_fields=True, rename={"admitted": "admit", "retry": "policy"}):
+    """The admission level of a request class.
+
+    Attributes:
+        admitted: share of requests, or requests per second and proxy, that a proxy admits.
+        retry: the retry mode, 0 to 3 as in updates by stream.
+    """
 
-    route: Word
-    lines: Annotated[dict[Word, Weight], Meta(max_length=LINES_MOST)] = {}
-    level: Level | None = None
-    whole: bool = False  # in a change file: these lines are all there are
+    admitted: Quantity
+    retry: Annotated[int, Meta(ge=0, le=3)]
 
 
-class Booking(Struct, frozen=True, forbid_unknown_fields=True):
-    """An order that must take effect once, whatever brings it: leave to send so many requests of a class, beyond its
-    level, until a time. `id` is its own on every way it takes."""
+class WeightTable(
+    Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    omit_defaults=True,
+    rename={"request_class": "route", "complete": "whole"},
+):
+    """The weight table of one request class.
 
-    id: Word
-    route: Word
-    grant: Annotated[int, Meta(ge=1, le=1_000_000)]
-    until: Time
-    made: Time = 0.0  # when it was first ordered, however often it comes
+    Attributes:
+        request_class: name of the class.
+        lines: weight by server. In a delta, weight 0 removes a line and the others are set.
+        level: admission level; None in a delta where it is unchanged.
+        complete: in a delta: `lines` replace the table instead of changing it.
+    """
 
+    request_class: Name
+    lines: Annotated[dict[Name, Quantity], Meta(max_length=MAX_LINES)] = {}
+    level: TableLevel | None = None
+    complete: bool = False
+
+
+class Reservation(
+    Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"request_class": "route", "requests": "grant", "expires_at": "until", "created_at": "made"},
+):
+    """Leave to send a number of requests beyond the admission level. It takes effect at most once at each proxy.
+
+    Attributes:
+        id: idempotency key, the same in every file that carries the reservation.
+        request_class: name of the class.
+        requests: how many requests.
+        expires_at: it is void from then on.
+        created_at: when it was first made, however often it is sent.
+    """
 
-class Orders(Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True, tag_field="kind", tag="orders"):
-    """What a planner orders the forwarders of a zone, or one of them."""
+    id: Name
+    request_class: Name
+    requests: Annotated[int, Meta(ge=1, le=1_000_000)]
+    expires_at: UnixMs
+    created_at: UnixMs = 0.0
+
+
+class TableUpdate(
+    Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    omit_defaults=True,
+    tag_field="kind",
+    tag="orders",
+    rename={
+        "created_at": "made",
+        "expires_at": "until",
+        "base_sequence": "base",
+        "ejected": "withdrawn",
+        "reservations": "bookings",
+    },
+):
+    """What a planner publishes for the proxies of a zone, or for one of them.
+
+    Attributes:
+        planner: name of the planner.
+        incarnation: of the planner.
+        sequence: number of the file within the incarnation, whatever its target.
+        created_at: when it was made.
+        expires_at: it may be used until then.
+        zone: the zone whose proxies it is for.
+        proxy: the only proxy that it is for, or None.
+        base_sequence: of a delta: the number of the complete update that it builds on.
+        tables: one for each class; in a delta, only those that changed.
+        ejected: all servers that must not be used.
+        reservations: all that have not expired.
+    """
 
-    planner: Word
+    planner: Name
     incarnation: Incarnation
-    sequence: Annotated[int, Meta(ge=1, le=(1 << 53) - 1)]
-    made: Time
-    until: Time  # it may be used so long
-    zone: Word
-    proxy: Annotated[int, Meta(ge=0, le=65535)] | None = None  # for this one alone
-    base: Number | None = None  # a change file: the sequence of the whole one it builds on
-    tables: Annotated[tuple[Table, ...], Meta(max_length=TABLES_MOST)] = ()
-    withdrawn: Annotated[tuple[Word, ...], Meta(max_length=LINES_MOST)] = ()  # all that are shut out
-    bookings: Annotated[tuple[Booking, ...], Meta(max_length=ORDERS_MOST)] = ()
+    sequence: SequenceNumber
+    created_at: UnixMs
+    expires_at: UnixMs
+    zone: Name
+    proxy: ProxyNumber | None = None
+    base_sequence: Count | None = None
+    tables: Annotated[tuple[WeightTable, ...], Meta(max_length=MAX_TABLES)] = ()
+    ejected: Annotated[tuple[Name, ...], Meta(max_length=MAX_LINES)] = ()
+    reservations: Annotated[tuple[Reservation, ...], Meta(max_length=MAX_RESERVATIONS)] = ()
 
     @property
-    def whole(self) -> bool:
-        return self.base is None
+    def complete(self) -> bool:
+        """Whether it stands alone, without a base."""
+        return self.base_sequence is None
 
     @property
-    def mark(self) -> tuple[Incarnation, int]:
-        return self.incarnation, self.sequence
-
-
-class Met(Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What a forwarder met at a server within a span."""
-
-    server: Word
-    tries: Number
-    failures: Number = 0
-    mean: Time = 0.0
-    load: dict[Word, Weight] = {}
-
-
-class Came(Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests of a class that came to a forwarder within a span."""
-
-    route: Word
-    requests: Number
-    unanswered: Number = 0
-
-
-class Answer(Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True, tag_field="kind", tag="answer"):
-    """What a forwarder says by a file of its own: what it has applied, what came and what it met."""
-
-    proxy: Annotated[int, Meta(ge=0, le=65535)]
-    zone: Word
-    life: Incarnation  # of the forwarder
-    sequence: Annotated[int, Meta(ge=1, le=(1 << 53) - 1)]
-    made: Time
-    planner: Word | None = None  # whose orders it holds
-    incarnation: Incarnation | None = None
-    applied: Number = 0  # their sequence
-    took: Time = 0.0  # from the making of the file to its use
-    fresh: bool = True  # it holds only its standing table
-    rate: Weight = 0.0  # requests a second, roughly
-    over: Annotated[float, Meta(ge=0, le=86_400_000)] = 0.0
-    came: Annotated[tuple[Came, ...], Meta(max_length=TABLES_MOST)] = ()
-    met: Annotated[tuple[Met, ...], Meta(max_length=REPORTS_MOST)] = ()
+    def version(self) -> FileVersion:
+        """Its place among the files of its planner."""
+        return FileVersion(self.incarnation, self.sequence)
+
+
+class ServerObservation(
+    Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    omit_defaults=True,
+    rename={"attempts": "tries", "mean_latency": "mean"},
+):
+    """What a proxy measured at a server within a report's window.
+
+    Attributes:
+        server: its name.
+        attempts: that ended within the window.
+        failures: how many of these failed.
+        mean_latency: ms, of the successful ones.
+        load: the server's own figures by load column.
+    """
 
+    server: Name
+    attempts: Count
+    failures: Count = 0
+    mean_latency: UnixMs = 0.0
+    load: dict[Name, Quantity] = {}
+
+
+class ClassDemand(Struct, frozen=True, forbid_unknown_fields=True, rename={"request_class": "route"}):
+    """Requests of a class that reached a proxy within a report's window."""
+
+    request_class: Name
+    requests: Count
+    unanswered: Count = 0
+
+
+class ProxyStatus(
+    Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    omit_defaults=True,
+    tag_field="kind",
+    tag="answer",
+    rename={
+        "proxy_incarnation": "life",
+        "created_at": "made",
+        "planner_incarnation": "incarnation",
+        "applied_sequence": "applied",
+        "apply_delay": "took",
+        "newly_started": "fresh",
+        "expected_rate": "rate",
+        "window": "over",
+        "demand": "came",
+        "observations": "met",
+    },
+):
+    """What a proxy publishes for its planner: the update that it has applied, and its reports.
+
+    Attributes:
+        proxy: number of the proxy.
+        zone: its zone.
+        proxy_incarnation: of the proxy.
+        sequence: number of the status within that incarnation.
+        created_at: when it was made.
+        planner: whose update is applied, or None.
+        planner_incarnation: of that update.
+        applied_sequence: of that update; it acknowledges all earlier ones of the incarnation.
+        apply_delay: ms from the making of that update to its use.
+        newly_started: the proxy holds only its standing tables.
+        expected_rate: requests a second, roughly.
+        window: ms that the reports cover; 0 where there are none.
+        demand: by request class.
+        observations: by server.
+    """
 
-Document = Orders | Answer
+    proxy: ProxyNumber
+    zone: Name
+    proxy_incarnation: Incarnation
+    sequence: SequenceNumber
+    created_at: UnixMs
+    planner: Name | None = None
+    planner_incarnation: Incarnation | None = None
+    applied_sequence: Count = 0
+    apply_delay: UnixMs = 0.0
+    newly_started: bool = True
+    expected_rate: Quantity = 0.0
+    window: Annotated[float, Meta(ge=0, le=86_400_000)] = 0.0  # at most a day
+    demand: Annotated[tuple[ClassDemand, ...], Meta(max_length=MAX_TABLES)] = ()
+    observations: Annotated[tuple[ServerObservation, ...], Meta(max_length=MAX_OBSERVATIONS)] = ()
+
+
+Document = TableUpdate | ProxyStatus
 ENCODER = msgspec.json.Encoder(order="deterministic")
 DECODER = msgspec.json.Decoder(Document)
--- a/stackwheel/service/file_transport.py
+++ b/stackwheel/service/file_transport.py
@@ -9,10 +9,13 @@
 from stackwheel.config_language.schema import Files
 from stackwheel.files.codec import NO_KEYS
 from stackwheel.files.disk import SystemDisk
-from stackwheel.files.keys import KeyFileError, load_keys
-from stackwheel.files.ledger import Ledger, Terms
+from stackwheel.files.environment import FileEnvironment
+from stackwheel.files.errors import KeyFileError
+from stackwheel.files.file_builder import PublisherSettings
+from stackwheel.files.key_file import load_keys
 from stackwheel.files.publisher import FilePublisher, Folders
-from stackwheel.files.push import Pace, Pusher
+from stackwheel.files.publisher_state import PublisherState
+from stackwheel.files.push_scheduler import PushLimits, PushScheduler
 from stackwheel.service.ports import PlannerContext, ProxyTransport
 
 
@@ -24,29 +27,29 @@
     """ExtrasError where the file, or one that it names, can't be used."""
     try:
         found = load(Path(path)).records
-        return [file_desk(context, found.files)] if found.files.on else []
+        return [file_publisher(context, found.files)] if found.files.on else []
     except (OperatorsError, KeyFileError) as error:
         raise ExtrasError(str(error)) from None
 
 
-def file_desk(context: PlannerContext, files: Files) -> FilePublisher:
+def file_publisher(context: PlannerContext, files: Files) -> FilePublisher:
     config = context.config
     keys = load_keys(Path(files.keys)) if files.keys else NO_KEYS
-    ledger = Ledger(
+    state = PublisherState(
         config.name,
         config.names,
         config.settings.proxy_count,
-        Terms(files.life, files.whole_every, config.settings.report_interval),
+        PublisherSettings(files.life, files.whole_every, config.settings.report_interval),
         context.endpoints.server_ids.name,
         random.Random(config.seed).getrandbits(48),
     )
-    pusher = Pusher(Pace(files.pace.cap, files.pace.span, files.pace.least), config.seed, files.under_way)
+    limits = PushLimits(files.pace.cap, files.pace.span, files.pace.least)
+    scheduler = PushScheduler(limits, config.seed, files.under_way)
     return FilePublisher(
-        ledger,
-        pusher,
+        state,
+        scheduler,
         Folders(files.out, files.answers),
-        SystemDisk(),
-        context.clock.now,
+        FileEnvironment(SystemDisk(), context.clock.now),
         context.post,
         keys,
     )
--- a/stackwheel/trials/defects.py
+++ b/stackwheel/trials/defects.py
@@ -18,9 +18,9 @@
 from stackwheel import interface as face
 from stackwheel.balance import Outbox, Planner
 from stackwheel.files import codec, publisher
-from stackwheel.files.accept import Acceptor
-from stackwheel.files.disk import SwapFailed
-from stackwheel.files.reader import Reader
+from stackwheel.files.acceptor import Acceptor
+from stackwheel.files.errors import FileRejectedError, ReplaceError, ReplaceStep, Stage
+from stackwheel.files.reader import FileReader
 from stackwheel.interface import Availability, Retry
 from stackwheel.relay import cache
 from stackwheel.relay.contact import Contact
@@ -291,57 +291,58 @@
 
 
 def written_in_place() -> Sequence[Patch]:
-    def swap(disk: Any, folder: str, name: str, data: bytes) -> SwapFailed | None:
+    def replace_file(disk: Any, folder: str, name: str, data: bytes) -> None:
         try:
             handle = disk.create(f"{folder}/{name}")
             for at in range(0, len(data), 200):
                 disk.write(handle, data[at : at + 200])
             disk.close(handle)
         except OSError as error:
-            return SwapFailed("write", str(error))
-        return None
+            raise ReplaceError(ReplaceStep.WRITE, str(error)) from error
 
-    return [(publisher, "swap", swap)]
+    return [(publisher, "replace_file", replace_file)]
 
 
 def sequence_unchecked() -> Sequence[Patch]:
-    honest = Acceptor.offer
+    honest = Acceptor.validate
 
-    def offer(self: Acceptor, orders: Any, now: float) -> Any:
-        kept = self.memory.marks
-        self.memory.marks = {}
+    def validate(self: Acceptor, orders: Any, now: float) -> Any:
+        kept = self.memory.applied
+        self.memory.applied = {}
         try:
             return honest(self, orders, now)
         finally:
-            self.memory.marks = kept
+            self.memory.applied = kept
 
-    return [(Acceptor, "offer", offer)]
+    return [(Acceptor, "validate", validate)]
 
 
 def booking_forgotten() -> Sequence[Patch]:
-    honest = Acceptor.commit
+    honest = Acceptor.record_applied
 
-    def commit(self: Acceptor, accepted: Any, now: float) -> Any:
+    def record_applied(self: Acceptor, accepted: Any, now: float) -> Any:
         memory = honest(self, accepted, now)
-        memory.bookings = {}
+        memory.reservations = {}
         return memory
 
-    return [(Acceptor, "commit", commit)]
+    return [(Acceptor, "record_applied", record_applied)]
 
 
 def digest_unchecked() -> Sequence[Patch]:
     def unseal(data: bytes, keys: Any = None) -> Any:
         body = data.partition(b"\n")[2].partition(b"\nend ")[0]
-        return body or codec.Refusal(codec.Stage.TRAILER, "empty")
+        if not body:
+            raise FileRejectedError(Stage.TRAILER, "empty")
+        return body
 
     return [(codec, "unseal", unseal)]
 
 
 def age_ignored() -> Sequence[Patch]:
-    honest = Acceptor.offer
+    honest = Acceptor.validate
     return [
-        (Acceptor, "offer", lambda self, orders, now: honest(self, orders, min(now, orders.made))),
-        (Reader, "over", lambda self, orders: False),
+        (Acceptor, "validate", lambda self, update, now: honest(self, update, min(now, update.created_at))),
+        (FileReader, "expired", lambda self, update: False),
     ]
 
 
--- a/stackwheel/trials/disks.py
+++ b/stackwheel/trials/disks.py
@@ -5,7 +5,7 @@
 import errno
 from collections.abc import Callable
 
-from stackwheel.files.disk import PART
+from stackwheel.files.disk import PART_SUFFIX
 
 
 class TrialDisk:
@@ -28,7 +28,7 @@
 
     def create(self, path: str) -> int:
         self.fail()
-        if not path.endswith(PART):
+        if not path.endswith(PART_SUFFIX):
             self.in_place(path)
             self.files[path] = b""
         self.handles += 1
@@ -49,7 +49,7 @@
 
     def close(self, handle: int) -> None:
         path, held = self.open.pop(handle)
-        if not path.endswith(PART):
+        if not path.endswith(PART_SUFFIX):
             self.renamed(path, bytes(held))
         else:
             self.files[path] = bytes(held)
@@ -73,8 +73,8 @@
         inside = [name[len(start) :] for name in self.files if name.startswith(start)]
         return sorted(dict.fromkeys(name.partition("/")[0] for name in inside))
 
-    def read(self, path: str, most: int) -> bytes:
+    def read(self, path: str, limit: int) -> bytes:
         self.fail()
         if path not in self.files:
             raise OSError(errno.ENOENT, "No such file or directory")
-        return self.files[path][: most + 1]
+        return self.files[path][: limit + 1]
--- a/stackwheel/trials/exchange.py
+++ b/stackwheel/trials/exchange.py
@@ -1,26 +1,30 @@
 """Trials with files: planners write them, something pushes them to forwarders, and all that goes wrong between.
 
-The shipped desk, ledger, pusher, reader and precedence run here as they are. The push between two machines is the
+The shipped publisher, scheduler, reader and precedence run here as they are. The push between two machines is the
 model's: late, doubled, torn (copied in place), out of order, or of an old file again.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from stackwheel.files.accept import Content, target
+from stackwheel.files.acceptor import target_key
 from stackwheel.files.codec import KeyRing, encode
-from stackwheel.files.ledger import Ledger, Terms
-from stackwheel.files.precedence import Source, SourcePrecedence
-from stackwheel.files.precedence import Terms as Allowed
+from stackwheel.files.content import TableContent
+from stackwheel.files.environment import FileEnvironment
+from stackwheel.files.errors import ReplaceError
+from stackwheel.files.file_builder import PublisherSettings
+from stackwheel.files.precedence import PrecedenceSettings, Source, SourcePrecedence
 from stackwheel.files.publisher import FilePublisher, Folders
-from stackwheel.files.push import Pace, Pusher
-from stackwheel.files.reader import Place, Reader, Taken
-from stackwheel.files.records import Booking, Came, Incarnation, Met
+from stackwheel.files.publisher_state import PublisherState
+from stackwheel.files.push_scheduler import PushLimits, PushScheduler
+from stackwheel.files.reader import FileApplied, FileReader, ReaderConfig, StatusReport
+from stackwheel.files.records import ClassDemand, FileVersion, Reservation, ServerObservation
 from stackwheel.rules.violations import Rule
 from stackwheel.service.ports import PlannerContext
 from stackwheel.state.planner_actor import Item
@@ -63,7 +67,7 @@
         self.drivers: dict[int, Driver] = {}
         self.written: set[bytes] = set()  # all that planners wrote, whole
         self.history: list[tuple[str, bytes]] = []
-        self.applied: dict[tuple[int, str], tuple[Incarnation, int]] = {}  # by forwarder and target: the newest mark
+        self.applied: dict[tuple[int, str], FileVersion] = {}  # by forwarder and target: the newest mark
         self.effects: dict[tuple[int, str], int] = {}  # by forwarder and booking order
         self.ordered = 0
         self.quiet_from = 0.0  # pushes have been sound since
@@ -83,7 +87,7 @@
     def now(self) -> float:
         return (EPOCH + self.world.loop.now) * 1000.0
 
-    def aside(self, disk: TrialDisk) -> Callable[..., Any]:
+    def run_blocking(self, disk: TrialDisk) -> Callable[..., Any]:
         """In place of a thread: the disk's time passes, then the work is done."""
 
         async def run(work: Callable[..., Any], *about: Any) -> Any:
@@ -96,32 +100,30 @@
 
     def extras(self, host: PlannerHost, context: PlannerContext) -> list[Any]:
         disk, config = self.disks[host.machine.name], context.config
-        ledger = Ledger(
+        state = PublisherState(
             config.name,
             config.names,
             config.settings.proxy_count,
-            Terms(LIFE, 10, config.settings.report_interval),
+            PublisherSettings(LIFE, 10, config.settings.report_interval),
             context.endpoints.server_ids.name,
             config.seed & 0xFFFF,
         )
         cap = config.settings.message_cap
-        pusher = Pusher(Pace(cap, config.settings.message_window, 50.0), config.seed)
-        desk = FilePublisher(
-            ledger,
-            pusher,
+        scheduler = PushScheduler(PushLimits(cap, config.settings.message_window, 50.0), config.seed)
+        publisher = FilePublisher(
+            state,
+            scheduler,
             Folders("/out", "/answers"),
-            disk,
-            context.clock.now,
+            FileEnvironment(disk, context.clock.now, self.run_blocking(disk)),
             lambda item: self.heard(host, context, item),
             KEYS,
-            self.aside(disk),
             0.1,
         )
-        host.desk = desk
-        return [desk]
+        host.publisher = publisher
+        return [publisher]
 
     def heard(self, host: PlannerHost, context: PlannerContext, item: Item) -> None:
-        """What the desk posts: a forwarder that joins by files counts as joined."""
+        """What the publisher posts: a forwarder that joins by files counts as joined."""
         if isinstance(item, ProxyStream):
             self.joined[item.proxy] = host.number
             self.world.checker.joined(item.proxy, host.number, self.world.ms())
@@ -134,10 +136,10 @@
         """An order that must take effect once, at whoever reads it."""
         world = self.world
         for host in world.hosts:
-            if host.running and host.desk is not None and host.desk.ledger.incarnation is not None:
+            if host.running and host.publisher is not None and host.publisher.state.incarnation is not None:
                 self.ordered += 1
-                host.desk.ledger.book(
-                    Booking(f"b{self.ordered}", world.shape.classes[-1].name, 1, self.now() + 15_000.0, self.now()),
+                host.publisher.state.reserve(
+                    Reservation(f"b{self.ordered}", world.shape.classes[-1].name, 1, self.now() + 15_000.0, self.now()),
                     self.now(),
                 )
         world.loop.at(world.loop.now + BOOK_EVERY, None, self.book)
@@ -229,7 +231,7 @@
 
     def answer_comes(self, proxy: Proxy, host: PlannerHost, disk: TrialDisk, path: str, data: bytes) -> None:
         disk.files[path] = data
-        known = host.desk is not None and proxy.number in host.desk.ledger.forwarders
+        known = host.publisher is not None and proxy.number in host.publisher.state.proxies
         if known and host.running and proxy.number not in self.joined and self.sound(proxy, host.number):
             self.joined[proxy.number] = host.number  # heard again
             self.world.checker.joined(proxy.number, host.number, self.world.ms())
@@ -241,19 +243,19 @@
             and not self.world.between_cut(proxy, planner)
         )
 
-    def take(self, proxy: Proxy, taken: Taken) -> None:
+    def take(self, proxy: Proxy, taken: FileApplied) -> None:
         """A reader says that it uses a file: it has to be genuine, newer than the last, and its orders new."""
-        orders, key = taken.held.orders, (proxy.number, target(taken.held.orders))
+        orders, key = taken.current.update, (proxy.number, target_key(taken.current.update))
         last = self.applied.get(key)
-        if last is not None and orders.mark < last:
+        if last is not None and orders.version < last:
             self.wrong(f"{key[1]}: number {orders.sequence} applied after {last[1]}", proxy=proxy.number)
-        if self.drivers[proxy.number].reader.kept:  # what can't be kept is not remembered after a restart
-            self.applied[key] = max(orders.mark, last) if last is not None else orders.mark
+        if self.drivers[proxy.number].reader.memory_saved:  # what can't be kept is not remembered after a restart
+            self.applied[key] = max(orders.version, last) if last is not None else orders.version
         if encode(orders, KEYS) not in self.written:
             self.wrong(f"{taken.name}: used, and no planner wrote it", proxy=proxy.number)
-        if orders.until <= self.now():
+        if orders.expires_at <= self.now():
             self.wrong(f"{taken.name}: used after its time", proxy=proxy.number)
-        for order in taken.bookings:
+        for order in taken.reservations:
             done = self.effects[proxy.number, order.id] = self.effects.get((proxy.number, order.id), 0) + 1
             if done > 1:
                 self.world.checker.break_rule(
@@ -269,26 +271,24 @@
         self.disk = exchange.disks[proxy.machine.name]
         self.disk.renamed = lambda path, data: exchange.answer_written(proxy, path, data)
         zone = exchange.world.zones[proxy.zone]
-        self.reader = Reader(
-            Place(zone, proxy.number, ("/zone", "/proxy"), "/answers", "/state"),
-            self.disk,
-            exchange.now,
+        self.reader = FileReader(
+            ReaderConfig(zone, proxy.number, ("/zone", "/proxy"), "/answers", "/state"),
+            FileEnvironment(self.disk, exchange.now, exchange.run_blocking(self.disk)),
             lambda: KEYS,
-            exchange.aside(self.disk),
             int(exchange.world.loop.now * 1000) & 0xFFFF,
         )
-        self.prevailing = SourcePrecedence(Allowed(keep=KEEP))
-        self.shown: tuple[Source, Content] | None = None
+        self.prevailing = SourcePrecedence(PrecedenceSettings(expired_grace=KEEP))
+        self.shown: tuple[Source, TableContent] | None = None
         self.reported = exchange.world.loop.now
 
     async def run(self) -> None:
         world = self.exchange.world
         await self.reader.start()
         while True:
-            for news in await self.reader.look():
-                if isinstance(news, Taken):
+            for news in await self.reader.poll():
+                if isinstance(news, FileApplied):
                     self.exchange.take(self.proxy, news)
-                    self.prevailing.file(target(news.held.orders), news.held, self.exchange.now())
+                    self.prevailing.file_applied(target_key(news.current.update), news.current, self.exchange.now())
             self.go_by()
             if world.loop.now - self.reported >= world.shape.cycle / 1000.0:
                 await self.answer()
@@ -296,8 +296,8 @@
 
     def go_by(self) -> None:
         """Tables as the sources that prevail say; with nothing heard yet, the standing ones."""
-        choice = self.prevailing.choose(self.exchange.now())
-        if choice.source is Source.NOTHING or self.shown == (choice.source, choice.content):
+        choice = self.prevailing.select(self.exchange.now())
+        if choice.source is Source.NONE or self.shown == (choice.source, choice.content):
             return
         self.shown = choice.source, choice.content
         proxy = self.proxy
@@ -305,8 +305,8 @@
             if route in choice.content.tables:
                 held.lines = dict(choice.content.tables[route])
                 level = choice.content.levels.get(route)
-                held.level = (level.admit, level.policy) if level is not None else None
-        proxy.holdings.ejected = dict.fromkeys(choice.content.withdrawn)
+                held.level = (level.admitted, level.retry) if level is not None else None
+        proxy.holdings.ejected = dict.fromkeys(choice.content.ejected)
         for held in proxy.holdings.routes.values():
             proxy.holdings.refresh(held)
         proxy.fresh = False
@@ -321,13 +321,14 @@
         over = (world.loop.now - self.reported) * 1000.0
         self.reported = world.loop.now
         came = [
-            Came(route, count, failed)
+            ClassDemand(route, count, failed)
             for route, count, failed in zip(proxy.routes, proxy.came, proxy.unserved, strict=True)
             if count
         ]
         met = [
-            Met(name, int(m[0]), int(m[1]), m[2] / max(1.0, m[0] - m[1]), world.load_of(name))
+            ServerObservation(name, int(m[0]), int(m[1]), m[2] / max(1.0, m[0] - m[1]), world.load_of(name))
             for name, m in proxy.met.items()
         ]
         proxy.came, proxy.unserved, proxy.met = [0] * len(proxy.routes), [0] * len(proxy.routes), {}
-        await self.reader.answer(proxy.rate(), over, came, met, proxy.fresh)
+        with contextlib.suppress(ReplaceError):  # a disk that is full or gone: the next one says it all
+            await self.reader.write_status(StatusReport(proxy.rate(), over, came, met, proxy.fresh))
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -91,7 +91,7 @@
         self.address: Address = (self.host, 8081)
         self.machine = Machine(f"planner-{number}")
         self.service: Service | None = None
-        self.desk: FilePublisher | None = None
+        self.publisher: FilePublisher | None = None
         self.lives = 0
         self.discovery = world.discovery_of(number)
 
--- a/tests/cli/test_files_command.py
+++ b/tests/cli/test_files_command.py
@@ -9,21 +9,21 @@
 
 from stackwheel.cli import root
 from stackwheel.files.codec import KeyRing, encode
-from stackwheel.files.records import Booking, Incarnation, Level, Orders, Table
+from stackwheel.files.records import Incarnation, Reservation, TableLevel, TableUpdate, WeightTable
 
 ROOT = Path(__file__).parents[2]
 EXAMPLES = sorted((ROOT / "examples" / "files").glob("*.table"))
 KEYS = 'signing = "k1"\n[keys]\nk1 = "' + "61" * 32 + '"\n'
-ORDERS = Orders(
+ORDERS = TableUpdate(
     "n0",
     Incarnation(0, 1, 1),
     2,
     1000.0,
     2000.0,
     "east",
-    tables=(Table("read", {"s-1": 0.5}, Level(0.9, 1)),),
-    withdrawn=("s-2",),
-    bookings=(Booking("b1", "read", 3, 1500.0),),
+    tables=(WeightTable("read", {"s-1": 0.5}, TableLevel(0.9, 1)),),
+    ejected=("s-2",),
+    reservations=(Reservation("b1", "read", 3, 1500.0),),
 )
 
 
@@ -104,14 +104,14 @@
 def test_diff_names_what_moved(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (folder / "other.table").write_bytes(
         encode(
-            Orders(
+            TableUpdate(
                 "n0",
                 Incarnation(0, 1, 1),
                 3,
                 1000.0,
                 2000.0,
                 "east",
-                tables=(Table("read", {"s-1": 0.7}, Level(0.9, 1)),),
+                tables=(WeightTable("read", {"s-1": 0.7}, TableLevel(0.9, 1)),),
             )
         )
     )
--- a/tests/files/test_precedence.py
+++ b/tests/files/test_precedence.py
@@ -1,112 +1,121 @@
-"""Which source holds when a stream breaks, comes back, or says something older than the file."""
+"""Which source is in force when a stream breaks, comes back, or says something older than the file."""
 
 from __future__ import annotations
 
-import msgspec
+import dataclasses
+
 import pytest
 
-from stackwheel.files.accept import Content, Held, content_of
-from stackwheel.files.precedence import Source, SourcePrecedence, Terms
-from stackwheel.files.records import Incarnation, Orders, Table
+from stackwheel.files.acceptor import CurrentTables
+from stackwheel.files.content import TableContent, content_of
+from stackwheel.files.precedence import PrecedenceSettings, Source, SourcePrecedence
+from stackwheel.files.records import Incarnation, TableUpdate, WeightTable
+
+SETTINGS = PrecedenceSettings(stream_timeout=3000.0, table_lifetime=10_000.0, expired_grace=5000.0, fallback="even")
+INCARNATION = Incarnation(0, 1, 1)
 
-TERMS = Terms(silence=3000.0, life=10_000.0, keep=5000.0, after="even")
-LIFE = Incarnation(0, 1, 1)
 
+def file_tables(
+    planner: str,
+    created_at: float,
+    lines: dict[str, float],
+    ejected: tuple[str, ...] = (),
+    expires_at: float = 60_000.0,
+) -> CurrentTables:
+    tables = (WeightTable("read", lines),)
+    update = TableUpdate(planner, INCARNATION, 1, created_at, expires_at, "east", tables=tables, ejected=ejected)
+    return CurrentTables(update, update, content_of(update))
 
-def held(
-    planner: str, made: float, lines: dict[str, float], withdrawn: tuple[str, ...] = (), until: float = 60_000.0
-) -> Held:
-    orders = Orders(planner, LIFE, 1, made, until, "east", tables=(Table("read", lines),), withdrawn=withdrawn)
-    return Held(orders, orders, content_of(orders))
 
+def stream_content(lines: dict[str, float], ejected: tuple[str, ...] = ()) -> TableContent:
+    return TableContent({"read": lines}, {"read": None}, ejected)
 
-def content(lines: dict[str, float], withdrawn: tuple[str, ...] = ()) -> Content:
-    return Content({"read": lines}, {"read": None}, withdrawn)
 
+def with_stream(lines: dict[str, float], now: float = 1000.0) -> SourcePrecedence:
+    precedence = SourcePrecedence(SETTINGS)
+    precedence.stream_connected("n0", now)
+    precedence.stream_updated(stream_content(lines), True, now)
+    return precedence
 
-def streaming(lines: dict[str, float], now: float = 1000.0, terms: Terms = TERMS) -> SourcePrecedence:
-    found = SourcePrecedence(terms)
-    found.stream_up("n0", now)
-    found.stream_ordered(content(lines), True, now)
-    return found
 
+def test_an_active_stream_takes_precedence_over_files() -> None:
+    precedence = with_stream({"a": 1.0})
+    precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}), 2000.0)
+    assert precedence.select(2000.0).source is Source.STREAM
+    assert precedence.select(2000.0).content.tables == {"read": {"a": 1.0}}
 
-def test_a_stream_that_is_heard_prevails_over_files() -> None:
-    found = streaming({"a": 1.0})
-    found.file("n0", held("n0", 2000.0, {"b": 1.0}), 2000.0)
-    assert found.choose(2000.0).source is Source.STREAM
-    assert found.choose(2000.0).content.tables == {"read": {"a": 1.0}}
 
+@pytest.mark.parametrize("fault", ["disconnected", "silent"])
+def test_a_stream_that_breaks_or_falls_silent_gives_way_to_newer_files(fault: str) -> None:
+    precedence = with_stream({"a": 1.0})
+    precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}), 2000.0)
+    if fault == "disconnected":
+        precedence.stream_disconnected()
+    now = 2000.0 if fault == "disconnected" else 4000.0
+    assert precedence.select(now).content.tables == {"read": {"b": 1.0}}
 
-@pytest.mark.parametrize("how", ["down", "silent"])
-def test_a_stream_that_breaks_or_falls_silent_gives_way_to_newer_files(how: str) -> None:
-    found = streaming({"a": 1.0})
-    found.file("n0", held("n0", 2000.0, {"b": 1.0}), 2000.0)
-    if how == "down":
-        found.stream_down()
-    assert found.choose(2000.0 if how == "down" else 4000.0).content.tables == {"read": {"b": 1.0}}
 
+def test_files_older_than_the_stream_s_last_update_do_not_take_its_place() -> None:
+    precedence = with_stream({"a": 1.0}, now=5000.0)
+    precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}, expires_at=100_000.0), 5100.0)
+    precedence.stream_disconnected()
+    selection = precedence.select(6000.0)
+    assert selection.source is Source.EXPIRED or selection.content.tables == {"read": {"a": 1.0}}
 
-def test_files_older_than_the_stream_s_last_order_do_not_take_its_place() -> None:
-    found = streaming({"a": 1.0}, now=5000.0)
-    found.file("n0", held("n0", 2000.0, {"b": 1.0}, until=100_000.0), 5100.0)
-    found.stream_down()
-    choice = found.choose(6000.0)
-    assert choice.source is Source.KEPT or choice.content.tables == {"read": {"a": 1.0}}
 
+def test_a_stream_that_comes_back_takes_precedence_once_it_has_sent_complete_tables() -> None:
+    precedence = with_stream({"a": 1.0})
+    precedence.stream_disconnected()
+    precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}), 2000.0)
+    precedence.stream_connected("n1", 3000.0)
+    precedence.stream_received(3100.0)
+    assert precedence.select(3200.0).source is Source.FILE
+    precedence.stream_updated(stream_content({"c": 1.0}), True, 3300.0)
+    assert precedence.select(3400.0).content.tables == {"read": {"c": 1.0}}
 
-def test_a_stream_that_comes_back_prevails_once_it_has_ordered_whole_tables() -> None:
-    found = streaming({"a": 1.0})
-    found.stream_down()
-    found.file("n0", held("n0", 2000.0, {"b": 1.0}), 2000.0)
-    found.stream_up("n1", 3000.0)
-    found.stream_heard(3100.0)
-    assert found.choose(3200.0).source is Source.FILE
-    found.stream_ordered(content({"c": 1.0}), True, 3300.0)
-    assert found.choose(3400.0).content.tables == {"read": {"c": 1.0}}
 
+def test_a_drain_announced_only_by_file_is_binding_while_the_stream_is_half_open() -> None:
+    precedence = with_stream({"a": 1.0, "b": 1.0})
+    precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}, ("a",)), 2000.0)
+    assert precedence.select(2100.0).source is Source.STREAM
+    assert precedence.select(2100.0).content.tables == {"read": {"b": 1.0}}
 
-def test_a_drain_told_only_by_file_binds_while_the_stream_is_half_open() -> None:
-    found = streaming({"a": 1.0, "b": 1.0})
-    found.file("n0", held("n0", 2000.0, {"b": 1.0}, ("a",)), 2000.0)
-    assert found.choose(2100.0).source is Source.STREAM
-    assert found.choose(2100.0).content.tables == {"read": {"b": 1.0}}
 
+def test_a_planner_restores_only_what_it_ejected_itself() -> None:
+    precedence = with_stream({"a": 1.0, "b": 1.0})
+    precedence.file_applied("n1", file_tables("n1", 2000.0, {"b": 1.0}, ("a",)), 2000.0)
+    precedence.stream_updated(stream_content({"a": 1.0, "b": 1.0}), False, 2100.0)  # n0 never ejected it
+    assert "a" not in precedence.select(2200.0).content.tables["read"]
+    precedence.file_applied("n1", file_tables("n1", 2300.0, {"a": 1.0, "b": 1.0}), 2300.0)
+    assert "a" in precedence.select(2400.0).content.tables["read"]
 
-def test_a_planner_lets_back_only_what_it_took_out_itself() -> None:
-    found = streaming({"a": 1.0, "b": 1.0})
-    found.file("n1", held("n1", 2000.0, {"b": 1.0}, ("a",)), 2000.0)
-    found.stream_ordered(content({"a": 1.0, "b": 1.0}), False, 2100.0)  # n0 never took it out
-    assert "a" not in found.choose(2200.0).content.tables["read"]
-    found.file("n1", held("n1", 2300.0, {"a": 1.0, "b": 1.0}), 2300.0)
-    assert "a" in found.choose(2400.0).content.tables["read"]
 
+def test_of_two_planners_files_the_preferred_one_stays_until_it_expires() -> None:
+    precedence = SourcePrecedence(SETTINGS)
+    precedence.file_applied("n0", file_tables("n0", 1000.0, {"a": 1.0}, expires_at=5000.0), 1000.0)
+    assert precedence.select(1000.0).planner == "n0"
+    precedence.file_applied("n1", file_tables("n1", 2000.0, {"b": 1.0}), 2000.0)
+    assert precedence.select(2000.0).planner == "n0"
+    assert precedence.select(5000.0).planner == "n1"
 
-def test_of_two_planners_files_the_one_that_prevails_stays_while_it_is_fresh() -> None:
-    found = SourcePrecedence(TERMS)
-    found.file("n0", held("n0", 1000.0, {"a": 1.0}, until=5000.0), 1000.0)
-    assert found.choose(1000.0).planner == "n0"
-    found.file("n1", held("n1", 2000.0, {"b": 1.0}), 2000.0)
-    assert found.choose(2000.0).planner == "n0"
-    assert found.choose(5000.0).planner == "n1"
+
+def test_expired_tables_are_kept_no_longer_than_the_grace_period() -> None:
+    precedence = SourcePrecedence(SETTINGS)
+    tables = file_tables("n0", 1000.0, {"a": 3.0, "b": 1.0}, ("c",), expires_at=5000.0)
+    precedence.file_applied("n0", tables, 1000.0)
+    assert precedence.select(9999.0).source is Source.EXPIRED
+    selection = precedence.select(10_000.0)
+    assert selection.source is Source.EVEN
+    assert selection.content.tables == {"read": {"a": 1.0, "b": 1.0}}
 
 
-def test_over_its_time_a_table_is_kept_no_longer_than_allowed() -> None:
-    found = SourcePrecedence(TERMS)
-    found.file("n0", held("n0", 1000.0, {"a": 3.0, "b": 1.0}, ("c",), until=5000.0), 1000.0)
-    assert found.choose(9999.0).source is Source.KEPT
-    choice = found.choose(10_000.0)
-    assert choice.source is Source.EVEN and choice.content.tables == {"read": {"a": 1.0, "b": 1.0}}
-    refusing = SourcePrecedence(
-        msgspec.structs.replace(TERMS, after="refuse")
-        if isinstance(TERMS, msgspec.Struct)
-        else Terms(TERMS.silence, TERMS.life, TERMS.keep, "refuse")
-    )
-    refusing.file("n0", held("n0", 1000.0, {"a": 1.0}, until=5000.0), 1000.0)
-    assert refusing.choose(10_000.0).source is Source.NOTHING
+def test_without_an_even_fallback_nothing_is_in_force_after_the_grace_period() -> None:
+    precedence = SourcePrecedence(dataclasses.replace(SETTINGS, fallback="refuse"))
+    precedence.file_applied("n0", file_tables("n0", 1000.0, {"a": 1.0}, expires_at=5000.0), 1000.0)
+    assert precedence.select(10_000.0).source is Source.NONE
 
-
-def test_a_class_left_bare_by_withdrawals_gets_what_is_known() -> None:
-    found = streaming({"a": 1.0})
-    found.file("n0", held("n0", 2000.0, {"a": 1.0, "b": 1.0}, ("a",)), 2000.0)
-    assert found.choose(2100.0).content.tables == {"read": {"b": 1.0}}
+
+def test_a_class_left_empty_by_ejections_gets_the_known_servers() -> None:
+    precedence = with_stream({"a": 1.0})
+    precedence.file_applied("n0", file_tables("n0", 2000.0, {"a": 1.0, "b": 1.0}, ("a",)), 2000.0)
+    assert precedence.select(2100.0).content.tables == {"read": {"b": 1.0}}
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,9 +13,19 @@
 from stackwheel.config_language.load import load as load_operators
 from stackwheel.files.codec import KeyRing, decode, encode
 from stackwheel.files.disk import SystemDisk
-from stackwheel.files.keys import load_keys
-from stackwheel.files.memory import keep, recall
-from stackwheel.files.records import Answer, Booking, Came, Document, Incarnation, Level, Met, Orders, Table
+from stackwheel.files.key_file import load_keys
+from stackwheel.files.memory import load_memory, save_memory
+from stackwheel.files.records import (
+    ClassDemand,
+    Document,
+    Incarnation,
+    ProxyStatus,
+    Reservation,
+    ServerObservation,
+    TableLevel,
+    TableUpdate,
+    WeightTable,
+)
 from stackwheel.scale.report import Report
 from stackwheel.scale.report import encode as encode_report
 from stackwheel.scale.slopes import read_result, write_result
@@ -25,7 +35,7 @@
 DATA = Path(__file__).parent / "data" / "52b45c2"
 INCARNATION = Incarnation(2, 1796000000000, 421)
 
-WHOLE = Orders(
+WHOLE = TableUpdate(
     "n0",
     INCARNATION,
     7,
@@ -33,14 +43,14 @@
     1796000031000.0,
     "east",
     tables=(
-        Table("read", {"s-0": 1.0, "s-1": 0.8125, "s-2": 0.5}, Level(0.95, 1)),
-        Table("write", {"s-0": 1.0}, Level(120.0, 3)),
+        WeightTable("read", {"s-0": 1.0, "s-1": 0.8125, "s-2": 0.5}, TableLevel(0.95, 1)),
+        WeightTable("write", {"s-0": 1.0}, TableLevel(120.0, 3)),
     ),
-    withdrawn=("s-3", "s-4"),
-    bookings=(Booking("b-1", "write", 3, 1796000040000.0, 1796000000500.0),),
+    ejected=("s-3", "s-4"),
+    reservations=(Reservation("b-1", "write", 3, 1796000040000.0, 1796000000500.0),),
 )
-SIGNED = msgspec.structs.replace(WHOLE, sequence=9, proxy=5, made=1796000002500.0)
-CHANGE = Orders(
+SIGNED = msgspec.structs.replace(WHOLE, sequence=9, proxy=5, created_at=1796000002500.0)
+CHANGE = TableUpdate(
     "n0",
     INCARNATION,
     8,
@@ -49,10 +59,10 @@
     "east",
     None,
     7,
-    (Table("read", {"s-1": 0.25, "s-2": 0.0}), Table("write", {"s-0": 1.0}, None, True)),
+    (WeightTable("read", {"s-1": 0.25, "s-2": 0.0}), WeightTable("write", {"s-0": 1.0}, None, True)),
     ("s-2",),
 )
-ANSWER = Answer(
+STATUS = ProxyStatus(
     5,
     "east",
     Incarnation(0, 1796000000123, 9),
@@ -65,8 +75,8 @@
     False,
     17.25,
     1000.0,
-    (Came("read", 31, 2), Came("write", 4)),
-    (Met("s-0", 20, 1, 12.5, {"outstanding": 3.0}), Met("s-1", 11)),
+    (ClassDemand("read", 31, 2), ClassDemand("write", 4)),
+    (ServerObservation("s-0", 20, 1, 12.5, {"outstanding": 3.0}), ServerObservation("s-1", 11)),
 )
 
 
@@ -85,8 +95,8 @@
         ("orders-whole.table", WHOLE, False),
         ("orders-change.table", CHANGE, False),
         ("orders-signed.table", SIGNED, True),
-        ("answer.table", ANSWER, False),
-        ("answer-signed.table", ANSWER, True),
+        ("answer.table", STATUS, False),
+        ("answer-signed.table", STATUS, True),
     ],
 )
 def test_table_files_hold_the_same_values_and_bytes(name: str, document: Document, signed: bool) -> None:
@@ -103,8 +113,8 @@
 
 
 def test_reader_memory(tmp_path: Path) -> None:
-    memory, problem = recall(SystemDisk(), str(DATA), 5000.0)
-    assert problem is None
+    memory = load_memory(SystemDisk(), str(DATA))
+    assert memory is not None
     assert as_json(memory) == {
         "version": 1,
         "since": 1795999999000.0,
@@ -124,10 +134,10 @@
         },
         "bookings": {"b-1": 1796000040000.0},
     }
-    assert memory.since == 1795999999000.0
-    assert memory.marks["n0|east|5"].sequence == 9
-    assert memory.marks["n0|east|all"].incarnation == INCARNATION
-    assert keep(SystemDisk(), str(tmp_path), memory) is None
+    assert memory.valid_since == 1795999999000.0
+    assert memory.applied["n0|east|5"].sequence == 9
+    assert memory.applied["n0|east|all"].incarnation == INCARNATION
+    save_memory(SystemDisk(), str(tmp_path), memory)
     assert (tmp_path / "memory.table").read_bytes() == stored("memory.table")
 
 
