--- a/stackwheel/files/file_proxy.py
+++ b/stackwheel/files/file_proxy.py
@@ -23,10 +23,10 @@
     def __str__(self) -> str:
         return f"proxy {self.proxy} by files"
 
-    def superseded(self) -> None:
+    def on_superseded(self) -> None:
         """Another transport carries the stream now; status files are ignored until that one ends."""
 
-    def carries(self) -> None:
+    def on_attached(self) -> None:
         """Readers poll their folders: there is nothing to resume."""
 
 
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -12,9 +12,10 @@
 from stackwheel import interface as face
 from stackwheel import peers
 from stackwheel.balance import Planner
+from stackwheel.endpoints import MAX_LIST_AGE, MIN_REMOVED_KEPT, EndpointList, Instance
 from stackwheel.interface import Action, Availability, Event, Settings
 from stackwheel.state.clock import Clock
-from stackwheel.state.endpoint_cache import MAX_LIST_AGE, MIN_REMOVED_KEPT, EndpointCache, EndpointList, Instance
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import (
     EndpointListFailed,
     HealthCheckCompleted,
@@ -34,10 +35,10 @@
     def __init__(self) -> None:
         self.replaced = 0
 
-    def superseded(self) -> None:
+    def on_superseded(self) -> None:
         self.replaced += 1
 
-    def carries(self) -> None:
+    def on_attached(self) -> None:
         pass
 
 
@@ -226,7 +227,7 @@
         assert [life.seed for life in setup.lives] == [40, 41]
         (start,) = setup.lives[1].batches
         assert start == [
-            setup.module.endpoints.cached(),
+            setup.module.endpoints.cached_update(),
             face.ProxyJoined(1, 0, 20.0, False),
             face.ProxyJoined(2, 0, 20.0, False),
         ]
@@ -446,7 +447,7 @@
         settings = replace(SETTINGS, planner_count=2, gossip_enabled=True, message_cap=0)
         module = PlannerActor(settings, 0.0, 40, clock, roster, outside, 60_000.0)  # type: ignore[arg-type]
         roster.apply(listing("s-0", "s-1", "s-2", "s-3"))
-        module.decide([roster.cached()])
+        module.decide([roster.cached_update()])
         module.post(stream(1, line))
         sizes = []
         for number in range(4, 604):
