--- a/stackwheel/cli/__init__.py
+++ b/stackwheel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: parses, calls, prints."""
+"""The command line: one file for each group of commands, which parses, calls and prints."""
--- a/stackwheel/cli/config.py
+++ b/stackwheel/cli/config.py
@@ -7,14 +7,14 @@
 
 import click
 
-from stackwheel.cli.options import json_option
+from stackwheel.cli.options import FILE_PATH, json_option
 from stackwheel.config_language.descriptions import format_plain
 from stackwheel.config_language.errors import OperatorsFileError
 from stackwheel.config_language.load import load
 from stackwheel.config_language.schema import SCHEMA
 from stackwheel.config_language.tree import SCHEMA_DEFAULT
 
-files_argument = click.argument("files", nargs=-1, type=click.Path(dir_okay=False, path_type=Path))
+files_argument = click.argument("files", nargs=-1, type=FILE_PATH)
 
 
 @click.group()
--- a/stackwheel/cli/options.py
+++ b/stackwheel/cli/options.py
@@ -1,7 +1,10 @@
-"""Options that several command groups have."""
+"""Options and parameter types that several groups of commands have."""
 
 from __future__ import annotations
 
+from pathlib import Path
+
 import click
 
-json_option = click.option("--json", "as_json", is_flag=True, help="Print one JSON object as the last line.")
+FILE_PATH = click.Path(dir_okay=False, path_type=Path)
+json_option = click.option("--json", "as_json", is_flag=True, help="End with one JSON object.")
--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -1,26 +1,35 @@
-"""`stackwheel trial`: seeds and scripts on the virtual clock."""
+"""`stackwheel trial`: run, replay, shrink and show seeds and scripts on the virtual clock."""
 
 from __future__ import annotations
 
 import json
 import time
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 
 import click
 from rich.console import Console
-from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
-from rich.table import Table
 
-from stackwheel.rules.violations import Rule
-from stackwheel.trials import measure as sizes
+from stackwheel.cli.options import FILE_PATH, json_option
+from stackwheel.cli.root import EXIT_INTERRUPTED
+from stackwheel.cli.trial_output import (
+    defect_document,
+    defect_line,
+    measurement_line,
+    print_summary,
+    progress_bar,
+    replay_document,
+    replay_lines,
+)
+from stackwheel.rules.violations import Rule, Violation
+from stackwheel.trials import measure as measurement
 from stackwheel.trials.defects.catalogue import ALL_DEFECTS, find_defect
 from stackwheel.trials.defects.planting import planted
 from stackwheel.trials.defects.search import search_all
 from stackwheel.trials.draw import draw
 from stackwheel.trials.runner import (
+    SeedResult,
     Summary,
-    by_rule,
     default_jobs,
     run_chunk,
     run_file_chunk,
@@ -28,45 +37,42 @@
     run_seeds,
 )
 from stackwheel.trials.script import Script, ScriptError, encode, load, words
-from stackwheel.trials.shrink import RUNS_MOST, Shrinker
+from stackwheel.trials.shrink import RUNS_MOST, Shrinker, Shrunk
 from stackwheel.trials.world import run_script
 
-SHOWN = 20  # broken seeds told one by one
-SEEDS_MOST = 10_000_000
+MAX_SEEDS = 10_000_000  # of one run; more would take weeks
+MAX_JOBS = 256
+DEFECT_NAMES = [defect.name for defect in ALL_DEFECTS]
+RULE_NAMES = [rule.name.lower() for rule in Rule]
 
 
-class Seeds(click.ParamType[range]):
+class SeedRangeParameter(click.ParamType[range]):
     """A:B, from A up to but without B; or one number."""
 
     name = "A:B"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> range:
+        """The seeds of an option's text."""
         if isinstance(value, range):
             return value
         first, colon, end = str(value).partition(":")
         if not first.isdecimal() or (colon and not end.isdecimal()):
             self.fail(f"{value!r} is no range of seeds such as 0:1000", param, ctx)
-        found = range(int(first), int(end) if colon else int(first) + 1)
-        if not found or len(found) > SEEDS_MOST:
-            self.fail(f"{value!r} holds {len(found)} seeds; between 1 and {SEEDS_MOST} can be run", param, ctx)
-        return found
-
-
-SEEDS = Seeds()
+        seeds = range(int(first), int(end) if colon else int(first) + 1)
+        if not seeds or len(seeds) > MAX_SEEDS:
+            self.fail(f"{value!r} holds {len(seeds)} seeds; between 1 and {MAX_SEEDS} can be run", param, ctx)
+        return seeds
 
 
-files_flag = click.option("--files", is_flag=True, help="Forwarders are spoken to by files; other scripts are drawn.")
-relays_flag = click.option(
+SEED_RANGE = SeedRangeParameter()
+script_argument = click.argument("seed_or_file", metavar="SEED|FILE")
+files_option = click.option(
+    "--files", is_flag=True, help="Forwarders get their tables by files; other scripts are drawn."
+)
+relays_option = click.option(
     "--relays", is_flag=True, help="Two relays stand between discovery and planners; other scripts are drawn."
 )
-
-
-def script_of(text: str, files: bool = False, relays: bool = False) -> Script:
-    """The script of a seed, or of a file."""
-    try:
-        return draw(int(text), files, relays) if text.isdecimal() else load(Path(text))
-    except ScriptError as error:
-        raise click.UsageError(str(error)) from None
+defect_option = click.option("--defect", type=click.Choice(DEFECT_NAMES), help="With a deliberate defect planted.")
 
 
 @click.group()
@@ -74,189 +80,168 @@
     """Run the service on a virtual clock against faults drawn from seeds, with every rule checked."""
 
 
-def progress(console: Console, off: bool) -> Progress:
-    return Progress(
-        TextColumn("{task.description}"),
-        BarColumn(),
-        MofNCompleteColumn(),
-        TimeRemainingColumn(),
-        console=console,
-        disable=off,
-        transient=True,
-    )
-
-
-@trial.command("run")
-@click.option("--seeds", type=SEEDS, required=True, help="A:B, from A up to but without B.")
-@click.option("--jobs", type=click.IntRange(1, 256), default=default_jobs, help="Processes; all cores if not given.")
-@files_flag
-@relays_flag
-@click.option("--json", "as_json", is_flag=True, help="End with one JSON object.")
+@trial.command()
+@click.option("--seeds", type=SEED_RANGE, required=True, help="A:B, from A up to but without B.")
+@click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=default_jobs, help="Processes; all cores by default.")
+@files_option
+@relays_option
+@json_option
 def run(seeds: range, jobs: int, files: bool, relays: bool, as_json: bool) -> int:
-    """Run seeds; exit 1 where a rule was broken."""
-    console = Console(stderr=as_json)
-    summary, began, stopped = Summary(), time.perf_counter(), False
+    """Run seeds; exit 1 if a rule was broken."""
     if files and relays:
         raise click.UsageError("--files and --relays are drawn apart; give one of them")
-    results = run_seeds(seeds, jobs, run_file_chunk if files else run_relay_chunk if relays else run_chunk)
-    with progress(console, as_json) as bar:
-        task = bar.add_task("seeds", total=len(seeds))
-        try:
-            for result in results:
-                summary.add(result)
-                bar.advance(task)
-        except KeyboardInterrupt:
-            stopped = True
-    results.close()  # type: ignore[attr-defined]
-    summary.seconds = time.perf_counter() - began
+    console = Console(stderr=as_json)
+    summary = Summary()
+    started_at = time.perf_counter()
+    stopped = collect_results(summary, seeds, jobs, chunk_runner(files, relays), console, quiet=as_json)
+    summary.seconds = time.perf_counter() - started_at
     if as_json:
-        print(json.dumps({**summary.document(), **({"stopped": True} if stopped else {})}))
+        click.echo(json.dumps({**summary.document(), **({"stopped": True} if stopped else {})}))
     else:
-        report(console, summary, jobs, stopped)
-    return 1 if summary.broken else 130 if stopped else 0
-
-
-def report(console: Console, summary: Summary, jobs: int, stopped: bool) -> None:
+        print_summary(console, summary, jobs, stopped)
     if summary.broken:
-        table = Table("seed", "at", "rule", "who and what")
-        for result in summary.broken[:SHOWN]:
-            if result.fault:
-                table.add_row(str(result.seed), "", "the trial itself failed", result.fault.strip().splitlines()[-1])
-            for verdict in result.verdicts[:2]:
-                table.add_row(str(result.seed), f"{verdict.at / 1000.0:.2f}", verdict.rule.value, str(verdict))
-        console.print(table)
-        for rule, results in by_rule(summary.broken).items():
-            console.print(f"{rule.value}: {len(results)} seeds, the first {results[0].seed}")
-    rate = summary.seeds / max(1e-9, summary.seconds)
-    console.print(
-        f"{'stopped after ' if stopped else ''}{summary.seeds} seeds, {len(summary.broken)} broken; "
-        f"{summary.virtual_seconds:.0f} virtual s in {summary.seconds:.1f} s on {jobs} processes: "
-        f"{rate:.1f} seeds/s, {summary.virtual_seconds / max(1e-9, summary.cpu):.0f} virtual s a core "
-        f"second; mean service {summary.service:.3f}; digest {summary.hasher.hexdigest()}"
-    )
+        return 1
+    return EXIT_INTERRUPTED if stopped else 0
 
 
 @trial.command()
-@click.argument("what", metavar="SEED|FILE")
+@script_argument
 @click.option("--trace", is_flag=True, help="Print what happens as it does.")
-@click.option("--defect", type=click.Choice([d.name for d in ALL_DEFECTS]), help="With a deliberate defect planted.")
-@files_flag
-@relays_flag
-@click.option("--json", "as_json", is_flag=True, help="End with one JSON object.")
-def replay(what: str, trace: bool, defect: str | None, files: bool, relays: bool, as_json: bool) -> int:
+@defect_option
+@files_option
+@relays_option
+@json_option
+def replay(seed_or_file: str, trace: bool, defect: str | None, files: bool, relays: bool, as_json: bool) -> int:
     """Run one seed or script file again, step by step the same."""
-    script = script_of(what, files, relays)
+    script = load_script(seed_or_file, files, relays)
     with planted(find_defect(defect)):
-        found = run_script(script, trace=click.echo if trace else None)
+        result = run_script(script, trace=click.echo if trace else None)
     if as_json:
-        print(
-            json.dumps(
-                {
-                    "digest": found.digest,
-                    "broken": [
-                        {"seed": script.seed, "rule": v.rule.value, "at": round(v.at / 1000.0, 3)}
-                        for v in found.verdicts
-                    ],
-                    "service": round(found.service, 4),
-                    "virtual_seconds": found.virtual_seconds,
-                }
-            )
-        )
+        click.echo(json.dumps(replay_document(script.seed, result)))
     else:
-        for verdict in found.verdicts:
-            click.echo(str(verdict))
-            for line in verdict.trail:
-                click.echo(f"    {line}")
-        figures = ", ".join(f"{name.replace('_', ' ')} {value:g}" for name, value in found.figures.items())
-        click.echo(
-            f"{len(found.verdicts)} verdicts; {found.requests} requests, service {found.service:.3f}, "
-            f"{found.steps} steps; {figures}; digest {found.digest}"
-        )
-    return 1 if found.verdicts else 0
+        for line in replay_lines(result):
+            click.echo(line)
+    return 1 if result.verdicts else 0
 
 
 @trial.command()
-@click.argument("what", metavar="SEED|FILE")
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), required=True, help="Where the script goes.")
-@click.option(
-    "--rule", type=click.Choice([r.name.lower() for r in Rule]), help="The rule; the first broken if not given."
-)
+@script_argument
+@click.option("--out", type=FILE_PATH, required=True, help="Where the script goes.")
+@click.option("--rule", type=click.Choice(RULE_NAMES), help="The rule; the first broken if not given.")
 @click.option("--runs", type=click.IntRange(1, 100_000), default=RUNS_MOST, show_default=True, help="Trials at most.")
-@click.option("--defect", type=click.Choice([d.name for d in ALL_DEFECTS]), help="With a deliberate defect planted.")
-@files_flag
-@relays_flag
-def shrink(what: str, out: Path, rule: str | None, runs: int, defect: str | None, files: bool, relays: bool) -> int:
+@defect_option
+@files_option
+@relays_option
+def shrink(
+    seed_or_file: str, out: Path, rule: str | None, runs: int, defect: str | None, files: bool, relays: bool
+) -> int:
     """Find the smallest script that still breaks the same rule, and save it."""
-    script = script_of(what, files, relays)
+    script = load_script(seed_or_file, files, relays)
     with planted(find_defect(defect)):
-        verdicts = run_script(script).verdicts
-        wanted = [v for v in verdicts if rule is None or v.rule is Rule[rule.upper()]]
-        if not wanted:
-            raise click.UsageError(f"{what} breaks no rule" + (f" {Rule[rule.upper()].value!r}" if rule else ""))
-        chosen = min(wanted, key=lambda v: v.at).rule
-        found = Shrinker(script, chosen, runs).run()
+        shrunk = shrink_script(script, seed_or_file, rule, runs)
     try:
-        out.write_bytes(encode(found.script))
+        out.write_bytes(encode(shrunk.script))
     except OSError as error:
-        raise click.UsageError(f"{out}: {error.strerror or error}") from None
-    click.echo("\n".join(words(found.script)))
-    click.echo(f"breaks at {found.at:.2f} s: {chosen.value}; {found.runs} trials; saved as {out}")
+        raise click.UsageError(f"{out}: {error.strerror or error}") from error
+    click.echo("\n".join(words(shrunk.script)))
+    click.echo(f"breaks at {shrunk.at:.2f} s: {shrunk.rule.value}; {shrunk.runs} trials; saved as {out}")
     return 0
 
 
 @trial.command()
-@click.argument("what", metavar="SEED|FILE")
-@files_flag
-@relays_flag
+@script_argument
+@files_option
+@relays_option
 @click.option("--json", "as_json", is_flag=True, help="The script itself, as a file would hold it.")
-def show(what: str, files: bool, relays: bool, as_json: bool) -> None:
-    """Tell a seed's script in words."""
-    script = script_of(what, files, relays)
+def show(seed_or_file: str, files: bool, relays: bool, as_json: bool) -> None:
+    """Show a seed's script in words."""
+    script = load_script(seed_or_file, files, relays)
     click.echo(encode(script).decode().rstrip() if as_json else "\n".join(words(script)))
 
 
 @trial.command()
-@click.option("--seeds", type=SEEDS, default="0:500", show_default=True)
-@click.option("--jobs", type=click.IntRange(1, 256), default=default_jobs)
-@click.option("--only", multiple=True, type=click.Choice([d.name for d in ALL_DEFECTS]))
-@click.option("--json", "as_json", is_flag=True)
+@click.option("--seeds", type=SEED_RANGE, default="0:500", show_default=True, help="A:B, from A up to but without B.")
+@click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=default_jobs, help="Processes; all cores by default.")
+@click.option("--only", multiple=True, type=click.Choice(DEFECT_NAMES), help="A defect by its name; all if left out.")
+@json_option
 def defects(seeds: range, jobs: int, only: Sequence[str], as_json: bool) -> int:
-    """Plant each deliberate defect and tell how many seeds it takes to find it; exit 1 where one is not found."""
-    chosen = [d for d in ALL_DEFECTS if not only or d.name in only]
-    rows = []
-    for defect, found in zip(chosen, search_all([d.name for d in chosen], seeds, jobs), strict=True):
-        rows.append(
-            {
-                "defect": defect.name,
-                "where": defect.layer,
-                "what": defect.description,
-                "seeds": found.seeds_tried,
-                "seed": found.seed,
-                "rule": found.rule.value if found.rule is not None else None,
-            }
-        )
+    """Plant each deliberate defect and show how many seeds it takes to find it; exit 1 if one is not found."""
+    selected = [defect for defect in ALL_DEFECTS if not only or defect.name in only]
+    documents = []
+    results = search_all([defect.name for defect in selected], seeds, jobs)
+    for defect, result in zip(selected, results, strict=True):
+        documents.append(defect_document(defect, result))
         if not as_json:
-            told = found.rule.value if found.rule is not None else "NOT FOUND"
-            click.echo(f"{defect.name:26} {defect.layer:16} {found.seeds_tried:>5} {found.seed:>6}  {told}")
+            click.echo(defect_line(defect, result))
     if as_json:
-        print(json.dumps(rows))
-    return 0 if all(row["rule"] for row in rows) else 1
+        click.echo(json.dumps(documents))
+    return 0 if all(document["rule"] for document in documents) else 1
 
 
 @trial.command()
 @click.option("--span", type=click.FloatRange(1, 600), default=10.0, show_default=True, help="Virtual seconds of each.")
-@click.option("--json", "as_json", is_flag=True)
+@json_option
 def measure(span: float, as_json: bool) -> None:
     """Measure what a virtual second costs, from 8 to 500 proxies, and what the rules' checks take of it."""
     rows = []
-    for row in sizes.measure(span):
+    for row in measurement.measure(span):
         rows.append(row)
         if not as_json:
-            click.echo(
-                f"{row.proxies:4} proxies {row.servers:4} servers {row.planners} planners: "
-                f"{row.cpu_a_second * 1000:8.1f} ms a virtual second, {row.steps_a_second:8.0f} steps, "
-                f"{row.requests_a_second:6.0f} requests, checks {row.checks_share:.1%}, "
-                f"{row.verdicts} verdicts, {row.memory_mb:.0f} MB"
-            )
+            click.echo(measurement_line(row))
     if as_json:
-        print(json.dumps([row.document() for row in rows]))
+        click.echo(json.dumps([row.document() for row in rows]))
+
+
+def load_script(seed_or_file: str, files: bool, relays: bool) -> Script:
+    """The script that a seed draws or a file holds; a usage error (exit 2) if the file can't be used."""
+    try:
+        if seed_or_file.isdecimal():
+            return draw(int(seed_or_file), files, relays)
+        return load(Path(seed_or_file))
+    except ScriptError as error:
+        raise click.UsageError(str(error)) from error
+
+
+def chunk_runner(files: bool, relays: bool) -> Callable[[Sequence[int]], list[SeedResult]]:
+    """What runs a few seeds in one process, with scripts of the wanted kind."""
+    if files:
+        return run_file_chunk
+    return run_relay_chunk if relays else run_chunk
+
+
+def collect_results(
+    summary: Summary,
+    seeds: range,
+    jobs: int,
+    chunk: Callable[[Sequence[int]], list[SeedResult]],
+    console: Console,
+    quiet: bool,
+) -> bool:
+    """Run seeds and add their results to the summary as they come; whether Ctrl-C stopped it."""
+    stopped = False
+    results = run_seeds(seeds, jobs, chunk)
+    with progress_bar(console, disabled=quiet) as bar:
+        task = bar.add_task("seeds", total=len(seeds))
+        try:
+            for result in results:
+                summary.add(result)
+                bar.advance(task)
+        except KeyboardInterrupt:
+            stopped = True
+    results.close()  # type: ignore[attr-defined]  # it is a generator: closing it ends its processes
+    return stopped
+
+
+def shrink_script(script: Script, name: str, rule_name: str | None, max_runs: int) -> Shrunk:
+    """Shrink a script by the rule that it breaks first, or by a given one; a usage error if it breaks none."""
+    rule = None if rule_name is None else Rule[rule_name.upper()]
+    violations = [violation for violation in run_script(script).verdicts if rule in (None, violation.rule)]
+    if not violations:
+        raise click.UsageError(f"{name} breaks no rule" + ("" if rule is None else f" {rule.value!r}"))
+    first = min(violations, key=violation_time)
+    return Shrinker(script, first.rule, max_runs).run()
+
+
+def violation_time(violation: Violation) -> float:
+    """When a rule was broken, in ms of the trial."""
+    return violation.at
