--- a/stackwheel/cli/cells.py
+++ b/stackwheel/cli/cells.py
@@ -17,6 +17,7 @@
 from stackwheel.cells.plan_file import load_plan, load_regions, save_plan
 from stackwheel.cli.cells_output import cell_document, cell_table, plan_document, plan_table
 from stackwheel.cli.options import FILE_PATH, json_option
+from stackwheel.errors import InvalidInputError
 from stackwheel.interface import Availability
 
 
@@ -156,16 +157,15 @@
 
 def load_servers(path: Path) -> list[ListedServer]:
     """The servers of a list that can still be used; ClickException with the place if it can't be read completely."""
-    from stackwheel.wire.discovery_client import read_listing
+    from stackwheel.wire.discovery_protocol import read_endpoint_list
 
-    faults: list[str] = []
+    faults: list[InvalidInputError] = []
     try:
-        endpoint_list = read_listing(json.loads(path.read_bytes()), faults.append)
+        endpoint_list = read_endpoint_list(json.loads(path.read_bytes()), faults.append)
     except OSError as error:
         raise click.ClickException(f"{path}: {error.strerror or error}") from error
-    except (ValueError, TypeError, KeyError, RecursionError) as error:
-        reason = f"no {error}" if isinstance(error, KeyError) else str(error)
-        raise click.ClickException(f"{path}: no list of servers: {reason}") from error
+    except (ValueError, RecursionError) as error:
+        raise click.ClickException(f"{path}: no list of servers: {error}") from error
     if faults:
         raise click.ClickException(f"{path}: {faults[0]}")
     if not endpoint_list.complete:
--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -17,7 +17,7 @@
 from stackwheel.scale.registry_list import RegistryList
 from stackwheel.state.server_ids import server_id
 from stackwheel.wire import timing
-from stackwheel.wire.datagrams import MOST_BYTES
+from stackwheel.wire.datagrams import MAX_DATAGRAM_BYTES
 
 LIST_PATH = "/registry/instances"
 READ_BYTES = 64 * 1024
@@ -172,7 +172,7 @@
     def send(self, payload: bytes, address: tuple[str, int]) -> None:
         """Send one datagram to the planner under test."""
         assert self.transport is not None
-        assert len(payload) <= MOST_BYTES
+        assert len(payload) <= MAX_DATAGRAM_BYTES
         self.transport.sendto(payload, address)
         self.traffic.received(len(payload))
 
--- a/tests/cli/test_cells_command.py
+++ b/tests/cli/test_cells_command.py
@@ -126,7 +126,7 @@
         (generated_fleet.encode_endpoint_list(generated_fleet.servers(1, 20, 2))[:-30], "no list of servers: "),
         (b"[]", "no list of servers: no list of instances"),
         (b"\xff", "no list of servers: "),
-        (b'{"instances":[]}', "no list of servers: no 'generation'"),
+        (b'{"instances":[]}', "no list of servers: generation: missing"),
         (generated_fleet.encode_endpoint_list([]), "no server is listed"),
         (list_document(reset=False), "reset: false"),
         (list_document(entry(), {}), "entry 1 ("),
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -17,7 +17,7 @@
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
 from stackwheel.state.server_ids import ServerIds, server_id
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 from stackwheel.wire.transport import SocketTransport
 
 ZONES = ("east", "west")
@@ -165,12 +165,12 @@
         events = events_of(batch)
         for event in events:
             if isinstance(event, face.EndpointUpdate):
-                update = parse_listing(list_document(event))
+                update = parse_endpoint_list(list_document(event))
                 if event.kind is face.UpdateKind.CACHED:
-                    endpoints.apply(update)  # type: ignore[arg-type]
+                    endpoints.apply(update)
                     actor.decide([endpoints.cached_update()])
                 else:
-                    actor.post(update)  # type: ignore[arg-type]
+                    actor.post(update)
                 continue
             sender, line = protocol_line(event)
             if sender not in writers:
