--- a/stackwheel/service/relay_config.py
+++ b/stackwheel/service/relay_config.py
@@ -9,7 +9,8 @@
 from stackwheel.cells.assignment import CellIndex, relays_for_cell
 from stackwheel.cells.plan import CellPlanError, Plan
 from stackwheel.cells.plan_file import load_plan
-from stackwheel.config_language.load import OperatorsError, load
+from stackwheel.config_language.errors import OperatorsFileError
+from stackwheel.config_language.load import load
 from stackwheel.errors import InvalidInputError
 from stackwheel.service.config import replicated
 
@@ -41,15 +42,15 @@
     """
     try:
         record = load(path).records.relay
-    except OperatorsError as error:
+    except OperatorsFileError as error:
         raise RelayConfigError("", str(error)) from error
-    if not record.on:
+    if not record.enabled:
         raise RelayConfigError(str(path), "relay.on is false")
     try:
         upstream = replicated({"relay.upstream": record.upstream}, "relay.upstream")
     except ValueError as error:
         raise RelayConfigError(str(path), str(error)) from error
-    return RelayConfig(record.name, upstream, path.parent / record.plan)
+    return RelayConfig(record.name, upstream, path.parent / record.plan_file)
 
 
 @dataclass(frozen=True, slots=True)
