--- /dev/null
+++ b/stackwheel/policy/peer_planners.py
@@ -0,0 +1,75 @@
+"""Other planners: what they gossip, the rate they send to a server, and what this planner gossips."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from stackwheel.interface import Action, SendGossip, Settings
+from stackwheel.policy import gossip
+from stackwheel.policy.servers import Rates, ServerPool, ServerView
+
+PEER_FIGURES_CYCLES = 3.0
+"""Report intervals for which a peer's figures count after its last datagram."""
+
+MAX_DATAGRAMS_PER_CYCLE = 128
+"""Read by one planner in a report interval; where its peers would send more, nobody gossips."""
+
+
+class PeerFigures(NamedTuple):
+    """What one peer reported in its datagrams so far."""
+
+    received_at: float
+    proxies: int
+    rates: Rates
+
+
+class PeerPlanners:
+    """The figures of all peers that have sent gossip."""
+
+    def __init__(self, settings: Settings, pool: ServerPool) -> None:
+        self.pool = pool
+        self.planner_count = settings.planner_count
+        self.gossip_recipients = settings.planner_count - 1 if settings.gossip_enabled else 0
+        self.lifetime_ms = PEER_FIGURES_CYCLES * settings.report_interval
+        self.figures: dict[int, PeerFigures] = {}
+
+    def record(self, sender: int, payload: bytes, now: float) -> None:
+        """Add a datagram to its sender's earlier figures; a peer without proxies sends nothing anywhere.
+
+        Raises:
+            MalformedGossipError: it is no planner's datagram.
+        """
+        message = gossip.decode(payload)
+        known = self.figures.get(sender)
+        rates = {**(known.rates if known else {}), **message.rates} if message.proxies else {}
+        known_servers = {server: rate for server, rate in rates.items() if server in self.pool.views}
+        self.figures[sender] = PeerFigures(now, message.proxies, known_servers)
+
+    def fresh(self, now: float) -> list[PeerFigures]:
+        """The figures that still count."""
+        oldest = now - self.lifetime_ms
+        return [figures for figures in self.figures.values() if figures.received_at > oldest]
+
+    def others_rate(self, view: ServerView, now: float) -> float:
+        """Requests a second that other planners' proxies send to a server.
+
+        From gossip; where some peers' figures are missing, at least what the server's own load figures leave for them,
+        or as much for each planner as our proxies send.
+        """
+        fresh = self.fresh(now)
+        server = view.entry.server
+        gossiped = sum(figures.rates.get(server, 0.0) for figures in fresh)
+        if len(fresh) >= self.planner_count - 1:
+            return gossiped
+        ours = view.attempt_rate
+        total = ours * self.planner_count
+        if "outstanding" in view.load and view.latency is not None:
+            total = view.load["outstanding"] * 1000.0 / max(1.0, view.latency)
+        return max(gossiped, total - ours)
+
+    def announce(self, proxies: int) -> list[Action]:
+        """Gossip to all peers the rate that we send to each server, those without traffic too."""
+        payloads = gossip.encode(proxies, {server: view.attempt_rate for server, view in self.pool.views.items()})
+        if not 0 < self.gossip_recipients * len(payloads) <= MAX_DATAGRAMS_PER_CYCLE:
+            return []
+        return [SendGossip(payload) for payload in payloads]
