--- /dev/null
+++ b/stackwheel/policy/updates.py
@@ -0,0 +1,266 @@
+"""Updates: which lines of the tables are sent now; withdrawals first, then what a table lacks, then the largest."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from enum import IntEnum
+from typing import NamedTuple
+
+from stackwheel.interface import (
+    Action,
+    AdmissionLevel,
+    Availability,
+    Server,
+    SetAdmission,
+    SetTimer,
+    Settings,
+    SetWeight,
+)
+from stackwheel.policy.arithmetic import bounded
+from stackwheel.policy.channel import CHANGE_MESSAGE_SHARE, CHANGE_QUEUE_SHARE, MAX_QUEUE_SHARE, Outbox
+from stackwheel.policy.load_shedding import LoadShedding, level_differs
+from stackwheel.policy.servers import Rates, ServerPool
+from stackwheel.policy.table_groups import TableGroups
+from stackwheel.policy.tables import Table, TableGroup
+from stackwheel.policy.timers import DEFERRED_CHANGES_TIMER, Slot
+
+MIN_CHANGE_SHARE = 0.1
+"""Of a weight: a smaller change is not worth a line."""
+
+OVERWEIGHT_MULTIPLE = 1.2
+"""Times its target: a warming or ejected server's line over this must not wait."""
+
+LACKING_SHARE = 0.1
+"""Of a table unsent: over this its new lines go before other changes."""
+
+EMPTY_SHARE = 0.8
+"""Of a table unsent: over this it can hardly serve, and its new lines must not wait."""
+
+RETRY_CYCLES = 0.1
+"""Report intervals after which deferred changes are retried."""
+
+MIN_SPACING_GRACE_SHARE = 0.1
+"""Of the drain grace: what comes sooner after a message to a group waits for the next one."""
+
+
+class Urgency(IntEnum):
+    """How long a line may wait; sorts the most urgent first."""
+
+    REMOVED = 0
+    """Its server is draining or removed: it leaves all tables before anything else is sent."""
+    WARMING = 1
+    """Its server is warming up and has too much: no load may push it over."""
+    SOON = 2
+    """Its server is ejected and has too much, or its table can hardly serve."""
+    NEW = 3
+    """Its table lacks a part that was never sent."""
+    ROUTINE = 4
+    """An ordinary adjustment of weights."""
+
+
+class WeightChange(NamedTuple):
+    """A changed line of a table; sorts by urgency, then the largest change first."""
+
+    urgency: Urgency
+    negated_size: float
+    position: int
+    """Of its table in the group."""
+    server: Server
+    weight: float
+
+
+class UpdateScheduler:
+    """Decides what each group of proxies is sent, within the queue, the pace and the message cap.
+
+    Attributes:
+        is_urgent: a change that the operators' rules require to be sent at once.
+        has_deferred: some changes were due and could not be sent.
+        retry_at: when deferred changes may be retried.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        actions: list[Action],
+        slot: Slot,
+        pool: ServerPool,
+        outbox: Outbox,
+        shedding: LoadShedding,
+        groups: TableGroups,
+    ) -> None:
+        self.settings = settings
+        self.actions = actions
+        self.slot = slot
+        self.pool = pool
+        self.outbox = outbox
+        self.shedding = shedding
+        self.groups = groups
+        self.is_urgent = False
+        self.has_deferred = False
+        self.retry_at = 0.0
+        self.retry_ms = RETRY_CYCLES * settings.report_interval
+
+    def should_send(self, now: float) -> bool:
+        """Whether changes should be sent before the next slot, and the queue is short enough."""
+        wanted = self.is_urgent or (self.has_deferred and now >= self.retry_at)
+        return wanted and self.outbox.free_lines(CHANGE_QUEUE_SHARE) > 0
+
+    def send(self, proxies_wait: bool, now: float) -> None:
+        """Send what is due: lines of removed servers leave all tables before anything else.
+
+        Args:
+            proxies_wait: some proxies have no tables yet, so that only what rules need may use the channel.
+            now: ms.
+        """
+        self.is_urgent = False
+        self.has_deferred = False
+        self.retry_at = now + self.retry_ms
+        admitted = self.shedding.admitted_shares(now)
+        groups = sorted(self.groups.all(), key=lambda group: group.written_at)
+        ready = {view.entry.server for view in self.pool.ready()}
+        for group in [group for group in groups if group.users and self.holds_others(group, ready)]:
+            self.send_group(group, admitted, True, now)
+        if self.has_deferred:
+            self.actions.append(SetTimer(self.retry_ms, DEFERRED_CHANGES_TIMER))
+        only_urgent = self.has_deferred or proxies_wait
+        for group in groups:
+            self.send_group(group, admitted, only_urgent, now)
+
+    def holds_others(self, group: TableGroup, ready: set[Server]) -> bool:
+        """Whether the group's proxies have lines of servers that are not ready."""
+        return any(server not in ready for table in group.tables for server in table.sent)
+
+    def send_group(self, group: TableGroup, admitted: list[float], only_urgent: bool, now: float) -> None:
+        """Send a group in one message what must not wait, then the largest changes, as many as fit."""
+        changes = self.group_changes(group, only_urgent, now)
+        levels = [self.shedding.levels(table, admitted) for table in group.tables]
+        level_lines = count_level_lines(group, levels)
+        must_go = count_must_go(changes)
+        lacks_lines = any(change.urgency == Urgency.NEW for change in changes)
+        paced = 0.0 if only_urgent else self.paced_lines(group, lacks_lines)
+        free = self.free_lines_for_each(group) - level_lines
+        fits = free > 0 and self.may_write(group, changes, now)
+        limit = int(bounded(max(must_go, paced), 0, max(0, free)))
+        chosen = changes[:limit] if fits else []
+        self.has_deferred |= lacks_lines or (level_lines > 0 and not fits) or count_must_go(chosen) < must_go
+        if not chosen and (only_urgent or not level_lines or not fits):
+            return
+        self.write_group(group, chosen, levels)
+        if paced:
+            message_lines = self.outbox.overhead_lines + len(chosen)
+            self.outbox.change_allowance -= max(1, len(group.users)) * message_lines
+        if chosen:
+            group.written_at = now
+
+    def free_lines_for_each(self, group: TableGroup) -> float:
+        """Lines that a message to each proxy of a group may have before the queue is too long."""
+        free = self.outbox.free_lines(MAX_QUEUE_SHARE)
+        return free / max(1, len(group.users)) - self.outbox.overhead_lines
+
+    def paced_lines(self, group: TableGroup, lacks_lines: bool) -> float:
+        """Lines for each proxy of a group that the pace of changes allows; none once it is spent.
+
+        What a table lacks may go beyond the pace while the queue is short: it takes what nobody else uses.
+        """
+        outbox = self.outbox
+        if outbox.change_allowance <= 0 and not (lacks_lines and outbox.free_lines(CHANGE_QUEUE_SHARE / 2) > 0):
+            return 0.0
+        overhead = outbox.overhead_lines
+        return max(overhead, outbox.max_change_allowance / max(1, len(group.users)) - overhead)
+
+    def may_write(self, group: TableGroup, changes: Sequence[WeightChange], now: float) -> bool:
+        """Whether the queue is short, and each proxy of a group may get one more message.
+
+        For removed and warming servers there is a reserve of the message cap.
+        """
+        settings = self.settings
+        outbox = self.outbox
+        since_last = now - group.written_at
+        between_slots = self.slot.started_at < now
+        if settings.message_cap and between_slots and 0 < since_last < MIN_SPACING_GRACE_SHARE * settings.drain_grace:
+            return False
+        uses_reserve = changes and changes[0].urgency <= Urgency.WARMING and since_last >= outbox.reserve_spacing_ms()
+        share = 1.0 if uses_reserve else CHANGE_MESSAGE_SHARE
+        return outbox.free_lines(CHANGE_QUEUE_SHARE) > 0 and all(
+            outbox.may_write(user, share) for user in group.users if user not in outbox.pending_lines
+        )
+
+    def group_changes(self, group: TableGroup, only_urgent: bool, now: float) -> list[WeightChange]:
+        """The changes of all tables of a group, in the order in which they should be sent."""
+        changes = [
+            change
+            for position, table in enumerate(group.tables)
+            for change in self.table_changes(position, table, now)
+            if not only_urgent or change.urgency <= Urgency.WARMING
+        ]
+        changes.sort()
+        return changes
+
+    def table_changes(self, position: int, table: Table, now: float) -> list[WeightChange]:
+        """Lines of a table that moved by over a tenth, came or went."""
+        scale = table.scale()
+        shares = table.shares
+        sent = table.sent
+        lacking = sum(share for server, share in shares.items() if server not in sent)
+        changes = []
+        for server in dict.fromkeys([*shares, *sent]):
+            new = scale * shares.get(server, 0.0)
+            old = sent.get(server, 0.0)
+            size = abs(new - old)
+            if size > MIN_CHANGE_SHARE * max(new, old) or (old > 0) != (new > 0):
+                urgency = self.change_urgency(server, old, new, now) if old != 0 else new_line_urgency(lacking)
+                changes.append(WeightChange(urgency, -size, position, server, new))
+        return changes
+
+    def change_urgency(self, server: Server, old: float, new: float, now: float) -> Urgency:
+        """How long the change of a line that proxies hold may wait."""
+        if old <= OVERWEIGHT_MULTIPLE * new:
+            return Urgency.ROUTINE
+        view = self.pool.views.get(server)
+        if view is None or view.entry.availability is not Availability.READY:
+            return Urgency.REMOVED
+        if self.pool.available_share(view, now) < 1.0:
+            return Urgency.WARMING
+        return Urgency.SOON if view.ejected_until > now else Urgency.ROUTINE
+
+    def write_group(
+        self, group: TableGroup, chosen: Sequence[WeightChange], levels: list[dict[int, AdmissionLevel]]
+    ) -> None:
+        """Send chosen changes of a group's tables, and all of their levels that differ."""
+        users = list(group.users)
+        for position, table in enumerate(group.tables):
+            weights = {change.server: change.weight for change in chosen if change.position == position}
+            self.write(table, users, weights, levels[position])
+
+    def write(self, table: Table, users: list[int], weights: Rates, levels: dict[int, AdmissionLevel]) -> None:
+        """Order lines and levels of one table, and charge them to its users."""
+        orders: list[Action] = [SetWeight(table.number, server, weight) for server, weight in weights.items()]
+        table.sent = {server: weight for server, weight in {**table.sent, **weights}.items() if weight > 0}
+        for request_class, level in levels.items():
+            if level_differs(level, table.levels.get(request_class)):
+                table.levels[request_class] = level
+                orders.append(SetAdmission(table.number, (request_class,), level.admitted, level.retry))
+        if orders:
+            self.actions += orders
+            self.outbox.add(users, len(orders))
+
+
+def new_line_urgency(lacking: float) -> Urgency:
+    """How long a line that its table lacks may wait, by the share that the table lacks in all."""
+    if lacking > EMPTY_SHARE:
+        return Urgency.SOON
+    return Urgency.NEW if lacking > LACKING_SHARE else Urgency.ROUTINE
+
+
+def count_must_go(changes: Sequence[WeightChange]) -> int:
+    """How many changes must not wait for the pace of ordinary ones."""
+    return sum(change.urgency < Urgency.NEW for change in changes)
+
+
+def count_level_lines(group: TableGroup, levels: list[dict[int, AdmissionLevel]]) -> int:
+    """How many levels of a group's tables differ enough to be sent."""
+    return sum(
+        level_differs(level, table.levels.get(request_class))
+        for table, wanted in zip(group.tables, levels, strict=True)
+        for request_class, level in wanted.items()
+    )
