--- a/stackwheel/interface.py
+++ b/stackwheel/interface.py
@@ -1,6 +1,6 @@
 """The policy's interface: settings, events and actions in the field's words.
 
-Types only. `balance.py` decides on these; an adapter (such as `drill`) translates them to and from a
+Types only. `policy/planner.py` decides on these; an adapter (such as `simulator`) translates them to and from a
 protocol. Times are milliseconds on the planner's clock; rates are per second.
 """
 
--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Callable, Iterable
 
-from stackwheel import peers
+from stackwheel.policy import gossip
 from stackwheel.scale.control import HollowPlanner
 from stackwheel.scale.holding import Holding
 from stackwheel.wire.http import split_address
@@ -20,7 +20,7 @@
 
 def datagrams_per_cycle(planners: int, servers: int) -> int:
     """What one planner of a cell sends in a cycle; the others' datagrams that it reads are as many."""
-    needed = (planners - 1) * math.ceil(servers / peers.LINES)
+    needed = (planners - 1) * math.ceil(servers / gossip.LINES_PER_DATAGRAM)
     return needed if needed <= CYCLE_MOST else 0
 
 
@@ -28,8 +28,8 @@
     """The bytes of those datagrams that one planner of a cell reads in a cycle."""
     if not datagrams_per_cycle(planners, servers):
         return 0
-    payloads = math.ceil(servers / peers.LINES)
-    return (planners - 1) * (payloads * peers.HEAD.size + servers * peers.LINE.size)
+    payloads = math.ceil(servers / gossip.LINES_PER_DATAGRAM)
+    return (planners - 1) * (payloads * gossip.HEADER.size + servers * gossip.LINE.size)
 
 
 class Receiver(asyncio.DatagramProtocol):
@@ -40,9 +40,12 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """One datagram of a peer, read as a planner reads it."""
-        if peers.unpack(data) is not None:
-            self.traffic.datagrams_in += 1
-            self.traffic.bytes_in += len(data)
+        try:
+            gossip.decode(data)
+        except gossip.MalformedGossipError:
+            return
+        self.traffic.datagrams_in += 1
+        self.traffic.bytes_in += len(data)
 
 
 class PeerTraffic:
@@ -86,7 +89,7 @@
             if due and granted is None:
                 granted = self.grant(due)
             if due and granted:
-                self.send(transport, peers.pack(PROXIES, dict.fromkeys(servers, RATE)), others)
+                self.send(transport, gossip.encode(PROXIES, dict.fromkeys(servers, RATE)), others)
             await asyncio.sleep(CYCLE)
 
     def grant(self, due: int) -> bool:
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from random import Random
 
-from stackwheel.balance import PEERS_MOST
+from stackwheel.policy.peer_planners import MAX_DATAGRAMS_PER_CYCLE
 from stackwheel.scale.accounting import Channel
 from stackwheel.scale.bench import READY_POLL_SECONDS, READY_SECONDS, Bench, BenchError, address_of, started
 from stackwheel.scale.design_size import REQUESTS_PER_PROXY
@@ -82,7 +82,7 @@
             discovery = await asyncio.start_server(self.feed.serve, HOST, 0)
             stack.callback(discovery.close)
             names = [entry.instance_id for entry in entries]
-            peers = PeerPlanners(names, PEERS_MOST, self.counters[Channel.PEERS])
+            peers = PeerPlanners(names, MAX_DATAGRAMS_PER_CYCLE, self.counters[Channel.PEERS])
             stack.callback(peers.close)
             await peers.open(self.point.planners - 1)
             config = planner_config(self.point, f"{HOST}:{free_port()}", address_of(discovery), peers, self.seed)
--- a/stackwheel/scale/surroundings.py
+++ b/stackwheel/scale/surroundings.py
@@ -10,7 +10,7 @@
 import h11
 import msgspec
 
-from stackwheel import peers
+from stackwheel.policy import gossip
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING, Entry
 from stackwheel.scale.listing import RegistryList
@@ -170,7 +170,7 @@
     """The other planners of a tier: each tells its load once a cycle, as long as the policy would send so much."""
 
     def __init__(self, servers: Sequence[str], datagrams_most: int, traffic: Traffic) -> None:
-        self.payloads = peers.pack(PEER_PROXIES, {server_id(name): RATE_OF_A_PEER for name in servers})
+        self.payloads = gossip.encode(PEER_PROXIES, {server_id(name): RATE_OF_A_PEER for name in servers})
         self.datagrams_most, self.traffic = datagrams_most, traffic
         self.everyone = PeerEnd(traffic)
         self.ends: list[PeerEnd] = []
--- a/stackwheel/simulator/host.py
+++ b/stackwheel/simulator/host.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stackwheel.balance import Planner
 from stackwheel.interface import Event
+from stackwheel.policy.planner import Planner
 from stackwheel.settings import SettingsError, parse_settings
 from stackwheel.simulator import wire
 from stackwheel.simulator.wire import Batch, Create, Decoder, Down, WireError
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -12,8 +12,8 @@
 from loguru import logger
 
 from stackwheel import interface as face
-from stackwheel.balance import Planner
 from stackwheel.interface import Action, Event, Settings
+from stackwheel.policy.planner import Planner
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache, EndpointList
 from stackwheel.state.streams import ProxyStream, ProxyStreams, StreamConnection
--- a/stackwheel/trials/defects.py
+++ b/stackwheel/trials/defects.py
@@ -14,14 +14,20 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from stackwheel import balance
 from stackwheel import interface as face
-from stackwheel.balance import Outbox, Planner
 from stackwheel.files import codec, publisher
 from stackwheel.files.accept import Acceptor
 from stackwheel.files.disk import SwapFailed
 from stackwheel.files.reader import Reader
 from stackwheel.interface import Availability, Retry
+from stackwheel.policy import load_shedding, table_groups, tables
+from stackwheel.policy.channel import Outbox
+from stackwheel.policy.endpoints import EndpointTracker
+from stackwheel.policy.joins import Joins
+from stackwheel.policy.servers import Rates, ServerPool
+from stackwheel.policy.slow_start import SlowStart
+from stackwheel.policy.tables import Table
+from stackwheel.policy.updates import UpdateScheduler, Urgency, WeightChange
 from stackwheel.relay import cache
 from stackwheel.relay.contact import Contact
 from stackwheel.relay.part import Part
@@ -68,86 +74,77 @@
 
 
 def drain_ignored() -> Sequence[Patch]:
-    honest = Planner.take_entry
+    honest = EndpointTracker.apply_entry
 
-    def take_entry(self: Planner, entry: face.EndpointEntry) -> None:
-        honest(self, replace(entry, availability=Availability.READY))
+    def apply_entry(self: EndpointTracker, entry: face.EndpointEntry) -> bool:
+        return honest(self, replace(entry, availability=Availability.READY))
 
-    return [(Planner, "take_entry", take_entry)]
+    return [(EndpointTracker, "apply_entry", apply_entry)]
 
 
 def gone_kept() -> Sequence[Patch]:
-    honest = Planner.take_list
+    honest = EndpointTracker.apply
 
-    def take_list(self: Planner, update: face.EndpointUpdate) -> None:
+    def apply(self: EndpointTracker, update: face.EndpointUpdate) -> bool:
         here = tuple(e for e in update.entries if e.availability is not Availability.REMOVED)
-        missing = tuple(v.entry for s, v in self.servers.items() if all(e.server != s for e in here))
-        honest(self, replace(update, entries=(*here, *missing)))
+        missing = tuple(v.entry for s, v in self.pool.views.items() if all(e.server != s for e in here))
+        return honest(self, replace(update, entries=(*here, *missing)))
 
-    return [(Planner, "take_list", take_list)]
+    return [(EndpointTracker, "apply", apply)]
 
 
 def urgent_forgotten() -> Sequence[Patch]:
-    return [
-        (
-            Planner,
-            "moves",
-            lambda self, place, table: [
-                (3, gain, at, server, weight)
-                for _, gain, at, server, weight in honest_moves(self, place, table)
-                if weight > 0
-            ],
-        )
-    ]
+    honest = UpdateScheduler.table_changes
 
+    def table_changes(self: UpdateScheduler, position: int, table: Table, now: float) -> list[WeightChange]:
+        changes = honest(self, position, table, now)
+        return [change._replace(urgency=Urgency.NEW) for change in changes if change.weight > 0]
 
-honest_moves = Planner.moves
+    return [(UpdateScheduler, "table_changes", table_changes)]
 
 
 def cold_as_warm() -> Sequence[Patch]:
-    return [(Planner, "warmth", lambda self, view: 1.0), (balance, "STEP", 1e9)]
+    return [(SlowStart, "available_share", lambda self, entry, now: 1.0), (tables, "MAX_STEP", 1e9)]
 
 
 def cold_tenfold() -> Sequence[Patch]:
-    honest = Planner.as_shares
+    honest = tables.shares_of
 
-    def as_shares(self: Planner, placed: dict[face.Server, float]) -> dict[face.Server, float]:
-        cold = {s for s in placed if self.warmth(self.servers[s]) < 1.0}
-        return honest(self, {s: rate * (10.0 if s in cold else 1.0) for s, rate in placed.items()})
+    def shares_of(placed: Rates, pool: ServerPool, now: float) -> Rates:
+        warming = {server for server in placed if pool.available_share(pool.views[server], now) < 1.0}
+        return honest({s: rate * (10.0 if s in warming else 1.0) for s, rate in placed.items()}, pool, now)
 
-    return [(Planner, "as_shares", as_shares)]
+    return [(table_groups, "shares_of", shares_of)]
 
 
 def never_bound() -> Sequence[Patch]:
-    return [(Planner, "bind_joined", lambda self: None)]
+    return [(Joins, "bind_waiting", lambda self, now: None)]
 
 
 def one_class_bound() -> Sequence[Patch]:
-    honest = Planner.bind_joined
+    honest = Joins.bind_waiting
 
-    def bind_joined(self: Planner) -> None:
-        honest(self)
-        self.actions = [
+    def bind_waiting(self: Joins, now: float) -> None:
+        honest(self, now)
+        self.actions[:] = [
             a for a in self.actions if not (isinstance(a, face.AssignTable) and a.classes and a.classes[0] > 0)
         ]
 
-    return [(Planner, "bind_joined", bind_joined)]
+    return [(Joins, "bind_waiting", bind_waiting)]
 
 
 def tables_emptied() -> Sequence[Patch]:
-    honest = Planner.write
+    honest = UpdateScheduler.write
 
     def write(
-        self: Planner,
-        table: Any,
-        users: list[int],
-        changes: dict[face.Server, float],
-        levels: dict[int, face.AdmissionLevel],
+        self: UpdateScheduler, table: Table, users: list[int], weights: Rates, levels: dict[int, face.AdmissionLevel]
     ) -> None:
-        worn = dict.fromkeys(changes, 0.0) if self.slot > 8 and self.slot % 3 == 0 else changes
-        honest(self, table, users, {**worn, **(dict.fromkeys(table.sent, 0.0) if worn is not changes else {})}, levels)
+        number = self.slot.number
+        if number > 8 and number % 3 == 0:
+            weights = {**dict.fromkeys(weights, 0.0), **dict.fromkeys(table.sent, 0.0)}
+        honest(self, table, users, weights, levels)
 
-    return [(Planner, "write", write)]
+    return [(UpdateScheduler, "write", write)]
 
 
 def whole_not_said() -> Sequence[Patch]:
@@ -423,7 +420,7 @@
         "repeats-ordered",
         "policy",
         (Rule.ONCE,),
-        lambda: [(balance, "FURTHER_TRY", Retry.TWICE)],
+        lambda: [(load_shedding, "RETRY", Retry.TWICE)],
         "proxies try again after any failure",
     ),
     Defect("never-bound", "policy", (Rule.SERVED, Rule.DRAINS), never_bound, "joined proxies get no tables"),
@@ -439,7 +436,7 @@
         "queue-unbounded",
         "policy",
         (Rule.QUEUE,),
-        lambda: [(Outbox, "room", lambda self, lines, share: math.inf)],
+        lambda: [(Outbox, "free_lines", lambda self, share: math.inf)],
         "the channel's limit is not kept",
     ),
     Defect("cap-ignored", "policy and wire", (Rule.CAP,), uncapped, "nobody counts the messages to a proxy"),
--- a/tests/policy/test_channel.py
+++ b/tests/policy/test_channel.py
@@ -31,7 +31,7 @@
         marks = [action for action in actions if isinstance(action, face.AttachNonce)]
         if not marks:
             return
-        lines = self.harness.planner.lines
+        lines = self.harness.planner.outbox.pending_lines
         head = self.harness.settings.message_overhead + 1.0
         self.queue.extend((marks[0].nonce, proxy, count + head) for proxy, count in lines.items())
         self.most = max(self.most, self.waiting)
@@ -95,29 +95,29 @@
 def test_who_has_left_is_not_waited_for() -> None:
     """Their acknowledgements never come; the queue is then taken to drain slowly, and orders go on."""
     harness = fleet()
-    owed = harness.planner.outbox.queued
+    owed = harness.planner.outbox.queued_lines
     harness.send(wait=100.0)
-    assert owed > 0 and harness.planner.outbox.queued == owed  # they may still tell
+    assert owed > 0 and harness.planner.outbox.queued_lines == owed  # they may still tell
     harness.send(*(face.ProxyLeft(proxy) for proxy in range(PROXIES)), wait=100.0)
     harness.send(wait=200.0)
-    assert harness.planner.outbox.queued < owed
+    assert harness.planner.outbox.queued_lines < owed
 
 
 def test_who_has_come_again_owes_nothing_on_its_former_stream() -> None:
     """Streams that are replaced take their marks with them: four planners' proxies waited for each other's."""
     harness = fleet()
-    owed = harness.planner.outbox.queued
+    owed = harness.planner.outbox.queued_lines
     again = [
         event
         for proxy in range(PROXIES)
         for event in (face.ProxyLeft(proxy), face.ProxyJoined(proxy, proxy % 2, 40.0, False))
     ]
-    harness.planner.outbox.queued = (
+    harness.planner.outbox.queued_lines = (
         harness.settings.queue_limit
     )  # so that nothing new is sent, and all that is owed is old
     harness.send(*again, wait=100.0)
     harness.send(wait=200.0)
-    assert owed > 0 and harness.planner.outbox.queued < harness.settings.queue_limit
+    assert owed > 0 and harness.planner.outbox.queued_lines < harness.settings.queue_limit
 
 
 def test_what_went_leaves_all_tables_before_ordinary_changes_are_sent() -> None:
@@ -131,14 +131,16 @@
     )
     for _ in range(30):
         harness.slot(tries=8, demand=3, zones=(0,))
-    groups = [group for group in harness.planner.all_groups() if group.users]
+    groups = [group for group in harness.planner.groups.all() if group.users]
     assert len(groups) > 2
     for _ in range(6):  # weights want to move, but the queue is long
-        harness.planner.outbox.queued = harness.settings.queue_limit
+        harness.planner.outbox.queued_lines = harness.settings.queue_limit
         harness.slot(tries=8, demand=3, zones=(0,), use={n: 0.2 + 0.08 * (n % 9) for n in range(SERVERS)})
-    owed = sum(len(group.users) * (4 + harness.planner.outbox.head) for group in groups)  # its lines and levels
-    harness.planner.outbox.queued = 0.25 * harness.settings.queue_limit - owed - 1.0
-    harness.planner.outbox.unacked.clear()
+    owed = sum(
+        len(group.users) * (4 + harness.planner.outbox.overhead_lines) for group in groups
+    )  # its lines and levels
+    harness.planner.outbox.queued_lines = 0.25 * harness.settings.queue_limit - owed - 1.0
+    harness.planner.outbox.unacknowledged.clear()
     harness.listed(entry(3, 0, Availability.DRAINING))
     assert all(name(3) not in table.sent for group in groups for table in group.tables)
 
@@ -146,10 +148,10 @@
 def test_one_lost_acknowledgement_stops_nothing() -> None:
     """A spoilt answer is left out: who owes it is joined, but a queue that nobody speaks of drains slowly."""
     harness = fleet()
-    assert harness.planner.outbox.queued > 0
+    assert harness.planner.outbox.queued_lines > 0
     for _ in range(60):
         harness.send(wait=1000.0)
-    assert harness.planner.outbox.queued == 0
+    assert harness.planner.outbox.queued_lines == 0
     assert only(harness.listed(entry(0, 0, Availability.DRAINING)), face.SetWeight)
 
 
--- a/tests/policy/test_deployment_names.py
+++ b/tests/policy/test_deployment_names.py
@@ -1,12 +1,14 @@
-"""The policy module is free of what belongs to one deployment."""
+"""The policy is free of what belongs to one deployment."""
 
 import re
+import tomllib
 from pathlib import Path
 
 import pytest
 
 PACKAGE = Path(__file__).parents[2] / "stackwheel"
-MODULE = PACKAGE / "balance.py"
+POLICY_FILES = sorted((PACKAGE / "policy").rglob("*.py"))
+DEPLOY_FILE = PACKAGE.parent / "deploy" / "balancer.toml"
 NAMES = (
     "austin",
     "houston",
@@ -32,13 +34,22 @@
 )
 
 
+def test_the_deploy_file_lists_every_policy_file() -> None:
+    listed = tomllib.loads(DEPLOY_FILE.read_text())["policy"]
+    assert sorted(PACKAGE.parent / path for path in listed) == POLICY_FILES
+
+
 def test_policy_names_its_interface_first() -> None:
-    assert "stackwheel/interface.py" in "\n".join(MODULE.read_text().splitlines()[:5])
+    """The file that a reader is pointed to first, and the package itself."""
+    first = tomllib.loads(DEPLOY_FILE.read_text())["policy"][0]
+    for path in (PACKAGE.parent / first, PACKAGE / "policy" / "__init__.py"):
+        assert "stackwheel/interface.py" in "\n".join(path.read_text().splitlines()[:5])
 
 
-def test_policy_reads_no_name() -> None:
+@pytest.mark.parametrize("path", POLICY_FILES, ids=lambda path: path.name)
+def test_policy_reads_no_name(path: Path) -> None:
     """Settings may name classes, zones and kinds; the policy must not look at any such name."""
-    assert not re.search(r"\.name\b", MODULE.read_text())
+    assert not re.search(r"\.name\b", path.read_text())
 
 
 @pytest.mark.parametrize("path", sorted(PACKAGE.rglob("*.py")), ids=lambda path: str(path.relative_to(PACKAGE)))
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -7,8 +7,10 @@
 from policy_harness import SETTINGS, PolicyHarness, only
 
 from stackwheel import interface as face
-from stackwheel import peers
-from stackwheel.balance import FIRST_LEAST, Table
+from stackwheel.policy import gossip
+from stackwheel.policy.table_groups import COMPLETE, MIN_HEALTHY_LINES
+from stackwheel.policy.tables import Table
+from stackwheel.policy.timers import SLOT_TIMER
 
 READY, GONE = face.Availability.READY, face.Availability.REMOVED
 
@@ -71,9 +73,11 @@
     )
     for _ in range(4):
         harness.send(*reports(harness, cold=frozenset({0})), face.DemandReport(0, 0, 4, 0, 1000.0), wait=500.0)
-    view = harness.planner.servers[many(0)]
-    sent = sum(rates.get(many(0), 0.0) for rates in harness.planner.goals.values())
-    assert planners * sent < settings.overload_multiple * view.capacity * harness.planner.warmth(view)
+    view = harness.planner.pool.views[many(0)]
+    sent = sum(rates.get(many(0), 0.0) for rates in harness.planner.groups.placement.values())
+    assert planners * sent < settings.overload_multiple * view.capacity * harness.planner.pool.available_share(
+        view, harness.now
+    )
 
 
 def test_peers_are_told_only_what_they_can_read() -> None:
@@ -129,13 +133,13 @@
 
     for _ in range(12):
         second(2.0)
-    assert harness.planner.shed == 0.0
+    assert harness.planner.shedding.shed_share == 0.0
     for _ in range(4):
         second(60.0)
-    assert harness.planner.shed > 0.0
+    assert harness.planner.shedding.shed_share > 0.0
     for _ in range(12):
         second(1.0)
-    assert harness.planner.shed == 0.0 and spent[-1] > 0
+    assert harness.planner.shedding.shed_share == 0.0 and spent[-1] > 0
     for _ in range(60):
         second(1.0, 1000.0)
     assert spent[-1] == 0  # reports that are fresh tell as much, and cost nothing
@@ -156,7 +160,7 @@
         harness.send(*harness.arrived(), *reports(harness), wait=1000.0)
     held = harness.tables[min(used)]
     assert (
-        len(held) >= FIRST_LEAST
+        len(held) >= MIN_HEALTHY_LINES
         and held.keys() <= {e.server for e in harness.entries.values()}
         and not set(mine[1:]) & held.keys()
     )
@@ -166,7 +170,7 @@
     """Thin lines drawn at the least share can sum to more than one; a negative weight makes proxies reset streams."""
     harness = PolicyHarness(servers=[server(n, started=100_000.0 * (n > 1)) for n in range(4)], proxies=((0, 0),))
     table = Table(9, 0, (0,), shares={many(0): 0.5, many(1): 0.5}, sent={many(0): 0.5, many(1): 0.5})
-    harness.planner.move_table(table, {many(0): 0.3, many(2): 0.9, many(3): 0.9}, harness.planner.ready())
+    table.step_towards({many(0): 0.3, many(2): 0.9, many(3): 0.9}, harness.planner.pool.ready_servers(harness.now))
     assert min(table.shares.values()) >= 0.0
 
 
@@ -190,8 +194,8 @@
     """One line in all tables took a third of a second of the channel, most of it heads of messages."""
     harness = crowd()
     assert all(held[0] == held[1] for held in harness.bound.values())
-    users = [len(group.users) for group in harness.planner.all_groups()]
-    assert sum(users) == 200 and max(users) <= harness.planner.outbox.crowd + 1
+    users = [len(group.users) for group in harness.planner.groups.all()]
+    assert sum(users) == 200 and max(users) <= harness.planner.outbox.max_group_size + 1
     small = PolicyHarness(servers=[server(n) for n in range(8)], proxies=((0, 0),))
     assert small.bound[0][0] != small.bound[0][1]  # the design's own: a table a class
 
@@ -228,7 +232,7 @@
         *(server(n, started=harness.now + 10.0) for n in range(60, 84)),
         *(replace(harness.entries[s], availability=GONE) for s in went),
     )
-    tables = {t.number for group in harness.planner.all_groups() if group.users for t in group.tables}
+    tables = {t.number for group in harness.planner.groups.all() if group.users for t in group.tables}
     came = {o.table for o in only(harness.actions, face.SetWeight) if o.weight > 0}  # type: ignore[attr-defined]
     rid = {t for t in tables if not went & harness.tables[t].keys()}
     assert tables - rid and not came - rid
@@ -264,7 +268,7 @@
                 for p in probes
             )
         )  # type: ignore[attr-defined]
-    assert harness.planner.shed > 0.0
+    assert harness.planner.shedding.shed_share > 0.0
 
 
 def test_a_full_server_that_then_breaks_a_probe_has_still_no_load_to_reckon_with() -> None:
@@ -281,8 +285,10 @@
     """Two planners that had restarted said nothing, and two fifths of what cold servers could take lay idle."""
     harness = PolicyHarness(servers=[server(n) for n in range(4)], proxies=(), gossip_enabled=True, planner_count=5)
     harness.actions.clear()
-    (timer,) = only(harness.send(face.TimerFired(harness.planner.slot + (1 << 32)), wait=1250.0), face.SendGossip)
-    assert peers.unpack(timer.payload)[0] == 0  # type: ignore[attr-defined, index]
+    (timer,) = only(
+        harness.send(face.TimerFired(SLOT_TIMER + harness.planner.slot.number), wait=1250.0), face.SendGossip
+    )
+    assert gossip.decode(timer.payload).proxies == 0  # type: ignore[attr-defined, index]
 
 
 def test_what_cold_servers_may_take_is_shared_by_the_proxies_that_planners_have() -> None:
@@ -293,9 +299,9 @@
         proxies=((0, 0), (1, 0)),
     )
     for others, part in ((6, 1.0), (2, 0.5), (0, 0.25)):
-        harness.send(face.GossipReceived(1, peers.pack(others, {many(0): 0.0})[0]), wait=10.0)
+        harness.send(face.GossipReceived(1, gossip.encode(others, {many(0): 0.0})[0]), wait=10.0)
         harness.send(*reports(harness), wait=1000.0)
-        assert abs(harness.planner.part - part) < 0.01
+        assert abs(harness.planner.allocator.our_share - part) < 0.01
 
 
 def test_tables_of_both_kinds_stand_side_by_side_when_the_fleet_grows() -> None:
@@ -311,5 +317,5 @@
     harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in range(30, 60)), wait=10.0)
     for _ in range(40):
         harness.send(*reports(harness), wait=1000.0)
-    assert {len(group.tables) for group in harness.planner.groups[0][0]} == {1, 2}
+    assert {len(group.tables) for group in harness.planner.groups.by_zone[0][COMPLETE]} == {1, 2}
     assert all(held for held in harness.bound.values())
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -6,8 +6,10 @@
 import pytest
 from policy_harness import READ, SETTINGS, WRITE, PolicyHarness, entry, name, only
 
-from stackwheel import balance, peers
 from stackwheel import interface as face
+from stackwheel.policy import gossip, load_shedding, outlier_ejection, peer_planners, slow_start, tables, timers
+from stackwheel.policy.demand import DemandKey
+from stackwheel.policy.tables import shares_of
 
 GONE, DRAINING = face.Availability.REMOVED, face.Availability.DRAINING
 
@@ -76,7 +78,7 @@
         before = harness.table(0)
         harness.slot(use={0: 1.0}, slow={0: 900.0})
         after = harness.table(0)
-        assert after[name(0)] >= before[name(0)] * (1 - balance.STEP) * 0.85
+        assert after[name(0)] >= before[name(0)] * (1 - tables.MAX_STEP) * 0.85
 
 
 def test_only_lines_that_moved_are_sent() -> None:
@@ -106,24 +108,24 @@
 
 def test_peers_figures_take_room_and_expire() -> None:
     harness = fleet(planner_count=2, planner_index=0, cross_zone_cost=0.0)
-    payload = peers.pack(1, {name(0): 50.0})[0]  # the peer sends 50 a second to server 0
+    payload = gossip.encode(1, {name(0): 50.0})[0]  # the peer sends 50 a second to server 0
     for _ in range(12):
         harness.send(face.GossipReceived(1, payload))
         harness.slot(use={n: 0.9 if n == 0 else 0.4 for n in range(6)})
     assert harness.table(0)[name(0)] < 0.8 * harness.table(0)[name(2)]
-    view = harness.planner.servers[name(0)]
-    assert harness.planner.others_rate(view) == 50.0
-    harness.now += 1000.0 * balance.PEER_LIFE + 1
+    view = harness.planner.pool.views[name(0)]
+    assert harness.planner.peers.others_rate(view, harness.now) == 50.0
+    harness.now += 1000.0 * peer_planners.PEER_FIGURES_CYCLES + 1
     harness.send()
-    assert harness.planner.others_rate(view) != 50.0
+    assert harness.planner.peers.others_rate(view, harness.now) != 50.0
 
 
 def test_own_traffic_is_not_taken_for_the_whole_load() -> None:
     """With no peer heard the server's own report of requests in hand shows the others' part."""
     harness = fleet(planner_count=2, load_columns=("outstanding",))
     harness.slots(10, tries=5, mean=100.0, use=dict.fromkeys(range(6), 4.0))  # 4 in hand at 100 ms: 40 a second
-    view = harness.planner.servers[name(0)]
-    assert harness.planner.others_rate(view) == pytest.approx(40.0 - view.rate, rel=0.1)
+    view = harness.planner.pool.views[name(0)]
+    assert harness.planner.peers.others_rate(view, harness.now) == pytest.approx(40.0 - view.attempt_rate, rel=0.1)
 
 
 def test_peer_messages_fit_and_name_every_server() -> None:
@@ -132,19 +134,22 @@
     harness.slots(2)
     payloads = [a.payload for a in only(harness.slot(), face.SendGossip) if isinstance(a, face.SendGossip)]
     assert all(len(payload) <= 256 for payload in payloads)
-    told = {server: rate for payload in payloads for server, rate in (peers.unpack(payload) or (0, {}))[1].items()}
-    assert told == {name(n): pytest.approx(harness.planner.servers[name(n)].rate, abs=0.1) for n in range(60)}
-    assert peers.unpack(b"garbage") is None
+    told = {server: rate for payload in payloads for server, rate in gossip.decode(payload).rates.items()}
+    assert told == {
+        name(n): pytest.approx(harness.planner.pool.views[name(n)].attempt_rate, abs=0.1) for n in range(60)
+    }
+    with pytest.raises(gossip.MalformedGossipError):
+        gossip.decode(b"garbage")
 
 
 def test_peers_figures_in_several_messages_add_up_and_expire_together() -> None:
     harness = fleet(planner_count=2, gossip_enabled=True)
     for number in (0, 1):
-        harness.send(face.GossipReceived(1, peers.pack(1, {name(number): 30.0})[0]), wait=5.0)
-    views = [harness.planner.servers[name(number)] for number in (0, 1)]
-    assert [harness.planner.others_rate(view) for view in views] == [30.0, 30.0]
-    harness.send(wait=balance.PEER_LIFE * harness.settings.report_interval + 1.0)
-    assert [harness.planner.others_rate(view) for view in views] == [0.0, 0.0]
+        harness.send(face.GossipReceived(1, gossip.encode(1, {name(number): 30.0})[0]), wait=5.0)
+    views = [harness.planner.pool.views[name(number)] for number in (0, 1)]
+    assert [harness.planner.peers.others_rate(view, harness.now) for view in views] == [30.0, 30.0]
+    harness.send(wait=peer_planners.PEER_FIGURES_CYCLES * harness.settings.report_interval + 1.0)
+    assert [harness.planner.peers.others_rate(view, harness.now) for view in views] == [0.0, 0.0]
 
 
 # drains, losses, restarts
@@ -208,7 +213,7 @@
     harness.listed(entry(0, 0, started=harness.now))
     for second in range(10):
         harness.slot(tries=30, demand=200, use=dict.fromkeys(range(6), 1.0))
-        present = (0.2 + 0.08 * second) * harness.planner.servers[name(0)].capacity
+        present = (0.2 + 0.08 * second) * harness.planner.pool.views[name(0)].capacity
         load = sum(200.0 * harness.table(p, c).get(name(0), 0.0) for p in (0, 1) for c in (0, 1))
         assert load < SETTINGS.overload_multiple * present
 
@@ -219,8 +224,14 @@
     harness.slots(5, demand=110, use=dict.fromkeys(range(12), 0.6))
     harness.listed(entry(0, 0, started=harness.now))
     harness.listed(*(entry(n, n % 2, DRAINING) for n in range(1, 9)))
-    limit = balance.COLD_USE * SETTINGS.overload_multiple * 0.2 * harness.planner.servers[name(0)].capacity
-    load = sum(harness.table(p, c).get(name(0), 0.0) * harness.planner.demand(p)[c] for p in (0, 1) for c in (0, 1))
+    limit = (
+        slow_start.WARMING_LOAD_SHARE * SETTINGS.overload_multiple * 0.2 * harness.planner.pool.views[name(0)].capacity
+    )
+    load = sum(
+        harness.table(p, c).get(name(0), 0.0) * harness.planner.demand.by_class(harness.now, p)[c]
+        for p in (0, 1)
+        for c in (0, 1)
+    )
     assert 0 < load < 1.25 * limit
 
 
@@ -301,15 +312,15 @@
     harness = fleet()
     harness.slots(4)
     harness.slot(tries=3, bad={0: 1})
-    assert not any(harness.planner.ejected(v) for v in harness.planner.servers.values())
+    assert not any(harness.planner.pool.is_ejected(v, harness.now) for v in harness.planner.pool.views.values())
 
 
 def test_ejection_stops_at_the_panic_share_and_keeps_the_last_line() -> None:
     harness = fleet(9)
     harness.slots(3)
     harness.slots(2, bad=dict.fromkeys(range(4), 20))
-    out = [v for v in harness.planner.servers.values() if harness.planner.ejected(v)]
-    assert 0 < len(out) <= balance.PANIC_SHARE * 9 < 4
+    out = [v for v in harness.planner.pool.views.values() if harness.planner.pool.is_ejected(v, harness.now)]
+    assert 0 < len(out) <= outlier_ejection.MAX_EJECTED_SHARE * 9 < 4
     alone = PolicyHarness(servers=[entry(0)], proxies=((0, 0),))
     alone.slots(8, bad={0: 20})
     assert alone.table(0)
@@ -319,7 +330,7 @@
     harness = fleet()
     harness.slots(4)
     harness.slots(3, bad={0: 10}, slow={0: 900.0})
-    assert not harness.planner.ejected(harness.planner.servers[name(0)])
+    assert not harness.planner.pool.is_ejected(harness.planner.pool.views[name(0)], harness.now)
 
 
 def test_silence_is_neither_health_nor_death() -> None:
@@ -327,7 +338,7 @@
     harness.slots(4)
     held = harness.table(0)
     for _ in range(5):
-        harness.send(face.TimerFired(balance.SLOT_TOKEN + harness.planner.slot), wait=1250.0)
+        harness.send(face.TimerFired(timers.SLOT_TIMER + harness.planner.slot.number), wait=1250.0)
     assert harness.table(0) == pytest.approx(held)
 
 
@@ -409,7 +420,7 @@
     )
     assert 0 < len(harness.bound) < 40
     for _ in range(20):
-        harness.send(face.TimerFired(balance.SLOT_TOKEN + harness.planner.slot), wait=1250.0)
+        harness.send(face.TimerFired(timers.SLOT_TIMER + harness.planner.slot.number), wait=1250.0)
     assert len(harness.bound) == 40
 
 
@@ -437,11 +448,11 @@
 
 
 def test_a_rate_limit_cuts_the_hot_caller_first() -> None:
-    assert balance.rate_cap([10.0, 10.0, 100.0], 0.5) == pytest.approx(40.0)
-    assert balance.rate_cap([10.0, 10.0], 0.5) == pytest.approx(5.0)
+    assert load_shedding.rate_cap([10.0, 10.0, 100.0], 0.5) == pytest.approx(40.0)
+    assert load_shedding.rate_cap([10.0, 10.0], 0.5) == pytest.approx(5.0)
     harness = fleet(admission_mode="rate")
     harness.slots(2)
-    assert harness.level(0)[0] == balance.NO_LIMIT
+    assert harness.level(0)[0] == load_shedding.NO_RATE_LIMIT
 
 
 @pytest.mark.parametrize("effect", ["repeatable", "by_key", "once"])
@@ -458,9 +469,9 @@
     harness = fleet(endpoint_list_on_request=True)
     assert only(harness.actions, face.WatchEndpoints) == [face.WatchEndpoints()]
     actions = harness.send(face.EndpointUpdate(face.UpdateKind.FAILED, 1), wait=100.0)
-    (timer,) = [a for a in actions if isinstance(a, face.SetTimer) and a.token == balance.LIST_TOKEN]
+    (timer,) = [a for a in actions if isinstance(a, face.SetTimer) and a.token == timers.ENDPOINT_LIST_TIMER]
     assert 0 < timer.delay <= 0.25 * harness.settings.list_poll_deadline
-    assert only(harness.send(face.TimerFired(balance.LIST_TOKEN), wait=timer.delay), face.WatchEndpoints)
+    assert only(harness.send(face.TimerFired(timers.ENDPOINT_LIST_TIMER), wait=timer.delay), face.WatchEndpoints)
 
 
 def test_a_pushed_list_is_not_asked_for() -> None:
@@ -487,9 +498,9 @@
     """Found on a drawn day: a lost zone, ejected but still listed, hid the overload it caused."""
     harness = fleet()
     harness.slots(6, tries=20, demand=40, use=dict.fromkeys(range(6), 0.6))
-    before = harness.planner.known_capacity()
+    before = harness.planner.shedding.known_capacity(harness.now)
     harness.slots(2, tries=20, demand=40, use=dict.fromkeys(range(6), 0.6), bad={0: 20, 1: 20})
-    assert harness.planner.known_capacity() < 0.75 * before
+    assert harness.planner.shedding.known_capacity(harness.now) < 0.75 * before
 
 
 def test_shedding_ends_with_the_jam_and_not_with_its_memory() -> None:
@@ -497,9 +508,9 @@
     harness = fleet(load_columns=())
     harness.slots(6)
     harness.slots(8, demand=200, tries=30, mean=950.0, bad=dict.fromkeys(range(6), 25))
-    assert harness.planner.shed > 0.5
+    assert harness.planner.shedding.shed_share > 0.5
     harness.slots(6, demand=40, tries=1)  # little is let in, so what is remembered of each server stays slow
-    assert harness.planner.shed < 0.25
+    assert harness.planner.shedding.shed_share < 0.25
 
 
 def test_a_restarted_server_does_not_hide_the_known_capacity() -> None:
@@ -507,16 +518,16 @@
     harness = fleet()
     harness.slots(5)
     harness.listed(entry(0, 0, started=harness.now))
-    assert math.isfinite(harness.planner.known_capacity())
+    assert math.isfinite(harness.planner.shedding.known_capacity(harness.now))
 
 
 def test_refused_tries_are_no_sign_of_capacity() -> None:
     """Found by a rule hunt: in a jam the tries counted as load, and a cold server's limit rose with them."""
     harness = fleet(load_columns=())
     harness.slots(8, tries=10)
-    before = harness.planner.level
+    before = harness.planner.capacity.fleet_level
     harness.slots(6, tries=100, bad=dict.fromkeys(range(6), 95), mean=100.0)
-    assert harness.planner.level < 2 * before
+    assert harness.planner.capacity.fleet_level < 2 * before
 
 
 def test_cold_lines_follow_when_other_lines_are_ejected() -> None:
@@ -525,8 +536,9 @@
     harness.slots(8, tries=5, demand=20)
     harness.listed(entry(0, 0, started=harness.now))
     harness.slot(tries=5, demand=20, bad=dict.fromkeys((1, 2, 3), 5), slow=dict.fromkeys((1, 2, 3), 1.0))
-    assert sum(1 for v in harness.planner.servers.values() if harness.planner.ejected(v)) == 3
-    goal = harness.planner.as_shares(harness.planner.spread()[0, 0])[name(0)]
+    assert sum(1 for v in harness.planner.pool.views.values() if harness.planner.pool.is_ejected(v, harness.now)) == 3
+    placement = harness.planner.allocator.spread(sorted(harness.planner.groups.by_zone), harness.now)
+    goal = shares_of(placement[DemandKey(0, 0)], harness.planner.pool, harness.now)[name(0)]
     assert 0 < harness.table(0)[name(0)] < 1.3 * goal
 
 
@@ -552,20 +564,20 @@
         reports: list[face.Event] = [face.LoadReport(0, name(n), 8, 0, 90.0, 1000.0, (0.4,)) for n in range(6)]
         told = [face.DemandReport(p, c, 1, 0, 1000.0) for p, _ in proxies for c in (0, 1) if (p + c + second) % 3 == 0]
         harness.send(*reports, *told, wait=1000.0)
-    assert sum(harness.planner.demand()) == pytest.approx(40.0, rel=0.1)
-    assert sum(harness.planner.demand(0)) == pytest.approx(20.0, rel=0.2)
+    assert sum(harness.planner.demand.by_class(harness.now)) == pytest.approx(40.0, rel=0.1)
+    assert sum(harness.planner.demand.by_class(harness.now, 0)) == pytest.approx(20.0, rel=0.2)
 
 
 def test_who_joins_counts_as_it_promises_until_it_tells_and_takes_its_share_along() -> None:
     harness = PolicyHarness(servers=[entry(n, 0) for n in range(4)], proxies=((0, 0), (1, 0)), cross_zone_cost=0.0)
-    assert sum(harness.planner.demand()) == pytest.approx(80.0)
+    assert sum(harness.planner.demand.by_class(harness.now)) == pytest.approx(80.0)
     for _ in range(12):
         harness.slot(demand=15)
-    assert harness.planner.demand(0) == pytest.approx([30.0, 30.0], rel=0.01)
+    assert harness.planner.demand.by_class(harness.now, 0) == pytest.approx([30.0, 30.0], rel=0.01)
     harness.send(face.ProxyJoined(2, 0, 40.0, True))
-    assert harness.planner.demand(0) == pytest.approx([50.0, 50.0], rel=0.01)
+    assert harness.planner.demand.by_class(harness.now, 0) == pytest.approx([50.0, 50.0], rel=0.01)
     harness.send(face.ProxyLeft(2), face.ProxyLeft(1))
-    assert harness.planner.demand(0) == pytest.approx([15.0, 15.0], rel=0.01)
+    assert harness.planner.demand.by_class(harness.now, 0) == pytest.approx([15.0, 15.0], rel=0.01)
     harness.send(face.ProxyJoined(3, 0, 40.0, True))
     for _ in range(12):
         harness.send(
@@ -574,7 +586,9 @@
             face.DemandReport(0, 1, 15, 0, 1000.0),
             wait=1000.0,
         )
-    assert harness.planner.demand(0) == pytest.approx([15.0, 15.0], rel=0.01)  # it never told of any
+    assert harness.planner.demand.by_class(harness.now, 0) == pytest.approx(
+        [15.0, 15.0], rel=0.01
+    )  # it never told of any
 
 
 def test_tables_move_once_for_an_urgent_cause_however_long_its_lines_wait(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -583,16 +597,16 @@
         servers=[entry(n, 0) for n in range(6)], proxies=((0, 0),), message_cap=4, message_window=10000.0
     )
     harness.slots(3)
-    harness.planner.outbox.written[0] = [harness.now] * 4  # nothing may be written for a while
+    harness.planner.outbox.message_times[0] = [harness.now] * 4  # nothing may be written for a while
     moved = 0
-    honest = harness.planner.move_tables
+    honest = harness.planner.groups.move_all
 
-    def move() -> None:
+    def move(now: float) -> None:
         nonlocal moved
         moved += 1
-        honest()
+        honest(now)
 
-    monkeypatch.setattr(harness.planner, "move_tables", move)
+    monkeypatch.setattr(harness.planner.groups, "move_all", move)
     harness.listed(entry(5, state=GONE))
     for _ in range(20):
         harness.send(face.DemandReport(0, 0, 1, 0, 1000.0), wait=10.0)
--- a/tests/policy/test_size.py
+++ b/tests/policy/test_size.py
@@ -7,8 +7,9 @@
 import pytest
 from policy_harness import SETTINGS, PolicyHarness, entry, name
 
-from stackwheel import balance
 from stackwheel import interface as face
+from stackwheel.policy.table_groups import COMPLETE
+from stackwheel.policy.updates import Urgency
 
 GONE, READY = face.Availability.REMOVED, face.Availability.READY
 SERVERS, PROXIES, ZONES = 120, 175, 3  # of 350 proxies on two planners
@@ -181,9 +182,11 @@
     fleet.send(*(face.ProxyJoined(p, p % ZONES, 5.0, False) for p in crowd))
     for _ in range(40):
         fleet.second()
-    whole = {t.number for sizes in fleet.planner.groups.values() for group in sizes[0] for t in group.tables}
+    whole = {
+        t.number for sizes in fleet.planner.groups.by_zone.values() for group in sizes[COMPLETE] for t in group.tables
+    }
     assert {t for p in crowd for t in fleet.bound[p].values()} <= whole
-    assert set(fleet.planner.groups[0]) == {0}  # what nobody uses is forgotten
+    assert set(fleet.planner.groups.by_zone[0]) == {COMPLETE}  # what nobody uses is forgotten
     assert fleet.longest <= SIZE.queue_limit
 
 
@@ -193,10 +196,10 @@
     harness = PolicyHarness(servers=[entry(n, 0) for n in range(4)], proxies=((0, 0),))
     tries = int(40 * window / 1000.0)
     harness.send(*(face.LoadReport(0, name(n), tries, 0, 100.0, window, (0.5,)) for n in range(4)), wait=1000.0)
-    before = harness.planner.servers[name(0)].rate
+    before = harness.planner.pool.views[name(0)].attempt_rate
     other = face.LoadReport(0, name(3), 40, 0, 100.0, 1000.0, (0.5,))
     harness.send(other, wait=1000.0)
-    faded = harness.planner.servers[name(0)].rate < before
+    faded = harness.planner.pool.views[name(0)].attempt_rate < before
     assert faded == (window < 500.0)
 
 
@@ -205,9 +208,9 @@
     harness = PolicyHarness(servers=[entry(n, n % 2) for n in range(6)])
     harness.slots(5)
     harness.slots(5, bad=dict.fromkeys(range(6), 6))
-    assert harness.planner.shed == 0.0
+    assert harness.planner.shedding.shed_share == 0.0
     harness.slots(5, bad=dict.fromkeys(range(6), 6), mean=900.0)
-    assert harness.planner.shed > 0.0
+    assert harness.planner.shedding.shed_share > 0.0
 
 
 def test_the_reserve_of_the_message_cap_is_for_gone_and_cold_servers() -> None:
@@ -217,10 +220,10 @@
         servers=servers, proxies=((0, 0),), message_cap=10, message_window=10000.0, cross_zone_cost=0.0
     )
     harness.slots(3)
-    harness.planner.outbox.written[0] = [harness.now] * 7  # over the share for changes
+    harness.planner.outbox.message_times[0] = [harness.now] * 7  # over the share for changes
     start = len(harness.actions)
     harness.slots(3, bad={5: 20})
-    assert harness.planner.ejected(harness.planner.servers[name(5)])
+    assert harness.planner.pool.is_ejected(harness.planner.pool.views[name(5)], harness.now)
     assert not any(isinstance(action, face.SetWeight) for action in harness.actions[start:])
     harness.listed(entry(4, state=GONE))
     harness.slot(bad={5: 20})
@@ -242,14 +245,14 @@
         while 0 not in harness.bound or name(server) in harness.table(0):
             harness.slot()
             assert harness.now - told < 3500.0
-    assert len([at for at in harness.planner.outbox.written[0] if at > harness.now - 10000.0]) <= 12
+    assert len([at for at in harness.planner.outbox.message_times[0] if at > harness.now - 10000.0]) <= 12
 
 
 def test_what_comes_to_a_table_that_ran_dry_does_not_wait() -> None:
     """Found by a hunt at size: what left went out first, what came found no room, and proxies had no server."""
     harness = PolicyHarness(servers=[entry(n, 0) for n in range(6)], proxies=((0, 0),))
     harness.slots(3)
-    table = harness.planner.all_groups()[0].tables[0]
+    table = harness.planner.groups.all()[0].tables[0]
     assert table.sent
     table.sent = {}
-    assert {move[0] for move in harness.planner.moves(0, table)} == {balance.SOON}
+    assert {change.urgency for change in harness.planner.updates.table_changes(0, table, harness.now)} == {Urgency.SOON}
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from stackwheel import interface as face
-from stackwheel.balance import Planner
+from stackwheel.policy.planner import Planner
 
 READ = face.RequestClass("read", 500.0, 1200.0, 1.0, "repeatable")
 WRITE = face.RequestClass("write", 1000.0, 3000.0, 5.0, "once")
@@ -78,7 +78,7 @@
             face.Acknowledged(proxy, action.nonce, 100.0)
             for action in actions
             if isinstance(action, face.AttachNonce)
-            for proxy in self.planner.lines
+            for proxy in self.planner.outbox.pending_lines
         ]
         return actions
 
--- a/tests/scale/test_peers.py
+++ b/tests/scale/test_peers.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from stackwheel.balance import PEERS_MOST
 from stackwheel.interface import Availability
-from stackwheel.peers import pack
+from stackwheel.policy.gossip import encode
+from stackwheel.policy.peer_planners import MAX_DATAGRAMS_PER_CYCLE
 from stackwheel.scale.control import HollowPlanner
 from stackwheel.scale.holding import Holding, Shared
 from stackwheel.scale.peers import CYCLE_MOST, PeerTraffic, bytes_per_cycle, datagrams_per_cycle
@@ -26,13 +26,13 @@
 
 @pytest.mark.parametrize(("planners", "servers"), [(7, 23), (2, 31), (2, 32), (16, 70), (1, 9), (16, 512)])
 def test_bytes_are_those_of_the_planners_own_datagrams(planners: int, servers: int) -> None:
-    payloads = pack(5, {server_id(str(number)): 1.0 for number in range(servers)})
+    payloads = encode(5, {server_id(str(number)): 1.0 for number in range(servers)})
     sent = datagrams_per_cycle(planners, servers) > 0
     assert bytes_per_cycle(planners, servers) == (planners - 1) * sum(map(len, payloads)) * sent
 
 
 def test_the_most_is_the_policys() -> None:
-    assert CYCLE_MOST == PEERS_MOST
+    assert CYCLE_MOST == MAX_DATAGRAMS_PER_CYCLE
 
 
 def test_datagrams_are_sent_and_read_by_the_others() -> None:
--- a/tests/service/test_app.py
+++ b/tests/service/test_app.py
@@ -4,7 +4,7 @@
 
 from policy_harness import SETTINGS
 
-from stackwheel.balance import Outbox
+from stackwheel.policy.channel import Outbox
 from stackwheel.service.app import silence, with_slot_jitter
 from stackwheel.wire.connection import RateLimiter
 
@@ -13,8 +13,8 @@
     """In the simulator the tenth slot comes 10 s later to the millisecond, on sockets 3 ms early or late."""
     told = replace(SETTINGS, message_cap=2, message_window=10_000.0)
     outbox, proxy = Outbox(with_slot_jitter(told)), 3
-    outbox.written[proxy] = [1000.0, 2000.0]
-    outbox.advance(10_990.0, {})
+    outbox.message_times[proxy] = [1000.0, 2000.0]
+    outbox.begin(10_990.0, {})
     assert outbox.may_write(proxy, 1.0)
     assert replace(with_slot_jitter(told), message_window=told.message_window) == told
 
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -11,7 +11,7 @@
 from fake_services import Discovery, Tables, config, free_port
 from planner_process import MOST, full, run, running, start
 
-from stackwheel import peers
+from stackwheel.policy import gossip
 
 
 def test_a_proxy_gets_its_tables_and_their_changes(tmp_path: Path) -> None:
@@ -217,7 +217,7 @@
             proxy.report()
             collector.say("LOAD site=east target=s-0 count=20 fail=0 mean=50 over=1000.0")
             told = await asyncio.wait_for(loop.sock_recv(other, 1000), MOST)
-            assert 0 < len(told) <= 256 and peers.unpack(told) is not None
+            assert 0 < len(told) <= 256 and gossip.decode(told).rates
             _, log = await planner.stop()
             dropped = [line for line in log.splitlines() if "dropped" in line]
             assert len(dropped) == 2 and "300 bytes" in dropped[0]
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -7,8 +7,8 @@
 from fake_services import Discovery, config
 
 from stackwheel import interface as face
-from stackwheel.balance import Planner
 from stackwheel.interface import Action, Event, Settings
+from stackwheel.policy.planner import Planner
 from stackwheel.service.config import Config, read_config
 from stackwheel.settings import build_all, flatten, parse_settings
 from stackwheel.simulator.host import Host
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -86,7 +86,7 @@
 
 
 def test_policy_exception_becomes_the_fault_action(monkeypatch: pytest.MonkeyPatch) -> None:
-    from stackwheel.balance import Planner
+    from stackwheel.policy.planner import Planner
     from stackwheel.simulator.host import Host
 
     def broken(*_: object) -> None:
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -11,8 +11,8 @@
 
 from stackwheel import interface as face
 from stackwheel import peers
-from stackwheel.balance import Planner
 from stackwheel.interface import Action, Availability, Event, Settings
+from stackwheel.policy.planner import Planner
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import MAX_LIST_AGE, MIN_REMOVED_KEPT, EndpointCache, EndpointList, Instance
 from stackwheel.state.planner_actor import (
@@ -464,10 +464,10 @@
                             roster.server_ids.names,
                             module.streams.by_proxy[1].ejected,
                             module.tables.withdrawn,
-                            policy.servers,
-                            policy.peers[1][2],
-                            policy.outbox.unacked,
-                            policy.outbox.written,
+                            policy.pool.views,
+                            policy.peers.figures[1].rates,
+                            policy.outbox.unacknowledged,
+                            policy.outbox.message_times,
                         )
                     ]
                     + [sum(len(lines) for lines in module.tables.tables.values())]
