--- a/tests/policy/test_deployment_names.py
+++ b/tests/policy/test_deployment_names.py
@@ -35,8 +35,8 @@
 
 
 def test_the_deploy_file_lists_every_policy_file() -> None:
-    listed = tomllib.loads(DEPLOY_FILE.read_text())["policy"]
-    assert sorted(PACKAGE.parent / path for path in listed) == POLICY_FILES
+    paths = tomllib.loads(DEPLOY_FILE.read_text())["policy"]
+    assert sorted(PACKAGE.parent / path for path in paths) == POLICY_FILES
 
 
 def test_policy_names_its_interface_first() -> None:
@@ -55,5 +55,5 @@
 @pytest.mark.parametrize("path", sorted(PACKAGE.rglob("*.py")), ids=lambda path: str(path.relative_to(PACKAGE)))
 def test_code_knows_no_deployment(path: Path) -> None:
     text = path.read_text().lower()
-    for word in NAMES:
-        assert not re.search(rf"(?<![a-z]){re.escape(word)}(?![a-z])", text), word
+    for name in NAMES:
+        assert not re.search(rf"(?<![a-z]){re.escape(name)}(?![a-z])", text), name
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -4,21 +4,23 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from policy_harness import SETTINGS, PolicyHarness, entry, name
+from policy_harness import SETTINGS, PolicyHarness, entry, server_id
 
 from stackwheel import interface as face
 
 numbers = st.floats(allow_nan=True, allow_infinity=True)
 servers = st.integers(0, 7)
 entries = st.builds(
-    lambda n, state, started, size: entry(n, n % 2, state, started, size),
+    lambda n, availability, started, weight: entry(n, n % 2, availability, started, weight),
     servers,
     st.sampled_from(face.Availability),
     st.sampled_from([0.0, 99000.0, 104000.0]),
     numbers,
 )
 reports = st.builds(
-    lambda zone, n, tries, bad, mean, window, load: face.LoadReport(zone, name(n), tries, bad, mean, window, (load,)),
+    lambda zone, n, attempts, failures, mean, window, load: face.LoadReport(
+        zone, server_id(n), attempts, failures, mean, window, (load,)
+    ),
     st.integers(0, 1),
     servers,
     st.integers(0, 400),
@@ -57,7 +59,7 @@
 @given(kinds, batches)
 def test_any_run(kind: dict[str, object], run: list[tuple[float, list[face.Event]]]) -> None:
     harness = PolicyHarness(servers=[entry(n, n % 2) for n in range(6)], **kind)
-    ever = {name(n) for n in range(6)}
+    ever = {server_id(n) for n in range(6)}
     queue, at = 0.0, harness.now
     written: dict[int, list[float]] = {}
     for wait, batch in run:
@@ -79,19 +81,22 @@
             assert queue <= harness.settings.queue_limit
         for action in actions:
             if isinstance(action, face.SetWeight):
-                assert action.server in ever and math.isfinite(action.weight) and action.weight >= 0
+                assert action.server in ever
+                assert math.isfinite(action.weight)
+                assert action.weight >= 0
             if isinstance(action, face.SetAdmission):
-                assert math.isfinite(action.level) and action.level >= 0
+                assert math.isfinite(action.level)
+                assert action.level >= 0
                 assert action.retry in (face.Retry.NEVER, face.Retry.ONCE_IF_NOT_EXECUTED)
 
 
 def lines_by_proxy(harness: PolicyHarness, actions: list[face.Action]) -> dict[int, int]:
-    """What an order costs each proxy, counted by the wire's page and not by the policy's own model."""
+    """What an update costs each proxy, counted by the protocol's page and not by the policy's model."""
     lines: dict[int, int] = {}
     joined = {p for a in actions if isinstance(a, face.AssignTable) for p in [a.proxy]}
     for action in actions:
         if isinstance(action, face.SetWeight | face.SetAdmission):
-            for proxy, tables in harness.bound.items():
+            for proxy, tables in harness.bindings.items():
                 if proxy not in joined and action.table in tables.values():
                     lines[proxy] = lines.get(proxy, 0) + 1
         if isinstance(action, face.AssignTable):
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -1,11 +1,12 @@
-"""A planner on a desk: hand-made events in, and what the proxies would hold as its orders arrive."""
+"""A planner under hand-made events, with what the proxies would hold as its updates arrive."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Collection, Iterable
 from dataclasses import replace
 
 from stackwheel import interface as face
+from stackwheel.interface import Availability
 from stackwheel.policy.planner import Planner
 
 READ = face.RequestClass("read", 500.0, 1200.0, 1.0, "repeatable")
@@ -28,22 +29,33 @@
 )
 
 
-def name(number: int) -> face.Server:
-    return face.Server(bytes([10, 0, 0, number, 1, 1]))
+def server_id(number: int) -> face.Server:
+    """The id of a server of a test; `server[3]` is its number below 256."""
+    return face.Server(bytes([10, 0, number // 256, number % 256, 1, 1]))
 
 
 def entry(
     number: int,
     zone: int = 0,
-    state: face.Availability = face.Availability.READY,
+    availability: Availability = Availability.READY,
     started: float = 0.0,
-    size: float = 1.0,
+    weight: float = 1.0,
     kind: int = 0,
 ) -> face.EndpointEntry:
-    return face.EndpointEntry(name(number), zone, kind, 0, state, size, started)
+    """A server as the endpoint list has it."""
+    return face.EndpointEntry(server_id(number), zone, kind, 0, availability, weight, started)
 
 
 class PolicyHarness:
+    """Sends events to a planner, and applies its actions as proxies would.
+
+    Attributes:
+        tables: weights by table and server, as the proxies have them.
+        levels: admission by table.
+        bindings: by proxy and class, the number of its table.
+        actions: all that the planner has decided.
+    """
+
     def __init__(
         self,
         settings: face.Settings = SETTINGS,
@@ -57,24 +69,25 @@
         self.now = now
         self.tables: dict[int, dict[face.Server, float]] = {}
         self.levels: dict[int, face.AdmissionLevel] = {}
-        self.bound: dict[int, dict[int, int]] = {}
+        self.bindings: dict[int, dict[int, int]] = {}
         self.actions: list[face.Action] = []
-        self.owed: list[face.Event] = []  # acknowledgements of what went out since `arrived`
+        self.unacknowledged: list[face.Event] = []
         self.zones = dict(proxies)
         self.entries = {e.server: e for e in servers}
         self.send(face.EndpointUpdate(face.UpdateKind.CACHED, 1, tuple(self.entries.values())))
         self.send(*(face.ProxyJoined(p, z, 40.0, True) for p, z in self.zones.items()), wait=50.0)
 
     def send(self, *events: face.Event, wait: float = 0.0) -> list[face.Action]:
+        """Let `wait` ms pass, then hand the planner a batch of events."""
         self.now += wait
         for event in events:
             if isinstance(event, face.ProxyLeft | face.ProxyJoined):
-                self.bound.pop(event.proxy, None)
+                self.bindings.pop(event.proxy, None)
         actions = list(self.planner.handle(self.now, events))
         for action in actions:
             self.apply(action)
         self.actions += actions
-        self.owed += [
+        self.unacknowledged += [
             face.Acknowledged(proxy, action.nonce, 100.0)
             for action in actions
             if isinstance(action, face.AttachNonce)
@@ -82,12 +95,14 @@
         ]
         return actions
 
-    def arrived(self) -> list[face.Event]:
-        """What the proxies answer once all that was sent has come: each its own mark."""
-        owed, self.owed = self.owed, []
-        return owed
+    def acknowledgements(self) -> list[face.Event]:
+        """What the proxies answer once all that was sent has arrived: each its own nonce."""
+        acknowledged = self.unacknowledged
+        self.unacknowledged = []
+        return acknowledged
 
     def apply(self, action: face.Action) -> None:
+        """Do to the tables what the proxies would."""
         match action:
             case face.SetWeight(table, server, weight):
                 lines = self.tables.setdefault(table, {})
@@ -97,59 +112,93 @@
             case face.ClearTable(table):
                 self.tables.pop(table, None)
             case face.AssignTable(proxy, table, classes):
-                self.bound.setdefault(proxy, {}).update(dict.fromkeys(classes, table))
+                self.bindings.setdefault(proxy, {}).update(dict.fromkeys(classes, table))
             case face.SetAdmission(table, _, level, retry):
                 self.levels[table] = face.AdmissionLevel(level, retry)
 
-    def table(self, proxy: int, place: int = 0) -> dict[face.Server, float]:
+    def shares(self, proxy: int, request_class: int = 0) -> dict[face.Server, float]:
         """The shares of a proxy's table for a class, by server."""
-        lines = self.tables.get(self.bound[proxy][place], {})
+        lines = self.tables.get(self.bindings[proxy][request_class], {})
         total = sum(lines.values())
         return {server: weight / total for server, weight in lines.items()}
 
-    def level(self, proxy: int, place: int = 0) -> face.AdmissionLevel:
-        return self.levels[self.bound[proxy][place]]
+    def level(self, proxy: int, request_class: int = 0) -> face.AdmissionLevel:
+        """A proxy's admission of a class."""
+        return self.levels[self.bindings[proxy][request_class]]
 
-    def listed(self, *entries: face.EndpointEntry) -> list[face.Action]:
+    def update_endpoints(self, *entries: face.EndpointEntry) -> list[face.Action]:
+        """Send changes of the endpoint list."""
         self.entries.update({e.server: e for e in entries})
         return self.send(face.EndpointUpdate(face.UpdateKind.DELTA, 2, entries), wait=10.0)
 
     def slot(
         self,
-        tries: int = 20,
+        attempts: int = 20,
         demand: int = 40,
-        bad: dict[int, int] | None = None,
-        slow: dict[int, float] | None = None,
-        use: dict[int, float] | None = None,
-        mean: float = 100.0,
+        failures: dict[int, int] | None = None,
+        latencies: dict[int, float] | None = None,
+        utilization: dict[int, float] | None = None,
+        mean_latency: float = 100.0,
         zones: Iterable[int] = (0, 1),
     ) -> list[face.Action]:
         """A second passes; what was sent has arrived, and the reports of every ready server come in."""
-        ready = [e for e in self.entries.values() if e.availability is face.Availability.READY]
-        reports: list[face.Event] = []
-        for e in ready:
-            number = e.server[3]
-            for zone in zones:
-                reports.append(
-                    face.LoadReport(
-                        zone,
-                        e.server,
-                        tries,
-                        (bad or {}).get(number, 0),
-                        (slow or {}).get(number, mean),
-                        1000.0,
-                        ((use or {}).get(number, 0.5),),
-                    )
-                )
+        ready = [e for e in self.entries.values() if e.availability is Availability.READY]
+        reports = [
+            face.LoadReport(
+                zone,
+                e.server,
+                attempts,
+                (failures or {}).get(e.server[3], 0),
+                (latencies or {}).get(e.server[3], mean_latency),
+                1000.0,
+                ((utilization or {}).get(e.server[3], 0.5),),
+            )
+            for e in ready
+            for zone in zones
+        ]
         usage = [
-            face.DemandReport(p, c, demand, 0, 1000.0) for p in self.bound for c in range(len(self.settings.classes))
+            face.DemandReport(p, c, demand, 0, 1000.0) for p in self.bindings for c in range(len(self.settings.classes))
         ]
-        return self.send(*self.arrived(), *reports, *usage, wait=1000.0)
+        return self.send(*self.acknowledgements(), *reports, *usage, wait=1000.0)
 
     def slots(self, count: int, **how: object) -> None:
+        """So many seconds, all alike."""
         for _ in range(count):
             self.slot(**how)  # type: ignore[arg-type]
 
 
-def only(actions: Iterable[face.Action], kind: type) -> list[face.Action]:
+def actions_of(actions: Iterable[face.Action], kind: type) -> list[face.Action]:
+    """The actions of one type."""
     return [a for a in actions if isinstance(a, kind)]
+
+
+def alternating_fleet(count: int = 6, **changed: object) -> PolicyHarness:
+    """Servers alternate between the two zones."""
+    return PolicyHarness(servers=[entry(n, n % 2) for n in range(count)], **changed)  # type: ignore[arg-type]
+
+
+def load_reports(
+    harness: PolicyHarness, attempts: int = 20, silent: Collection[int] = (), span: float = 1000.0
+) -> list[face.Event]:
+    """A load report of zone 0 for each server, but for those at some positions of the list."""
+    return [
+        face.LoadReport(0, e.server, attempts, 0, 100.0, span, (2.0,))
+        for position, e in enumerate(harness.entries.values())
+        if position not in silent
+    ]
+
+
+def joined_fleet(proxies: int = 200, servers: int = 48) -> PolicyHarness:
+    """A planner whose channel cannot carry a table for each class to all, some time after they joined."""
+    settings = replace(SETTINGS, zones=1, channel_rate=3000.0, queue_limit=9000.0, proxy_count=proxies)
+    harness = PolicyHarness(settings, servers=[entry(n) for n in range(servers)], proxies=())
+    harness.zones = dict.fromkeys(range(proxies), 0)
+    harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in harness.zones), wait=10.0)
+    for _ in range(30):
+        harness.send(
+            *harness.acknowledgements(),
+            *load_reports(harness),
+            *(face.DemandReport(p, c, 2, 0, 1000.0) for p in harness.zones for c in (0, 1)),
+            wait=1000.0,
+        )
+    return harness
