--- a/tests/policy/test_channel.py
+++ b/tests/policy/test_channel.py
@@ -60,9 +60,9 @@
         return acknowledged
 
 
-def busy_fleet(**changed: object) -> PolicyHarness:
+def busy_fleet() -> PolicyHarness:
     servers = [entry(number, number % 2) for number in range(SERVERS)]
-    return PolicyHarness(servers=servers, proxies=[(n, n % 2) for n in range(PROXIES)], **changed)
+    return PolicyHarness(servers=servers, proxies=[(n, n % 2) for n in range(PROXIES)])
 
 
 def release(channel: Channel, turns: int) -> None:
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -12,7 +12,7 @@
     """At full size 32 servers of 100 were gossiped, and the others were taken for unused."""
     harness = PolicyHarness(servers=[entry(n) for n in range(60)], planner_count=2, gossip_enabled=True)
     harness.slots(2)
-    payloads = [a.payload for a in actions_of(harness.slot(), face.SendGossip) if isinstance(a, face.SendGossip)]
+    payloads = [a.payload for a in actions_of(harness.slot(), face.SendGossip)]
     assert all(len(payload) <= 256 for payload in payloads)
     rates = {server: rate for payload in payloads for server, rate in gossip.decode(payload).rates.items()}
     assert rates == {
@@ -37,4 +37,4 @@
     (announcement,) = actions_of(
         harness.send(face.TimerFired(SLOT_TIMER + harness.planner.slot.number), wait=1250.0), face.SendGossip
     )
-    assert gossip.decode(announcement.payload).proxies == 0  # type: ignore[attr-defined, index]
+    assert gossip.decode(announcement.payload).proxies == 0
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_check_budget.py
@@ -27,13 +27,7 @@
             face.StartHealthCheck,
         )
         spent.append(len(checks))
-        harness.send(
-            *(
-                face.HealthCheckResult(check.server, 1, 5.0, (waiting,))
-                for check in checks
-                if isinstance(check, face.StartHealthCheck)
-            )
-        )
+        harness.send(*(face.HealthCheckResult(check.server, 1, 5.0, (waiting,)) for check in checks))
 
     for _ in range(12):
         second(2.0)
@@ -74,12 +68,12 @@
                 face.HealthCheckResult(
                     check.server,
                     face.HealthCheckOutcome.OK if check.server[3] < 3 else face.HealthCheckOutcome.REJECTED,
-                    5.0,  # type: ignore[attr-defined]
+                    5.0,
                     (1.0,) if check.server[3] < 3 else (),
                 )
                 for check in checks
             )
-        )  # type: ignore[attr-defined]
+        )
     assert harness.planner.shedding.shed_share > 0.0
 
 
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -58,7 +58,7 @@
 @settings(max_examples=120, deadline=None)
 @given(kinds, batches)
 def test_any_run(kind: dict[str, object], run: list[tuple[float, list[face.Event]]]) -> None:
-    harness = PolicyHarness(servers=[entry(n, n % 2) for n in range(6)], **kind)
+    harness = PolicyHarness(servers=[entry(n, n % 2) for n in range(6)], **kind)  # type: ignore[arg-type]
     ever = {server_id(n) for n in range(6)}
     queue, at = 0.0, harness.now
     written: dict[int, list[float]] = {}
--- a/tests/policy/test_updates.py
+++ b/tests/policy/test_updates.py
@@ -167,7 +167,7 @@
         *(replace(harness.entries[s], availability=Availability.REMOVED) for s in removed),
     )
     tables = {t.number for group in harness.planner.groups.all() if group.users for t in group.tables}
-    extended = {o.table for o in actions_of(harness.actions, face.SetWeight) if o.weight > 0}  # type: ignore[attr-defined]
+    extended = {o.table for o in actions_of(harness.actions, face.SetWeight) if o.weight > 0}
     cleared = {t for t in tables if not removed & harness.tables[t].keys()}
     assert tables - cleared
     assert not extended - cleared
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -4,11 +4,14 @@
 
 from collections.abc import Collection, Iterable
 from dataclasses import replace
+from typing import TypeVar
 
 from stackwheel import interface as face
 from stackwheel.interface import Availability
 from stackwheel.policy.planner import Planner
 
+ActionT = TypeVar("ActionT")
+
 READ = face.RequestClass("read", 500.0, 1200.0, 1.0, "repeatable")
 WRITE = face.RequestClass("write", 1000.0, 3000.0, 5.0, "once")
 SETTINGS = face.Settings(
@@ -167,7 +170,7 @@
             self.slot(**how)  # type: ignore[arg-type]
 
 
-def actions_of(actions: Iterable[face.Action], kind: type) -> list[face.Action]:
+def actions_of(actions: Iterable[face.Action], kind: type[ActionT]) -> list[ActionT]:
     """The actions of one type."""
     return [a for a in actions if isinstance(a, kind)]
 
