--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -9,8 +9,8 @@
 from fake_services import config
 from scripted_discovery import ClientHarness, ScriptedCall, ScriptedDiscovery, document, run, watching
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 from stackwheel.wire import timing
@@ -35,7 +35,7 @@
 @pytest.fixture
 def no_beat(monkeypatch: pytest.MonkeyPatch) -> None:
     """A watch counts as one that has held from its first list on."""
-    monkeypatch.setattr(timing, "BEAT", 0.0)
+    monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 0.0)
 
 
 @pytest.mark.usefixtures("no_beat")
