--- a/stackwheel/interface.py
+++ b/stackwheel/interface.py
@@ -1,6 +1,6 @@
 """The policy's interface: settings, events and actions in the terms of `docs/glossary.md`.
 
-Types only. The policy decides on these; an adapter (`state`, `simulator`) translates them to and from a protocol.
+Types only. `policy/` decides on these; an adapter (`state`, `simulator`) translates them to and from a protocol.
 Where nothing else is said, times and durations are milliseconds, points in time are Unix milliseconds on the
 planner's clock, and rates are per second. Request classes, zones, kinds and load columns are named by their place
 in the settings, from 0.
--- a/stackwheel/simulator/host.py
+++ b/stackwheel/simulator/host.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stackwheel.balance import Planner
 from stackwheel.interface import Event
+from stackwheel.policy.planner import Planner
 from stackwheel.settings import SettingsError, parse_settings
 from stackwheel.simulator.decoder import Batch, CreatePlanner, Decoder, StopPlanner
 from stackwheel.simulator.encoder import encode_action, encode_fault
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -9,7 +9,7 @@
 import pytest
 import simulator_frames
 
-from stackwheel.balance import Planner
+from stackwheel.policy.planner import Planner
 from stackwheel.simulator.host import Host
 from stackwheel.simulator.wire import ActionCode, EventCode
 
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -10,10 +10,10 @@
 from policy_harness import SETTINGS
 
 from stackwheel import interface as face
-from stackwheel import peers
-from stackwheel.balance import Planner
 from stackwheel.endpoints import MAX_LIST_AGE, MIN_REMOVED_KEPT, EndpointList, Instance
 from stackwheel.interface import Action, Availability, Event, Settings
+from stackwheel.policy import gossip
+from stackwheel.policy.planner import Planner
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import (
@@ -419,7 +419,7 @@
         module.post(StreamMessage(1, None, line))
         for place in range(number - 4, number + 1):
             module.post(face.LoadReport(0, server_id(f"s-{place}"), 20, 0, 60.0, 1000.0))
-        module.post(face.GossipReceived(1, peers.pack(1, {server_id(f"s-{number}"): 0.9})[0]))
+        module.post(face.GossipReceived(1, gossip.encode(1, {server_id(f"s-{number}"): 0.9})[0]))
         module.post(face.DemandReport(1, 0, 40, 0, 1000.0))
         module.process_batch()
         for said in [said for said in outside.said if said[0] == "message" and said[2].nonce is not None]:
@@ -465,10 +465,10 @@
                             roster.server_ids.names,
                             module.streams.by_proxy[1].ejected,
                             module.tables.withdrawn,
-                            policy.servers,
-                            policy.peers[1][2],
-                            policy.outbox.unacked,
-                            policy.outbox.written,
+                            policy.pool.views,
+                            policy.peers.figures[1].rates,
+                            policy.outbox.unacknowledged,
+                            policy.outbox.message_times,
                         )
                     ]
                     + [sum(len(lines) for lines in module.tables.tables.values())]
