--- a/stackwheel/files/follower.py
+++ b/stackwheel/files/follower.py
@@ -18,8 +18,9 @@
 from stackwheel.files.environment import system_environment, unix_ms
 from stackwheel.files.errors import ReplaceError
 from stackwheel.files.folder_watch import folder_changes
+from stackwheel.files.outcomes import FileApplied, ReadOutcome, outcome_document
 from stackwheel.files.precedence import PrecedenceSettings, Selection, SourcePrecedence
-from stackwheel.files.reader import FileApplied, FileReader, ReaderConfig, ReadOutcome, StatusReport, outcome_document
+from stackwheel.files.reader import FileReader, ReaderConfig, StatusReport
 
 COMMAND_TIMEOUT_S = 10.0  # a command that takes longer is killed
 POLL_INTERVAL_S = 1.0  # where folders can't be watched
--- a/stackwheel/files/reader.py
+++ b/stackwheel/files/reader.py
@@ -11,21 +11,20 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-import msgspec
 from loguru import logger
 
-from stackwheel.files.acceptor import Acceptance, Acceptor, CurrentTables, ReaderMemory, target_key
+from stackwheel.files.acceptor import Acceptance, Acceptor, CurrentTables, ReaderMemory
 from stackwheel.files.atomic_replace import replace_file
 from stackwheel.files.codec import NO_KEYS, KeyRing, decode, encode
 from stackwheel.files.disk import SUFFIX, list_names, read_file
 from stackwheel.files.environment import FileEnvironment
 from stackwheel.files.errors import FileRejectedError, ReplaceError, Stage
 from stackwheel.files.memory import load_memory, save_memory
+from stackwheel.files.outcomes import FileApplied, FileRejected, ReadOutcome
 from stackwheel.files.records import (
     ClassDemand,
     Incarnation,
     ProxyStatus,
-    Reservation,
     ServerObservation,
     TableUpdate,
 )
@@ -53,27 +52,6 @@
     state_folder: str
 
 
-@dataclass(frozen=True, slots=True)
-class FileApplied:
-    """A file is in force, and these reservations take effect now."""
-
-    name: str
-    current: CurrentTables
-    reservations: tuple[Reservation, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class FileRejected:
-    """A file was not applied."""
-
-    name: str
-    stage: Stage
-    reason: str
-
-
-ReadOutcome = FileApplied | FileRejected
-
-
 @dataclass(frozen=True, slots=True)
 class StatusReport:
     """What a proxy has to say in its next status, besides what it has applied.
@@ -170,7 +148,7 @@
             try:
                 updates.append(_DecodedUpdate(file.name, self._decode(file.data)))
             except FileRejectedError as error:
-                outcomes.append(FileRejected(file.name, error.stage, error.reason))
+                outcomes.append(FileRejected.because(file.name, error))
         for decoded in sorted(updates, key=lambda one: (one.update.version, not one.update.complete)):
             outcome = await self.process(decoded.name, decoded.update)
             if outcome is not None:
@@ -215,7 +193,7 @@
         try:
             acceptance = self.acceptor.validate(update, now)
         except FileRejectedError as error:
-            return FileRejected(name, error.stage, error.reason)
+            return FileRejected.because(name, error)
         if acceptance is None:
             return None
         return await self._apply(name, acceptance, now)
@@ -294,27 +272,3 @@
         logger.warning(
             "reader memory write failed, reservations wait: stage={} reason={}", failure.step, failure.reason
         )
-
-
-def outcome_document(outcome: ReadOutcome) -> dict[str, object]:
-    """An outcome as the JSON object that `files follow --json` prints."""
-    if isinstance(outcome, FileRejected):
-        return {
-            "file": outcome.name,
-            "taken": False,
-            "stage": outcome.stage.name.lower(),
-            "reason": outcome.reason,
-        }
-    update = outcome.current.update
-    tables = outcome.current.content.tables
-    return {
-        "file": outcome.name,
-        "taken": True,
-        "target": target_key(update),
-        "sequence": update.sequence,
-        "whole": update.complete,
-        "lines": {request_class: len(lines) for request_class, lines in tables.items()},
-        "withdrawn": list(update.ejected),
-        "bookings": [reservation.id for reservation in outcome.reservations],
-        "incarnation": msgspec.to_builtins(update.incarnation),
-    }
--- a/stackwheel/trials/exchange.py
+++ b/stackwheel/trials/exchange.py
@@ -19,11 +19,12 @@
 from stackwheel.files.environment import FileEnvironment
 from stackwheel.files.errors import ReplaceError
 from stackwheel.files.file_builder import PublisherSettings
+from stackwheel.files.outcomes import FileApplied
 from stackwheel.files.precedence import PrecedenceSettings, Source, SourcePrecedence
 from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
-from stackwheel.files.reader import FileApplied, FileReader, ReaderConfig, StatusReport
+from stackwheel.files.reader import FileReader, ReaderConfig, StatusReport
 from stackwheel.files.records import ClassDemand, FileVersion, Reservation, ServerObservation
 from stackwheel.rules.violations import Rule
 from stackwheel.service.ports import PlannerContext
--- a/tests/files/test_publisher.py
+++ b/tests/files/test_publisher.py
@@ -15,10 +15,11 @@
 from stackwheel.files.codec import KeyRing, encode
 from stackwheel.files.environment import system_environment, unix_ms
 from stackwheel.files.file_builder import PublisherSettings
+from stackwheel.files.outcomes import FileApplied
 from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
-from stackwheel.files.reader import FileApplied, FileReader, ReaderConfig, StatusReport
+from stackwheel.files.reader import FileReader, ReaderConfig, StatusReport
 from stackwheel.files.records import Incarnation, TableUpdate
 from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.settings import Names
