--- a/tests/files/test_precedence.py
+++ b/tests/files/test_precedence.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("fault", ["disconnected", "silent"])
-def test_a_stream_that_breaks_or_falls_silent_gives_way_to_newer_files(fault: str) -> None:
+def test_a_broken_or_silent_stream_yields_to_newer_files(fault: str) -> None:
     precedence = with_stream({"a": 1.0})
     precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}), 2000.0)
     if fault == "disconnected":
