--- a/stackwheel/scale/capacity.py
+++ b/stackwheel/scale/capacity.py
@@ -22,10 +22,10 @@
 WATCH = "`wire/discovery_client.py` `DiscoveryClient.watch`"
 ORDERS = "`wire/transport.py` `SocketTransport.deliver`"
 PEERS = "`balance.py` `Planner.tell_peers`"
-RELAY = "`relay/cache.py` `ListingCache.take`, `wire/listing_server.py` `ListingServer.perform`"
+RELAY = "`relay/watch_cache.py` `WatchCache.apply`, `wire/endpoint_list_server.py` `EndpointListServer.perform`"
 SCOPE = "`cells/assignment.py` `CellIndex.cell_of` and a relay, where they are configured"
 CHOICE = "`forwarder/state.py` `choose`"
-PROBE = "`wire/health_checks.py` `probe`"
+PROBE = "`wire/health_checks.py` `check_health`"
 
 
 @dataclass(frozen=True, slots=True)
