--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -173,12 +173,12 @@
                 cost = self.settings.cross_zone_cost if view.entry.zone != key.zone else 0.0
                 latency = view.latency_by_zone.get(key.zone, view.latency or median_latency_ms)
                 score = 1.0 + latency / objective_ms + CROSS_ZONE_LATENCY_OBJECTIVES * cost
-                attraction[view.entry.server] = 0.0 if view.ejected_until > now else score**-SCORE_POWER
+                attraction[view.entry.server] = 0.0 if view.is_ejected(now) else score**-SCORE_POWER
         return found
 
     def place_excess(self, excess: float, placed: Rates, headrooms: dict[Server, ServerHeadroom], now: float) -> None:
         """Spread what found no spare capacity by capacity: over healthy servers if any, else over those not ejected."""
-        ejected = {server for server in placed if self.pool.views[server].ejected_until > now}
+        ejected = {server for server in placed if self.pool.views[server].is_ejected(now)}
         able = [server for server in placed if headrooms[server].is_warm and server not in ejected]
         able = able or [server for server in placed if server not in ejected] or list(placed)
         total = sum(headrooms[server].present for server in able)
--- a/stackwheel/policy/capacity.py
+++ b/stackwheel/policy/capacity.py
@@ -56,7 +56,7 @@
         self.learn_fleet_level(median_latency_ms, now)
         self.assume_unmeasured(now)
         for view in self.pool.views.values():
-            if self.pool.available_share(view, now) >= 1.0 and view.attempt_rate > 0:
+            if self.pool.is_warm(view, now) and view.attempt_rate > 0:
                 self.learn_server(view, median_latency_ms, now)
 
     def learn_fleet_level(self, median_latency_ms: float, now: float) -> None:
--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -86,7 +86,7 @@
         answered = sum(  # by the newest reports: an average lags the end of an overload
             report.answers_per_s
             for view in self.pool.views.values()
-            if not view.ejected_until > now
+            if not view.is_ejected(now)
             for report in view.zone_reports.values()
         )
         demand = max(MIN_DEMAND_PER_S, self.demand.total(now))
@@ -118,14 +118,14 @@
         reports = [
             report
             for view in self.pool.views.values()
-            if not view.ejected_until > now
+            if not view.is_ejected(now)
             for report in view.zone_reports.values()
         ]
         return median([report.latency_ms for report in reports], [report.attempts_per_s for report in reports])
 
     def known_capacity(self, now: float) -> float:
         """Requests a second that servers which are not ejected have left for us; infinite where none reports use."""
-        usable = [view for view in self.pool.ready() if not view.ejected_until > now]
+        usable = [view for view in self.pool.ready() if not view.is_ejected(now)]
         if not any("utilization" in view.load for view in usable):
             return math.inf
         return sum(
--- a/stackwheel/policy/outlier_ejection.py
+++ b/stackwheel/policy/outlier_ejection.py
@@ -38,12 +38,12 @@
     def judge(self, now: float) -> bool:
         """Take back servers whose time is over and eject outliers, the worst first; whether any was ejected."""
         ready = self.pool.ready()
-        ejected = sum(1 for view in ready if view.ejected_until > now)
+        ejected = sum(1 for view in ready if view.is_ejected(now))
         median_failure_share = median([view.failure_share for view in ready if view.attempt_rate > 0])
         threshold = max(MIN_FAILURE_SHARE, OUTLIER_MULTIPLE * median_failure_share)
         any_ejected = False
         for view in sorted(ready, key=lambda view: (-view.failure_share, view.entry.server)):
-            if view.ejected_until > now:
+            if view.is_ejected(now):
                 continue
             if view.ejected_until:
                 self.take_back(view)
--- a/stackwheel/policy/servers.py
+++ b/stackwheel/policy/servers.py
@@ -67,6 +67,10 @@
         """Attempts a second of our proxies, over all zones."""
         return sum(self.attempt_rates.values())
 
+    def is_ejected(self, now: float) -> bool:
+        """Whether it is ejected as an outlier, and gets a trickle at most."""
+        return self.ejected_until > now
+
     @property
     def nominal_size(self) -> float:
         """Its entry's weight where that is usable, else 1."""
@@ -109,13 +113,13 @@
         """The share of its capacity that a server surely has by now; under 1 while it is warming up."""
         return self.slow_start.available_share(view.entry, now)
 
-    def is_ejected(self, view: ServerView, now: float) -> bool:
-        """Whether a server is ejected as an outlier."""
-        return view.ejected_until > now
+    def is_warm(self, view: ServerView, now: float) -> bool:
+        """Whether a server surely has all of its capacity."""
+        return self.slow_start.available_share(view.entry, now) >= 1.0
 
     def is_healthy(self, view: ServerView, now: float) -> bool:
         """Whether a server, if it is ready, can take any share at once: warm and not ejected."""
-        return self.slow_start.available_share(view.entry, now) >= 1.0 and not view.ejected_until > now
+        return self.is_warm(view, now) and not view.is_ejected(now)
 
     def ready_servers(self, now: float) -> ReadyServers:
         """The ready servers by id, and those of them that are not healthy."""
--- a/stackwheel/policy/tables.py
+++ b/stackwheel/policy/tables.py
@@ -87,7 +87,7 @@
     kept: Rates = {}
     for server, rate in placed.items():
         view = pool.views[server]
-        if view.ejected_until > now:
+        if view.is_ejected(now):
             all_shares[server] = kept[server] = trickle
             continue
         share = all_shares[server] = rate / total
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -219,9 +219,9 @@
         view = self.pool.views.get(server)
         if view is None or view.entry.availability is not Availability.READY:
             return Urgency.REMOVED
-        if self.pool.available_share(view, now) < 1.0:
+        if not self.pool.is_warm(view, now):
             return Urgency.WARMING
-        return Urgency.SOON if view.ejected_until > now else Urgency.ROUTINE
+        return Urgency.SOON if view.is_ejected(now) else Urgency.ROUTINE
 
     def write_group(
         self, group: TableGroup, chosen: Sequence[WeightChange], levels: list[dict[int, AdmissionLevel]]
--- a/tests/policy/test_outlier_ejection.py
+++ b/tests/policy/test_outlier_ejection.py
@@ -28,14 +28,14 @@
     harness = alternating_fleet()
     harness.slots(4)
     harness.slot(attempts=3, failures={0: 1})
-    assert not any(harness.planner.pool.is_ejected(v, harness.now) for v in harness.planner.pool.views.values())
+    assert not any(v.is_ejected(harness.now) for v in harness.planner.pool.views.values())
 
 
 def test_ejection_stops_at_the_panic_threshold_and_keeps_the_last_line() -> None:
     harness = alternating_fleet(9)
     harness.slots(3)
     harness.slots(2, failures=dict.fromkeys(range(4), 20))
-    out = [v for v in harness.planner.pool.views.values() if harness.planner.pool.is_ejected(v, harness.now)]
+    out = [v for v in harness.planner.pool.views.values() if v.is_ejected(harness.now)]
     assert 0 < len(out) <= outlier_ejection.MAX_EJECTED_SHARE * 9 < 4
     alone = PolicyHarness(servers=[entry(0)], proxies=((0, 0),))
     alone.slots(8, failures={0: 20})
@@ -46,4 +46,4 @@
     harness = alternating_fleet()
     harness.slots(4)
     harness.slots(3, failures={0: 10}, latencies={0: 900.0})
-    assert not harness.planner.pool.is_ejected(harness.planner.pool.views[server_id(0)], harness.now)
+    assert not harness.planner.pool.views[server_id(0)].is_ejected(harness.now)
--- a/tests/policy/test_updates.py
+++ b/tests/policy/test_updates.py
@@ -128,7 +128,7 @@
     harness.slots(8, attempts=5, demand=20)
     harness.update_endpoints(entry(0, 0, started=harness.now))
     harness.slot(attempts=5, demand=20, failures=dict.fromkeys((1, 2, 3), 5), latencies=dict.fromkeys((1, 2, 3), 1.0))
-    assert sum(1 for v in harness.planner.pool.views.values() if harness.planner.pool.is_ejected(v, harness.now)) == 3
+    assert sum(1 for v in harness.planner.pool.views.values() if v.is_ejected(harness.now)) == 3
     placement = harness.planner.allocator.spread(sorted(harness.planner.groups.by_zone), harness.now)
     goal = shares_of(placement[DemandKey(0, 0)], harness.planner.pool, harness.now)[server_id(0)]
     assert 0 < harness.shares(0)[server_id(0)] < 1.3 * goal
@@ -183,7 +183,7 @@
     harness.planner.outbox.message_times[0] = [harness.now] * 7  # over the share for changes
     start = len(harness.actions)
     harness.slots(3, failures={5: 20})
-    assert harness.planner.pool.is_ejected(harness.planner.pool.views[server_id(5)], harness.now)
+    assert harness.planner.pool.views[server_id(5)].is_ejected(harness.now)
     assert not any(isinstance(action, face.SetWeight) for action in harness.actions[start:])
     harness.update_endpoints(entry(4, availability=Availability.REMOVED))
     harness.slot(failures={5: 20})
