--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -37,7 +37,7 @@
 
 
 class PlacementRank(NamedTuple):
-    """The order in which classes are placed: least choice, then least time, then least worth; equals together."""
+    """The order in which classes are placed: fewest servers, shortest objective, lowest weight; equals together."""
 
     open_servers: int
     latency_objective: float
@@ -94,9 +94,10 @@
         attractions = self.attractions(keys, headrooms, total, now)
         left = {key: max(MIN_DEMAND_PER_S, demand[key.zone][key.request_class]) for key in keys}
         placed: Placement = {key: dict.fromkeys(attractions[key], 0.0) for key in keys}
+        keys_by_rank = self.by_rank(keys)
         for use in USE_STAGES:
             spare = self.spare_capacity(headrooms, use, placed)
-            for equals in self.by_rank(keys):
+            for equals in keys_by_rank:
                 fill(equals, left, attractions, spare, placed)
         for key in keys:
             self.place_excess(left[key], placed[key], headrooms, now)
@@ -111,9 +112,9 @@
         return [[key for key in keys if ranks[key.request_class] == rank] for rank in sorted(set(ranks))]
 
     def share_among_planners(self, demand: float, fresh: list[PeerFigures]) -> float:
-        """Our part of the demand that planners tell of, as far as they account for all proxies.
+        """Our share of the demand that planners report, scaled down by the proxies that none of them accounts for.
 
-        Proxies that nobody accounts for count as the average of those that somebody does.
+        Those count as the average of the ones that are accounted for.
         """
         ours = max(MIN_DEMAND_PER_S, demand)
         fraction = ours / (ours + sum(sum(figures.rates.values()) for figures in fresh))
@@ -133,7 +134,7 @@
     def spare_capacity(self, headrooms: dict[Server, ServerHeadroom], use: float, placed: Placement) -> Rates:
         """What we may still place on each server before it is used beyond `use`.
 
-        A warming server has a lower limit, and we take our part of that; others' load there is not known in time.
+        A warming server has a lower limit, of which we take our share; others' load there is not known in time.
         """
         used = dict.fromkeys(headrooms, 0.0)
         for rates in placed.values():
@@ -163,18 +164,18 @@
         excludes_warming = self.pool.slow_start.excludes_warming(
             reported, demand, 1 - self.shedding.shed_share, median_latency_ms, quickest_ms
         )
-        found: Placement = {}
+        attractions: Placement = {}
         for key in keys:
             views = self.pool.open_to(key.request_class, key.zone)
             if excludes_warming:
                 views = [view for view in views if headrooms[view.entry.server].is_warm] or views
-            attraction = found[key] = {}
+            attraction = attractions[key] = {}
             for view in views:
                 cost = self.settings.cross_zone_cost if view.entry.zone != key.zone else 0.0
                 latency = view.latency_by_zone.get(key.zone, view.latency or median_latency_ms)
                 score = 1.0 + latency / objective_ms + CROSS_ZONE_LATENCY_OBJECTIVES * cost
                 attraction[view.entry.server] = 0.0 if view.is_ejected(now) else score**-SCORE_POWER
-        return found
+        return attractions
 
     def place_excess(self, excess: float, placed: Rates, headrooms: dict[Server, ServerHeadroom], now: float) -> None:
         """Spread what found no spare capacity by capacity: over healthy servers if any, else over those not ejected."""
@@ -202,7 +203,7 @@
 ) -> None:
     """Offer what is left of some demand to servers, in proportion to spare capacity times attraction.
 
-    A server that is offered more than it has spare takes the same part of each offer. Changes `left`, `spare` and
+    A server that is offered more than it has spare takes the same fraction of each offer. Changes `left`, `spare` and
     `placed`.
     """
     offers: Placement = {}
--- a/stackwheel/policy/channel.py
+++ b/stackwheel/policy/channel.py
@@ -20,7 +20,7 @@
 CHANGE_PACE_SHARE = 0.4
 """Of the channel's stated rate: what changes of weights may use of it."""
 
-CHANGE_ALLOWANCE_CYCLES = 2.0
+CHANGE_ALLOWANCE_INTERVALS = 2.0
 """Report intervals' worth of that pace that may be saved up, and go to one zone in one go."""
 
 LINES_PER_OVERHEAD = 5.0
@@ -34,7 +34,7 @@
 SILENT_DRAIN_SHARE = 0.2
 """Of the stated rate: how fast the queue is taken to drain while no acknowledgement can tell."""
 
-SILENT_CYCLES = 1.0
+SILENT_INTERVALS = 1.0
 """Report intervals without any acknowledgement after which none is waited for."""
 
 NONCE_COUNT = 1 << 16
@@ -69,10 +69,10 @@
         self.acknowledged_at = 0.0
         self.overhead_lines = settings.message_overhead + 1.0
         self.change_lines_per_ms = CHANGE_PACE_SHARE * settings.channel_rate / 1000.0
-        self.max_change_allowance = CHANGE_ALLOWANCE_CYCLES * settings.report_interval * self.change_lines_per_ms
+        self.max_change_allowance = CHANGE_ALLOWANCE_INTERVALS * settings.report_interval * self.change_lines_per_ms
         self.change_allowance = self.max_change_allowance
-        lines_per_cycle = self.max_change_allowance / CHANGE_ALLOWANCE_CYCLES
-        self.max_group_size = lines_per_cycle / (LINES_PER_OVERHEAD * self.overhead_lines)
+        lines_per_interval = self.max_change_allowance / CHANGE_ALLOWANCE_INTERVALS
+        self.max_group_size = lines_per_interval / (LINES_PER_OVERHEAD * self.overhead_lines)
         self.message_times: dict[int, list[float]] = {}
         self.last_nonce = 0
         self.unacknowledged: dict[int, SentUpdate] = {}
@@ -82,7 +82,7 @@
         """Start a call of the planner: let time pass for the queue and for the pace of changes."""
         self.pending_lines = {}
         elapsed_ms = now - self.now
-        silent_since = self.acknowledged_at + SILENT_CYCLES * self.settings.report_interval
+        silent_since = self.acknowledged_at + SILENT_INTERVALS * self.settings.report_interval
         if now > silent_since or not self.awaits_acknowledgement(proxies):
             drained = elapsed_ms / 1000.0 * self.settings.channel_rate * SILENT_DRAIN_SHARE
             self.queued_lines -= min(self.queued_lines, drained)
--- a/stackwheel/policy/demand.py
+++ b/stackwheel/policy/demand.py
@@ -13,7 +13,7 @@
 DEMAND_GAIN = 0.5
 """Step of a rate to its newest count."""
 
-PROMISE_CYCLES = 8.0
+PROMISE_INTERVALS = 8.0
 """Report intervals for which a proxy that joined counts with the rate it announced, unless it reports sooner."""
 
 MIN_DEMAND_PER_S = 1e-3
@@ -44,7 +44,7 @@
         self.proxies = proxies
         self.zones = range(settings.zones)
         self.classes = range(len(settings.classes))
-        self.promise_ms = PROMISE_CYCLES * settings.report_interval
+        self.promise_ms = PROMISE_INTERVALS * settings.report_interval
         self.counters: dict[int, list[DemandCounter]] = {}
         """By zone; a counter for each class."""
         self.counted_at = 0.0
--- a/stackwheel/policy/health_checks.py
+++ b/stackwheel/policy/health_checks.py
@@ -8,7 +8,7 @@
 from stackwheel.policy.servers import ServerPool
 from stackwheel.policy.table_groups import TableGroups
 
-LATE_REPORT_CYCLES = 4.0
+LATE_REPORT_INTERVALS = 4.0
 """Report intervals that a report spans on average: over this checks are worth their cost."""
 
 CHECKS_PER_REQUEST = 0.06
@@ -35,7 +35,7 @@
 
     def start(self, now: float) -> list[Action]:
         """The checks of a slot, of the servers that were checked longest ago; none while reports are in time."""
-        if not self.are_useful or not self.estimates.report_span > LATE_REPORT_CYCLES * self.report_interval:
+        if not self.are_useful or not self.estimates.report_span > LATE_REPORT_INTERVALS * self.report_interval:
             return []
         views = self.pool.views
         used = {
--- a/stackwheel/policy/joins.py
+++ b/stackwheel/policy/joins.py
@@ -15,14 +15,14 @@
 """Of the drain grace: all that wait should have tables by then, as the ones they use may hold removed servers."""
 
 GROWTH_QUEUE_SHARE = 0.05
-"""Of the queue limit: complete tables replace short ones only under it; crowds are looked at when as much is free."""
+"""Of the queue limit: complete tables replace short ones only under it, and joins wait until as much is free."""
 
 
 class Joins:
     """Binds proxies to tables, the busiest first.
 
     Attributes:
-        waiting: proxies that have no tables of ours, in the order in which they came.
+        waiting: proxies that have no tables of ours, in the order in which they joined.
     """
 
     def __init__(
@@ -44,14 +44,14 @@
         self.waiting: dict[int, None] = {}
 
     def are_overdue(self, now: float) -> bool:
-        """Whether a proxy has waited for its part of the grace, so that joins go before changes."""
+        """Whether a proxy has waited for its share of the grace, so that joins go before changes."""
         return bool(self.waiting) and self.lines_for_each(1, now) < 0
 
     def bind_waiting(self, now: float) -> None:
         """Give proxies that wait their zones' tables; when none waits, complete tables replace short ones."""
         share = CHANGE_QUEUE_SHARE
         if not self.are_overdue(now):
-            share -= GROWTH_QUEUE_SHARE  # many at once, as each look costs
+            share -= GROWTH_QUEUE_SHARE  # so that many are bound at once, as each attempt costs time
         if not self.waiting:
             if not self.updates.has_deferred:
                 self.grow_tables(now)
@@ -72,7 +72,7 @@
         )
 
     def lines_for_each(self, count: int, now: float) -> float:
-        """Lines for each of so many proxies if all are to have tables in their part of the drain grace."""
+        """Lines for each of so many proxies if all are to have tables within their share of the drain grace."""
         waited_ms = now - min(self.proxies[number].joined_at for number in self.waiting)
         left_ms = max(0.0, self.first_table_ms - waited_ms)
         return left_ms / 1000.0 * self.settings.channel_rate / max(1, count) - self.outbox.overhead_lines
@@ -92,12 +92,9 @@
         return min(groups[size], key=lambda group: sum(group.users.values()))
 
     def create(self, zone: int, size: int, count: int, now: float) -> list[TableGroup]:
-        """Make groups of a zone and order their tables, which nobody uses yet."""
+        """Make groups of a zone and order their tables."""
         groups = self.groups.create(zone, size, count, now)
-        admitted = self.updates.shedding.admitted_shares(now)
-        for group in groups:
-            for table in group.tables:
-                self.updates.write(table, [], table.shares, self.updates.shedding.levels(table, admitted))
+        self.updates.write_unused(groups, now)
         return groups
 
     def bind(self, number: int, group: TableGroup, share: float) -> bool:
--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -10,7 +10,7 @@
 from stackwheel.policy.estimates import LoadEstimates
 from stackwheel.policy.peer_planners import PeerPlanners
 from stackwheel.policy.proxies import ProxyView
-from stackwheel.policy.servers import ServerPool
+from stackwheel.policy.servers import ServerPool, ZoneReport
 from stackwheel.policy.tables import Table
 
 # when answers count as slow
@@ -20,7 +20,7 @@
 SLOW_MULTIPLE = 1.7
 """... and than this many times the quickest latency: queues are forming, and the excess is shed."""
 
-LOAD_CHECK_CYCLES = 3.0
+LOAD_CHECK_INTERVALS = 3.0
 """Report intervals for which the load that a health check brought counts."""
 
 # how much is shed
@@ -40,7 +40,7 @@
 
 # admission
 MIN_ADMITTED_SHARE = 0.05
-"""Of a class; the same reason."""
+"""Of a class, for the same reason."""
 
 ADMIT_ALL_SHARE = 0.99
 """From here on a class is admitted in full."""
@@ -56,7 +56,7 @@
 
 
 class LoadShedding:
-    """Keeps the share of demand to shed, and turns it into levels by class: the least worth goes first.
+    """Keeps the share of demand to shed, and turns it into levels by class: the lowest priority weight is shed first.
 
     Attributes:
         shed_share: of all demand, by priority weight.
@@ -78,29 +78,30 @@
         self.estimates = estimates
         self.by_rate = settings.admission_mode == "rate"
         self.priority_weights = [wanted.priority_weight for wanted in settings.classes]
-        self.load_check_ms = LOAD_CHECK_CYCLES * settings.report_interval
+        self.load_check_ms = LOAD_CHECK_INTERVALS * settings.report_interval
         self.shed_share = 0.0
 
     def update(self, now: float) -> None:
         """A slot's step: shed what is beyond known capacity, and while half of the traffic is slow the unanswered."""
-        answered = sum(  # by the newest reports: an average lags the end of an overload
-            report.answers_per_s
+        reports = [
+            report
             for view in self.pool.views.values()
             if not view.is_ejected(now)
             for report in view.zone_reports.values()
-        )
+        ]
+        answered = sum(report.answers_per_s for report in reports)  # an average would lag the end of an overload
         demand = max(MIN_DEMAND_PER_S, self.demand.total(now))
         slow_ms = max(
             SLOW_OBJECTIVES * self.estimates.mean_objective_ms, SLOW_MULTIPLE * self.estimates.quickest_latency
         )
-        if self.traffic_latency(now) > slow_ms:
+        if self.traffic_latency(reports, now) > slow_ms:
             self.shed_share += SHED_GAIN * max(0.0, 1.0 - ADMITTED_USE * answered / demand - self.shed_share)
         else:
             self.shed_share -= SHED_RECOVERY * (SHED_RECOVERY_OFFSET + self.shed_share)
         beyond_capacity = 1.0 - ADMITTED_USE * self.known_capacity(now) / demand
         self.shed_share = bounded(max(0.0, self.shed_share), beyond_capacity, MAX_SHED_SHARE)
 
-    def traffic_latency(self, now: float) -> float:
+    def traffic_latency(self, reports: list[ZoneReport], now: float) -> float:
         """Latency of half of the traffic in ms: by fresh health checks if there are any, else by valid reports."""
         oldest = now - self.load_check_ms
         checked = [view for view in self.pool.ready() if view.load_checked_at > oldest]
@@ -115,12 +116,6 @@
                     for view in checked
                 ]
             )
-        reports = [
-            report
-            for view in self.pool.views.values()
-            if not view.is_ejected(now)
-            for report in view.zone_reports.values()
-        ]
         return median([report.latency_ms for report in reports], [report.attempts_per_s for report in reports])
 
     def known_capacity(self, now: float) -> float:
@@ -134,7 +129,7 @@
         )
 
     def admitted_shares(self, now: float) -> list[float]:
-        """The share of each class that is admitted: the least worth is shed first, classes of equal worth alike."""
+        """The share of each class that is admitted: the lowest priority weight is shed first, equal ones alike."""
         demand = self.demand.by_class(now)
         to_shed = self.shed_share * sum(demand)
         return [self.admitted_share(weight, demand, to_shed) for weight in self.priority_weights]
--- a/stackwheel/policy/outlier_ejection.py
+++ b/stackwheel/policy/outlier_ejection.py
@@ -22,8 +22,8 @@
 MAX_EJECTED_SHARE = 0.4
 """Of the ready servers (the panic threshold): beyond it an ejection would overload the others."""
 
-MIN_EJECTION_CYCLES = 3.0
-MAX_EJECTION_CYCLES = 16.0
+MIN_EJECTION_INTERVALS = 3.0
+MAX_EJECTION_INTERVALS = 16.0
 """Report intervals of a first ejection, and of the longest; each one lasts twice as long as the last."""
 
 
@@ -59,8 +59,8 @@
 
     def eject(self, view: ServerView, now: float) -> None:
         """Leave a server a trickle, for twice as long as the last time."""
-        view.ejection_cycles = min(MAX_EJECTION_CYCLES, max(MIN_EJECTION_CYCLES, 2 * view.ejection_cycles))
-        view.ejected_until = now + view.ejection_cycles * self.report_interval
+        view.ejection_intervals = min(MAX_EJECTION_INTERVALS, max(MIN_EJECTION_INTERVALS, 2 * view.ejection_intervals))
+        view.ejected_until = now + view.ejection_intervals * self.report_interval
 
     def take_back(self, view: ServerView) -> None:
         """Forget what a server was ejected for; the slots' capped steps give it its share back."""
--- a/stackwheel/policy/peer_planners.py
+++ b/stackwheel/policy/peer_planners.py
@@ -8,10 +8,10 @@
 from stackwheel.policy import gossip
 from stackwheel.policy.servers import Rates, ServerPool, ServerView
 
-PEER_FIGURES_CYCLES = 3.0
+PEER_FIGURES_INTERVALS = 3.0
 """Report intervals for which a peer's figures count after its last datagram."""
 
-MAX_DATAGRAMS_PER_CYCLE = 128
+MAX_DATAGRAMS_PER_INTERVAL = 128
 """Read by one planner in a report interval; where its peers would send more, nobody gossips."""
 
 
@@ -30,7 +30,7 @@
         self.pool = pool
         self.planner_count = settings.planner_count
         self.gossip_recipients = settings.planner_count - 1 if settings.gossip_enabled else 0
-        self.lifetime_ms = PEER_FIGURES_CYCLES * settings.report_interval
+        self.lifetime_ms = PEER_FIGURES_INTERVALS * settings.report_interval
         self.figures: dict[int, PeerFigures] = {}
 
     def record(self, sender: int, payload: bytes, now: float) -> None:
@@ -70,6 +70,6 @@
     def announce(self, proxies: int) -> list[Action]:
         """Gossip to all peers the rate that we send to each server, those without traffic too."""
         payloads = gossip.encode(proxies, {server: view.attempt_rate for server, view in self.pool.views.items()})
-        if not 0 < self.gossip_recipients * len(payloads) <= MAX_DATAGRAMS_PER_CYCLE:
+        if not 0 < self.gossip_recipients * len(payloads) <= MAX_DATAGRAMS_PER_INTERVAL:
             return []
         return [SendGossip(payload) for payload in payloads]
--- a/stackwheel/policy/planner.py
+++ b/stackwheel/policy/planner.py
@@ -46,10 +46,10 @@
 from stackwheel.policy.timers import ENDPOINT_LIST_TIMER, SLOT_TIMER, Slot
 from stackwheel.policy.updates import UpdateScheduler
 
-MIN_SLOT_CYCLES = 0.6
+MIN_SLOT_INTERVALS = 0.6
 """Report intervals between slots that new reports start; two reports of one interval make one slot."""
 
-MAX_SLOT_CYCLES = 1.25
+MAX_SLOT_INTERVALS = 1.25
 """Report intervals after which a slot starts without reports."""
 
 
@@ -104,7 +104,7 @@
         for event in events:
             starts_slot |= self.take(event, now)
         since_slot = now - self.slot.started_at
-        if starts_slot or (self.has_new_reports and since_slot >= MIN_SLOT_CYCLES * self.settings.report_interval):
+        if starts_slot or (self.has_new_reports and since_slot >= MIN_SLOT_INTERVALS * self.settings.report_interval):
             self.run_slot(now)
         elif self.updates.should_send(now):
             if self.updates.is_urgent:  # once for its cause: a step each batch that finds no capacity is no capped step
@@ -167,7 +167,7 @@
         self.groups.forget_unused()
         self.groups.move_all(now)
         self.send_updates(now)
-        next_slot_ms = MAX_SLOT_CYCLES * self.settings.report_interval
+        next_slot_ms = MAX_SLOT_INTERVALS * self.settings.report_interval
         self.actions.append(SetTimer(next_slot_ms, SLOT_TIMER + self.slot.number))
 
     def update_estimates(self, now: float) -> None:
--- a/stackwheel/policy/servers.py
+++ b/stackwheel/policy/servers.py
@@ -59,7 +59,7 @@
     # outlier ejection
     ejected_until: float = 0.0
     """0: never ejected, or taken back since."""
-    ejection_cycles: float = 0.0
+    ejection_intervals: float = 0.0
     """Length of the last ejection; the next one lasts twice as long."""
 
     @property
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -36,7 +36,7 @@
 EMPTY_SHARE = 0.8
 """Of a table unsent: over this it can hardly serve, and its new lines must not wait."""
 
-RETRY_CYCLES = 0.1
+RETRY_INTERVALS = 0.1
 """Report intervals after which deferred changes are retried."""
 
 MIN_SPACING_GRACE_SHARE = 0.1
@@ -49,7 +49,7 @@
     REMOVED = 0
     """Its server is draining or removed: it leaves all tables before anything else is sent."""
     WARMING = 1
-    """Its server is warming up and has too much: no load may push it over."""
+    """Its server is warming up and has too much: it must not be overloaded."""
     SOON = 2
     """Its server is ejected and has too much, or its table can hardly serve."""
     NEW = 3
@@ -98,7 +98,7 @@
         self.is_urgent = False
         self.has_deferred = False
         self.retry_at = 0.0
-        self.retry_ms = RETRY_CYCLES * settings.report_interval
+        self.retry_ms = RETRY_INTERVALS * settings.report_interval
 
     def should_send(self, now: float) -> bool:
         """Whether changes should be sent before the next slot, and the queue is short enough."""
@@ -109,7 +109,7 @@
         """Send what is due: lines of removed servers leave all tables before anything else.
 
         Args:
-            proxies_wait: some proxies have no tables yet, so that only what rules need may use the channel.
+            proxies_wait: some proxies have no tables yet, so that only what the rules require may use the channel.
             now: ms.
         """
         self.is_urgent = False
@@ -118,7 +118,7 @@
         admitted = self.shedding.admitted_shares(now)
         groups = sorted(self.groups.all(), key=lambda group: group.written_at)
         ready = {view.entry.server for view in self.pool.ready()}
-        for group in [group for group in groups if group.users and self.holds_others(group, ready)]:
+        for group in [group for group in groups if group.users and self.has_withdrawals(group, ready)]:
             self.send_group(group, admitted, True, now)
         if self.has_deferred:
             self.actions.append(SetTimer(self.retry_ms, DEFERRED_CHANGES_TIMER))
@@ -126,7 +126,7 @@
         for group in groups:
             self.send_group(group, admitted, only_urgent, now)
 
-    def holds_others(self, group: TableGroup, ready: set[Server]) -> bool:
+    def has_withdrawals(self, group: TableGroup, ready: set[Server]) -> bool:
         """Whether the group's proxies have lines of servers that are not ready."""
         return any(server not in ready for table in group.tables for server in table.sent)
 
@@ -160,7 +160,7 @@
     def paced_lines(self, group: TableGroup, lacks_lines: bool) -> float:
         """Lines for each proxy of a group that the pace of changes allows; none once it is spent.
 
-        What a table lacks may go beyond the pace while the queue is short: it takes what nobody else uses.
+        What a table lacks may go beyond the pace while the queue is short: no other change would use it.
         """
         outbox = self.outbox
         if outbox.change_allowance <= 0 and not (lacks_lines and outbox.free_lines(CHANGE_QUEUE_SHARE / 2) > 0):
@@ -232,6 +232,13 @@
             weights = {change.server: change.weight for change in chosen if change.position == position}
             self.write(table, users, weights, levels[position])
 
+    def write_unused(self, groups: Sequence[TableGroup], now: float) -> None:
+        """Order the tables of groups that no proxy uses yet."""
+        admitted = self.shedding.admitted_shares(now)
+        for group in groups:
+            for table in group.tables:
+                self.write(table, [], table.shares, self.shedding.levels(table, admitted))
+
     def write(self, table: Table, users: list[int], weights: Rates, levels: dict[int, AdmissionLevel]) -> None:
         """Order lines and levels of one table, and charge them to its users."""
         orders: list[Action] = [SetWeight(table.number, server, weight) for server, weight in weights.items()]
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from random import Random
 
-from stackwheel.policy.peer_planners import MAX_DATAGRAMS_PER_CYCLE
+from stackwheel.policy.peer_planners import MAX_DATAGRAMS_PER_INTERVAL
 from stackwheel.scale.accounting import Channel
 from stackwheel.scale.bench import READY_POLL_SECONDS, READY_SECONDS, Bench, BenchError, address_of, started
 from stackwheel.scale.fake_environment import FakeDiscovery, FakePeerPlanners, FakeServers
@@ -82,7 +82,7 @@
             discovery = await asyncio.start_server(self.feed.serve, HOST, 0)
             stack.callback(discovery.close)
             names = [entry.instance_id for entry in entries]
-            peers = FakePeerPlanners(names, MAX_DATAGRAMS_PER_CYCLE, self.counters[Channel.PEERS])
+            peers = FakePeerPlanners(names, MAX_DATAGRAMS_PER_INTERVAL, self.counters[Channel.PEERS])
             stack.callback(peers.close)
             await peers.open(self.point.planners - 1)
             config = planner_config(self.point, f"{HOST}:{free_port()}", address_of(discovery), peers, self.seed)
--- a/tests/policy/test_peer_planners.py
+++ b/tests/policy/test_peer_planners.py
@@ -16,7 +16,7 @@
     assert harness.shares(0)[server_id(0)] < 0.8 * harness.shares(0)[server_id(2)]
     view = harness.planner.pool.views[server_id(0)]
     assert harness.planner.peers.others_rate(view, harness.now) == 50.0
-    harness.now += 1000.0 * peer_planners.PEER_FIGURES_CYCLES + 1
+    harness.now += 1000.0 * peer_planners.PEER_FIGURES_INTERVALS + 1
     harness.send()
     assert harness.planner.peers.others_rate(view, harness.now) != 50.0
 
@@ -36,5 +36,5 @@
         harness.send(face.GossipReceived(1, gossip.encode(1, {server_id(number): 30.0})[0]), wait=5.0)
     views = [harness.planner.pool.views[server_id(number)] for number in (0, 1)]
     assert [harness.planner.peers.others_rate(view, harness.now) for view in views] == [30.0, 30.0]
-    harness.send(wait=peer_planners.PEER_FIGURES_CYCLES * harness.settings.report_interval + 1.0)
+    harness.send(wait=peer_planners.PEER_FIGURES_INTERVALS * harness.settings.report_interval + 1.0)
     assert [harness.planner.peers.others_rate(view, harness.now) for view in views] == [0.0, 0.0]
--- a/tests/scale/test_peers.py
+++ b/tests/scale/test_peers.py
@@ -32,7 +32,7 @@
 
 
 def test_the_most_is_the_policys() -> None:
-    assert MAX_DATAGRAMS_PER_CYCLE == peer_planners.MAX_DATAGRAMS_PER_CYCLE
+    assert MAX_DATAGRAMS_PER_CYCLE == peer_planners.MAX_DATAGRAMS_PER_INTERVAL
 
 
 def test_datagrams_are_sent_and_read_by_the_others() -> None:
