--- a/stackwheel/wire/health_check_runner.py
+++ b/stackwheel/wire/health_check_runner.py
@@ -9,7 +9,7 @@
 from stackwheel.state.clock import Clock
 from stackwheel.state.planner_actor import HealthCheckCompleted, HealthCheckTarget
 from stackwheel.wire.connection_table import ConnectionTable
-from stackwheel.wire.health_checks import probe, probe_call
+from stackwheel.wire.health_checks import check_health, health_check_call
 from stackwheel.wire.task_supervisor import TaskSupervisor
 
 
@@ -42,11 +42,11 @@
             self.post(HealthCheckCompleted(target, HealthCheckResult(server, HealthCheckOutcome.UNREACHABLE, 0.0)))
 
     async def _check(self, server: Server, target: HealthCheckTarget) -> None:
-        call = probe_call(target.address, self.names)
+        call = health_check_call(target.address, self.names)
         try:
-            result = await probe(server, call, self.names, self.clock)
+            result = await check_health(server, call, self.names, self.clock)
             self.post(HealthCheckCompleted(target, result))
         finally:
-            await call.closed()
+            await call.wait_closed()
             self.connections.health_checks_in_flight -= 1
             self.connections.released.set()
--- a/tests/scale/test_fake_environment.py
+++ b/tests/scale/test_fake_environment.py
@@ -13,7 +13,7 @@
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.entries import Entry
 from stackwheel.scale.fake_environment import FakeDiscovery, FakePeerPlanners, since
-from stackwheel.wire.discovery_client import parse_listing
+from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 WORK_MOST = 60.0  # s that one test may take
 
@@ -23,7 +23,7 @@
 
 
 def told(found: FakeDiscovery, known: int | None) -> EndpointList:
-    listing = parse_listing(found.list.since(known))
+    listing = parse_endpoint_list(found.list.since(known))
     assert isinstance(listing, EndpointList)
     return listing
 
