--- a/examples/toy_proxy.py
+++ b/examples/toy_proxy.py
@@ -1,4 +1,4 @@
-"""A toy proxy: joins a planner, reports a little demand each second, and prints what it is ordered.
+"""A toy proxy: joins a planner, reports a little demand each second, and prints the updates that it gets.
 
 python examples/toy_proxy.py --id 0 --zone east
 """
@@ -9,29 +9,40 @@
 import asyncio
 import contextlib
 
+REPORT_INTERVAL_S = 1.0
+NONCE_FIELD = "nonce_out="  # a line that has it is acknowledged with the nonce
 
-async def report(writer: asyncio.StreamWriter, proxy: int, classes: list[str], requests: int) -> None:
+
+async def report_demand(writer: asyncio.StreamWriter, proxy: int, classes: list[str], requests: int) -> None:
+    """Report the same number of requests of each class, one report an interval."""
     while True:
-        await asyncio.sleep(1.0)
+        await asyncio.sleep(REPORT_INTERVAL_S)
         for name in classes:
             writer.write(f"RATE id={proxy} lane={name} count={requests} fail=0 over=1000.0\r\n".encode())
         await writer.drain()
 
 
+def nonces_in(line: str) -> list[str]:
+    """The nonces that an update asks to be acknowledged."""
+    return [field.removeprefix(NONCE_FIELD) for field in line.split(" ") if field.startswith(NONCE_FIELD)]
+
+
 async def main(host: str, port: int, proxy: int, zone: str, classes: list[str], requests: int) -> None:
+    """Join the planner, print and acknowledge its updates until it closes the connection."""
     reader, writer = await asyncio.open_connection(host, port)
     writer.write(f"SUBSCRIBE id={proxy} site={zone} rps={requests * len(classes)} new=1\r\n".encode())
-    reporting = asyncio.create_task(report(writer, proxy, classes, requests))
+    reporting = asyncio.create_task(report_demand(writer, proxy, classes, requests))
     while line := (await reader.readline()).decode().strip():
         print(line, flush=True)
-        mark = [word.partition("=")[2] for word in line.split(" ") if word.startswith("nonce_out=")]
-        if mark:
-            writer.write(f"ACK id={proxy} seq={mark[0]} ms=1.0\r\n".encode())
+        nonces = nonces_in(line)
+        if nonces:
+            writer.write(f"ACK id={proxy} seq={nonces[0]} ms=1.0\r\n".encode())
     reporting.cancel()
     print("the planner has gone; a real proxy would keep its tables and dial again")
 
 
-if __name__ == "__main__":
+def parse_arguments() -> argparse.Namespace:
+    """The command line's options."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=8081)
@@ -39,6 +50,10 @@
     parser.add_argument("--zone", default="east")
     parser.add_argument("--classes", nargs="+", default=["read", "write"])
     parser.add_argument("--requests", type=int, default=10, help="a second, for each class")
-    given = parser.parse_args()
+    return parser.parse_args()
+
+
+if __name__ == "__main__":
+    options = parse_arguments()
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(main(given.host, given.port, given.id, given.zone, given.classes, given.requests))
+        asyncio.run(main(options.host, options.port, options.id, options.zone, options.classes, options.requests))
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,7 +1,7 @@
-"""A toy deployment to try the planner with: discovery, and servers that answer probes.
+"""A toy deployment to try the planner with: discovery, and servers that answer health checks.
 
 python examples/toy_server.py            # discovery on 127.0.0.1:8500, three servers
-python examples/toy_server.py --drain 10 # the first server drains after ten seconds, and is gone later
+python examples/toy_server.py --drain 10 # the first server drains after ten seconds, and is removed later
 """
 
 from __future__ import annotations
@@ -10,24 +10,35 @@
 import asyncio
 import contextlib
 import json
-from typing import Any
+from typing import Any, NamedTuple
 
 import h11
 
-BEAT = 2.0  # seconds: a watch hears from discovery so often
-LIST = "/registry/instances"
+HEARTBEAT_S = 2.0  # a watch without changes gets an empty line this often
+READ_BYTES = 65536
+LIST_PATH = "/registry/instances"
+LIVENESS_PATH = "/health/live"
+LOAD_PATH = "/stats"
 
 
-class Registry:
-    """Discovery: the whole list, or a watch on what changes."""
+class Change(NamedTuple):
+    """An entry as it is from a generation of the list on."""
+
+    generation: int
+    entry: dict[str, Any]
+
+
+class DiscoveryService:
+    """Discovery: the complete list, or a watch of its changes."""
 
     def __init__(self) -> None:
         self.generation = 1
         self.instances: dict[str, dict[str, Any]] = {}
-        self.changes: list[tuple[int, dict[str, Any]]] = []
+        self.changes: list[Change] = []
         self.changed = asyncio.Condition()
 
     def add(self, name: str, address: str, zone: str, kind: str = "small") -> None:
+        """List a server from the start."""
         self.instances[name] = {
             "instanceId": name,
             "hostPort": address,
@@ -39,110 +50,133 @@
             "startedAtMs": 0,
         }
 
-    async def update(self, name: str, **news: Any) -> None:
-        """Change an entry, and tell all who watch."""
+    async def update(self, name: str, **fields: Any) -> None:
+        """Change fields of an entry, and notify all watches."""
         async with self.changed:
-            entry = {**self.instances[name], **news}
+            entry = {**self.instances[name], **fields}
             self.instances[name] = entry
             if entry["lifecycle"] == "terminated":
                 del self.instances[name]
             self.generation += 1
-            self.changes.append((self.generation, entry))
+            self.changes.append(Change(self.generation, entry))
             self.changed.notify_all()
 
     def document(self, since: int | None) -> bytes:
-        """The whole list, or what has come since a version."""
-        found = list(self.instances.values())
+        """The complete list, or the entries that have changed since a generation."""
+        entries = list(self.instances.values())
         if since is not None:
-            found = list({e["instanceId"]: e for at, e in self.changes if at > since}.values())
-        body = {"generation": self.generation, "reset": since is None, "instances": found}
+            recent = [change.entry for change in self.changes if change.generation > since]
+            entries = list({entry["instanceId"]: entry for entry in recent}.values())
+        body = {"generation": self.generation, "reset": since is None, "instances": entries}
         return json.dumps(body).encode() + b"\n"
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer one request."""
         http = h11.Connection(h11.SERVER)
         try:
             target = await read_request(http, reader)
             path, _, query = target.partition("?")
-            if path != LIST:
-                await answer(http, writer, 404, b"")
+            if path != LIST_PATH:
+                await send_response(http, writer, 404, b"")
             elif "follow=1" in query:
-                words = dict(word.partition("=")[::2] for word in query.split("&"))
-                await self.watch(http, writer, int(words.get("since", "0")))
+                parameters = dict(parameter.partition("=")[::2] for parameter in query.split("&"))
+                await self.watch(http, writer, int(parameters.get("since", "0")))
             else:
-                await answer(http, writer, 200, self.document(None))
+                await send_response(http, writer, 200, self.document(None))
         except (OSError, h11.ProtocolError):
             pass
         finally:
             writer.close()
 
     async def watch(self, http: h11.Connection, writer: asyncio.StreamWriter, since: int) -> None:
+        """Send the changes since a generation and all later ones; the complete list if the generation is unknown."""
         headers = [("Content-Type", "application/json"), ("Transfer-Encoding", "chunked")]
         writer.write(http.send(h11.Response(status_code=200, headers=headers)))
-        piece = self.document(since if 0 < since <= self.generation else None)
+        line = self.document(since if 0 < since <= self.generation else None)
         while True:
-            told = self.generation
-            writer.write(http.send(h11.Data(piece)))
+            sent_generation = self.generation
+            writer.write(http.send(h11.Data(line)))
             await writer.drain()
-            async with self.changed:
-                try:
-                    await asyncio.wait_for(self.changed.wait_for(lambda: self.generation > told), BEAT)  # noqa: B023
-                    piece = self.document(told)
-                except TimeoutError:  # a change may have come just then
-                    piece = self.document(told) if self.generation > told else b"\n"
+            line = await self.next_line(sent_generation)
+
+    async def next_line(self, sent_generation: int) -> bytes:
+        """The changes since a generation as soon as there are any; an empty line after a heartbeat without."""
+        async with self.changed:
+            with contextlib.suppress(TimeoutError):  # a change may have come just then
+                await asyncio.wait_for(self.changed.wait_for(lambda: self.generation > sent_generation), HEARTBEAT_S)
+            return self.document(sent_generation) if self.generation > sent_generation else b"\n"
 
 
 async def read_request(http: h11.Connection, reader: asyncio.StreamReader) -> str:
+    """The target of the next request; ConnectionError if none comes."""
     while True:
         event = http.next_event()
         if isinstance(event, h11.Request):
             return event.target.decode()
         if event is not h11.NEED_DATA:
             raise ConnectionError("no request")
-        http.receive_data(await reader.read(65536))
+        http.receive_data(await reader.read(READ_BYTES))
 
 
-async def answer(http: h11.Connection, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
+async def send_response(http: h11.Connection, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
+    """Send a response with its length."""
     head = h11.Response(status_code=status, headers=[("Content-Length", str(len(body)))])
     writer.write(http.send(head) + http.send(h11.Data(body)) + http.send(h11.EndOfMessage()))
     await writer.drain()
 
 
-async def serve_probe(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A server with nothing to do: it is alive, and holds no requests."""
+async def serve_health_check(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """A server with nothing to do: it is alive, and has no requests in flight."""
     http = h11.Connection(h11.SERVER)
     try:
         target = await read_request(http, reader)
-        found = target in ("/health/live", "/stats")
-        await answer(http, writer, 200 if found else 404, b"inflight=0" if target == "/stats" else b"")
+        status = 200 if target in (LIVENESS_PATH, LOAD_PATH) else 404
+        await send_response(http, writer, status, b"inflight=0" if target == LOAD_PATH else b"")
     except (OSError, h11.ProtocolError):
         pass
     finally:
         writer.close()
 
 
-async def main(host: str, port: int, zones: list[str], servers: int, drain: float | None) -> None:
-    registry = Registry()
+async def drain_first_server(discovery: DiscoveryService, interval_s: float) -> None:
+    """Drain a server after an interval, and remove it after another."""
+    for lifecycle in ("terminating", "terminated"):
+        await asyncio.sleep(interval_s)
+        await discovery.update("toy-0", lifecycle=lifecycle)
+        print(f"toy-0 is {lifecycle}", flush=True)
+
+
+async def main(host: str, port: int, zones: list[str], servers: int, drain_s: float | None) -> None:
+    """Start servers and discovery, and run until Ctrl-C."""
+    discovery = DiscoveryService()
     for number in range(servers):
-        toy = await asyncio.start_server(serve_probe, host, 0)
-        address = "{}:{}".format(*toy.sockets[0].getsockname()[:2])
-        registry.add(f"toy-{number}", address, zones[number % len(zones)])
-    listener = await asyncio.start_server(registry.serve, host, port)
-    print("discovery on {}:{}".format(*listener.sockets[0].getsockname()[:2]), flush=True)
-    if drain is not None:
-        for lifecycle in ("terminating", "terminated"):
-            await asyncio.sleep(drain)
-            await registry.update("toy-0", lifecycle=lifecycle)
-            print(f"toy-0 is {lifecycle}", flush=True)
+        server = await asyncio.start_server(serve_health_check, host, 0)
+        discovery.add(f"toy-{number}", address_of(server), zones[number % len(zones)])
+    listener = await asyncio.start_server(discovery.serve, host, port)
+    print(f"discovery on {address_of(listener)}", flush=True)
+    if drain_s is not None:
+        await drain_first_server(discovery, drain_s)
     await asyncio.Event().wait()
 
 
-if __name__ == "__main__":
+def address_of(server: asyncio.Server) -> str:
+    """Where a server listens, as host:port."""
+    host, port = server.sockets[0].getsockname()[:2]
+    return f"{host}:{port}"
+
+
+def parse_arguments() -> argparse.Namespace:
+    """The command line's options."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=8500)
     parser.add_argument("--zones", nargs="+", default=["east", "west"])
     parser.add_argument("--servers", type=int, default=3)
     parser.add_argument("--drain", type=float, metavar="SECONDS")
-    given = parser.parse_args()
+    return parser.parse_args()
+
+
+if __name__ == "__main__":
+    options = parse_arguments()
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(main(given.host, given.port, given.zones, given.servers, given.drain))
+        asyncio.run(main(options.host, options.port, options.zones, options.servers, options.drain))
--- a/tests/fake_services.py
+++ b/tests/fake_services.py
@@ -90,7 +90,7 @@
         return {s: w for s, w in self.lines[name].items() if s not in self.ejected}
 
 
-class Discovery(toy.Registry):  # type: ignore[name-defined, misc]
+class Discovery(toy.DiscoveryService):  # type: ignore[name-defined, misc]
     """The toy's discovery, with what can go wrong, in the order given, before it does as it should."""
 
     def __init__(self) -> None:
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -10,61 +10,88 @@
 from fake_services import ROOT, config
 from planner_process import MOST, start
 
+from stackwheel.service.config import read_config
 
-async def example(name: str, *words: str) -> asyncio.subprocess.Process:
+TEST_TIMEOUT_S = 100
+DIAL_INTERVAL_S = 0.05
+
+
+async def start_example(name: str, *words: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable, str(ROOT / "examples" / name), *words, cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
 
 
-async def line(process: asyncio.subprocess.Process) -> str:
+async def read_line(process: asyncio.subprocess.Process) -> str:
     assert process.stdout is not None
     return (await asyncio.wait_for(process.stdout.readline(), MOST)).decode().strip()
 
 
+async def read_update(proxy: asyncio.subprocess.Process) -> str:
+    """An update that the toy proxy prints."""
+    update = await read_line(proxy)
+    assert update.startswith("CONFIG")
+    return update
+
+
+async def wait_until_listening(host: str, port: int) -> None:
+    while True:
+        with contextlib.suppress(ConnectionRefusedError):
+            _, writer = await asyncio.open_connection(host, port)
+            writer.close()
+            return
+        await asyncio.sleep(DIAL_INTERVAL_S)
+
+
+def removes(update: str, server: str) -> bool:
+    """Whether an update sets the weight of a server to 0."""
+    return f"{server}:0" in update.replace(",", " ").replace("=", " ").split()
+
+
 def test_a_newcomer_sees_tables_and_a_drain(tmp_path: Path) -> None:
-    async def work() -> None:
-        started: list[asyncio.subprocess.Process] = []
+    async def run_examples(processes: list[asyncio.subprocess.Process]) -> None:
+        toy_server = await start_example("toy_server.py", "--port", "0", "--drain", "3")
+        processes.append(toy_server)
+        words = (await read_line(toy_server)).split()
+        assert words[:2] == ["discovery", "on"]
+        configuration = config(words[2])
+        planner = await start(configuration, tmp_path)
+        processes.append(planner)
+        host, _, port = configuration["listen"].rpartition(":")
+        await wait_until_listening(host, int(port))
+        proxy = await start_example("toy_proxy.py", "--port", port, "--zone", "east")
+        processes.append(proxy)
+
+        tables = [await read_line(proxy), await read_line(proxy)]
+        assert [table.split()[1:3] for table in tables] == [["routes=read", "full=1"], ["routes=write", "full=1"]]
+        assert "toy-0:" in tables[0]
+        assert "toy-2:" in tables[1]
+        while not removes(await read_update(proxy), "toy-0"):
+            pass
+
+        second_server = await start_example("toy_server.py", "--port", "0", "--servers", "4")
+        processes.append(second_server)
+        configuration["discovery"] = (await read_line(second_server)).split()[2]
+        (tmp_path / "config.json").write_text(json.dumps(configuration))
+        planner.send_signal(signal.SIGHUP)
+        while "toy-3:" not in await read_update(proxy):
+            pass
+
+    async def run_and_clean_up() -> None:
+        processes: list[asyncio.subprocess.Process] = []
         try:
-            started.append(await example("toy_server.py", "--port", "0", "--drain", "3"))
-            words = (await line(started[0])).split()
-            assert words[:2] == ["discovery", "on"]
-            found = config(words[2])
-            started.append(await start(found, tmp_path))
-            host, _, port = found["listen"].rpartition(":")
-            while True:
-                with contextlib.suppress(ConnectionRefusedError):
-                    _, writer = await asyncio.open_connection(host, int(port))
-                    break
-                await asyncio.sleep(0.05)
-            writer.close()
-            started.append(await example("toy_proxy.py", "--port", port, "--zone", "east"))
-            first = [await line(started[2]), await line(started[2])]
-            assert [order.split()[1:3] for order in first] == [["routes=read", "full=1"], ["routes=write", "full=1"]]
-            assert "toy-0:" in first[0] and "toy-2:" in first[1]
-            while "toy-0:0" not in (order := await line(started[2])).replace(",", " ").replace("=", " ").split():
-                assert order.startswith("CONFIG")
-            started.append(await example("toy_server.py", "--port", "0", "--servers", "4"))
-            found["discovery"] = (await line(started[3])).split()[2]
-            (tmp_path / "config.json").write_text(json.dumps(found))
-            started[1].send_signal(signal.SIGHUP)
-            while "toy-3:" not in (order := await line(started[2])):
-                assert order.startswith("CONFIG")
+            await run_examples(processes)
         finally:
-            for process in started:
+            for process in processes:
                 with contextlib.suppress(ProcessLookupError):
                     process.kill()
                 await process.wait()
 
-    asyncio.run(asyncio.wait_for(work(), 100))
+    asyncio.run(asyncio.wait_for(run_and_clean_up(), TEST_TIMEOUT_S))
 
 
 def test_the_example_configuration_leaves_nothing_to_defaults() -> None:
-    from stackwheel.service.config import read_config
-
-    found = read_config(json.loads((ROOT / "examples" / "config.json").read_text()))
-    assert (
-        found.defaulted_settings == ()
-        and found.settings.endpoint_list_on_request
-        and found.names.classes == ("read", "write")
-    )
+    configuration = read_config(json.loads((ROOT / "examples" / "config.json").read_text()))
+    assert configuration.defaulted_settings == ()
+    assert configuration.settings.endpoint_list_on_request
+    assert configuration.names.classes == ("read", "write")
--- a/tests/wire/test_health_checks.py
+++ b/tests/wire/test_health_checks.py
@@ -21,9 +21,9 @@
 
 
 def test_health_checks() -> None:
-    assert check(toy.serve_probe, LIVENESS).outcome == HealthCheckOutcome.OK == 1
-    assert check(toy.serve_probe, LIVENESS).load == ()
-    load = check(toy.serve_probe, LOAD_REPORTS).load
+    assert check(toy.serve_health_check, LIVENESS).outcome == HealthCheckOutcome.OK == 1
+    assert check(toy.serve_health_check, LIVENESS).load == ()
+    load = check(toy.serve_health_check, LOAD_REPORTS).load
     assert math.isnan(load[0])
     assert load[1] == 0.0
     assert check(canned(OK_HEAD + b"what"), LOAD_REPORTS).outcome == HealthCheckOutcome.ERROR == 0
--- a/tests/wire/test_transport.py
+++ b/tests/wire/test_transport.py
@@ -288,7 +288,7 @@
 
 def test_probes_come_back_as_events() -> None:
     async def work() -> None:
-        server = await asyncio.start_server(toy.serve_probe, "127.0.0.1", 0)
+        server = await asyncio.start_server(toy.serve_health_check, "127.0.0.1", 0)
         setup = TransportHarness("{}:{}".format(*server.sockets[0].getsockname()[:2]))
         await setup.open()
         meant, nowhere = (
