--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -212,8 +212,8 @@
 
 def test_operators_file() -> None:
     records = load_operators(DATA / "operators.cue").records
-    assert records.files.pace.cap == 4
-    assert records.files.silent.after == "refuse"
+    assert records.files.pace.max_files == 4
+    assert records.files.silent_planner.fallback == "refuse"
     assert records.relay.upstream == "registry-0:8500,registry-1:8500"
     assert as_json(records) == {
         "files": {
