--- a/stackwheel/cli/scale.py
+++ b/stackwheel/cli/scale.py
@@ -23,7 +23,7 @@
 MAX_SERVERS = 1_000_000
 MAX_PLANNERS = 65_536  # each has an address of its own on the loopback network
 MAX_REAL_PLANNERS = 250  # each is a process
-MAX_FULL_LIST_PLANNERS = 50  # each is a process that keeps the whole fleet
+MAX_FULL_LIST_PLANNERS = 50  # each is a process that keeps the list of the entire fleet
 MAX_RELAYS = 200
 MAX_DURATION_S = 3_600.0
 MAX_EVENTS_PER_S = 10_000
--- a/stackwheel/cli/scale_slopes.py
+++ b/stackwheel/cli/scale_slopes.py
@@ -21,7 +21,7 @@
 @click.option("--repeats", type=click.IntRange(1, 20), default=3, show_default=True, help="Of each size.")
 @click.option("--span", type=click.FloatRange(0.5, 600), default=6.0, show_default=True, help="s that are counted.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Of stand-ins and planner.")
-@click.option("--no-direct", is_flag=True, help="Leave out the whole points measured as such.")
+@click.option("--no-direct", is_flag=True, help="Leave out the points that are measured by themselves.")
 @click.option("--replace", is_flag=True, help="Keep what --out already holds beside what is measured now.")
 def slopes(
     replace: bool, out: Path, only: tuple[str, ...], repeats: int, span: float, seed: int, no_direct: bool
--- a/stackwheel/cli/trial_output.py
+++ b/stackwheel/cli/trial_output.py
@@ -80,7 +80,7 @@
 
 
 def replay_lines(result: Result) -> Iterator[str]:
-    """One trial: each violation with what led to it, then one line on the whole."""
+    """One trial: each violation with what led to it, then one line on the trial."""
     for violation in result.verdicts:
         yield str(violation)
         for line in violation.trail:
--- a/stackwheel/config_language/conjuncts.py
+++ b/stackwheel/config_language/conjuncts.py
@@ -39,11 +39,11 @@
 
     @property
     def origin(self) -> Origin:
-        """Where it is said."""
+        """The place in the source."""
         return self.source.origin(self.value.position)
 
     def with_value(self, value: ValueT) -> Conjunct[ValueT]:
-        """Another value said in the same place."""
+        """The same source and definitions with another value."""
         return Conjunct(self.source, value, self.definitions)
 
 
--- a/stackwheel/config_language/scalars.py
+++ b/stackwheel/config_language/scalars.py
@@ -25,8 +25,8 @@
 
 def has_type(value: PlainValue, type_name: str) -> bool:
     """Whether a value is of a type; integers are numbers too."""
-    found = TYPE_NAME_OF_CLASS[type(value)]
-    return type_name in (ANY_TYPE, found) or (type_name == "number" and found == "int")
+    actual = TYPE_NAME_OF_CLASS[type(value)]
+    return type_name in (ANY_TYPE, actual) or (type_name == "number" and actual == "int")
 
 
 def satisfies(value: PlainValue, bound: Bound) -> bool:
--- a/stackwheel/config_language/syntax_builder.py
+++ b/stackwheel/config_language/syntax_builder.py
@@ -57,7 +57,7 @@
         self._file = file
 
     def build(self, tree: Tree[Token]) -> Record:
-        """The record of a whole file."""
+        """The record that a file stands for."""
         record = self.transform(tree)
         if not isinstance(record, Record):
             raise TypeError(f"the rule of a file gives a record, not {record!r}")
@@ -172,7 +172,7 @@
 
 
 def parse_number(text: str) -> int | float:
-    """A number with its suffix worked in; whole results are integers."""
+    """A number times the factor of its suffix; integral results are integers."""
     for suffix, factor in FACTORS.items():
         if text.endswith(suffix):
             scaled = parse_number(text.removesuffix(suffix)) * factor
