--- a/stackwheel/__main__.py
+++ b/stackwheel/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m stackwheel`: one planner, configured by ROUTER_CONFIG; with words, the command line."""
+"""`python -m stackwheel`: one planner, configured by ROUTER_CONFIG; with arguments, the command line."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
         from stackwheel.service.process import main as run_planner
 
         return run_planner()
-    from stackwheel.cli.entry import main as command_line
+    from stackwheel.cli.entry import main as run_command_line
 
-    return command_line()
+    return run_command_line()
 
 
 if __name__ == "__main__":
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -21,7 +21,7 @@
 from stackwheel.scale.ports import HOST, free_port
 from stackwheel.scale.proxies import CYCLE_MS, HollowCollector, HollowProxy, ProxySettings
 from stackwheel.scale.surroundings import ListFeed, PeerPlanners, ProbedServers
-from stackwheel.service.config import VARIABLE
+from stackwheel.service.config import CONFIG_VARIABLE
 from stackwheel.wire.http import split_address
 
 ROUTES = ("read", "write")
@@ -89,7 +89,7 @@
             folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="stackwheel-scale-"))
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(config))
-            process = await stack.enter_async_context(started((), {VARIABLE: str(path)}))
+            process = await stack.enter_async_context(started((), {CONFIG_VARIABLE: str(path)}))
             await ready(str(config["listen"]), process)
             self.join(str(config["listen"]), names)
             self.keep(peers.run(split_address(str(config["peer_listen"]))))
--- a/stackwheel/scale/real.py
+++ b/stackwheel/scale/real.py
@@ -20,7 +20,7 @@
 from stackwheel.scale.meter import Meter
 from stackwheel.scale.planner_settings import PlannerSettings, RequestClassSettings
 from stackwheel.scale.proxies import HollowProxy, ProxySettings
-from stackwheel.service.config import VARIABLE
+from stackwheel.service.config import CONFIG_VARIABLE
 
 ROUTES = ("read", "write")
 PROXIES = 8  # that a planner's settings allow; one of them joins
@@ -108,7 +108,7 @@
 
     async def start(self, children: Children, folder: Path) -> None:
         """Start the program and wait for its first PONG; then the proxy joins."""
-        environment = {VARIABLE: str(self.path(folder)), "STACKWHEEL_OPERATORS": ""}
+        environment = {CONFIG_VARIABLE: str(self.path(folder)), "STACKWHEEL_OPERATORS": ""}
         self.child = await children.start_program(self.role, self.placed.planner.name, (), environment)
         async with asyncio.timeout(READY_WITHIN):
             while not await pong(self.listen):
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -1,4 +1,4 @@
-"""Puts the parts together and runs until it is told to stop."""
+"""Composes one planner from its configuration and runs it until it is stopped."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from stackwheel.interface import Settings
-from stackwheel.service.config import Config, ConfigError, load_config
+from stackwheel.service.config import Config, load_config
 from stackwheel.service.ports import PlannerContext, ProxyTransport
 from stackwheel.service.reload import Reload
 from stackwheel.state.clock import Clock
@@ -26,56 +26,71 @@
 from stackwheel.wire.timing import JITTER, stream_silence
 from stackwheel.wire.transport import SocketTransport, open_listener
 
-OPERATORS = "STACKWHEEL_OPERATORS"  # names the operators' own file
+OPERATORS_VARIABLE = "STACKWHEEL_OPERATORS"  # environment variable that names the operators' own file
+MS_PER_S = 1000.0
 
 
-def silence(settings: Settings) -> float:
-    return stream_silence(
-        settings.report_interval, 1000.0 * settings.queue_limit / settings.channel_rate, settings.transit_time
-    )
+def stream_timeout(settings: Settings) -> float:
+    """The time in ms for which a stream may be silent before its proxy counts as left."""
+    full_queue = MS_PER_S * settings.queue_limit / settings.channel_rate
+    return stream_silence(settings.report_interval, full_queue, settings.transit_time)
 
 
 def with_slot_jitter(settings: Settings) -> Settings:
-    """Slots come some ms early or late: what leaves the span after so many cycles shall have left it.
+    """Settings for the policy, whose window for the message cap is shorter by the jitter of slots.
 
-    The connection keeps the limit itself, over the whole span and as messages are written.
+    Slots come some ms early or late, and a message that is to leave the window after so many slots has to have left it
+    then. The connections keep the cap too, over the full window and as messages are written.
     """
     return replace(settings, message_window=max(0.0, settings.message_window - JITTER))
 
 
-def no_transports(context: PlannerContext) -> list[ProxyTransport]:
+def no_transports(_context: PlannerContext) -> list[ProxyTransport]:
+    """No transport beside the sockets."""
     return []
 
 
+def do_nothing() -> None:
+    """Stands in for a step that only a process needs."""
+
+
 @dataclass(frozen=True, slots=True)
 class ProcessEnvironment:
-    """What the process stands in: clocks, listener, configuration and signals, as the system gives them.
-
-    A trial hands in its own, so that what runs there is this very service.
+    """What a planner needs of the process around it. A simulation gives its own, so that it runs this very service.
+
+    Attributes:
+        wall_clock: Unix time in s.
+        steady_clock: monotonic time in s.
+        listen_at: opens a listening socket; OSError if it can't.
+        load_config: reads the configuration again; ConfigError if it can't be used.
+        transports: builds the transports beside the sockets.
+        freeze_startup_objects: called once all objects that stay have been made.
+        unblock_signals: called once a signal finds a handler.
     """
 
-    wall_clock: Callable[[], float] = time.time  # s
-    steady_clock: Callable[[], float] = time.monotonic  # s
+    wall_clock: Callable[[], float] = time.time
+    steady_clock: Callable[[], float] = time.monotonic
     listen_at: Callable[[str], socket.socket] = open_listener
-    load_config: Callable[[], Config | ConfigError] = load_config
+    load_config: Callable[[], Config] = load_config
     transports: Callable[[PlannerContext], list[ProxyTransport]] = no_transports
-    freeze_startup_objects: Callable[[], None] = lambda: None  # once all that stays has been made
-    unblock_signals: Callable[[], None] = lambda: None  # once signals find somebody who hears them
+    freeze_startup_objects: Callable[[], None] = do_nothing
+    unblock_signals: Callable[[], None] = do_nothing
 
 
-def settle_memory() -> None:
-    """What stands by now stays: no collection walks it again."""
+def freeze_startup_objects() -> None:
+    """Keep the garbage collector from walking what exists by now: it stays anyway."""
     gc.collect()
     gc.freeze()
 
 
 def unblock_reload() -> None:
+    """Deliver SIGHUP from now on, one that came during the start at once."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
 
 def configured_transports(context: PlannerContext) -> list[ProxyTransport]:
     """What the operators' file turns on; without the variable nothing of it is even imported."""
-    path = os.environ.get(OPERATORS)
+    path = os.environ.get(OPERATORS_VARIABLE)
     if not path:
         return []
     from stackwheel.service.file_transport import build
@@ -84,17 +99,20 @@
 
 
 PROCESS = ProcessEnvironment(
-    transports=configured_transports, freeze_startup_objects=settle_memory, unblock_signals=unblock_reload
+    transports=configured_transports,
+    freeze_startup_objects=freeze_startup_objects,
+    unblock_signals=unblock_reload,
 )
 
 
 class CompositePorts:
-    """The planner's ports where further transports stand beside the sockets.
+    """The planner's ports where there are further transports beside the sockets.
 
-    Updates go to all of them; endpoint lists, health checks and gossip are the sockets' alone.
+    Updates go to all of them; endpoint lists, health checks and gossip use the sockets alone.
     """
 
     def __init__(self, sockets: SocketTransport, transports: Sequence[ProxyTransport]) -> None:
+        """Join the sockets and the other transports."""
         self.sockets = sockets
         self.transports = transports
         self.watch_endpoints = sockets.watch_endpoints
@@ -103,59 +121,67 @@
         self.send_gossip = sockets.send_gossip
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
+        """Give all updates to each transport; it sends those of its own streams."""
         self.sockets.deliver(messages)
         for transport in self.transports:
             transport.deliver(messages)
 
 
 class Service:
-    """One planner's parts, put together and not yet started."""
+    """The parts of one planner, composed and not yet started."""
 
-    def __init__(self, config: Config, around: ProcessEnvironment = PROCESS) -> None:
-        self.config, self.environment = config, around
-        self.clock = Clock(around.wall_clock, around.steady_clock)
+    def __init__(self, config: Config, environment: ProcessEnvironment = PROCESS) -> None:
+        """Compose the parts; TransportSetupError if a further transport can't be set up."""
+        self.config = config
+        self.environment = environment
+        self.clock = Clock(environment.wall_clock, environment.steady_clock)
         self.endpoints = EndpointCache(
             config.names.zones, config.names.kinds, ServerIds(), config.settings.removal_is_advisory
         )
         self.endpoints.apply(config.cached_endpoints)
         self.transport = SocketTransport(
-            config.addresses, config.settings, config.names, self.endpoints, self.clock, around.listen_at, config.seed
-        )
-        self.transports = around.transports(
-            PlannerContext(config, self.clock, self.endpoints, lambda item: self.planner.post(item))
+            config.addresses,
+            config.settings,
+            config.names,
+            self.endpoints,
+            self.clock,
+            environment.listen_at,
+            config.seed,
         )
-        outside = CompositePorts(self.transport, self.transports) if self.transports else self.transport
+        context = PlannerContext(config, self.clock, self.endpoints, lambda item: self.planner.post(item))
+        self.transports = environment.transports(context)
         self.planner = PlannerActor(
             with_slot_jitter(config.settings),
             config.names.batch_delay,
             config.seed,
             self.clock,
             self.endpoints,
-            outside,
-            silence(config.settings),
+            CompositePorts(self.transport, self.transports) if self.transports else self.transport,
+            stream_timeout(config.settings),
         )
-        self.reload = Reload(config, self.transport.readdress, around.load_config)
+        self.reload = Reload(config, self.transport.readdress, environment.load_config)
 
     async def run(self) -> None:
-        """Answer and decide until cancelled; OSError if an address can't be had."""
-        if self.config.defaulted_settings:
-            logger.warning("settings not given, so at their defaults: {}", ", ".join(self.config.defaulted_settings))
-        self.planner.decide([self.endpoints.cached()])  # known first; who connects finds a planner that is ready
+        """Serve until cancelled; OSError if an address can't be bound."""
+        if absent := self.config.defaulted_settings:
+            logger.warning("settings not given, defaults in force: kind={} count={}", ",".join(absent), len(absent))
+        self.planner.decide([self.endpoints.cached()])  # first, so that who connects finds a planner that is ready
         self.environment.freeze_startup_objects()
         await self.transport.open(self.planner.post)
         logger.info(
-            "ready on {}, {} servers known of list {}",
+            "planner ready: address={} generation={} count={}",
             self.config.addresses.listen,
-            len(self.endpoints.entries),
             self.endpoints.generation,
+            len(self.endpoints.entries),
         )
         self.transport.supervisor.start(self.reload.run())
-        for extra in self.transports:
-            self.transport.supervisor.start(extra.run())
+        for transport in self.transports:
+            self.transport.supervisor.start(transport.run())
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload.request)
-        self.environment.unblock_signals()  # one that came during the start counts now
+        self.environment.unblock_signals()
         await self.planner.run()
 
 
 async def serve(config: Config) -> None:
+    """Run one planner as this process."""
     await Service(config).run()
--- a/stackwheel/service/file_transport.py
+++ b/stackwheel/service/file_transport.py
@@ -1,4 +1,4 @@
-"""What the operators' file turns on beside the sockets; imported only where such a file is named."""
+"""Builds the file transport where the operators' file turns it on; imported only where such a file is named."""
 
 from __future__ import annotations
 
@@ -13,40 +13,38 @@
 from stackwheel.files.ledger import Ledger, Terms
 from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.push import Pace, Pusher
-from stackwheel.service.ports import PlannerContext, ProxyTransport
+from stackwheel.service.ports import PlannerContext, ProxyTransport, TransportSetupError
 
-
-class ExtrasError(OSError):
-    """The operators' file can't be used; a start ends with this one line."""
+INCARNATION_BITS = 48
 
 
 def build(context: PlannerContext, path: str) -> list[ProxyTransport]:
-    """ExtrasError where the file, or one that it names, can't be used."""
+    """The transports that the operators' file turns on.
+
+    Raises:
+        TransportSetupError: the file, or one that it names, can't be used.
+    """
     try:
-        found = load(Path(path)).records
-        return [file_desk(context, found.files)] if found.files.on else []
+        records = load(Path(path)).records
+        return [build_publisher(context, records.files)] if records.files.on else []
     except (OperatorsError, KeyFileError) as error:
-        raise ExtrasError(str(error)) from None
+        raise TransportSetupError(str(error)) from error
 
 
-def file_desk(context: PlannerContext, files: Files) -> FilePublisher:
+def build_publisher(context: PlannerContext, files: Files) -> FilePublisher:
+    """The file publisher as the operators' file describes it; KeyFileError where its keys can't be used."""
     config = context.config
     keys = load_keys(Path(files.keys)) if files.keys else NO_KEYS
+    terms = Terms(files.life, files.whole_every, config.settings.report_interval)
     ledger = Ledger(
         config.name,
         config.names,
         config.settings.proxy_count,
-        Terms(files.life, files.whole_every, config.settings.report_interval),
+        terms,
         context.endpoints.server_ids.name,
-        random.Random(config.seed).getrandbits(48),
-    )
-    pusher = Pusher(Pace(files.pace.cap, files.pace.span, files.pace.least), config.seed, files.under_way)
-    return FilePublisher(
-        ledger,
-        pusher,
-        Folders(files.out, files.answers),
-        SystemDisk(),
-        context.clock.now,
-        context.post,
-        keys,
+        random.Random(config.seed).getrandbits(INCARNATION_BITS),
     )
+    pace = Pace(files.pace.cap, files.pace.span, files.pace.least)
+    pusher = Pusher(pace, config.seed, files.under_way)
+    folders = Folders(files.out, files.answers)
+    return FilePublisher(ledger, pusher, folders, SystemDisk(), context.clock.now, context.post, keys)
--- a/stackwheel/service/process.py
+++ b/stackwheel/service/process.py
@@ -6,10 +6,14 @@
 import signal
 import sys
 from types import FrameType
+from typing import Final
+
+EXIT_CANNOT_START: Final = 2
+LOG_LEVEL_VARIABLE = "STACKWHEEL_LOG"
 
 
 def stop(_signal: int, _frame: FrameType | None) -> None:
-    """There is nothing to save: proxies keep their tables, and a new start begins from nothing."""
+    """Exit at once. There is nothing to save: proxies keep their tables, and a new start begins from nothing."""
     os._exit(0)
 
 
@@ -23,15 +27,13 @@
     from stackwheel.service.app import serve
     from stackwheel.service.config import ConfigError, load_config
     from stackwheel.service.logging_setup import start_logging
+    from stackwheel.service.ports import TransportSetupError
 
-    config = load_config()
-    if isinstance(config, ConfigError):
-        print(f"stackwheel: {config.reason}", file=sys.stderr)
-        return 2
-    start_logging(config.name, os.environ.get("STACKWHEEL_LOG", "INFO"))
     try:
+        config = load_config()
+        start_logging(config.name, os.environ.get(LOG_LEVEL_VARIABLE, "INFO"))
         asyncio.run(serve(config))
-    except OSError as error:
+    except (ConfigError, TransportSetupError, OSError) as error:
         print(f"stackwheel: {error}", file=sys.stderr)
-        return 2
+        return EXIT_CANNOT_START
     return 0
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -19,7 +19,7 @@
 from stackwheel.cells.plan import CellPlanError, Plan, load_plan
 from stackwheel.config_language.load import OperatorsError, load
 from stackwheel.relay.cache import ListingCache
-from stackwheel.service.config import replicated
+from stackwheel.service.config import ConfigError, check_replica_addresses
 from stackwheel.service.logging_setup import start_logging
 from stackwheel.state.endpoint_cache import MAX_LIST_AGE, EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
@@ -52,8 +52,8 @@
     if not found.on:
         raise RelayError(f"{path}: relay.on is false")
     try:
-        upstream = replicated({"relay.upstream": found.upstream}, "relay.upstream")
-    except ValueError as error:
+        upstream = check_replica_addresses("relay.upstream", found.upstream)
+    except ConfigError as error:
         raise RelayError(f"{path}: {error}") from None
     return RelayConfig(found.name, upstream, path.parent / found.plan)
 
--- a/stackwheel/settings.py
+++ b/stackwheel/settings.py
@@ -1,22 +1,25 @@
-"""Settings for the policy and names for the wire, from path=value pairs or from the same as nested JSON.
+"""The settings reader: the operators' setting paths become typed settings for the policy and names for the transport.
 
-`drill` is given pairs, the service JSON; both become the same pairs and are read by the same code.
+The simulator gives settings as lines of `path=value`, the service as nested JSON; both become the same pairs and are
+read by the same code. The paths (`family_info.cycle`, `services.0.worth`, ...) appear in this module only. An unknown
+path is ignored, an absent one has its default, and a value that can't be used is an error that names its path.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterator, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
+from typing import Final, NamedTuple
 
+from stackwheel.errors import InvalidInputError
 from stackwheel.interface import RequestClass, Retry, Settings
 
 
-class SettingsError(ValueError):
-    """The settings cannot be parsed."""
+class SettingsError(InvalidInputError):
+    """The settings can't be used; `place` is the path of the setting."""
 
 
-# A load column's other names, and the name that the settings and the policy know it by.
 LOAD_COLUMN_NAMES = {
     "inflight": "outstanding",
     "queue": "backlog",
@@ -25,212 +28,289 @@
     "qps": "throughput",
     "eps": "errors_per_s",
 }
-OPTIONAL = ("obligations.only_draining_binds",)  # given only where it holds
+"""Other names of load columns, with the name that settings and policy know them by."""
+
+OPTIONAL_PATHS = ("obligations.only_draining_binds",)  # given only where it holds, so its absence says nothing
+MAX_CLASSES: Final = 32  # that an update can name
+SHOWN_CHARACTERS: Final = 40  # of an offending value in an error
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """What the settings name and the policy knows by its place; and what only the transport reads."""
+    """What the settings name and the policy knows by its index, and what only the transport needs.
+
+    Attributes:
+        classes: request classes.
+        zones: zones.
+        kinds: server kinds.
+        columns: load columns.
+        batch_delay: ms for which the planner actor gathers a batch of events.
+        health_check_returns_load: whether the answer to a health check is a load report.
+    """
 
     classes: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
     columns: tuple[str, ...] = ()
     batch_delay: float = 2.0
-    health_check_returns_load: bool = False  # a probe's answer carries a load report
+    health_check_returns_load: bool = False
+
+
+class LoadedSettings(NamedTuple):
+    """All that settings say, and the paths that they lack: a misspelt path quietly becomes a default."""
+
+    settings: Settings
+    names: Names
+    absent_paths: tuple[str, ...]
 
 
 def parse_settings(blob: bytes) -> Settings:
-    return build_settings(read_pairs(blob))
+    """Settings from lines of `path=value`; SettingsError where they can't be used."""
+    return build_settings(SettingsReader(parse_pairs(blob)))
+
 
+def load_settings(nested: Mapping[str, object]) -> LoadedSettings:
+    """Settings from nested JSON; SettingsError where they can't be used."""
+    reader = SettingsReader(dict(flatten(nested)))
+    settings = build_settings(reader)
+    names = build_names(reader, settings)
+    return LoadedSettings(settings, names, tuple(sorted(set(reader.absent_paths))))
 
-def read_pairs(blob: bytes) -> dict[str, str]:
+
+def parse_pairs(blob: bytes) -> dict[str, str]:
+    """The pairs of lines of `path=value`; empty lines are ignored."""
     try:
         text = blob.decode("utf-8")
     except UnicodeDecodeError as error:
-        raise SettingsError(f"not UTF-8 at byte {error.start}") from None
+        raise SettingsError("", f"not UTF-8 at byte {error.start}") from error
     pairs: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         path, equals, value = line.partition("=")
         if not equals or not path:
-            raise SettingsError(f"line {number} is no path=value pair")
+            raise SettingsError(f"line {number}", "not path=value")
         pairs[path.strip()] = value.strip()
     return pairs
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """The pairs of nested JSON: objects by key, lists of plain values by commas, of objects by place."""
+    """The pairs of nested JSON: objects by key, lists of scalars joined by commas, lists of objects by index."""
     if isinstance(value, Mapping):
         for key, item in value.items():
             yield from flatten(item, f"{path}.{key}" if path else str(key))
     elif isinstance(value, list) and any(isinstance(item, Mapping | list) for item in value):
         yield f"{path}.count", str(len(value))
-        for place, item in enumerate(value):
-            yield from flatten(item, f"{path}.{place}")
+        for index, item in enumerate(value):
+            yield from flatten(item, f"{path}.{index}")
     elif isinstance(value, list):
-        yield path, ",".join(plain(item) for item in value)
+        yield path, ",".join(format_scalar(item) for item in value)
     elif value is not None:
-        yield path, plain(value)
+        yield path, format_scalar(value)
 
 
-def plain(value: object) -> str:
-    """A value as the pairs have it: spaces and commas would end it."""
+def format_scalar(value: object) -> str:
+    """A value as the pairs have it: a space or comma would end it."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-class _Reader:
-    """Typed look-ups with a default for what is absent."""
+class SettingsReader:
+    """Typed look-ups by path, with a default for what is absent; SettingsError names path and value.
+
+    Attributes:
+        absent_paths: looked up, but not given.
+    """
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
+        """Read from pairs of path and value."""
         self.pairs = pairs
-        self.absent: list[str] = []  # looked up, but not there
+        self.absent_paths: list[str] = []
 
-    def find(self, path: str) -> str | None:
-        if path not in self.pairs and path not in OPTIONAL:
-            self.absent.append(path)
+    def text(self, path: str) -> str | None:
+        """The value as it is given; None if it is absent."""
+        if path not in self.pairs and path not in OPTIONAL_PATHS:
+            self.absent_paths.append(path)
         return self.pairs.get(path)
 
     def number(self, path: str, default: float) -> float:
-        text = self.find(path)
+        """A finite number, not below 0."""
+        text = self.text(path)
         if text is None:
             return default
         try:
             value = float(text)
-        except ValueError:
-            raise SettingsError(f"{path} is no number: {text[:40]!r}") from None
+        except ValueError as error:
+            raise invalid(path, "not a number", text) from error
         if not math.isfinite(value) or value < 0:
-            raise SettingsError(f"{path} is out of range: {text[:40]!r}")
+            raise invalid(path, "not a finite number from 0 up", text)
         return value
 
-    def whole(self, path: str, default: int) -> int:
+    def integer(self, path: str, default: int) -> int:
+        """An integer, not below 0."""
         value = self.number(path, default)
         if value != int(value):
-            raise SettingsError(f"{path} is no whole number: {value}")
+            raise invalid(path, "not an integer", str(value))
         return int(value)
 
     def flag(self, path: str, default: bool) -> bool:
-        text = self.find(path)
+        """True or false, in any case of letters."""
+        text = self.text(path)
         if text is None:
             return default
         if text.lower() not in ("true", "false"):
-            raise SettingsError(f"{path} is neither true nor false: {text[:40]!r}")
+            raise invalid(path, "neither true nor false", text)
         return text.lower() == "true"
 
-    def word(self, path: str, default: str, allowed: tuple[str, ...]) -> str:
-        found = self.find(path)
-        text = default if found is None else found
-        if text not in allowed:
-            raise SettingsError(f"{path} is none of {', '.join(allowed)}: {text[:40]!r}")
-        return text
+    def choice(self, path: str, default: str, allowed: tuple[str, ...]) -> str:
+        """One of the values allowed."""
+        given = self.text(path)
+        value = default if given is None else given
+        if value not in allowed:
+            raise invalid(path, f"none of {', '.join(allowed)}", value)
+        return value
 
-    def words(self, path: str) -> tuple[str, ...]:
-        return tuple(part for part in (self.find(path) or "").split(",") if part)
+    def texts(self, path: str) -> tuple[str, ...]:
+        """A list of values; empty if it is absent."""
+        return tuple(item for item in (self.text(path) or "").split(",") if item)
 
-    def places(self, path: str) -> tuple[int, ...]:
+    def indexes(self, path: str) -> tuple[int, ...]:
+        """A list of integers that usually is absent, so its absence is not recorded."""
+        if path not in self.pairs:
+            return ()
         try:
-            return tuple(int(part) for part in self.words(path)) if path in self.pairs else ()
-        except ValueError:
-            raise SettingsError(f"{path} is no list of whole numbers") from None
-
-
-def build_settings(pairs: Mapping[str, str]) -> Settings:
-    return collect_settings(_Reader(pairs))
-
-
-def build_all(pairs: Mapping[str, str]) -> tuple[Settings, Names, tuple[str, ...]]:
-    """Settings, names, and the paths that the pairs lack: a misspelt one quietly becomes a default."""
-    read = _Reader(pairs)
-    settings = collect_settings(read)
-    names = collect_names(read, settings)
-    return settings, names, tuple(sorted(set(read.absent)))
-
-
-def collect_settings(read: _Reader) -> Settings:
-    defaults = Settings()
-    return Settings(
-        planner_index=read.whole("me", defaults.planner_index),
-        planner_count=max(1, read.whole("instances", defaults.planner_count)),
-        home_zone=read.whole("zone", defaults.home_zone),
-        zones=max(1, len(read.words("zones"))),
-        classes=read_classes(read),
-        load_columns=tuple(LOAD_COLUMN_NAMES.get(name, name) for name in read.words("load_report.columns")),
-        endpoint_weights_enabled=(read.find("weight_kind") or "off") != "off",
-        endpoint_list_on_request=read.word("discovery", "pushed", ("pushed", "on_request")) == "on_request",
-        list_poll_deadline=read.number("obligations.ask_within", defaults.list_poll_deadline),
-        gossip_enabled=read.flag("bounds.peers", defaults.gossip_enabled),
-        health_checks_enabled=read.flag("bounds.probes", defaults.health_checks_enabled),
-        cross_zone_cost=read.number("deductions.cross_zone", defaults.cross_zone_cost),
-        proxy_count=read.whole("family_info.agents", defaults.proxy_count),
-        report_interval=read.number("family_info.cycle", defaults.report_interval) or defaults.report_interval,
-        message_overhead=read.number("family_info.overhead", defaults.message_overhead),
-        channel_rate=read.number("family_info.channel_rate", defaults.channel_rate) or defaults.channel_rate,
-        queue_limit=read.number("family_info.backlog", defaults.queue_limit),
-        message_cap=read.whole("family_info.update_cap", defaults.message_cap),
-        message_window=read.number("family_info.messages_over", defaults.message_window),
-        max_unserved_time=read.number("family_info.unserved_max", defaults.max_unserved_time),
-        transit_time=read.number("family_info.transit", defaults.transit_time),
-        admission_mode=read.word("family_info.level_kind", defaults.admission_mode, ("share", "rate", "off")),
-        load_balancing_policy=read.word(
+            return tuple(int(item) for item in self.texts(path))
+        except ValueError as error:
+            raise invalid(path, "not a list of integers", self.pairs[path]) from error
+
+    def is_enabled(self, path: str) -> bool:
+        """Whether a kind of something is given that is not "off"."""
+        return (self.text(path) or "off") != "off"
+
+
+def invalid(path: str, problem: str, value: str) -> SettingsError:
+    """The error for a value that can't be used."""
+    return SettingsError(path, f"{problem}: {value[:SHOWN_CHARACTERS]!r}")
+
+
+def build_settings(reader: SettingsReader) -> Settings:
+    """The policy's settings, group by group; what is absent keeps its default."""
+    settings = read_planner(reader, Settings())
+    settings = read_channel(reader, settings)
+    settings = read_proxy_behaviour(reader, settings)
+    return read_obligations(reader, settings)
+
+
+def build_names(reader: SettingsReader, settings: Settings) -> Names:
+    """The names that go with the settings."""
+    return Names(
+        classes=tuple(request_class.name for request_class in settings.classes),
+        zones=reader.texts("zones"),
+        kinds=reader.texts("kinds"),
+        columns=settings.load_columns,
+        batch_delay=reader.number("tick", Names().batch_delay),
+        health_check_returns_load=reader.is_enabled("load_report.source"),
+    )
+
+
+def read_planner(reader: SettingsReader, defaults: Settings) -> Settings:
+    """Which planner this is, what it serves and what it may use."""
+    return replace(
+        defaults,
+        planner_index=reader.integer("me", defaults.planner_index),
+        planner_count=max(1, reader.integer("instances", defaults.planner_count)),
+        home_zone=reader.integer("zone", defaults.home_zone),
+        zones=max(1, len(reader.texts("zones"))),
+        classes=read_classes(reader),
+        load_columns=tuple(LOAD_COLUMN_NAMES.get(name, name) for name in reader.texts("load_report.columns")),
+        endpoint_weights_enabled=reader.is_enabled("weight_kind"),
+        endpoint_list_on_request=reader.choice("discovery", "pushed", ("pushed", "on_request")) == "on_request",
+        list_poll_deadline=reader.number("obligations.ask_within", defaults.list_poll_deadline),
+        gossip_enabled=reader.flag("bounds.peers", defaults.gossip_enabled),
+        health_checks_enabled=reader.flag("bounds.probes", defaults.health_checks_enabled),
+        cross_zone_cost=reader.number("deductions.cross_zone", defaults.cross_zone_cost),
+    )
+
+
+def read_channel(reader: SettingsReader, defaults: Settings) -> Settings:
+    """The proxies and the channel to them. A cycle or channel rate of 0 makes no sense, so it has its default."""
+    return replace(
+        defaults,
+        proxy_count=reader.integer("family_info.agents", defaults.proxy_count),
+        report_interval=reader.number("family_info.cycle", defaults.report_interval) or defaults.report_interval,
+        message_overhead=reader.number("family_info.overhead", defaults.message_overhead),
+        channel_rate=reader.number("family_info.channel_rate", defaults.channel_rate) or defaults.channel_rate,
+        queue_limit=reader.number("family_info.backlog", defaults.queue_limit),
+        message_cap=reader.integer("family_info.update_cap", defaults.message_cap),
+        message_window=reader.number("family_info.messages_over", defaults.message_window),
+        max_unserved_time=reader.number("family_info.unserved_max", defaults.max_unserved_time),
+        transit_time=reader.number("family_info.transit", defaults.transit_time),
+    )
+
+
+def read_proxy_behaviour(reader: SettingsReader, defaults: Settings) -> Settings:
+    """How proxies admit, balance and retry requests."""
+    return replace(
+        defaults,
+        admission_mode=reader.choice("family_info.level_kind", defaults.admission_mode, ("share", "rate", "off")),
+        load_balancing_policy=reader.choice(
             "family_info.lb_method", defaults.load_balancing_policy, ("weighted", "round", "two")
         ),
-        default_retry=read_retry(read, defaults),
-        retry_factor=read.number("family_info.try_factor", defaults.retry_factor),
-        consecutive_failure_limit=read.whole("family_info.strikes", defaults.consecutive_failure_limit),
-        key_range_count=read.whole("family_info.key_ranges", defaults.key_range_count),
-        exclusive_key_ranges=read.flag("family_info.exclusive", defaults.exclusive_key_ranges),
-        drain_grace=read.number("obligations.drain_grace", defaults.drain_grace),
-        removal_is_advisory=read.flag("obligations.only_draining_binds", defaults.removal_is_advisory),
-        slow_start_min_share=read.number("obligations.cold_share", defaults.slow_start_min_share),
-        slow_start_duration=read.number("obligations.cold", defaults.slow_start_duration),
-        overload_multiple=read.number("obligations.fall_multiple", defaults.overload_multiple),
-        overload_duration=read.number("obligations.overload_for", defaults.overload_duration),
+        default_retry=read_default_retry(reader, defaults.default_retry),
+        retry_factor=reader.number("family_info.try_factor", defaults.retry_factor),
+        consecutive_failure_limit=reader.integer("family_info.strikes", defaults.consecutive_failure_limit),
+        key_range_count=reader.integer("family_info.key_ranges", defaults.key_range_count),
+        exclusive_key_ranges=reader.flag("family_info.exclusive", defaults.exclusive_key_ranges),
     )
 
 
-def collect_names(read: _Reader, settings: Settings) -> Names:
-    defaults = Names()
-    return Names(
-        classes=tuple(wanted.name for wanted in settings.classes),
-        zones=read.words("zones"),
-        kinds=read.words("kinds"),
-        columns=settings.load_columns,
-        batch_delay=read.number("tick", defaults.batch_delay),
-        health_check_returns_load=(read.find("load_report.source") or "off") != "off",
+def read_obligations(reader: SettingsReader, defaults: Settings) -> Settings:
+    """Draining, slow start and overload of servers."""
+    return replace(
+        defaults,
+        drain_grace=reader.number("obligations.drain_grace", defaults.drain_grace),
+        removal_is_advisory=reader.flag("obligations.only_draining_binds", defaults.removal_is_advisory),
+        slow_start_min_share=reader.number("obligations.cold_share", defaults.slow_start_min_share),
+        slow_start_duration=reader.number("obligations.cold", defaults.slow_start_duration),
+        overload_multiple=reader.number("obligations.fall_multiple", defaults.overload_multiple),
+        overload_duration=reader.number("obligations.overload_for", defaults.overload_duration),
     )
 
 
-def read_retry(read: _Reader, defaults: Settings) -> Retry:
-    value = read.whole("family_info.usual_how", int(defaults.default_retry))
+def read_default_retry(reader: SettingsReader, default: Retry) -> Retry:
+    """The retry mode where a table says nothing."""
+    path = "family_info.usual_how"
+    value = reader.integer(path, int(default))
     if value > max(Retry):
-        raise SettingsError(f"family_info.usual_how is out of range: {value}")
+        raise invalid(path, f"over {int(max(Retry))}", str(value))
     return Retry(value)
 
 
-def read_classes(read: _Reader) -> tuple[RequestClass, ...]:
-    count = read.whole("services.count", 0)
-    if count > 32:
-        raise SettingsError(f"services.count is over the 32 that an order can name: {count}")
-    bound = read.words("family_info.zone_bound")
-    return tuple(read_class(read, place, bound[place : place + 1] == ("true",)) for place in range(count))
+def read_classes(reader: SettingsReader) -> tuple[RequestClass, ...]:
+    """All request classes."""
+    path = "services.count"
+    count = reader.integer(path, 0)
+    if count > MAX_CLASSES:
+        raise invalid(path, f"over the {MAX_CLASSES} that an update can name", str(count))
+    zone_local = reader.texts("family_info.zone_bound")
+    return tuple(read_class(reader, index, zone_local[index : index + 1] == ("true",)) for index in range(count))
 
 
-def read_class(read: _Reader, place: int, zone_bound: bool) -> RequestClass:
-    path = f"services.{place}."
+def read_class(reader: SettingsReader, index: int, zone_local: bool) -> RequestClass:
+    """One request class; its deadline is never before its latency objective."""
+    path = f"services.{index}."
     defaults = RequestClass()
-    aim = read.number(path + "target", defaults.latency_objective) or defaults.latency_objective
+    latency_objective = reader.number(path + "target", defaults.latency_objective) or defaults.latency_objective
     return RequestClass(
-        name=read.find(path + "name") or "",
-        latency_objective=aim,
-        deadline=max(aim, read.number(path + "deadline", defaults.deadline)),
-        priority_weight=read.number(path + "worth", defaults.priority_weight),
-        idempotency=read.word(path + "effect", defaults.idempotency, ("repeatable", "by_key", "once")),
-        deduplication_scope=read.word(path + "group", defaults.deduplication_scope, ("all", "zone", "cell")),
-        idempotency_key_ttl=read.number(path + "key_ttl", defaults.idempotency_key_ttl),
-        allowed_zones=read.places(path + "only_zones"),
-        allowed_kinds=read.places(path + "only_kinds"),
-        zone_local=zone_bound,
+        name=reader.text(path + "name") or "",
+        latency_objective=latency_objective,
+        deadline=max(latency_objective, reader.number(path + "deadline", defaults.deadline)),
+        priority_weight=reader.number(path + "worth", defaults.priority_weight),
+        idempotency=reader.choice(path + "effect", defaults.idempotency, ("repeatable", "by_key", "once")),
+        deduplication_scope=reader.choice(path + "group", defaults.deduplication_scope, ("all", "zone", "cell")),
+        idempotency_key_ttl=reader.number(path + "key_ttl", defaults.idempotency_key_ttl),
+        allowed_zones=reader.indexes(path + "only_zones"),
+        allowed_kinds=reader.indexes(path + "only_kinds"),
+        zone_local=zone_local,
     )
--- a/stackwheel/wire/line_codec.py
+++ b/stackwheel/wire/line_codec.py
@@ -1,7 +1,7 @@
 """The line protocol's codec: received lines become typed messages, updates for proxies become lines.
 
-A line is a kind and fields `name=value`, each name once, separated by spaces and ended by CRLF. The protocol's own names
-of fields (`lane`, `site`, `fail`, ...) appear in this module only, those of its kinds in `messages.py`.
+A line is a kind and fields `name=value`, each name once, separated by spaces and ended by CRLF. The protocol's own
+names of fields (`lane`, `site`, `fail`, ...) appear in this module only, those of its kinds in `messages.py`.
 """
 
 from __future__ import annotations
