--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -23,7 +23,7 @@
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
-from stackwheel.wire.timing import JITTER, stream_silence
+from stackwheel.wire.timing import BATCH_JITTER_MS, stream_silence_timeout
 from stackwheel.wire.transport import SocketTransport, open_listener
 
 OPERATORS_VARIABLE = "STACKWHEEL_OPERATORS"  # environment variable that names the operators' own file
@@ -33,7 +33,7 @@
 def stream_timeout(settings: Settings) -> float:
     """The time in ms for which a stream may be silent before its proxy counts as left."""
     full_queue = MS_PER_S * settings.queue_limit / settings.channel_rate
-    return stream_silence(settings.report_interval, full_queue, settings.transit_time)
+    return stream_silence_timeout(settings.report_interval, full_queue, settings.transit_time)
 
 
 def with_slot_jitter(settings: Settings) -> Settings:
@@ -42,7 +42,7 @@
     Slots come some ms early or late, and a message that is to leave the window after so many slots has to have left it
     then. The connections keep the cap too, over the full window and as messages are written.
     """
-    return replace(settings, message_window=max(0.0, settings.message_window - JITTER))
+    return replace(settings, message_window=max(0.0, settings.message_window - BATCH_JITTER_MS))
 
 
 def no_transports(_context: PlannerContext) -> list[ProxyTransport]:
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Final
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.errors import InvalidInputError
 from stackwheel.interface import Settings
 from stackwheel.settings import Names, SettingsError, load_settings
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.wire.discovery_client import read_listing, replicas
 from stackwheel.wire.http import split_address
 from stackwheel.wire.transport import Addresses
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -313,9 +313,9 @@
         self.writer.transport.abort()
 
     def send(self, data: bytes) -> None:
-        """Queue data without waiting; a connection with more than UNSENT_MOST bytes queued is closed."""
+        """Queue data without waiting; a connection with more than MAX_UNSENT_BYTES bytes queued is closed."""
         self.unsent_bytes += len(data)
-        if self.unsent_bytes > timing.UNSENT_MOST:
+        if self.unsent_bytes > timing.MAX_UNSENT_BYTES:
             self.close(f"{self.unsent_bytes} bytes unread by the other side")
             return
         self.mailbox.put_nowait(data)
--- a/stackwheel/wire/connection_table.py
+++ b/stackwheel/wire/connection_table.py
@@ -41,7 +41,7 @@
     @property
     def capacity(self) -> int:
         """Descriptors that connections and health checks may hold."""
-        return max(1, self.max_descriptors - timing.KEPT_SOCKETS)
+        return max(1, self.max_descriptors - timing.RESERVED_DESCRIPTORS)
 
     @property
     def in_use(self) -> int:
@@ -73,7 +73,7 @@
     def on_identified(self, connection: Connection, identified: bool) -> None:
         """Track unidentified connections and each zone's collectors.
 
-        Over COLLECTORS_MOST collectors of a zone, the one that has been idle longest is closed.
+        Over MAX_COLLECTORS_PER_ZONE collectors of a zone, the one that has been idle longest is closed.
         """
         self.unidentified.pop(connection, None)
         if not identified:
@@ -81,7 +81,7 @@
         elif connection.zone is not None:
             others = [other for other in self.collectors.get(connection.zone, []) if other is not connection]
             self.collectors[connection.zone] = [*others, connection]
-            if len(others) >= timing.COLLECTORS_MOST:
+            if len(others) >= timing.MAX_COLLECTORS_PER_ZONE:
                 longest_idle = min(others, key=lambda other: other.last_received_at)
                 longest_idle.close("its zone has newer collectors")
 
@@ -92,7 +92,7 @@
             if self.closing or self.evict_one():
                 await self.released.wait()
             else:
-                await asyncio.sleep(timing.YOUNG / 5000.0)
+                await asyncio.sleep(timing.FIRST_READ_MS / 5000.0)  # a fifth of it, in s
 
     def reserve_capacity(self) -> None:
         """Close the oldest unidentified connections until a burst within one turn of the event loop finds capacity.
@@ -100,7 +100,7 @@
         Those whose first bytes may still be unread stay, and so does who is identified.
         """
         excess = self.in_use - len(self.closing) - (self.capacity - timing.accept_reserve(self.capacity))
-        latest_start = asyncio.get_running_loop().time() - timing.SETTLED / 1000.0
+        latest_start = asyncio.get_running_loop().time() - timing.CROWDED_FIRST_READ_MS / 1000.0
         for connection in list(islice(self.unidentified, max(0, excess))):
             if connection.unidentified_since > latest_start:
                 return
@@ -114,12 +114,12 @@
         now = asyncio.get_running_loop().time()
         oldest = next(iter(self.unidentified), None)
         if oldest is not None:
-            if oldest.unidentified_since > now - timing.YOUNG / 1000.0:
+            if oldest.unidentified_since > now - timing.FIRST_READ_MS / 1000.0:
                 return False
             self.close_unidentified(oldest, f"{NO_DESCRIPTOR}, oldest unidentified connection")
             return True
         idle = min(self.connections, key=lambda connection: connection.last_received_at, default=None)
-        if idle is None or idle.closing or idle.last_received_at > now - timing.QUIET / 1000.0:
+        if idle is None or idle.closing or idle.last_received_at > now - timing.IDLE_CONNECTION_MS / 1000.0:
             return False
         idle.close(f"{NO_DESCRIPTOR}, longest idle connection")
         return True
@@ -131,16 +131,15 @@
         connection.close(reason)
 
     async def sweep(self) -> None:
-        """Close connections that are unidentified IDENTIFY ms after they were accepted, whatever they sent."""
+        """Close connections that are unidentified IDENTIFY_TIMEOUT_MS after they were accepted, whatever they sent."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + timing.SWEEP / 1000.0
-            await asyncio.sleep(timing.SWEEP / 1000.0)
-            if (
-                loop.time() > due + timing.GRACE / 1000.0
-            ):  # this process was suspended: what has arrived is still unread
-                await asyncio.sleep(timing.GRACE / 1000.0)
-            accepted_before = loop.time() - timing.IDENTIFY / 1000.0
+            due = loop.time() + timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0
+            await asyncio.sleep(timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0)
+            # A process that was suspended has not read yet what arrived meanwhile.
+            if loop.time() > due + timing.STALL_GRACE_MS / 1000.0:
+                await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
+            accepted_before = loop.time() - timing.IDENTIFY_TIMEOUT_MS / 1000.0
             late = [other for other in self.unidentified if other.unidentified_since < accepted_before]
             for connection in late:
-                self.close_unidentified(connection, f"not identified within {timing.IDENTIFY / 1000.0:g} s")
+                self.close_unidentified(connection, f"not identified within {timing.IDENTIFY_TIMEOUT_MS / 1000.0:g} s")
--- a/stackwheel/wire/task_supervisor.py
+++ b/stackwheel/wire/task_supervisor.py
@@ -39,7 +39,7 @@
                     return await work()
                 except Exception as error:
                     logger.opt(exception=True).error("task failed, restarting: kind={} reason={!r}", name, error)
-                    await asyncio.sleep(timing.FAULT_AGAIN / 1000.0)
+                    await asyncio.sleep(timing.TASK_RESTART_MS / 1000.0)
 
         self.start(restart_on_error())
 
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -57,7 +57,7 @@
 def open_listener(address: str) -> socket.socket:
     """A non-blocking listening socket; OSError if the address can't be bound."""
     listener = socket.create_server(split_address(address), backlog=timing.LISTEN_BACKLOG)
-    listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, timing.RECEIVE_BUFFER)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, timing.RECEIVE_BUFFER_BYTES)
     listener.setblocking(False)
     return listener
 
@@ -98,14 +98,14 @@
             self._post_item,
             Random(seed),
             settings.list_poll_deadline,
-            timing.renewal(settings.planner_count),
+            timing.watch_renewal_interval(settings.planner_count),
         )
         self.datagrams = Datagrams(addresses.peers, addresses.peers_all, settings.planner_index, self._post_item)
         self.supervisor = TaskSupervisor()
         self.connection_table = ConnectionTable(addresses.sockets)
         self.health_checks = HealthCheckRunner(names, clock, self.connection_table, self.supervisor, self._post_item)
         self.limiters: dict[int, RateLimiter] = {}
-        self.buffer_budget = BufferBudget(timing.waiting_most(addresses.memory_mb))
+        self.buffer_budget = BufferBudget(timing.buffer_limit_bytes(addresses.memory_mb))
         self.connection_context = ConnectionContext(
             names=names,
             proxy_count=settings.proxy_count,
@@ -136,7 +136,7 @@
         """Apply a reloaded configuration; connections that are open stay."""
         self.addresses = addresses
         self.connection_table.max_descriptors = addresses.sockets
-        self.buffer_budget.max_bytes = timing.waiting_most(addresses.memory_mb)
+        self.buffer_budget.max_bytes = timing.buffer_limit_bytes(addresses.memory_mb)
         self.datagrams.readdress(addresses.peers, addresses.peers_all)
         self.discovery.mailbox.put_nowait(Move(addresses.discovery))
 
@@ -147,7 +147,7 @@
         """
         loop = asyncio.get_running_loop()
         while True:
-            while self.connection_table.arriving >= timing.ACCEPT_BURST:
+            while self.connection_table.arriving >= timing.MAX_CONCURRENT_ACCEPTS:
                 await asyncio.sleep(0)
             await self.connection_table.wait_for_capacity()
             try:
@@ -155,7 +155,7 @@
             except OSError as error:
                 logger.warning("connection not accepted: reason={}", error)
                 self.connection_table.evict_one()
-                await asyncio.sleep(timing.ACCEPT_AGAIN / 1000.0)
+                await asyncio.sleep(timing.ACCEPT_RETRY_MS / 1000.0)
                 continue
             self.connection_table.arriving += 1
             self.supervisor.start(self.serve_connection(accepted))
@@ -190,7 +190,9 @@
     def limiter(self, proxy: int) -> RateLimiter:
         """A proxy's limiter: it outlives the proxy's streams, so that a new one does not start a new count."""
         if proxy not in self.limiters:
-            self.limiters[proxy] = RateLimiter(self.settings.message_cap, self.settings.message_window + timing.JITTER)
+            self.limiters[proxy] = RateLimiter(
+                self.settings.message_cap, self.settings.message_window + timing.BATCH_JITTER_MS
+            )
         return self.limiters[proxy]
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
