--- a/tests/service/test_configured_names.py
+++ b/tests/service/test_configured_names.py
@@ -123,7 +123,7 @@
     ports = RecordingPorts(Encoder(loaded.names, endpoints.server_ids), {new: old for old, new in names.items()})
     planner = PlannerActor(loaded.settings, 0.0, 5, clock, endpoints, ports)
     planner.set_timer = lambda _delay, _token: None  # type: ignore[method-assign]
-    planner.decide([endpoints.cached()])
+    planner.decide([endpoints.cached_update()])
     for proxy in range(PROXIES):
         planner.post(
             ProxyStream(
