--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -165,9 +165,8 @@
         """Serve until cancelled; OSError if an address can't be bound."""
         if absent := self.config.defaulted_settings:
             logger.warning("settings not given, defaults in force: kind={} count={}", ",".join(absent), len(absent))
-        self.planner.decide(
-            [self.endpoints.cached_update()]
-        )  # first, so that who connects finds a planner that is ready
+        # Before anything is opened, so that a client that connects finds a planner that is ready.
+        self.planner.decide([self.endpoints.cached_update()])
         self.environment.freeze_startup_objects()
         await self.transport.open(self.planner.post)
         logger.info(
