--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -201,9 +201,9 @@
         if isinstance(message, PingMessage):
             self.send(PONG)
         elif self.zone is not None:
-            self.dispatch_from_collector(message, self.zone)
+            self.dispatch_from_collector(message)
         elif self.proxy is not None:
-            self.dispatch_from_proxy(message, self.proxy)
+            self.dispatch_from_proxy(message)
         else:
             self.dispatch_unidentified(message)
 
@@ -218,7 +218,7 @@
             case _:
                 raise not_expected(message)
 
-    def dispatch_from_collector(self, message: Message, own_zone: int) -> None:
+    def dispatch_from_collector(self, message: Message) -> None:
         """Reports of any zone and any proxy."""
         match message:
             case LoadMessage():
@@ -227,21 +227,21 @@
                 self.context.post(demand_report(message))
             case DemandMessage() | AckMessage():
                 raise not_served(message)
-            case CollectorMessage(zone) if zone == own_zone:
+            case CollectorMessage() if message.zone == self.zone:
                 pass  # it has said so before
             case _:
                 raise not_expected(message)
 
-    def dispatch_from_proxy(self, message: Message, own_proxy: int) -> None:
+    def dispatch_from_proxy(self, message: Message) -> None:
         """Reports and acknowledgements of the connection's own proxy; it may also join again."""
         match message:
-            case DemandMessage() if message.proxy == own_proxy:
-                self.context.post(StreamMessage(own_proxy, demand_report(message), self))
-            case AckMessage(proxy, nonce, elapsed) if proxy == own_proxy:
+            case DemandMessage() if message.proxy == self.proxy:
+                self.context.post(StreamMessage(message.proxy, demand_report(message), self))
+            case AckMessage(proxy, nonce, elapsed) if proxy == self.proxy:
                 self.context.post(StreamMessage(proxy, face.Acknowledged(proxy, nonce, elapsed), self))
             case DemandMessage() | AckMessage():
                 raise not_served(message)
-            case JoinMessage() if message.proxy == own_proxy:
+            case JoinMessage() if message.proxy == self.proxy:
                 self.join(message)
             case _:
                 raise not_expected(message)
--- a/stackwheel/wire/connection_table.py
+++ b/stackwheel/wire/connection_table.py
@@ -48,7 +48,7 @@
         """Descriptors that connections and health checks hold, connections being closed among them."""
         return self.arriving + len(self.connections) + self.health_checks_in_flight
 
-    def is_full(self) -> bool:
+    def at_capacity(self) -> bool:
         """Whether no descriptor is free for another connection or health check."""
         return self.in_use >= self.capacity
 
@@ -87,7 +87,7 @@
 
     async def wait_for_capacity(self) -> None:
         """Wait until another connection may be accepted: an evicted one counts until its socket is closed."""
-        while self.is_full():
+        while self.at_capacity():
             self.released.clear()
             if self.closing or self.evict_one():
                 await self.released.wait()
@@ -134,10 +134,10 @@
         """Close connections that are unidentified IDENTIFY_TIMEOUT_MS after they were accepted, whatever they sent."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0
+            sweep_due = loop.time() + timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0
             await asyncio.sleep(timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0)
             # A process that was suspended has not read yet what arrived meanwhile.
-            if loop.time() > due + timing.STALL_GRACE_MS / 1000.0:
+            if loop.time() > sweep_due + timing.STALL_GRACE_MS / 1000.0:
                 await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
             accepted_before = loop.time() - timing.IDENTIFY_TIMEOUT_MS / 1000.0
             late = [other for other in self.unidentified if other.unidentified_since < accepted_before]
--- a/stackwheel/wire/health_check_runner.py
+++ b/stackwheel/wire/health_check_runner.py
@@ -33,7 +33,7 @@
 
     def start(self, server: Server, target: HealthCheckTarget) -> None:
         """Check a server; dropped where no descriptor is free, as incoming connections need them."""
-        if self.connections.is_full():
+        if self.connections.at_capacity():
             return
         if target.address:
             self.connections.health_checks_in_flight += 1  # now, as many may be started in one turn of the loop
--- a/stackwheel/wire/line_codec.py
+++ b/stackwheel/wire/line_codec.py
@@ -83,17 +83,17 @@
 class MessageFields:
     """The fields of one message by name, each read as the type that it should have; FieldError where it has not."""
 
-    def __init__(self, kind: str, words: Sequence[str], names: Names) -> None:
-        """Split the words of a line; ProtocolViolationError unless all are name=value, each name once.
+    def __init__(self, kind: str, pairs: Sequence[str], names: Names) -> None:
+        """Split the fields of a line; ProtocolViolationError unless all are name=value, each name once.
 
         Messages that ran into each other look so.
         """
         self.names = names
         self.values: dict[str, str] = {}
-        for word in words:
-            name, equals, value = word.partition("=")
+        for pair in pairs:
+            name, equals, value = pair.partition("=")
             if not equals or not name or name in self.values:
-                raise ProtocolViolationError(kind, f"no name=value, or a repeated name: {shorten(word)}")
+                raise ProtocolViolationError(kind, f"no name=value, or a repeated name: {shorten(pair)}")
             self.values[name] = value
 
     def text(self, name: str) -> str:
@@ -227,12 +227,12 @@
         ProtocolViolationError: it is no message at all.
     """
     try:
-        kind, *words = line.decode("utf-8").split(" ")
+        kind, *pairs = line.decode("utf-8").split(" ")
     except UnicodeDecodeError as error:
         raise ProtocolViolationError("", f"not UTF-8 at byte {error.start}") from error
     if kind not in READERS:
         raise ProtocolViolationError("", f"unknown kind {shorten(kind)}")
-    fields = MessageFields(kind, [word for word in words if word], names)
+    fields = MessageFields(kind, [pair for pair in pairs if pair], names)
     try:
         return READERS[kind](fields)
     except FieldError as error:
@@ -287,17 +287,17 @@
 
     def encode_part(self, part: UpdatePart) -> str:
         """One line without its end: a table, or changes of one, for some classes."""
-        words = ["CONFIG", "routes=" + "+".join(self.names.classes[index] for index in part.classes)]
+        fields = ["CONFIG", "routes=" + "+".join(self.names.classes[index] for index in part.classes)]
         if part.complete:
-            words.append("full=1")
+            fields.append("full=1")
         named_weights = [(self.ids.name(server), weight) for server, weight in part.lines]
         weights = ",".join(f"{name}:{format_number(weight)}" for name, weight in named_weights if name is not None)
         if weights:
-            words.append("endpoints=" + weights)
+            fields.append("endpoints=" + weights)
         if part.level is not None:
             admitted, retry = part.level
-            words.append(f"admit={format_number(admitted)} policy={int(retry)}")
-        return " ".join(words)
+            fields.append(f"admit={format_number(admitted)} policy={int(retry)}")
+        return " ".join(fields)
 
     def encode_servers(self, field: str, servers: tuple[Server, ...]) -> str:
         """A field that lists servers, with a leading space; empty if none of them has a name."""
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -91,15 +91,7 @@
         self.listen_at = listen_at
         self.post: Callable[[Item], None] = discard
         self.encoder = Encoder(names, endpoints.server_ids)
-        self.discovery = DiscoveryClient(
-            addresses.discovery,
-            endpoints.generation,
-            not settings.endpoint_list_on_request,
-            self._post_item,
-            Random(seed),
-            settings.list_poll_deadline,
-            timing.watch_renewal_interval(settings.planner_count),
-        )
+        self.discovery = self._discovery_client(Random(seed))
         self.datagrams = Datagrams(addresses.peers, addresses.peers_all, settings.planner_index, self._post_item)
         self.supervisor = TaskSupervisor()
         self.connection_table = ConnectionTable(addresses.sockets)
@@ -119,6 +111,18 @@
     def _post_item(self, item: Item) -> None:
         self.post(item)
 
+    def _discovery_client(self, random: Random) -> DiscoveryClient:
+        settings = self.settings
+        return DiscoveryClient(
+            self.addresses.discovery,
+            self.endpoints.generation,
+            not settings.endpoint_list_on_request,
+            self._post_item,
+            random,
+            settings.list_poll_deadline,
+            timing.watch_renewal_interval(settings.planner_count),
+        )
+
     async def open(self, post: Callable[[Item], None]) -> None:
         """Start everything, the listener last; `post` gets what arrives. OSError if an address can't be bound."""
         self.post = post
