--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -15,7 +15,7 @@
 from stackwheel.errors import InvalidInputError
 from stackwheel.interface import Settings
 from stackwheel.settings import Names, SettingsError, load_settings
-from stackwheel.wire.discovery_client import read_listing, replicas
+from stackwheel.wire.discovery_protocol import read_endpoint_list, replica_addresses
 from stackwheel.wire.http import split_address
 from stackwheel.wire.transport import Addresses
 
@@ -144,16 +144,14 @@
     if document is None:
         return EndpointList(0, True, ())
     try:
-        return read_listing(document, reject_entry)
-    except KeyError as error:
-        raise ConfigError("known", f"{error} is missing") from error
-    except ValueError as error:
+        return read_endpoint_list(document, reject_entry)
+    except InvalidInputError as error:
         raise ConfigError("known", str(error)) from error
 
 
-def reject_entry(problem: str) -> None:
-    """Raise for an entry that can't be read."""
-    raise ValueError(problem)
+def reject_entry(error: InvalidInputError) -> None:
+    """Raise the error of an entry that can't be read."""
+    raise error
 
 
 def optional_address(document: Mapping[str, object], key: str) -> str:
@@ -164,7 +162,7 @@
 
 def check_replica_addresses(key: str, value: object) -> str:
     """One address, or those of several replicas of a service with commas between."""
-    for replica in replicas(str(value)):
+    for replica in replica_addresses(str(value)):
         check_address(key, replica)
     return str(value)
 
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -26,7 +26,7 @@
 from stackwheel.service.config import read_config
 from stackwheel.service.reload import Reload
 from stackwheel.state.planner_actor import EndpointListFailed
-from stackwheel.wire.discovery_client import DiscoveryClient, Move
+from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient
 from stackwheel.wire.transport import Addresses
 
 
@@ -318,11 +318,11 @@
     async def work() -> None:
         first, second = await start_discovery("a", "b", generation=8), await start_discovery("a", "b", generation=7)
         client = ClientHarness(first.address)
-        client.discovery_client.mailbox.put_nowait("watch")
+        client.discovery_client.send(Command.WATCH)
         await client.wait_for_posts(1)
         await first.update("b", lifecycle="terminated")
         await client.wait_for_posts(2)
-        client.discovery_client.mailbox.put_nowait(Move(second.address))
+        client.discovery_client.send(ChangeAddress(second.address))
         while not second.calls:
             await asyncio.sleep(0.005)
         await second.update("a")
@@ -347,9 +347,9 @@
         original_document = second.document
         second.document = lambda since: original_document(since if len(second.calls) > 1 else 0)  # type: ignore[method-assign]
         client = ClientHarness(first.address)
-        client.discovery_client.mailbox.put_nowait("watch")
+        client.discovery_client.send(Command.WATCH)
         await client.wait_for_posts(1)
-        client.discovery_client.mailbox.put_nowait(Move(second.address))
+        client.discovery_client.send(ChangeAddress(second.address))
         await client.wait_for_posts(2)
         assert client.posted_list(1) == (3, True, {"a", "b"})
         assert second.calls == ["served", "served"]
@@ -362,8 +362,8 @@
     async def work() -> None:
         first, second = await start_discovery("a"), await start_discovery("b")
         client = ClientHarness(first.address)
-        client.discovery_client.mailbox.put_nowait(Move(second.address))
-        client.discovery_client.mailbox.put_nowait("watch")
+        client.discovery_client.send(ChangeAddress(second.address))
+        client.discovery_client.send(Command.WATCH)
         await client.wait_for_posts(1)
         assert client.posted_list(0) == (1, True, {"b"})
         assert not first.calls
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -229,7 +229,7 @@
             _, log = await planner.stop()
             dropped = [line for line in log.splitlines() if "dropped" in line]
             assert len(dropped) == 2
-            assert "300 bytes" in dropped[0]
+            assert "bytes=300" in dropped[0]
         other.close()
 
     run_async(work())
