--- a/stackwheel/files/ledger.py
+++ b/stackwheel/files/ledger.py
@@ -14,7 +14,7 @@
 from stackwheel.files.records import Answer, Booking, Incarnation, Level, Orders, Table
 from stackwheel.interface import Server
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate
@@ -35,7 +35,7 @@
     def superseded(self) -> None:
         """Another way of speaking carries the forwarder now; its answers are heard no more until that ends."""
 
-    def carries(self) -> None:
+    def activated(self) -> None:
         """Files are read by who wants to: there is nothing to take up again."""
 
 
@@ -231,7 +231,7 @@
 
     # answers
 
-    def answer(self, answer: Answer, now: float) -> Iterator[Item]:
+    def answer(self, answer: Answer, now: float) -> Iterator[PlannerMessage]:
         """What a forwarder's file means for the module; nothing if it says nothing new or what can't be."""
         if answer.proxy >= self.proxies or answer.zone not in self.names.zones:
             self.refused += 1
@@ -256,7 +256,7 @@
             self.begin(now, [answer.incarnation])  # a former life of ours is later than this one: be later still
         yield from self.reports(known, answer)
 
-    def confirmed(self, forwarder: Forwarder, answer: Answer) -> Iterator[Item]:
+    def confirmed(self, forwarder: Forwarder, answer: Answer) -> Iterator[PlannerMessage]:
         """The marks that went along with files up to the one it has applied."""
         done = [mark for mark, number in forwarder.marks.items() if number is not None and number <= answer.applied]
         for mark in done:
@@ -266,7 +266,7 @@
                 forwarder.proxy, face.Acknowledged(forwarder.proxy, done[-1], answer.took), forwarder.line
             )
 
-    def reports(self, forwarder: Forwarder, answer: Answer) -> Iterator[Item]:
+    def reports(self, forwarder: Forwarder, answer: Answer) -> Iterator[PlannerMessage]:
         if answer.over <= 0:
             return
         for came in answer.came:
@@ -281,7 +281,7 @@
                 load = tuple(met.load.get(column, float("nan")) for column in self.names.columns) if met.load else ()
                 yield face.LoadReport(zone, server, met.tries, met.failures, met.mean, answer.over, load)
 
-    def silent(self, now: float) -> Iterator[Item]:
+    def silent(self, now: float) -> Iterator[PlannerMessage]:
         """Forwarders that have not answered for long count as left, and are forgotten."""
         late = now - SILENT_ANSWERS * self.terms.cycle
         for forwarder in [f for f in self.forwarders.values() if f.heard < late]:
--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -20,7 +20,7 @@
 from stackwheel.files.records import Answer, Incarnation, Level, Orders, Table
 from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
@@ -124,7 +124,7 @@
     for number in range(servers):
         ids.learn(f"s-{number}")
     ledger = Ledger("n0", Names(CLASSES, ("east",), ("k",), ()), 4, Terms(3e4, 20, 1e6), ids.name, 1)
-    posted: list[Item] = []
+    posted: list[PlannerMessage] = []
     desk = FilePublisher(
         ledger,
         Pusher(Pace(), 1),
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -18,7 +18,7 @@
 from stackwheel.files.ledger import FileLine, Ledger
 from stackwheel.files.push import Attempt, Pusher
 from stackwheel.files.records import Answer, Incarnation, Orders
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 
@@ -42,7 +42,7 @@
         folders: Folders,
         disk: Disk,
         now: Callable[[], float],
-        post: Callable[[Item], None],
+        post: Callable[[PlannerMessage], None],
         keys: KeyRing = NO_KEYS,
         aside: Aside = asyncio.to_thread,
         look: float = LOOK,
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -41,7 +41,7 @@
 from stackwheel.scale.holding import Holding, ListedEntry, Shared, compare, digest_of
 from stackwheel.scale.peers import PeerTraffic
 from stackwheel.scale.records import InForceRecords
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.state.server_ids import server_id
 from stackwheel.wire.discovery_client import LIFECYCLES, DiscoveryClient
 from stackwheel.wire.http import CallFailed
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -140,7 +140,9 @@
         """Answer and decide until cancelled; OSError if an address can't be had."""
         if self.config.absent:
             logger.warning("settings not given, so at their defaults: {}", ", ".join(self.config.absent))
-        self.planner.decide([self.endpoints.cached_update()])  # known first; who connects finds a planner that is ready
+        self.planner.run_policy(
+            [self.endpoints.cached_update()]
+        )  # known first; who connects finds a planner that is ready
         self.environment.freeze_memory()
         await self.transport.open(self.planner.post)
         logger.info(
--- a/stackwheel/service/ports.py
+++ b/stackwheel/service/ports.py
@@ -9,7 +9,7 @@
 from stackwheel.service.config import Config
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 
@@ -29,4 +29,4 @@
     config: Config
     clock: Clock
     endpoints: EndpointCache
-    post: Callable[[Item], None]  # into the module's mailbox; never blocks
+    post: Callable[[PlannerMessage], None]  # into the module's mailbox; never blocks
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -22,7 +22,7 @@
 from stackwheel.relay.cache import ListingCache
 from stackwheel.service.config import replicated
 from stackwheel.service.logging_setup import start_logging
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import DiscoveryClient
 from stackwheel.wire.listing_server import ListingServer, stand_open
--- a/stackwheel/state/__init__.py
+++ b/stackwheel/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept: ids, the list, streams, tables and outgoing orders; the module's actor."""
+"""What a planner keeps: endpoints, streams, tables and their updates; and the actor that owns them."""
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -1,4 +1,4 @@
-"""The module's actor: one mailbox, one call of the policy for all that came in since the last."""
+"""The planner's actor: one mailbox, and one call of the policy for all that arrived since the last."""
 
 from __future__ import annotations
 
@@ -6,278 +6,303 @@
 import math
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass
-from typing import Protocol, TypeAlias
 
 from loguru import logger
 
-from stackwheel import interface as face
 from stackwheel.balance import Planner
-from stackwheel.endpoints import EndpointList
-from stackwheel.interface import Action, Event, Settings
+from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
+from stackwheel.interface import (
+    Acknowledged,
+    Action,
+    DemandReport,
+    Event,
+    FetchEndpoints,
+    GossipReceived,
+    LoadReport,
+    Log,
+    SendGossip,
+    Server,
+    SetTimer,
+    Settings,
+    StartHealthCheck,
+    TimerFired,
+    WatchEndpoints,
+)
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.streams import ProxyStream, ProxyStreams, StreamConnection
-from stackwheel.state.table_updates import ProxyUpdate, TableUpdates
-
-MAILBOX_MOST = 100_000  # items; reports beyond it are dropped
-FAULTS_APART = 1000.0  # ms: a policy that fails again and again begins anew no sooner
-
-
-@dataclass(frozen=True, slots=True)
-class StreamEnded:
-    """A stream's connection has ended."""
-
-    proxy: int
-    connection: StreamConnection
-
-
-@dataclass(frozen=True, slots=True)
-class StreamMessage:
-    """What a proxy said over its stream; it counts only while that stream carries the proxy."""
-
-    proxy: int
-    event: face.Acknowledged | face.DemandReport | None  # None: what can't be used, but it lives
-    connection: StreamConnection
-
-
-@dataclass(frozen=True, slots=True)
-class EndpointListFailed:
-    """A call for the list failed, or the watch ended."""
-
-
-@dataclass(frozen=True, slots=True)
-class HealthCheckTarget:
-    """Whom a probe was meant for: by which policy, and which process at which address."""
-
-    incarnation: int
-    started_at: float
-    address: str
-
-
-@dataclass(frozen=True, slots=True)
-class HealthCheckCompleted:
-    """How a probe ended. It counts only for the policy that asked and the process that was meant."""
-
-    target: HealthCheckTarget
-    result: face.HealthCheckResult
-
-
-@dataclass(frozen=True, slots=True)
-class TimerElapsed:
-    """A timer of a policy's has fired; no later policy hears of it."""
-
-    incarnation: int
-    token: int
-
-
-Report: TypeAlias = face.LoadReport | face.DemandReport | face.GossipReceived
-Item: TypeAlias = (
-    ProxyStream
-    | StreamEnded
-    | StreamMessage
-    | EndpointList
-    | EndpointListFailed
-    | HealthCheckCompleted
-    | TimerElapsed
-    | Report
+from stackwheel.state.messages import (
+    EndpointListFailed,
+    HealthCheckCompleted,
+    HealthCheckTarget,
+    PlannerMessage,
+    Report,
+    StreamEnded,
+    StreamMessage,
+    TimerElapsed,
 )
+from stackwheel.state.ports import PlannerPorts
+from stackwheel.state.streams import ProxyStream, ProxyStreams
+from stackwheel.state.table_updates import ProxyUpdate, TableUpdates
 
+MAX_MAILBOX_MESSAGES = 100_000
+"""Messages that may wait; beyond it only those that change what is known for good are taken."""
 
-class PlannerPorts(Protocol):
-    """Where orders go: whatever protocol is spoken there. None of these may block or raise."""
-
-    def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None: ...
-
-    def watch_endpoints(self, on: bool) -> None: ...
-
-    def fetch_endpoints(self) -> None: ...
-
-    def start_health_check(self, server: face.Server, asked: HealthCheckTarget) -> None: ...
+MIN_RESTART_INTERVAL = 1000.0
+"""ms between two restarts of a policy that fails again and again."""
 
-    def send_gossip(self, payload: bytes, peer: int | None) -> None: ...
+NOT_LISTED = -1.0
+"""As the start time of a server that is not listed: no process has it."""
 
 
 class PlannerActor:
-    """Owns the policy, the streams and the tables; nothing else touches them."""
+    """Owns the policy, the streams and the tables; nothing else changes them.
+
+    Attributes:
+        settings: what the policy is configured with.
+        batch_delay: ms from the first message that arrives to the batch that includes it.
+        seed: of the policy's random numbers; each incarnation has its own.
+        planner_factory: makes a policy from settings and seed.
+        clock: the planner's clock.
+        endpoints: the endpoint cache.
+        ports: where the policy's actions go.
+        streams: the joined proxies.
+        updates: the weight tables and the updates that follow from them.
+        planner: the policy; None from a failure to the restart.
+        incarnation: how often the policy was restarted.
+        failed_at: ms, when the policy was last due to restart.
+        mailbox: messages not yet processed, in order; at most `MAX_MAILBOX_MESSAGES` but for those that are always
+            taken, of which a connection or the discovery client posts few at a time.
+        mailbox_filled: set while the mailbox is not empty.
+        timers: the running timers of the present policy, which bounds them.
+    """
 
     def __init__(
         self,
         settings: Settings,
-        tick: float,
+        batch_delay: float,
         seed: int,
         clock: Clock,
-        roster: EndpointCache,
-        outside: PlannerPorts,
-        silence: float = math.inf,
-        make: Callable[[Settings, int], Planner] = Planner,
+        endpoints: EndpointCache,
+        ports: PlannerPorts,
+        ack_timeout: float = math.inf,
+        planner_factory: Callable[[Settings, int], Planner] = Planner,
     ) -> None:
-        self.settings, self.tick, self.seed, self.planner_factory = settings, tick, seed, make
-        self.clock, self.endpoints, self.ports = clock, roster, outside
-        self.streams = ProxyStreams(silence)
-        self.tables = TableUpdates(len(settings.classes), self.streams, roster)
-        self.planner: Planner | None = make(settings, seed)
-        self.incarnation, self.failed_at = 0, float("-inf")  # how often the policy began anew, and when
-        self.mailbox: list[Item] = []
-        self.filled = asyncio.Event()
+        """Set the actor up; `ack_timeout` (ms) is that of `ProxyStreams`."""
+        self.settings = settings
+        self.batch_delay = batch_delay
+        self.seed = seed
+        self.planner_factory = planner_factory
+        self.clock = clock
+        self.endpoints = endpoints
+        self.ports = ports
+        self.streams = ProxyStreams(ack_timeout)
+        self.updates = TableUpdates(len(settings.classes), self.streams)
+        self.planner: Planner | None = planner_factory(settings, seed)
+        self.incarnation = 0
+        self.failed_at = -math.inf
+        self.mailbox: list[PlannerMessage] = []
+        self.mailbox_filled = asyncio.Event()
         self.timers: set[asyncio.TimerHandle] = set()
 
-    def post(self, item: Item) -> None:
-        if len(self.mailbox) >= MAILBOX_MOST and not isinstance(
-            item, ProxyStream | StreamEnded | EndpointList | EndpointListFailed
-        ):
-            logger.error("module mailbox is full; a report is dropped")
+    # The mailbox
+
+    def post(self, message: PlannerMessage) -> None:
+        """Put a message into the mailbox; a report or result is dropped if the mailbox is full."""
+        always_taken = isinstance(message, ProxyStream | StreamEnded | EndpointList | EndpointListFailed)
+        if len(self.mailbox) >= MAX_MAILBOX_MESSAGES and not always_taken:
+            logger.error("message dropped: kind={} reason=the mailbox is full", type(message).__name__)
             return
-        self.mailbox.append(item)
-        self.filled.set()
+        self.mailbox.append(message)
+        self.mailbox_filled.set()
 
     async def run(self) -> None:
+        """Process batches until cancelled."""
         while True:
-            await self.filled.wait()
-            await asyncio.sleep(self.tick / 1000.0)
+            await self.mailbox_filled.wait()
+            await asyncio.sleep(self.batch_delay / 1000.0)
             try:
                 self.process_batch()
-            except Exception as error:  # in what is kept, not in the policy: it too goes on
-                logger.opt(exception=True).error("fault in a batch: {!r}", error)
+            except Exception as error:  # a fault of this package, not of the policy: it goes on as well
+                logger.opt(exception=True).error("batch failed: reason={!r}", error)
 
     def process_batch(self) -> None:
-        """One batch: everything in the mailbox, in order."""
-        items, self.mailbox = self.mailbox, []
-        self.filled.clear()
-        events = [event for item in items for event in self.events(item)]
-        if (listing := self.endpoints.confirmed_snapshot(self.clock.now())) is not None:
-            logger.warning("list {} holds: nothing newer has come", listing.generation)
-            events.append(self.endpoints.apply(listing))
+        """Process everything in the mailbox, in order, with one call of the policy."""
+        messages = self.mailbox
+        self.mailbox = []
+        self.mailbox_filled.clear()
+        events = [event for message in messages for event in self._events(message)]
+        confirmed = self.endpoints.confirmed_snapshot(self.clock.now())
+        if confirmed is not None:
+            logger.warning(
+                "endpoint list accepted: generation={} duration_s={:g} reason=it was held back and nothing newer came",
+                confirmed.generation,
+                MAX_LIST_AGE / 1000.0,
+            )
+            events.append(self.endpoints.apply(confirmed))
         if self.endpoints.take_refetch_needed():
-            logger.warning("changes passed a list that was doubted: the whole list is asked for")
+            logger.warning("endpoint list requested: kind=full reason=changes overtook a list that was held back")
             self.ports.fetch_endpoints()
-        self.decide([*events, *self.streams.fall_silent(self.clock.now())])
-        for server in self.endpoints.excess_removed():
-            if not self.tables.names(server):
-                self.endpoints.forget(server)
-                self.tables.forget(server)
-                self.streams.forget(server)
+        self.run_policy([*events, *self.streams.time_out(self.clock.now())])
+        self._forget_removed_servers()
 
-    def decide(self, events: list[Event]) -> None:
-        """Ask the policy, and do as it says; without one, between two lives, nothing is decided."""
+    def run_policy(self, events: list[Event]) -> None:
+        """Call the policy and carry out its actions; a policy that fails is restarted."""
         if self.planner is None:
             return
-        began = self.clock.now()
+        started_at = self.clock.now()
         try:
-            messages = self.carry_out(self.planner.handle(began, events))
-            took = self.clock.now() - began
-            logger.opt(lazy=True).debug("{}", lambda: self.account(events, messages, took))
+            updates = self._carry_out(self.planner.handle(started_at, events))
+            elapsed = self.clock.now() - started_at
+            logger.opt(lazy=True).debug("{}", lambda: describe_batch(events, updates, elapsed))
         except Exception as error:
-            logger.opt(exception=True).error("module fault on {} events: {!r}", len(events), error)
-            self.start_over()
+            logger.opt(exception=True).error("policy failed: count={} reason={!r}", len(events), error)
+            self._restart_policy()
 
-    def events(self, item: Item) -> Iterable[Event]:
-        match item:
+    # Messages in
+
+    def _events(self, message: PlannerMessage) -> Iterable[Event]:
+        """What a message means for the policy."""
+        match message:
             case ProxyStream():
-                return self.streams.join(item)
-            case StreamEnded(proxy, line):
-                return self.streams.leave(proxy, line)
-            case StreamMessage(proxy, event, line):
-                news = self.streams.heard(proxy, line)
-                return [] if news is None else [*news, *self.current(event)]
+                return self.streams.join(message)
+            case StreamEnded(proxy, connection):
+                return self.streams.leave(proxy, connection)
+            case StreamMessage():
+                return self._stream_events(message)
             case EndpointList():
-                return [self.endpoints.apply(item, self.clock.now())]
+                return [self.endpoints.apply(message, self.clock.now())]
             case EndpointListFailed():
                 return [self.endpoints.failed_update()]
-            case HealthCheckCompleted(asked, result):
-                return [result] if asked == self.asked(result.server) else []
-            case TimerElapsed(life, token):
-                return [face.TimerFired(token)] if life == self.incarnation else []
-            case face.LoadReport():  # its span may reach back to a former process under that id
-                return (
-                    []
-                    if self.endpoints.predates_current_process(item.server, self.clock.now() - item.window)
-                    else [item]
-                )
-            case face.DemandReport(proxy):
-                return [item] if proxy in self.streams.by_proxy else []
-            case face.GossipReceived():
-                return [item]
+            case HealthCheckCompleted(target, result):
+                return [result] if target == self._health_check_target(result.server) else []
+            case TimerElapsed(incarnation, token):
+                return [TimerFired(token)] if incarnation == self.incarnation else []
+            case LoadReport() | DemandReport() | GossipReceived():
+                return [message] if self._is_current(message) else []
         return []
 
-    def asked(self, server: face.Server) -> HealthCheckTarget:
-        """Whom a probe of that server is meant for now."""
-        entry = self.endpoints.entries.get(server)
-        return HealthCheckTarget(
-            self.incarnation, entry.started_at if entry is not None else -1.0, self.endpoints.addresses.get(server, "")
-        )
-
-    def current(self, event: face.Acknowledged | face.DemandReport | None) -> Iterable[Event]:
-        """What a proxy said, unless it answers a mark of an earlier policy, or what can't be."""
-        if not isinstance(event, face.Acknowledged):
-            return [] if event is None else [event]
-        if not self.streams.answered(event.proxy, event.nonce, event.elapsed, self.clock.now()):
+    def _stream_events(self, message: StreamMessage) -> list[Event]:
+        alive = self.streams.message_received(message.proxy, message.connection)
+        if alive is None:
+            return []
+        match message.event:
+            case Acknowledged():
+                return [*alive, *self._acknowledgement_events(message.event)]
+            case DemandReport():
+                return [*alive, message.event]
+        return list(alive)
+
+    def _acknowledgement_events(self, event: Acknowledged) -> list[Event]:
+        """The acknowledgement with the policy's nonce, unless an earlier policy set it or it can't be genuine."""
+        if not self.streams.acknowledge(event.proxy, event.nonce, event.elapsed, self.clock.now()):
             logger.warning(
-                "proxy {}: answer to mark {} after {:g} ms left out: no such mark went out then",
+                "acknowledgement ignored: proxy={} nonce={} duration_s={:g} reason=no such nonce was pending that long",
                 event.proxy,
                 event.nonce,
-                event.elapsed,
+                event.elapsed / 1000.0,
             )
             return []
-        own = self.tables.own_mark(event.nonce)
-        return [] if own is None else [face.Acknowledged(event.proxy, own, event.elapsed)]
-
-    @staticmethod
-    def account(events: list[Event], messages: list[ProxyUpdate], took: float) -> str:
-        kinds = Counter(type(event).__name__ for event in events)
-        inward = " ".join(f"{name} {count}" for name, count in kinds.items()) or "nothing"
-        lines, marks = sum(m.cost() for m in messages), {m.nonce for m in messages}
-        return f"batch: {inward}; {len(messages)} messages, {lines} lines, marks {marks or ''}; {took:.1f} ms"
-
-    def carry_out(self, actions: list[Action]) -> list[ProxyUpdate]:
-        messages = self.tables.take(actions)
-        lines = self.streams.by_proxy
-        self.ports.deliver([(lines[m.proxy].connection, m) for m in messages])
+        nonce = self.updates.policy_nonce(event.nonce)
+        return [] if nonce is None else [Acknowledged(event.proxy, nonce, event.elapsed)]
+
+    def _is_current(self, report: Report) -> bool:
+        """Whether a report is of what is known now: its window may reach back to an earlier process of its server."""
+        match report:
+            case LoadReport(server=server, window=window):
+                return not self.endpoints.predates_current_process(server, self.clock.now() - window)
+            case DemandReport(proxy=proxy):
+                return proxy in self.streams.by_proxy
+            case GossipReceived():
+                return True
+
+    def _health_check_target(self, server: Server) -> HealthCheckTarget:
+        """What a health check of that server is meant for now."""
+        entry = self.endpoints.entries.get(server)
+        started_at = entry.started_at if entry is not None else NOT_LISTED
+        return HealthCheckTarget(self.incarnation, started_at, self.endpoints.addresses.get(server, ""))
+
+    def _forget_removed_servers(self) -> None:
+        """Forget removed servers beyond the bound that nothing names any more."""
+        for server in self.endpoints.excess_removed():
+            if not self.updates.references(server):
+                self.endpoints.forget(server)
+                self.updates.forget(server)
+                self.streams.forget(server)
+
+    # Actions out
+
+    def _carry_out(self, actions: list[Action]) -> list[ProxyUpdate]:
+        """Send the updates that follow from a reply, then carry out its other actions in order."""
+        updates = self.updates.apply(actions)
+        streams = self.streams.by_proxy
+        self.ports.deliver([(streams[update.proxy].connection, update) for update in updates])
         now = self.clock.now()
-        for message in messages:
-            if message.nonce is not None:
-                self.streams.asked(message.proxy, message.nonce, now)
+        for update in updates:
+            if update.nonce is not None:
+                self.streams.nonce_sent(update.proxy, update.nonce, now)
         for action in actions:
-            match action:
-                case face.SetTimer(delay, token):
-                    self.set_timer(delay, token)
-                case face.WatchEndpoints(on):
-                    self.ports.watch_endpoints(on)
-                case face.FetchEndpoints():
-                    self.ports.fetch_endpoints()
-                case face.StartHealthCheck(server):
-                    self.ports.start_health_check(server, self.asked(server))
-                case face.SendGossip(payload, peer):
-                    self.ports.send_gossip(payload, peer)
-                case face.Log(text):
-                    logger.info("module: {}", text)
-                case _:
-                    pass
-        return messages
+            self._carry_out_action(action)
+        return updates
+
+    def _carry_out_action(self, action: Action) -> None:
+        match action:
+            case SetTimer(delay, token):
+                self.set_timer(delay, token)
+            case WatchEndpoints(enabled):
+                self.ports.watch_endpoints(enabled)
+            case FetchEndpoints():
+                self.ports.fetch_endpoints()
+            case StartHealthCheck(server):
+                self.ports.start_health_check(server, self._health_check_target(server))
+            case SendGossip(payload, peer):
+                self.ports.send_gossip(payload, peer)
+            case Log(text):
+                logger.info("policy message: {}", text)
+            case _:
+                pass  # the tables have applied it
 
     def set_timer(self, delay: float, token: int) -> None:
-        life = self.incarnation
+        """Post `TimerElapsed` after `delay` ms, unless the policy has been restarted by then."""
+        incarnation = self.incarnation
 
         def fire() -> None:
             self.timers.discard(handle)
-            self.post(TimerElapsed(life, token))
+            self.post(TimerElapsed(incarnation, token))
 
         handle = asyncio.get_running_loop().call_later(max(0.0, delay) / 1000.0, fire)
         self.timers.add(handle)
 
-    def start_over(self) -> None:
-        """A fresh policy from the present list and the joined streams; the old one's timers are void."""
+    # Restart
+
+    def _restart_policy(self) -> None:
+        """Drop a policy that failed, with its timers, and start a new one, `MIN_RESTART_INTERVAL` after the last."""
         for handle in self.timers:
             handle.cancel()
         self.timers.clear()
-        self.incarnation, self.planner = self.incarnation + 1, None
-        self.tables.start_over()
-        wait = max(0.0, self.failed_at + FAULTS_APART - self.clock.now())
-        self.failed_at = self.clock.now() + wait
-        asyncio.get_running_loop().call_later(wait / 1000.0, self.begin)
-
-    def begin(self) -> None:
-        """The new policy asks for the list itself: that a call of the former one's failed is not its news."""
-        self.mailbox = [item for item in self.mailbox if not isinstance(item, EndpointListFailed)]
+        self.incarnation += 1
+        self.planner = None
+        self.updates.restart()
+        delay = max(0.0, self.failed_at + MIN_RESTART_INTERVAL - self.clock.now())
+        self.failed_at = self.clock.now() + delay
+        asyncio.get_running_loop().call_later(delay / 1000.0, self._start_policy)
+
+    def _start_policy(self) -> None:
+        """Start a policy from the endpoints and streams as known.
+
+        It asks for the list itself, so that a failed call of the former policy is nothing that it has to know.
+        """
+        self.mailbox = [message for message in self.mailbox if not isinstance(message, EndpointListFailed)]
         self.planner = self.planner_factory(self.settings, self.seed + self.incarnation)
-        self.decide([self.endpoints.cached_update(), *self.streams.start_over()])
+        self.run_policy([self.endpoints.cached_update(), *self.streams.rejoin()])
+
+
+def describe_batch(events: Sequence[Event], updates: Sequence[ProxyUpdate], elapsed: float) -> str:
+    """The log line of a batch that took `elapsed` ms: events by kind, updates sent, their lines and nonces."""
+    kinds = Counter(type(event).__name__ for event in events)
+    kinds_text = ",".join(f"{name}:{count}" for name, count in kinds.items())
+    lines = sum(update.cost() for update in updates)
+    nonces = ",".join(str(nonce) for nonce in sorted({one.nonce for one in updates if one.nonce is not None}))
+    return (
+        f"batch processed: kind={kinds_text or '-'} count={len(updates)} lines={lines} nonce={nonces or '-'} "
+        f"duration_s={elapsed / 1000.0:.4f}"
+    )
--- a/stackwheel/state/server_ids.py
+++ b/stackwheel/state/server_ids.py
@@ -1,4 +1,4 @@
-"""The policy's six-byte ids for the instances that discovery names: the same at every planner, always."""
+"""The policy's ids for the servers that discovery names: the same at every planner and after every restart."""
 
 from __future__ import annotations
 
@@ -9,28 +9,37 @@
 from stackwheel.interface import Server
 
 ID_BYTES = 6
+"""Length of an id, as the simulator's wire has it."""
 
 
 def server_id(name: str) -> Server:
+    """The id of the server with that name."""
     return Server(hashlib.blake2b(name.encode(), digest_size=ID_BYTES).digest())
 
 
 class ServerIds:
-    """Names by id. What was listed stays known while a table or proxy may name it."""
+    """Names by id, for writing updates; owned by the endpoint cache.
+
+    Attributes:
+        names: of the servers that are listed, and of removed ones while a table or a proxy may name them.
+    """
 
     def __init__(self) -> None:
         self.names: dict[Server, str] = {}
 
     def learn(self, name: str) -> Server | None:
-        """The id of a listed instance; None if another instance has it: that one would get its orders."""
+        """The id of a listed server; None if another server has the same, which would then get its updates."""
         server = server_id(name)
-        if self.names.setdefault(server, name) != name:
-            logger.error("instances {} and {} share an id; {} is left out", self.names[server], name, name)
+        known = self.names.setdefault(server, name)
+        if known != name:
+            logger.error("endpoint left out: server={} reason=server {} has the same id", name, known)
             return None
         return server
 
     def name(self, server: Server) -> str | None:
+        """The name of a server; None if it is not known."""
         return self.names.get(server)
 
     def forget(self, server: Server) -> None:
+        """Forget a server."""
         self.names.pop(server, None)
--- a/stackwheel/state/streams.py
+++ b/stackwheel/state/streams.py
@@ -1,129 +1,181 @@
-"""The proxies joined to this planner, one stream each."""
+"""The proxies joined to this planner, one stream each, and the acknowledgements each of them owes."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 from typing import Protocol
 
 from loguru import logger
 
-from stackwheel import interface as face
-from stackwheel.interface import Event, Server
+from stackwheel.interface import Event, ProxyJoined, ProxyLeft, Server
 
-MAX_PENDING_NONCES = 64  # unanswered of a stream: more than go out before it counts as silent
-CLOCKS_APART = 1000.0  # ms: what a proxy measured may begin before our order was taken down
+MAX_PENDING_NONCES = 64
+"""Unacknowledged nonces remembered for a stream: more than are sent before it times out."""
+
+CLOCK_TOLERANCE = 1000.0
+"""ms: by how much a proxy's own measure of an update's time may exceed the planner's, which starts later."""
 
 
 class StreamConnection(Protocol):
-    """The connection that a stream runs over, as the streams know it: only its identity counts."""
+    """The connection that a stream uses. To the streams only its identity counts."""
 
     def superseded(self) -> None:
-        """Another connection carries the stream from now on."""
+        """Another connection carries the proxy's stream from now on."""
 
-    def carries(self) -> None:
-        """This one carries it from now on, whatever was said of it before."""
+    def activated(self) -> None:
+        """This connection carries the proxy's stream from now on, even if it was superseded before."""
 
 
 @dataclass(slots=True)
 class ProxyStream:
+    """A proxy's stream; owned by `ProxyStreams` once it has joined.
+
+    Attributes:
+        proxy: the proxy's number.
+        zone: its zone.
+        expected_rate: requests per second that it expects.
+        newly_started: whether it has only its standing tables, so that no planner has ejected a server there.
+        connection: what carries the stream.
+        table_by_class: its table for each class; at most one entry a class.
+        ejected: servers that were ejected (True) or restored (False) over this stream; at most one entry a listed
+            or remembered server.
+        ack_pending_since: ms, when the first nonce was sent after which nothing has been received; None: no
+            acknowledgement is pending, or the proxy has sent something since.
+        pending_nonces: unacknowledged nonces, the oldest first, and when each was sent (ms); at most
+            `MAX_PENDING_NONCES`.
+    """
+
     proxy: int
     zone: int
     expected_rate: float
-    newly_started: bool  # it holds only its standing tables: no planner has ejected anything there
+    newly_started: bool
     connection: StreamConnection
-    table_by_class: dict[int, int] = field(default_factory=dict)  # by class: its table
-    ejected: dict[Server, bool] = field(default_factory=dict)  # as ordered on this stream; False: restored
-    ack_pending_since: float | None = None  # when the first mark went out that nothing has been heard since
-    pending_nonces: dict[int, float] = field(default_factory=dict)  # unanswered, the oldest first: when they went out
+    table_by_class: dict[int, int] = field(default_factory=dict)
+    ejected: dict[Server, bool] = field(default_factory=dict)
+    ack_pending_since: float | None = None
+    pending_nonces: dict[int, float] = field(default_factory=dict)
 
     def tables(self) -> set[int]:
+        """The tables assigned to it."""
         return set(self.table_by_class.values())
 
-    def joined(self) -> Event:
-        return face.ProxyJoined(self.proxy, self.zone, self.expected_rate, self.newly_started)
+    def joined_event(self) -> Event:
+        """The event that tells the policy of it."""
+        return ProxyJoined(self.proxy, self.zone, self.expected_rate, self.newly_started)
 
 
-def carried(streams: dict[int, ProxyStream], proxy: int, line: StreamConnection) -> ProxyStream | None:
-    """The proxy's stream among these, if it runs over that connection."""
+def stream_over(streams: Mapping[int, ProxyStream], proxy: int, connection: StreamConnection) -> ProxyStream | None:
+    """The proxy's stream among these, if that connection carries it."""
     stream = streams.get(proxy)
-    return stream if stream is not None and stream.connection is line else None
+    return stream if stream is not None and stream.connection is connection else None
 
 
 class ProxyStreams:
-    """A machine that vanishes gives no sign: a stream that leaves a mark unanswered and says nothing else for
-    `silence` ms counts as left. Its connection stays, and its first word joins it again."""
+    """The streams of the joined proxies; owned by the planner actor.
+
+    A machine that vanishes gives no sign. A stream that leaves a nonce unacknowledged and sends nothing else for
+    `ack_timeout` ms times out: its proxy counts as left. Its connection stays open, and the first message that
+    arrives over it makes the proxy join again.
 
-    def __init__(self, silence: float = math.inf) -> None:
-        self.silence = silence
+    Attributes:
+        ack_timeout: ms.
+        by_proxy: the streams in use; at most one a proxy.
+        timed_out: those that timed out and whose connection is still open; at most one a proxy.
+    """
+
+    def __init__(self, ack_timeout: float = math.inf) -> None:
+        self.ack_timeout = ack_timeout
         self.by_proxy: dict[int, ProxyStream] = {}
-        self.silent: dict[int, ProxyStream] = {}
-
-    def join(self, stream: ProxyStream) -> Iterable[Event]:
-        """A new stream of a proxy takes the place of the old one, whose end is then no news."""
-        old = self.by_proxy.pop(stream.proxy, None)
-        quiet = self.silent.pop(stream.proxy, None)
-        for replaced in (old, quiet):
-            if replaced is not None and replaced.connection is not stream.connection:
-                replaced.connection.superseded()
-        stream.connection.carries()  # it may have joined, been superseded and joined again within one batch
+        self.timed_out: dict[int, ProxyStream] = {}
+
+    def join(self, stream: ProxyStream) -> Iterator[Event]:
+        """Add a proxy's stream in place of its former one, whose end is then ignored."""
+        active = self.by_proxy.pop(stream.proxy, None)
+        timed_out = self.timed_out.pop(stream.proxy, None)
+        for former in (active, timed_out):
+            if former is not None and former.connection is not stream.connection:
+                former.connection.superseded()
+        stream.connection.activated()  # it may have joined, been superseded and joined again within one batch
         self.by_proxy[stream.proxy] = stream
-        if old is not None:
-            yield face.ProxyLeft(old.proxy)
-        yield stream.joined()
-
-    def leave(self, proxy: int, line: StreamConnection) -> Iterable[Event]:
-        if carried(self.silent, proxy, line):
-            del self.silent[proxy]
-        elif carried(self.by_proxy, proxy, line):
+        if active is not None:
+            yield ProxyLeft(active.proxy)
+        yield stream.joined_event()
+
+    def leave(self, proxy: int, connection: StreamConnection) -> Iterator[Event]:
+        """Remove the proxy's stream, if that connection carried it."""
+        if stream_over(self.timed_out, proxy, connection) is not None:
+            del self.timed_out[proxy]
+        elif stream_over(self.by_proxy, proxy, connection) is not None:
             del self.by_proxy[proxy]
-            yield face.ProxyLeft(proxy)
+            yield ProxyLeft(proxy)
+
+    def message_received(self, proxy: int, connection: StreamConnection) -> Iterable[Event] | None:
+        """Note that a connection is alive.
 
-    def heard(self, proxy: int, line: StreamConnection) -> Iterable[Event] | None:
-        """What a word over a connection means for its proxy; None if that connection does not carry it."""
-        if stream := carried(self.by_proxy, proxy, line):
+        Returns:
+            The events that follow for the policy; None if that connection does not carry the proxy.
+        """
+        stream = stream_over(self.by_proxy, proxy, connection)
+        if stream is not None:
             stream.ack_pending_since = None
             return ()
-        if quiet := carried(self.silent, proxy, line):
-            logger.info("{}: speaks again, and joins anew", line)
-            return self.join(ProxyStream(proxy, quiet.zone, quiet.expected_rate, False, line))
+        stream = stream_over(self.timed_out, proxy, connection)
+        if stream is not None:
+            logger.info("stream resumed: connection={} reason=it sent a message after its timeout", connection)
+            return self.join(ProxyStream(proxy, stream.zone, stream.expected_rate, False, connection))
         return None
 
-    def asked(self, proxy: int, mark: int, now: float) -> None:
-        """A mark has gone out to it."""
+    def nonce_sent(self, proxy: int, nonce: int, now: float) -> None:
+        """Note that a nonce has been sent to a joined proxy."""
         stream = self.by_proxy[proxy]
-        stream.ack_pending_since = now if stream.ack_pending_since is None else stream.ack_pending_since
-        stream.pending_nonces.pop(mark, None)
-        stream.pending_nonces[mark] = now
+        if stream.ack_pending_since is None:
+            stream.ack_pending_since = now
+        stream.pending_nonces.pop(nonce, None)
+        stream.pending_nonces[nonce] = now
         if len(stream.pending_nonces) > MAX_PENDING_NONCES:
             del stream.pending_nonces[next(iter(stream.pending_nonces))]
 
-    def answered(self, proxy: int, mark: int, elapsed: float, now: float) -> bool:
-        """Whether a mark went out so long ago; who answers it has applied those before as well."""
+    def acknowledge(self, proxy: int, nonce: int, elapsed: float, now: float) -> bool:
+        """Take an acknowledgement of a joined proxy in: updates before it have been applied as well.
+
+        Returns:
+            False if that nonce is not pending, or was sent less than `elapsed` ms ago.
+        """
         stream = self.by_proxy[proxy]
-        if mark not in stream.pending_nonces or elapsed > now - stream.pending_nonces[mark] + CLOCKS_APART:
+        sent_at = stream.pending_nonces.get(nonce)
+        if sent_at is None or elapsed > now - sent_at + CLOCK_TOLERANCE:
             return False
-        order = list(stream.pending_nonces)
-        stream.pending_nonces = {later: stream.pending_nonces[later] for later in order[order.index(mark) + 1 :]}
+        for pending in list(stream.pending_nonces):
+            del stream.pending_nonces[pending]
+            if pending == nonce:
+                break
         return True
 
     def forget(self, server: Server) -> None:
-        """What was let back on a stream need not be known of a server that is gone for good."""
+        """Forget ejections of a server that is remembered no longer."""
         for stream in self.by_proxy.values():
             stream.ejected.pop(server, None)
 
-    def fall_silent(self, now: float) -> Iterable[Event]:
-        late = now - self.silence
-        for stream in [
-            s for s in self.by_proxy.values() if s.ack_pending_since is not None and s.ack_pending_since < late
-        ]:
-            logger.warning("{}: says nothing and answers no mark; counts as left", stream.connection)
-            self.silent[stream.proxy] = self.by_proxy.pop(stream.proxy)
-            yield face.ProxyLeft(stream.proxy)
-
-    def start_over(self) -> Iterable[Event]:
-        """The joins that a fresh policy is told of; the proxies keep what the last one ordered."""
+    def time_out(self, now: float) -> Iterator[Event]:
+        """Time out the streams that have sent nothing for too long."""
+        oldest = now - self.ack_timeout
+        expired = [
+            stream
+            for stream in self.by_proxy.values()
+            if stream.ack_pending_since is not None and stream.ack_pending_since < oldest
+        ]
+        for stream in expired:
+            logger.warning(
+                "stream timed out: connection={} reason=no message and no acknowledgement of a nonce", stream.connection
+            )
+            self.timed_out[stream.proxy] = self.by_proxy.pop(stream.proxy)
+            yield ProxyLeft(stream.proxy)
+
+    def rejoin(self) -> Iterator[Event]:
+        """The joins that a restarted policy is told of; the proxies keep the tables that they have."""
         for stream in self.by_proxy.values():
-            stream.table_by_class, stream.newly_started = {}, False
-            yield stream.joined()
+            stream.table_by_class = {}
+            stream.newly_started = False
+            yield stream.joined_event()
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -1,33 +1,69 @@
-"""Tables as ordered, and what one reply of the policy means for each proxy: at most one message."""
+"""The weight tables as the policy set them, and the one update that a reply of the policy means for each proxy."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple, TypeAlias
 
-from stackwheel import interface as face
-from stackwheel.interface import Action, AdmissionLevel, Server
-from stackwheel.state.endpoint_cache import EndpointCache
+from stackwheel.interface import (
+    Action,
+    AdmissionLevel,
+    AssignTable,
+    AttachNonce,
+    ClearTable,
+    Server,
+    SetAdmission,
+    SetEjection,
+    SetWeight,
+)
 from stackwheel.state.streams import ProxyStream, ProxyStreams
 
-ALL_TABLES = 0xFFFF  # in a level: all tables, standing ones included
-NONCES_PER_INCARNATION = 1 << 16  # the policy's marks are below it; each of its lives has so many of its own
-Lines = dict[Server, float]
+ALL_TABLES = 0xFFFF
+"""In `SetAdmission`: all tables, standing ones included."""
+
+NONCES_PER_INCARNATION = 1 << 16
+"""The policy's nonces are below it; on the wire each incarnation of the policy has as many of its own."""
+
+TableLines: TypeAlias = dict[Server, float]
+"""Weights above 0 by server, in the order in which they were set first."""
+
+ClassLevels: TypeAlias = dict[int, AdmissionLevel | None]
+"""Admission levels to send, by class; None: nothing to send."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpdatePart:
-    """Lines and a level for some classes of a proxy; `whole`: the lines are all there are."""
+    """Lines and an admission level for some classes of a proxy.
+
+    Attributes:
+        classes: the classes.
+        complete: whether the lines replace the classes' table, instead of changing lines of it.
+        lines: servers and weights; 0 removes the line.
+        level: the admission level; None: unchanged, or none if the part is complete.
+    """
 
     classes: tuple[int, ...]
     complete: bool
     lines: tuple[tuple[Server, float], ...] = ()
     level: AdmissionLevel | None = None
 
+    def cost(self) -> int:
+        """Its lines, as the channel counts them."""
+        return len(self.lines) + self.complete + (self.level is not None)
+
 
 @dataclass(frozen=True, slots=True)
 class ProxyUpdate:
-    """What a proxy is sent for one reply, to be applied as one."""
+    """What one proxy is sent for one reply of the policy, to be applied as a whole.
+
+    Attributes:
+        proxy: the proxy's number.
+        parts: changes of its tables.
+        eject: servers that it has to avoid.
+        restore: servers that it may use again.
+        nonce: what it has to acknowledge, if anything.
+    """
 
     proxy: int
     parts: tuple[UpdatePart, ...] = ()
@@ -36,157 +72,249 @@
     nonce: int | None = None
 
     def cost(self) -> int:
-        """Its lines, as the channel counts them, but for what every message costs."""
-        parts = sum(len(p.lines) + p.complete + (p.level is not None) for p in self.parts)
+        """Its lines, as the channel counts them, without what every message costs."""
+        parts = sum(part.cost() for part in self.parts)
         return parts + len(self.eject) + len(self.restore) + (self.nonce is not None)
 
 
 @dataclass(slots=True)
-class Touched:
-    """What a reply changed."""
+class ReplyChanges:
+    """What one reply of the policy changed.
+
+    Attributes:
+        lines: servers whose weight was set, by table, in order.
+        levels: classes whose admission level was set, by table.
+        cleared: tables that were cleared.
+        assigned: classes for which a table was assigned, by proxy.
+        ejections: servers that were ejected or restored, in order.
+        nonce: the nonce to attach, if any.
+    """
 
-    lines: dict[int, dict[Server, None]] = field(default_factory=dict)  # by table
-    levels: dict[int, set[int]] = field(default_factory=dict)  # by table: classes
+    lines: dict[int, dict[Server, None]] = field(default_factory=dict)
+    levels: dict[int, set[int]] = field(default_factory=dict)
     cleared: set[int] = field(default_factory=set)
-    assigned: dict[int, set[int]] = field(default_factory=dict)  # by proxy: classes
-    health: dict[Server, None] = field(default_factory=dict)
-    mark: face.AttachNonce | None = None
+    assigned: dict[int, set[int]] = field(default_factory=dict)
+    ejections: dict[Server, None] = field(default_factory=dict)
+    nonce: AttachNonce | None = None
+
+    def level_changed(self, request_class: int, table: int | None) -> bool:
+        """Whether the admission level of a class was set, in its table or in all."""
+        own = table is not None and request_class in self.levels.get(table, ())
+        return own or request_class in self.levels.get(ALL_TABLES, ())
+
+
+class PartsKey(NamedTuple):
+    """What determines the parts that a proxy is sent for classes which share a table."""
+
+    table: int | None
+    complete: bool
+    levels: tuple[tuple[int, AdmissionLevel | None], ...]
+
+
+PartsCache: TypeAlias = dict[PartsKey, tuple[UpdatePart, ...]]
+"""Parts already made for one reply: proxies that use a table share them, so that each is encoded once."""
 
 
 class TableUpdates:
-    def __init__(self, classes: int, streams: ProxyStreams, roster: EndpointCache) -> None:
-        self.classes, self.streams, self.roster = range(classes), streams, roster
-        self.tables: dict[int, Lines] = {}
-        self.levels: dict[int, dict[int, AdmissionLevel]] = {}  # by table and class
-        self.withdrawn: dict[Server, None] = {}
-        self.doubt: dict[Server, None] = {}  # withdrawn at some time: who comes with tables may have it ejected
-        self.first_mark = 0
-
-    def start_over(self) -> None:
-        self.tables, self.levels, self.withdrawn = {}, {}, {}
-        self.first_mark += NONCES_PER_INCARNATION
-
-    def own_mark(self, mark: int) -> int | None:
-        """The policy's mark that an acknowledged one stands for; None if an earlier policy set it."""
-        return mark - self.first_mark if mark >= self.first_mark else None
-
-    def names(self, server: Server) -> bool:
-        """Whether a table, a withdrawal or a stream that shut it out still names a server."""
+    """The tables, their admission levels and the ejected servers; owned by the planner actor.
+
+    `SetEjection` is an action of the interface that the present policy does not use: it ejects a server by its
+    weights. The simulator's wire and the line protocol carry it, so it is translated here.
+
+    Attributes:
+        classes: all request classes.
+        streams: the joined proxies, with the tables that each of them uses.
+        tables: lines by table; bounded by the tables that the policy sets.
+        levels: admission levels by table and class.
+        ejected: the servers that are ejected now.
+        ever_ejected: servers that have been ejected at some time, so that a proxy which joins with tables may still
+            avoid them; forgotten with the server.
+        first_nonce: what the nonce 0 of the present incarnation of the policy is on the wire.
+    """
+
+    def __init__(self, class_count: int, streams: ProxyStreams) -> None:
+        self.classes = range(class_count)
+        self.streams = streams
+        self.tables: dict[int, TableLines] = {}
+        self.levels: dict[int, dict[int, AdmissionLevel]] = {}
+        self.ejected: dict[Server, None] = {}
+        self.ever_ejected: dict[Server, None] = {}
+        self.first_nonce = 0
+
+    def restart(self) -> None:
+        """Drop the tables of a policy that failed; its nonces are recognized from now on."""
+        self.tables = {}
+        self.levels = {}
+        self.ejected = {}
+        self.first_nonce += NONCES_PER_INCARNATION
+
+    def policy_nonce(self, nonce: int) -> int | None:
+        """The policy's nonce for one on the wire; None if an earlier incarnation set it."""
+        return nonce - self.first_nonce if nonce >= self.first_nonce else None
+
+    def references(self, server: Server) -> bool:
+        """Whether a table, an ejection or a stream that ejected it still names a server."""
         return (
-            server in self.withdrawn
+            server in self.ejected
             or any(server in lines for lines in self.tables.values())
             or any(stream.ejected.get(server) for stream in self.streams.by_proxy.values())
         )
 
-    def take(self, actions: Iterable[Action]) -> list[ProxyUpdate]:
-        """Bring the tables to the end state of a reply; a message to each proxy that it concerns."""
-        touched = Touched()
+    def forget(self, server: Server) -> None:
+        """Forget a server that nothing references."""
+        self.ever_ejected.pop(server, None)
+
+    def apply(self, actions: Iterable[Action]) -> list[ProxyUpdate]:
+        """Bring the tables to the end state of a reply.
+
+        Returns:
+            An update for each proxy that the reply concerns, in the order in which the proxies joined.
+        """
+        changes = ReplyChanges()
         for action in actions:
-            self.apply(action, touched)
-        if touched == Touched():  # most batches order nothing
+            self._apply_action(action, changes)
+        if changes == ReplyChanges():  # most batches change nothing
             return []
-        parts: dict[tuple[object, ...], tuple[UpdatePart, ...]] = {}  # proxies of a table share its parts
-        messages = [self.message(stream, touched, parts) for stream in self.streams.by_proxy.values()]
-        everyone = touched.mark is not None and touched.mark.to_all_proxies
-        return [m for m in messages if everyone or m.parts or m.eject or m.restore]
+        cache: PartsCache = {}
+        updates = [self._update(stream, changes, cache) for stream in self.streams.by_proxy.values()]
+        if changes.nonce is not None and changes.nonce.to_all_proxies:
+            return updates
+        return [update for update in updates if update.parts or update.eject or update.restore]
 
-    def apply(self, action: Action, touched: Touched) -> None:
-        match action:
-            case face.SetWeight(table, server, weight):
-                lines = self.tables.setdefault(table, {})
-                lines[server] = weight
-                if weight <= 0:
-                    del lines[server]
-                touched.lines.setdefault(table, {})[server] = None
-            case face.ClearTable(table):
-                self.tables[table], self.levels[table] = {}, {}
-                touched.cleared.add(table)
-            case face.AssignTable(proxy, table, classes):
-                if (stream := self.streams.by_proxy.get(proxy)) is not None:
-                    named = classes or tuple(self.classes)
-                    stream.table_by_class.update(dict.fromkeys(named, table))
-                    touched.assigned.setdefault(proxy, set()).update(named)
-            case face.SetAdmission(table, classes, level, retry):
-                for place in classes or self.classes:
-                    self.levels.setdefault(table, {})[place] = AdmissionLevel(level, retry)
-                    touched.levels.setdefault(table, set()).add(place)
-            case face.SetEjection(server, out):
-                self.withdrawn.pop(server, None)
-                if out:
-                    self.withdrawn[server] = self.doubt[server] = None
-                touched.health[server] = None
-            case face.AttachNonce():
-                touched.mark = action
-            case _:
-                pass
+    def admission_level(self, request_class: int, table: int | None) -> AdmissionLevel | None:
+        """The admission level of a class.
 
-    def level(self, place: int, table: int | None) -> AdmissionLevel | None:
-        """Where a table and all tables have a level, the lower holds, and the table's way of trying again."""
-        everywhere = self.levels.get(ALL_TABLES, {}).get(place)
-        own = self.levels.get(table, {}).get(place) if table is not None else None
+        Where both its table and all tables have a level, the lower one holds, with the retry mode of the table.
+        """
+        everywhere = self.levels.get(ALL_TABLES, {}).get(request_class)
+        own = self.levels.get(table, {}).get(request_class) if table is not None else None
         if own is None or everywhere is None:
             return own or everywhere
         return AdmissionLevel(min(own.admitted, everywhere.admitted), own.retry)
 
-    def message(
-        self, stream: ProxyStream, touched: Touched, parts: dict[tuple[object, ...], tuple[UpdatePart, ...]]
-    ) -> ProxyUpdate:
-        mine = tuple(self.parts(stream, touched, parts))
-        eject, restore = self.health(stream, touched, mine)
-        mark = self.first_mark + touched.mark.nonce if touched.mark is not None else None
-        return ProxyUpdate(stream.proxy, mine, eject, restore, mark)
+    # Actions in
 
-    def parts(
-        self, stream: ProxyStream, touched: Touched, known: dict[tuple[object, ...], tuple[UpdatePart, ...]]
-    ) -> Iterator[UpdatePart]:
-        """Classes that share a table share its lines, and those with one level a part that tells it."""
-        groups: dict[tuple[int | None, bool], dict[int, AdmissionLevel | None]] = {}
-        for place in self.classes:
-            table = stream.table_by_class.get(place)
-            whole = place in touched.assigned.get(stream.proxy, ()) or table in touched.cleared
-            changed = any(place in touched.levels.get(t, ()) for t in (table, ALL_TABLES) if t is not None)
-            if whole or changed or (table is not None and table in touched.lines):
-                level = self.level(place, table) if whole or changed else None
-                groups.setdefault((table, whole), {})[place] = level
-        for (table, whole), levels in groups.items():
-            key = table, whole, *levels.items()
-            if key not in known:
-                known[key] = tuple(self.parts_of(table, whole, levels, touched))
-            yield from known[key]
-
-    def parts_of(
-        self, table: int | None, whole: bool, levels: dict[int, AdmissionLevel | None], touched: Touched
+    def _apply_action(self, action: Action, changes: ReplyChanges) -> None:
+        match action:
+            case SetWeight():
+                self._set_weight(action, changes)
+            case ClearTable(table):
+                self.tables[table] = {}
+                self.levels[table] = {}
+                changes.cleared.add(table)
+            case AssignTable():
+                self._assign_table(action, changes)
+            case SetAdmission():
+                self._set_admission(action, changes)
+            case SetEjection():
+                self._set_ejection(action, changes)
+            case AttachNonce():
+                changes.nonce = action
+            case _:
+                pass  # the actor carries it out
+
+    def _set_weight(self, action: SetWeight, changes: ReplyChanges) -> None:
+        lines = self.tables.setdefault(action.table, {})
+        if action.weight <= 0:
+            lines.pop(action.server, None)
+        else:
+            lines[action.server] = action.weight
+        changes.lines.setdefault(action.table, {})[action.server] = None
+
+    def _assign_table(self, action: AssignTable, changes: ReplyChanges) -> None:
+        stream = self.streams.by_proxy.get(action.proxy)
+        if stream is None:
+            return
+        classes = action.classes or tuple(self.classes)
+        stream.table_by_class.update(dict.fromkeys(classes, action.table))
+        changes.assigned.setdefault(action.proxy, set()).update(classes)
+
+    def _set_admission(self, action: SetAdmission, changes: ReplyChanges) -> None:
+        for request_class in action.classes or self.classes:
+            self.levels.setdefault(action.table, {})[request_class] = AdmissionLevel(action.level, action.retry)
+            changes.levels.setdefault(action.table, set()).add(request_class)
+
+    def _set_ejection(self, action: SetEjection, changes: ReplyChanges) -> None:
+        self.ejected.pop(action.server, None)
+        if action.ejected:
+            self.ejected[action.server] = None
+            self.ever_ejected[action.server] = None
+        changes.ejections[action.server] = None
+
+    # Updates out
+
+    def _update(self, stream: ProxyStream, changes: ReplyChanges, cache: PartsCache) -> ProxyUpdate:
+        parts = tuple(self._parts(stream, changes, cache))
+        eject, restore = self._ejections(stream, changes, parts)
+        nonce = self.first_nonce + changes.nonce.nonce if changes.nonce is not None else None
+        return ProxyUpdate(stream.proxy, parts, eject, restore, nonce)
+
+    def _parts(self, stream: ProxyStream, changes: ReplyChanges, cache: PartsCache) -> Iterator[UpdatePart]:
+        """Group the proxy's classes by table: those that share one share its lines."""
+        groups: dict[tuple[int | None, bool], ClassLevels] = {}
+        for request_class in self.classes:
+            table = stream.table_by_class.get(request_class)
+            complete = request_class in changes.assigned.get(stream.proxy, ()) or table in changes.cleared
+            level_due = complete or changes.level_changed(request_class, table)
+            if level_due or (table is not None and table in changes.lines):
+                level = self.admission_level(request_class, table) if level_due else None
+                groups.setdefault((table, complete), {})[request_class] = level
+        for (table, complete), levels in groups.items():
+            key = PartsKey(table, complete, tuple(levels.items()))
+            if key not in cache:
+                cache[key] = tuple(self._table_parts(table, complete, levels, changes))
+            yield from cache[key]
+
+    def _table_parts(
+        self, table: int | None, complete: bool, levels: ClassLevels, changes: ReplyChanges
     ) -> Iterator[UpdatePart]:
-        """A table's lines for its classes; their levels with them if they are alike, else in parts that follow."""
+        """A table's lines for its classes, with their level if all have the same, else levels in parts that follow."""
         lines = self.tables.get(table, {}) if table is not None else {}
-        if not whole and table is not None:
-            lines = {s: lines.get(s, 0.0) for s in touched.lines.get(table, ())}
-        alike = len(set(levels.values())) == 1
-        level = next(iter(levels.values())) if alike else None
-        if whole or lines or level is not None:
-            yield UpdatePart(tuple(levels), whole, tuple(lines.items()), level)
-        if not alike:
-            for one in dict.fromkeys(level for level in levels.values() if level is not None):
-                yield UpdatePart(tuple(place for place, level in levels.items() if level == one), False, (), one)
-
-    def health(
-        self, stream: ProxyStream, touched: Touched, parts: tuple[UpdatePart, ...]
+        if not complete and table is not None:
+            lines = {server: lines.get(server, 0.0) for server in changes.lines.get(table, ())}
+        distinct = tuple(dict.fromkeys(levels.values()))
+        common_level = distinct[0] if len(distinct) == 1 else None
+        if complete or lines or common_level is not None:
+            yield UpdatePart(tuple(levels), complete, tuple(lines.items()), common_level)
+        if len(distinct) > 1:
+            for level in distinct:
+                if level is not None:
+                    classes = tuple(one for one, class_level in levels.items() if class_level == level)
+                    yield UpdatePart(classes, False, (), level)
+
+    def _ejections(
+        self, stream: ProxyStream, changes: ReplyChanges, parts: tuple[UpdatePart, ...]
     ) -> tuple[tuple[Server, ...], tuple[Server, ...]]:
-        """Servers to shut out or let back: those its tables hold, and any if it holds others' tables too."""
-        if not (self.doubt or touched.health):  # a policy that withdraws nothing pays nothing
+        """The servers that a proxy has to be told to avoid, and those to restore, as they stand now.
+
+        These are the changed ones that it may use, and any that these parts add to its tables.
+        """
+        if not (self.ever_ejected or changes.ejections):  # a policy that ejects nothing pays nothing
             return (), ()
-        held = [self.tables.get(table, {}) for table in stream.tables()]
-        foreign = len(stream.table_by_class) < len(self.classes)
-        named = dict.fromkeys(s for part in parts for s, weight in part.lines if weight > 0)
-        news = [s for s in touched.health if foreign or stream.ejected.get(s) or any(s in lines for lines in held)]
+        added = [server for part in parts for server, weight in part.lines if weight > 0]
+        changed = [server for server in changes.ejections if self._may_use(stream, server)]
         eject: list[Server] = []
         restore: list[Server] = []
-        for server in dict.fromkeys([*news, *named]):
-            out = server in self.withdrawn
-            if out != stream.ejected.get(server, not stream.newly_started and server in self.doubt and not out):
-                (eject if out else restore).append(server)
-                stream.ejected[server] = out
+        for server in dict.fromkeys([*changed, *added]):
+            ejected = server in self.ejected
+            if ejected != self._believed_ejected(stream, server):
+                (eject if ejected else restore).append(server)
+                stream.ejected[server] = ejected
         return tuple(eject), tuple(restore)
 
-    def forget(self, server: Server) -> None:
-        self.doubt.pop(server, None)
+    def _may_use(self, stream: ProxyStream, server: Server) -> bool:
+        """Whether a proxy may use or avoid a server: one of its tables has it, or it has tables of another planner."""
+        return (
+            len(stream.table_by_class) < len(self.classes)
+            or stream.ejected.get(server, False)
+            or any(server in self.tables.get(table, {}) for table in stream.tables())
+        )
+
+    def _believed_ejected(self, stream: ProxyStream, server: Server) -> bool:
+        """Whether a proxy avoids a server as far as is known.
+
+        Over a stream that has not named the server, a proxy that ran before may still avoid one that was ejected
+        at some time and no longer is.
+        """
+        unknown = not stream.newly_started and server in self.ever_ejected and server not in self.ejected
+        return stream.ejected.get(server, unknown)
--- a/stackwheel/trials/defects.py
+++ b/stackwheel/trials/defects.py
@@ -29,7 +29,7 @@
 from stackwheel.rules.violations import Rule
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
-from stackwheel.state.streams import ProxyStreams, carried
+from stackwheel.state.streams import ProxyStreams, stream_over
 from stackwheel.trials.proxies import Proxy
 from stackwheel.trials.runner import SeedResult, leave_interrupts, run_seed
 from stackwheel.trials.world import World
@@ -169,7 +169,7 @@
 
 def end_of_another() -> Sequence[Patch]:
     def leave(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event]:
-        self.silent.pop(proxy, None)
+        self.timed_out.pop(proxy, None)
         if self.by_proxy.pop(proxy, None) is not None:
             yield face.ProxyLeft(proxy)
 
@@ -179,13 +179,13 @@
 def words_of_another() -> Sequence[Patch]:
     """The older stream of a proxy takes it over again with its late words."""
 
-    def heard(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
+    def message_received(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
         stream = self.by_proxy.get(proxy)
-        if stream is not None and not carried(self.by_proxy, proxy, line):
+        if stream is not None and not stream_over(self.by_proxy, proxy, line):
             stream.connection = line
         return ()
 
-    return [(ProxyStreams, "heard", heard)]
+    return [(ProxyStreams, "message_received", message_received)]
 
 
 def whole_list_as_changes() -> Sequence[Patch]:
--- a/stackwheel/trials/exchange.py
+++ b/stackwheel/trials/exchange.py
@@ -23,7 +23,7 @@
 from stackwheel.files.records import Booking, Came, Incarnation, Met
 from stackwheel.rules.violations import Rule
 from stackwheel.service.ports import PlannerContext
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.streams import ProxyStream
 from stackwheel.trials.disks import TrialDisk
 from stackwheel.trials.loop import Machine
@@ -120,7 +120,7 @@
         host.desk = desk
         return [desk]
 
-    def heard(self, host: PlannerHost, context: PlannerContext, item: Item) -> None:
+    def heard(self, host: PlannerHost, context: PlannerContext, item: PlannerMessage) -> None:
         """What the desk posts: a forwarder that joins by files counts as joined."""
         if isinstance(item, ProxyStream):
             self.joined[item.proxy] = host.number
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -179,10 +179,10 @@
         for place, table in stream.table_by_class.items():
             lines[place] = {
                 name: weight
-                for server, weight in module.tables.tables.get(table, {}).items()
+                for server, weight in module.updates.tables.get(table, {}).items()
                 if (name := ids.name(server)) is not None
             }
-            level = module.tables.level(place, table)
+            level = module.updates.admission_level(place, table)
             levels[place] = None if level is None else (level[0], int(level[1]))
         ejected = {name: out for server, out in stream.ejected.items() if (name := ids.name(server)) is not None}
         return lines, levels, ejected
@@ -204,7 +204,7 @@
         assert self.service is not None
         links, module, roster = self.service.transport, self.service.planner, self.service.endpoints
         proxies = self.world.shape.proxies
-        yield "streams", len(module.streams.by_proxy) + len(module.streams.silent), proxies
+        yield "streams", len(module.streams.by_proxy) + len(module.streams.timed_out), proxies
         yield "limiters", len(links.limiters), proxies
         yield "bytes that wait", links.buffer_budget.total, links.buffer_budget.most
         yield (
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -10,7 +10,7 @@
 
 from stackwheel import interface as face
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.wire import timing
@@ -75,7 +75,7 @@
         writer: asyncio.StreamWriter,
         names: Names,
         proxies: int,
-        post: Callable[[Item], None],
+        post: Callable[[PlannerMessage], None],
         on_identified: Callable[[Connection, bool], None],
         limiter: Callable[[int], RateLimiter],
         waiting: BufferBudget,
@@ -225,7 +225,7 @@
         self.unidentified_since = asyncio.get_running_loop().time()
         self.on_identified(self, False)
 
-    def carries(self) -> None:
+    def activated(self) -> None:
         """The module takes this connection for the one that carries its proxy."""
         if not self.ended and self.retired:
             self.retired = False
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -14,7 +14,7 @@
 
 from stackwheel.endpoints import EndpointList, Instance, merge
 from stackwheel.interface import Availability
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.backoff import Backoff
 from stackwheel.wire.http import Call, CallFailed, Stage, get
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -16,7 +16,7 @@
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import HealthCheckCompleted, HealthCheckTarget, Item
+from stackwheel.state.messages import HealthCheckCompleted, HealthCheckTarget, PlannerMessage
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 from stackwheel.wire import timing
@@ -88,10 +88,10 @@
         self.collectors: dict[int, list[Connection]] = {}  # of each zone; the older ones are heard too
         self.limiters: dict[int, RateLimiter] = {}  # of proxies, whatever connection they have
         self.buffer_budget = BufferBudget(timing.waiting_most(addresses.memory_mb))
-        self.post: Callable[[Item], None] = lambda item: None
+        self.post: Callable[[PlannerMessage], None] = lambda item: None
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def open(self, post: Callable[[Item], None]) -> None:
+    async def open(self, post: Callable[[PlannerMessage], None]) -> None:
         """Start everything, the listener last; `post` gets what arrives. OSError if an address can't be bound."""
         self.post = post
         loop = asyncio.get_running_loop()
--- a/tests/files/test_ledger.py
+++ b/tests/files/test_ledger.py
@@ -8,7 +8,7 @@
 from stackwheel.files.records import Answer, Booking, Came, Incarnation, Met, Orders
 from stackwheel.interface import Retry
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
@@ -31,11 +31,11 @@
         self.sequence = 0
         self.now = NOW
 
-    def join(self, proxy: int, zone: str = "east") -> list[Item]:
+    def join(self, proxy: int, zone: str = "east") -> list[PlannerMessage]:
         self.readers[proxy] = Acceptor(zone, proxy)
         return self.answer(proxy)
 
-    def answer(self, proxy: int, **more: object) -> list[Item]:
+    def answer(self, proxy: int, **more: object) -> list[PlannerMessage]:
         self.sequence += 1
         reader = self.readers[proxy]
         newest = max((h.orders for h in reader.held.values()), key=lambda o: o.made, default=None)
--- a/tests/files/test_real.py
+++ b/tests/files/test_real.py
@@ -20,7 +20,7 @@
 from stackwheel.files.records import Booking, Incarnation, Orders, Table
 from stackwheel.interface import Retry
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
@@ -46,7 +46,7 @@
     return Folders(str(tmp_path / "out"), str(tmp_path / "answers"))
 
 
-def desk_at(places: Folders, posted: list[Item], ids: ServerIds) -> FilePublisher:
+def desk_at(places: Folders, posted: list[PlannerMessage], ids: ServerIds) -> FilePublisher:
     ledger = Ledger("n0", NAMES, 4, Terms(30_000.0, 20, 1000.0), ids.name, 7)
     return FilePublisher(ledger, Pusher(Pace(), 1), places, SystemDisk(), unix, posted.append, KEYS, look=0.02)
 
--- a/tests/scripted_discovery.py
+++ b/tests/scripted_discovery.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from stackwheel.endpoints import EndpointList
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/service/test_configured_names.py
+++ b/tests/service/test_configured_names.py
@@ -17,7 +17,8 @@
 from stackwheel.service.config import read_config
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import HealthCheckTarget, PlannerActor
+from stackwheel.state.messages import HealthCheckTarget
+from stackwheel.state.planner_actor import PlannerActor
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream, StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
@@ -62,7 +63,7 @@
     def superseded(self) -> None:
         pass
 
-    def carries(self) -> None:
+    def activated(self) -> None:
         pass
 
 
@@ -122,7 +123,7 @@
     out = Written(Encoder(found.names, roster.server_ids), {new: old for old, new in names.items()})
     module = PlannerActor(found.settings, 0.0, 5, clock, roster, out)
     module.set_timer = lambda delay, token: None  # type: ignore[method-assign]
-    module.decide([roster.cached_update()])
+    module.run_policy([roster.cached_update()])
     for proxy in range(PROXIES):
         module.post(
             ProxyStream(
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -15,7 +15,7 @@
 from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
 from stackwheel.service.reload import Reload
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 from stackwheel.wire.transport import Addresses
 
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -269,7 +269,7 @@
             await planner.discovery.update("s-1", lifecycle="terminating")
             await proxy.until(full({"s-0", "s-2", "s-3"}))
             _, log = await planner.stop()
-            assert "failed" not in log and "counts as left" not in log
+            assert "failed" not in log and "timed out" not in log
             assert planner.discovery.calls == ["served"]
 
     run(work())
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -141,7 +141,7 @@
                 listing = parse_listing(document(event))
                 if event.kind is face.UpdateKind.CACHED:
                     roster.apply(listing)  # type: ignore[arg-type]
-                    module.decide([roster.cached_update()])
+                    module.run_policy([roster.cached_update()])
                 else:
                     module.post(listing)  # type: ignore[arg-type]
                 continue
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -16,16 +16,16 @@
 from stackwheel.interface import Action, Availability, Event, Settings
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import (
+from stackwheel.state.messages import (
     EndpointListFailed,
     HealthCheckCompleted,
     HealthCheckTarget,
-    Item,
-    PlannerActor,
+    PlannerMessage,
     StreamEnded,
     StreamMessage,
     TimerElapsed,
 )
+from stackwheel.state.planner_actor import PlannerActor
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import MAX_PENDING_NONCES, ProxyStream, StreamConnection
 from stackwheel.state.table_updates import NONCES_PER_INCARNATION, ProxyUpdate
@@ -38,7 +38,7 @@
     def superseded(self) -> None:
         self.replaced += 1
 
-    def carries(self) -> None:
+    def activated(self) -> None:
         pass
 
 
@@ -93,7 +93,7 @@
         self.lives[-1].answers.append([face.AttachNonce(mark, True)])
         self.turn()
 
-    def turn(self, *items: Item) -> list[Event]:
+    def turn(self, *items: PlannerMessage) -> list[Event]:
         for item in items:
             self.module.post(item)
         self.module.process_batch()
@@ -201,7 +201,7 @@
         setup = Setup()
         setup.lives[0].answers = [[face.SetTimer(1.0, 77)]]
         setup.turn()
-        await asyncio.wait_for(setup.module.filled.wait(), 5)
+        await asyncio.wait_for(setup.module.mailbox_filled.wait(), 5)
         assert setup.turn() == [face.TimerFired(77)] and not setup.module.timers
 
     asyncio.run(run())
@@ -231,7 +231,7 @@
             face.ProxyJoined(1, 0, 20.0, False),
             face.ProxyJoined(2, 0, 20.0, False),
         ]
-        assert not setup.module.timers and setup.module.tables.tables == {}
+        assert not setup.module.timers and setup.module.updates.tables == {}
         assert setup.turn(StreamMessage(1, face.Acknowledged(1, 9, 1.0), line)) == []  # a mark of the life before
         current = face.Acknowledged(1, 9, 1.0)
         setup.ask(9)
@@ -257,7 +257,7 @@
 
 
 def test_a_full_mailbox_drops_reports_and_keeps_streams(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("stackwheel.state.planner_actor.MAILBOX_MOST", 2)
+    monkeypatch.setattr("stackwheel.state.planner_actor.MAX_MAILBOX_MESSAGES", 2)
     setup = Setup()
     report = face.LoadReport(0, server_id("s-0"), 5, 0, 40.0, 1000.0)
     got = setup.turn(report, report, report, stream(1, Wire()))
@@ -447,7 +447,7 @@
         settings = replace(SETTINGS, planner_count=2, gossip_enabled=True, message_cap=0)
         module = PlannerActor(settings, 0.0, 40, clock, roster, outside, 60_000.0)  # type: ignore[arg-type]
         roster.apply(listing("s-0", "s-1", "s-2", "s-3"))
-        module.decide([roster.cached_update()])
+        module.run_policy([roster.cached_update()])
         module.post(stream(1, line))
         sizes = []
         for number in range(4, 604):
@@ -464,14 +464,14 @@
                             roster.removed,
                             roster.server_ids.names,
                             module.streams.by_proxy[1].ejected,
-                            module.tables.withdrawn,
+                            module.updates.ejected,
                             policy.servers,
                             policy.peers[1][2],
                             policy.outbox.unacked,
                             policy.outbox.written,
                         )
                     ]
-                    + [sum(len(lines) for lines in module.tables.tables.values())]
+                    + [sum(len(lines) for lines in module.updates.tables.values())]
                 )
         assert sizes[0] == sizes[1]
         entries, addresses, gone, names, *_ = sizes[1]
@@ -611,4 +611,4 @@
             left.add(who)
             assert setup.turn(StreamEnded(1, line)) == ([face.ProxyLeft(1)] if joined and who == carrier else [])
             joined = joined and who != carrier
-    assert not joined and not setup.module.streams.by_proxy and not setup.module.streams.silent
+    assert not joined and not setup.module.streams.by_proxy and not setup.module.streams.timed_out
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -29,7 +29,7 @@
     def superseded(self) -> None:
         self.replaced = True
 
-    def carries(self) -> None:
+    def activated(self) -> None:
         self.replaced = False
 
 
@@ -50,7 +50,7 @@
         self.roster = EndpointCache(("a",), ("small",), self.ids)
         self.roster.apply(listing(*started))
         self.streams = ProxyStreams()
-        self.orders = TableUpdates(len(CLASSES), self.streams, self.roster)
+        self.orders = TableUpdates(len(CLASSES), self.streams)
         self.encoder = Encoder(Names(classes=CLASSES), self.ids)
         self.held: dict[int, Tables] = {}
 
@@ -59,7 +59,7 @@
         self.held.setdefault(proxy, Tables(CLASSES, set(SERVERS)))
 
     def take(self, *actions: Action) -> dict[int, ProxyUpdate]:
-        messages = self.orders.take(actions)
+        messages = self.orders.apply(actions)
         for message, data in zip(messages, self.encoder.encode(messages), strict=True):
             assert data.endswith(b"\r\n")
             for line in data.decode().split("\r\n")[:-1]:
@@ -171,10 +171,10 @@
 def test_marks_of_an_earlier_life_are_told_apart() -> None:
     setup = Setup()
     setup.join(0)
-    assert setup.take(face.AttachNonce(5, True))[0].nonce == 5 and setup.orders.own_mark(5) == 5
-    setup.orders.start_over()
+    assert setup.take(face.AttachNonce(5, True))[0].nonce == 5 and setup.orders.policy_nonce(5) == 5
+    setup.orders.restart()
     assert setup.take(face.AttachNonce(5, True))[0].nonce == NONCES_PER_INCARNATION + 5
-    assert setup.orders.own_mark(5) is None and setup.orders.own_mark(NONCES_PER_INCARNATION + 5) == 5
+    assert setup.orders.policy_nonce(5) is None and setup.orders.policy_nonce(NONCES_PER_INCARNATION + 5) == 5
 
 
 servers = st.sampled_from([server_id(name) for name in SERVERS])
@@ -200,7 +200,7 @@
 
 def expected(orders: TableUpdates, stream: ProxyStream, place: int) -> Iterator[tuple[Server, float]]:
     for server, weight in orders.tables.get(stream.table_by_class[place], {}).items():
-        if server not in orders.withdrawn:
+        if server not in orders.ejected:
             yield server, weight
 
 
@@ -217,7 +217,7 @@
             for place, table in stream.table_by_class.items():
                 name = CLASSES[place]
                 assert held.open_lines(name) == {setup.ids.name(s): w for s, w in expected(setup.orders, stream, place)}
-                level = setup.orders.level(place, table)
+                level = setup.orders.admission_level(place, table)
                 assert held.levels.get(name) == (level and (level[0], int(level[1])))
 
 
--- a/tests/transport_harness.py
+++ b/tests/transport_harness.py
@@ -12,7 +12,7 @@
 from stackwheel.service.config import read_config
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.wire.transport import SocketTransport
 
@@ -27,7 +27,7 @@
             EndpointList(1, True, (Instance("s-0", address, "east", "small", 0, face.Availability.READY, 1.0, 0.0),))
         )
         self.links = SocketTransport(found.addresses, found.settings, found.names, roster, Clock())
-        self.posted: list[Item] = []
+        self.posted: list[PlannerMessage] = []
         self.listen = found.addresses.listen.rpartition(":")
 
     async def open(self) -> None:
--- a/tests/trials/test_hard_cases.py
+++ b/tests/trials/test_hard_cases.py
@@ -116,7 +116,7 @@
     assert [at for at, _, _ in world.orders if 6.5 < at < 14.0]  # written, and on their way to proxies
     for host in world.hosts:
         assert host.service is not None
-        assert len(host.service.planner.streams.by_proxy) + len(host.service.planner.streams.silent) > 0
+        assert len(host.service.planner.streams.by_proxy) + len(host.service.planner.streams.timed_out) > 0
 
 
 def test_a_zone_is_lost_and_back_cold_while_both_planners_restart() -> None:
--- a/tests/wire/test_connection_races.py
+++ b/tests/wire/test_connection_races.py
@@ -14,7 +14,7 @@
 from transport_harness import TransportHarness, received, run, until
 
 from stackwheel import interface as face
-from stackwheel.state.planner_actor import StreamEnded
+from stackwheel.state.messages import StreamEnded
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 from stackwheel.wire.connection import Connection, RateLimiter
@@ -305,7 +305,7 @@
         await asyncio.sleep(0)
         before = descriptors()
         server, entry = next(iter(setup.links.endpoints.entries.items()))
-        from stackwheel.state.planner_actor import HealthCheckTarget
+        from stackwheel.state.messages import HealthCheckTarget
 
         for _ in range(50):
             setup.links.start_health_check(server, HealthCheckTarget(0, entry.started_at, address))
--- a/tests/wire/test_descriptors.py
+++ b/tests/wire/test_descriptors.py
@@ -12,7 +12,7 @@
 import pytest
 from transport_harness import TransportHarness, run, until
 
-from stackwheel.state.planner_actor import HealthCheckTarget
+from stackwheel.state.messages import HealthCheckTarget
 from stackwheel.state.streams import ProxyStream
 from stackwheel.wire import timing
 
--- a/tests/wire/test_discovery_client.py
+++ b/tests/wire/test_discovery_client.py
@@ -9,7 +9,7 @@
 import pytest
 from scripted_discovery import ClientHarness, ScriptedDiscovery, document, run, watching
 
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 from stackwheel.wire import timing
 from stackwheel.wire.backoff import Backoff
--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -11,7 +11,7 @@
 
 from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import discovery_client as wire
 from stackwheel.wire import timing
 
--- a/tests/wire/test_transport.py
+++ b/tests/wire/test_transport.py
@@ -10,7 +10,7 @@
 from transport_harness import TransportHarness, received, run, until
 
 from stackwheel import interface as face
-from stackwheel.state.planner_actor import HealthCheckCompleted, HealthCheckTarget, StreamEnded, StreamMessage
+from stackwheel.state.messages import HealthCheckCompleted, HealthCheckTarget, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate
