--- a/tests/state/test_endpoint_cache.py
+++ b/tests/state/test_endpoint_cache.py
@@ -214,3 +214,18 @@
     assert {str(cache.server_ids.name(s)) for s in dict.__iter__(cache.entries)} == {"a", "c", "d"}
     assert list(cache.restarted) == [server_id("c")]
     assert list(dict.__iter__(cache.removed)) == [server_id("b")]
+
+
+def test_unknown_zones_are_rejected_and_unknown_kinds_accepted() -> None:
+    endpoints = EndpointCache(("east",), ("small",), ServerIds())
+    event = endpoints.apply(
+        EndpointList(
+            1,
+            True,
+            (
+                Instance("s-1", "h:1", "north", "small", 0, Availability.READY, 1.0, 0.0),
+                Instance("s-2", "h:1", "east", "huge", 3, Availability.DRAINING, 2.0, 1234.5),
+            ),
+        )
+    )
+    assert event.entries == (face.EndpointEntry(server_id("s-2"), 0, 1, 3, Availability.DRAINING, 2.0, 1234.5),)
--- /dev/null
+++ b/tests/state/test_policy_restart.py
@@ -0,0 +1,105 @@
+"""A policy that fails: restart, its backoff, and what belongs to the failed one."""
+
+from __future__ import annotations
+
+import asyncio
+
+from planner_harness import (
+    SEED,
+    ActorHarness,
+    FakeConnection,
+    endpoint_list,
+    proxy_stream,
+)
+
+from stackwheel import interface as face
+from stackwheel.state.messages import (
+    EndpointListFailed,
+    HealthCheckCompleted,
+    StreamMessage,
+    TimerElapsed,
+)
+from stackwheel.state.server_ids import server_id
+from stackwheel.state.table_updates import NONCES_PER_INCARNATION
+
+
+def test_a_failed_policy_is_restarted_from_endpoints_and_streams() -> None:
+    async def run() -> None:
+        harness = ActorHarness()
+        connection = FakeConnection()
+        harness.process(proxy_stream(1, connection))
+        harness.policies[0].replies = [
+            [
+                face.SetTimer(60_000.0, 5),
+                face.SetWeight(0, server_id("s-0"), 1.0),
+                face.AssignTable(1, 0, ()),
+                face.AttachNonce(9, False),
+            ],
+            KeyError("table"),
+        ]
+        harness.process()
+        harness.process(proxy_stream(2, FakeConnection()))  # the policy fails, but the stream has joined
+        await asyncio.sleep(0.01)
+        assert [policy.seed for policy in harness.policies] == [SEED, SEED + 1]
+        (start,) = harness.policies[1].batches
+        assert start == [
+            harness.actor.endpoints.cached_update(),
+            face.ProxyJoined(1, 0, 20.0, False),
+            face.ProxyJoined(2, 0, 20.0, False),
+        ]
+        assert not harness.actor.timers
+        assert harness.actor.updates.tables == {}
+        assert harness.process(StreamMessage(1, face.Acknowledged(1, 9, 1.0), connection)) == []
+        current = face.Acknowledged(1, 9, 1.0)
+        harness.send_nonce(9)
+        assert harness.process(StreamMessage(1, face.Acknowledged(1, NONCES_PER_INCARNATION + 9, 1.0), connection)) == [
+            current
+        ]
+
+    asyncio.run(run())
+
+
+def test_a_second_restart_waits_but_endpoint_lists_are_applied() -> None:
+    async def run() -> None:
+        harness = ActorHarness()
+        for _ in range(2):
+            harness.policies[-1].replies = [ValueError("no"), ValueError("no")]
+            harness.actor.post(TimerElapsed(harness.actor.incarnation, 1))
+            harness.actor.process_batch()
+            await asyncio.sleep(0.01)
+        assert len(harness.policies) == 2
+        assert harness.actor.planner is None
+        harness.actor.post(endpoint_list("s-9"))
+        harness.actor.process_batch()
+        assert list(harness.actor.endpoints.entries) == [server_id("s-9")]
+
+    asyncio.run(run())
+
+
+def test_results_for_a_failed_policy_do_not_reach_the_next() -> None:
+    """Its elapsed timers in the mailbox, its health checks in flight and its list call reached the new one."""
+
+    async def run() -> None:
+        harness = ActorHarness()
+        server = server_id("s-0")
+        harness.policies[0].replies = [[face.StartHealthCheck(server), face.SetTimer(0.0, 7)], ValueError("failed")]
+        harness.process()
+        ((_, _, target),) = [call for call in harness.ports.calls if call[0] == "health check"]
+        while not harness.actor.mailbox:  # until the timer has elapsed
+            await asyncio.sleep(0)
+        fired = harness.actor.mailbox.pop()
+        harness.process(face.DemandReport(0, 0, 1, 0, 1000.0))  # the policy fails
+        harness.actor.post(fired)
+        harness.actor.post(EndpointListFailed())
+        while len(harness.policies) < 2:
+            await asyncio.sleep(0)
+        harness.actor.post(fired)
+        harness.actor.post(HealthCheckCompleted(target, face.HealthCheckResult(server, 1, 5.0)))
+        assert harness.process() == []
+        harness.policies[1].replies = [[face.StartHealthCheck(server)]]
+        harness.process()
+        target = [call for call in harness.ports.calls if call[0] == "health check"][-1][2]
+        result = face.HealthCheckResult(server, 1, 5.0)
+        assert harness.process(HealthCheckCompleted(target, result)) == [result]
+
+    asyncio.run(run())
--- /dev/null
+++ b/tests/state/test_streams.py
@@ -0,0 +1,171 @@
+"""Streams of proxies: superseded, timed out, resumed; acknowledgements."""
+
+from __future__ import annotations
+
+import itertools
+
+import pytest
+from planner_harness import (
+    ActorHarness,
+    FakeConnection,
+    ManualClock,
+    proxy_stream,
+)
+
+from stackwheel import interface as face
+from stackwheel.state.messages import (
+    StreamEnded,
+    StreamMessage,
+)
+from stackwheel.state.streams import MAX_PENDING_NONCES
+
+
+def test_a_second_stream_supersedes_the_first() -> None:
+    harness = ActorHarness()
+    old = FakeConnection()
+    new = FakeConnection()
+    harness.process(proxy_stream(1, old))
+    assert harness.process(proxy_stream(1, new, newly_started=False)) == [
+        face.ProxyLeft(1),
+        face.ProxyJoined(1, 0, 20.0, False),
+    ]
+    assert (old.superseded_count, new.superseded_count) == (1, 0)
+    ack = face.Acknowledged(1, 7, 3.0)
+    harness.send_nonce(7)
+    assert harness.process(StreamMessage(1, ack, old), StreamEnded(1, old)) == []  # of the superseded stream
+    assert harness.process(StreamMessage(1, ack, new), StreamEnded(1, new)) == [ack, face.ProxyLeft(1)]
+    assert harness.process(StreamEnded(1, new)) == []
+
+
+def test_messages_of_proxies_that_have_not_joined_are_ignored() -> None:
+    harness = ActorHarness()
+    assert (
+        harness.process(
+            face.DemandReport(3, 0, 5, 0, 1000.0), StreamMessage(3, face.Acknowledged(3, 1, 1.0), FakeConnection())
+        )
+        == []
+    )
+
+
+def test_a_stream_without_acknowledgement_times_out_and_resumes() -> None:
+    """A machine that is cut off gives no sign: its demand stayed counted and its nonces pending."""
+    clock = ManualClock()
+    harness = ActorHarness(clock)
+    connection, other = FakeConnection(), FakeConnection()
+    demand = face.DemandReport(1, 0, 5, 0, 1000.0)
+    harness.process(proxy_stream(1, connection), proxy_stream(2, other))
+    clock.time = 60_000.0
+    assert harness.process() == []  # no acknowledgement is pending
+    harness.policies[0].replies = [[face.AttachNonce(3, True)]]
+    harness.process()
+    clock.time += 4000.0
+    assert harness.process(StreamMessage(2, face.DemandReport(2, 0, 5, 0, 1000.0), other)) == [
+        face.DemandReport(2, 0, 5, 0, 1000.0)
+    ]
+    clock.time += 1001.0
+    assert harness.process() == [face.ProxyLeft(1)]
+    harness.ports.calls.clear()
+    harness.policies[0].replies = [[face.AttachNonce(4, True)]]
+    harness.process()
+    assert [call[1] for call in harness.ports.calls] == [2]
+    assert harness.process(StreamMessage(1, demand, connection)) == [face.ProxyJoined(1, 0, 20.0, False), demand]
+    assert harness.process(StreamEnded(1, connection)) == [face.ProxyLeft(1)]
+    assert connection.superseded_count == 0
+
+
+def test_a_timed_out_stream_that_ends_or_is_superseded_leaves_only_once() -> None:
+    clock = ManualClock()
+    harness = ActorHarness(clock)
+    connections = FakeConnection(), FakeConnection()
+    harness.process(proxy_stream(1, connections[0]), proxy_stream(2, connections[1]))
+    harness.policies[0].replies = [[face.AttachNonce(3, True)]]
+    harness.process()
+    clock.time = 6000.0
+    assert harness.process() == [face.ProxyLeft(1), face.ProxyLeft(2)]
+    assert harness.process(StreamEnded(1, connections[0])) == []
+    new = FakeConnection()
+    assert harness.process(proxy_stream(2, new)) == [face.ProxyJoined(2, 0, 20.0, True)]
+    assert connections[1].superseded_count == 1
+    assert harness.process(StreamMessage(2, face.Acknowledged(2, 3, 1.0), connections[1])) == []
+
+
+def test_unexpected_acknowledgements_are_ignored_but_show_that_the_proxy_is_alive() -> None:
+    clock = ManualClock()
+    harness = ActorHarness(clock)
+    connection = FakeConnection()
+    harness.process(proxy_stream(1, connection))
+    for nonce in (3, 4, 5):
+        harness.send_nonce(nonce)
+    clock.time = 4900.0
+    never, early = face.Acknowledged(1, 8, 1.0), face.Acknowledged(1, 4, 5901.0)
+    assert (
+        harness.process(
+            StreamMessage(1, never, connection), StreamMessage(1, early, connection), StreamMessage(1, None, connection)
+        )
+        == []
+    )
+    clock.time = 5100.0  # past the timeout since the nonces, but it has sent something
+    real = face.Acknowledged(1, 4, 4000.0)
+    assert harness.process(StreamMessage(1, real, connection)) == [real]
+    assert harness.process(StreamMessage(1, face.Acknowledged(1, 3, 10.0), connection)) == []
+    last = face.Acknowledged(1, 5, 10.0)
+    assert harness.process(StreamMessage(1, last, connection)) == [last]
+
+
+def test_a_malformed_message_resumes_a_timed_out_stream() -> None:
+    clock = ManualClock()
+    harness = ActorHarness(clock)
+    connection = FakeConnection()
+    harness.process(proxy_stream(1, connection))
+    harness.send_nonce(3)
+    clock.time = 6000.0
+    assert harness.process() == [face.ProxyLeft(1)]
+    assert harness.process(StreamMessage(1, None, connection)) == [face.ProxyJoined(1, 0, 20.0, False)]
+
+
+def test_pending_nonces_are_bounded() -> None:
+    harness = ActorHarness()
+    connection = FakeConnection()
+    harness.process(proxy_stream(1, connection))
+    for nonce in range(200):
+        harness.send_nonce(nonce)
+    assert list(harness.actor.streams.by_proxy[1].pending_nonces) == list(range(200 - MAX_PENDING_NONCES, 200))
+
+
+STREAM_EVENTS = ("join a", "join b", "ack a", "ack b", "end a", "end b")
+
+
+@pytest.mark.parametrize(
+    "order",
+    [
+        order
+        for order in itertools.permutations(STREAM_EVENTS)
+        if order.index("join a") < order.index("ack a") < order.index("end a")
+        and order.index("join b") < order.index("ack b") < order.index("end b")
+    ],
+    ids=" ".join,
+)
+def test_two_streams_of_one_proxy_in_every_order(order: tuple[str, ...]) -> None:
+    """Joins and leaves alternate, only the carrying connection's acknowledgements count, and nothing is left over."""
+    harness = ActorHarness()
+    connections = {"a": FakeConnection(), "b": FakeConnection()}
+    joined, carrier = False, ""
+    for step in order:
+        what, who = step.split()
+        connection = connections[who]
+        if what == "join":
+            events = harness.process(proxy_stream(1, connection))
+            assert [type(event) for event in events] == [face.ProxyLeft] * joined + [face.ProxyJoined]
+            joined, carrier = True, who
+            harness.send_nonce(5)
+        elif what == "ack":
+            ack = face.Acknowledged(1, 5, 1.0)
+            assert harness.process(StreamMessage(1, ack, connection)) == ([ack] if joined and who == carrier else [])
+        else:
+            assert harness.process(StreamEnded(1, connection)) == (
+                [face.ProxyLeft(1)] if joined and who == carrier else []
+            )
+            joined = joined and who != carrier
+    assert not joined
+    assert not harness.actor.streams.by_proxy
+    assert not harness.actor.streams.timed_out
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -82,7 +82,8 @@
     )
     assert list(got) == [0]  # the other uses no table of these
     assert got[0].parts == (UpdatePart((0,), False, ((ONE, 0.0), (TWO, 3.0)), (0.5, Retry.NEVER)),)
-    assert got[0].nonce == 4 and setup.held[0].lines["read"] == {"s-1": 3.0}
+    assert got[0].nonce == 4
+    assert setup.held[0].lines["read"] == {"s-1": 3.0}
 
 
 def test_assignment_costs_what_the_policy_charges() -> None:
@@ -133,7 +134,8 @@
     setup.join(0)
     setup.take(face.SetWeight(7, ONE, 1.0), face.SetAdmission(7, (0,), 0.4, Retry.NEVER), face.AssignTable(0, 7, (0,)))
     setup.take(face.ClearTable(7), face.SetWeight(7, TWO, 2.0))
-    assert setup.held[0].lines["read"] == {"s-1": 2.0} and setup.held[0].levels == {}
+    assert setup.held[0].lines["read"] == {"s-1": 2.0}
+    assert setup.held[0].levels == {}
 
 
 def test_withdrawals_reach_who_may_hold_the_server() -> None:
@@ -157,7 +159,8 @@
     setup.take(face.SetEjection(ONE, True))
     setup.join(0)
     got = setup.take(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, ()))
-    assert got[0].eject == (ONE,) and setup.held[0].open_lines("read") == {}
+    assert got[0].eject == (ONE,)
+    assert setup.held[0].open_lines("read") == {}
 
 
 def test_letting_back_costs_no_lines_that_the_policy_does_not_count() -> None:
@@ -165,16 +168,19 @@
     setup = Setup("s-0", "s-1")  # started lately
     setup.join(0, fresh=False)
     got = setup.take(face.SetWeight(7, ONE, 1.0), face.SetWeight(7, TWO, 1.0), face.AssignTable(0, 7, ()))
-    assert (got[0].eject, got[0].restore) == ((), ()) and got[0].cost() == 3
+    assert (got[0].eject, got[0].restore) == ((), ())
+    assert got[0].cost() == 3
 
 
 def test_marks_of_an_earlier_life_are_told_apart() -> None:
     setup = Setup()
     setup.join(0)
-    assert setup.take(face.AttachNonce(5, True))[0].nonce == 5 and setup.orders.policy_nonce(5) == 5
+    assert setup.take(face.AttachNonce(5, True))[0].nonce == 5
+    assert setup.orders.policy_nonce(5) == 5
     setup.orders.restart()
     assert setup.take(face.AttachNonce(5, True))[0].nonce == NONCES_PER_INCARNATION + 5
-    assert setup.orders.policy_nonce(5) is None and setup.orders.policy_nonce(NONCES_PER_INCARNATION + 5) == 5
+    assert setup.orders.policy_nonce(5) is None
+    assert setup.orders.policy_nonce(NONCES_PER_INCARNATION + 5) == 5
 
 
 servers = st.sampled_from([server_id(name) for name in SERVERS])
@@ -233,5 +239,6 @@
         UpdatePart((1,), False, (), (0.75, Retry.NEVER)),
     )
     got = setup.take(face.SetWeight(7, TWO, 1.0), face.SetAdmission(7, (1,), 0.5, Retry.NEVER))
-    assert got[0].cost() == 2 and setup.held[0].lines == {name: {"s-0": 1.0, "s-1": 1.0} for name in CLASSES}
+    assert got[0].cost() == 2
+    assert setup.held[0].lines == {name: {"s-0": 1.0, "s-1": 1.0} for name in CLASSES}
     assert setup.held[0].levels["write"][0] == 0.5
