--- a/stackwheel/forwarder/__init__.py
+++ b/stackwheel/forwarder/__init__.py
@@ -1,1 +1,1 @@
-"""What a forwarder does by the protocol: holds tables, chooses, tries again. No I/O, no clock of its own."""
+"""A proxy as the protocol defines it: reads updates, keeps tables, chooses servers. No I/O, no clock of its own."""
--- a/stackwheel/forwarder/updates.py
+++ b/stackwheel/forwarder/updates.py
@@ -1,131 +1,183 @@
-"""Orders on a stream as a forwarder reads them: lines in, whole messages of typed parts out."""
+"""Updates as a proxy reads them from its stream: lines in, complete updates of typed parts out."""
 
 from __future__ import annotations
 
 import math
 import re
 from dataclasses import dataclass
+from typing import NamedTuple
 
+from stackwheel.errors import InvalidInputError
+from stackwheel.interface import AdmissionLevel, Retry
+
+KIND = "CONFIG"
 FIELDS = frozenset(("routes", "full", "endpoints", "admit", "policy", "eject", "restore", "nonce_out", "continued"))
-MAX_PARTS = 64  # the protocol: so many parts make a message at most
+MAX_PARTS = 64
+"""Parts of one update, as the protocol bounds them."""
+
+MAX_VALUE_SHOWN = 40
+"""Characters of a value that an error shows."""
+
 FIGURE = re.compile(r"[0-9]+(\.[0-9]+)?")
+RETRY_MODES = {str(int(mode)): mode for mode in Retry}
 
 
-class InvalidUpdate(ValueError):
-    """An order that a forwarder must answer with a reset; the text says why."""
+class InvalidUpdateError(InvalidInputError):
+    """An update that a proxy can't apply: by the protocol it resets the stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigUpdatePart:
-    """One line of an order. `routes` is empty where it is meant for all classes."""
-
-    routes: tuple[str, ...] = ()
+    """One line of an update.
+
+    Attributes:
+        classes: the request classes that it changes; empty: all of them.
+        complete: whether the lines replace those of the classes' tables, and the level theirs.
+        lines: servers and weights; 0 removes the line.
+        level: the admission level; None: unchanged, or none if the part is complete.
+        eject: servers to avoid.
+        restore: servers to use again.
+        nonce: what to acknowledge once the update is applied.
+    """
+
+    classes: tuple[str, ...] = ()
     complete: bool = False
     lines: tuple[tuple[str, float], ...] = ()
-    level: tuple[float, int] | None = None  # what is let in, and the way of trying again
+    level: AdmissionLevel | None = None
     eject: tuple[str, ...] = ()
     restore: tuple[str, ...] = ()
     nonce: int | None = None
 
     def cost(self) -> int:
         """Lines, as the channel counts them."""
-        return (
-            len(self.lines)
-            + len(self.eject)
-            + len(self.restore)
-            + self.complete
-            + (self.level is not None)
-            + (self.nonce is not None)
-        )
+        lists = len(self.lines) + len(self.eject) + len(self.restore)
+        return lists + self.complete + (self.level is not None) + (self.nonce is not None)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigUpdate:
-    """One message, to be applied as one."""
+    """An update of a proxy, to be applied as a whole or not at all."""
 
     parts: tuple[ConfigUpdatePart, ...]
 
     def cost(self) -> int:
+        """Lines, as the channel counts them, without what every message costs."""
         return sum(part.cost() for part in self.parts)
 
     def nonces(self) -> tuple[int, ...]:
+        """What to acknowledge once it is applied, in order."""
         return tuple(part.nonce for part in self.parts if part.nonce is not None)
 
 
 class ConfigUpdateReader:
-    """Gathers parts until a message is whole; one reader serves one stream."""
+    """Collects the parts of an update until it is complete; one reader serves one stream."""
 
     def __init__(self) -> None:
         self.parts: list[ConfigUpdatePart] = []
 
     def take(self, line: str) -> ConfigUpdate | None:
-        """A whole message, or None while more parts are to come; Unusable if it can't be read."""
+        """Read a line, without its end.
+
+        Returns:
+            The update that it completes; None while more parts are to come.
+
+        Raises:
+            InvalidUpdateError: the line is no part of an update, or one too many.
+        """
         part, continued = read_part(line)
         self.parts.append(part)
         if continued:
             if len(self.parts) >= MAX_PARTS:
-                raise InvalidUpdate(f"a message of over {MAX_PARTS} parts")
+                raise InvalidUpdateError("continued", f"an update of over {MAX_PARTS} parts")
             return None
-        order, self.parts = ConfigUpdate(tuple(self.parts)), []
-        return order
+        update = ConfigUpdate(tuple(self.parts))
+        self.parts = []
+        return update
 
 
-def read_part(line: str) -> tuple[ConfigUpdatePart, bool]:
+class PartRead(NamedTuple):
+    """A part, and whether more parts of its update follow."""
+
+    part: ConfigUpdatePart
+    continued: bool
+
+
+def read_part(line: str) -> PartRead:
+    """Read one line of an update; `InvalidUpdateError` names the field that can't be used."""
+    fields = read_fields(line)
+    if ("admit" in fields) != ("policy" in fields):
+        raise InvalidUpdateError("admit, policy", "one without the other")
+    level = AdmissionLevel(read_figure("admit", fields["admit"]), read_retry(fields)) if "admit" in fields else None
+    nonce = read_nonce(fields["nonce_out"]) if "nonce_out" in fields else None
+    part = ConfigUpdatePart(
+        classes=tuple(fields["routes"].split("+")) if "routes" in fields else (),
+        complete=read_flag(fields, "full"),
+        lines=tuple(read_line(text) for text in fields["endpoints"].split(",")) if fields.get("endpoints") else (),
+        level=level,
+        eject=read_names(fields, "eject"),
+        restore=read_names(fields, "restore"),
+        nonce=nonce,
+    )
+    return PartRead(part, read_flag(fields, "continued"))
+
+
+def read_fields(line: str) -> dict[str, str]:
+    """The fields of a line by name: each is known and given once."""
     kind, *words = line.split(" ")
-    if kind != "CONFIG":
-        raise InvalidUpdate(f"kind {kind[:40]!r}")
+    if kind != KIND:
+        raise InvalidUpdateError("kind", f"{shown(kind)} is not {KIND}")
     fields: dict[str, str] = {}
     for word in words:
         name, equals, value = word.partition("=")
         if not equals or name not in FIELDS or name in fields:
-            raise InvalidUpdate(f"word {word[:40]!r}")
+            raise InvalidUpdateError("field", f"{shown(word)} is unknown, repeated or not name=value")
         fields[name] = value
-    if ("admit" in fields) != ("policy" in fields):
-        raise InvalidUpdate("a level without its way of trying again, or the other way round")
-    level = (figure(fields["admit"]), way(fields["policy"])) if "admit" in fields else None
-    mark = int(whole(fields["nonce_out"])) if "nonce_out" in fields else None
-    part = ConfigUpdatePart(
-        tuple(fields["routes"].split("+")) if "routes" in fields else (),
-        flag(fields, "full"),
-        tuple(pair(text) for text in fields["endpoints"].split(",")) if fields.get("endpoints") else (),
-        level,
-        names(fields, "eject"),
-        names(fields, "restore"),
-        mark,
-    )
-    return part, flag(fields, "continued")
+    return fields
 
 
-def names(fields: dict[str, str], field: str) -> tuple[str, ...]:
+def read_names(fields: dict[str, str], field: str) -> tuple[str, ...]:
+    """A list of names; empty if the field is missing or empty."""
     return tuple(fields[field].split(",")) if fields.get(field) else ()
 
 
-def pair(text: str) -> tuple[str, float]:
+def read_line(text: str) -> tuple[str, float]:
+    """A line of a table: server and weight."""
     name, colon, weight = text.rpartition(":")
     if not colon or not name:
-        raise InvalidUpdate(f"line {text[:40]!r}")
-    return name, figure(weight)
+        raise InvalidUpdateError("endpoints", f"{shown(text)} is not name:weight")
+    return name, read_figure("endpoints", weight)
 
 
-def figure(text: str) -> float:
+def read_figure(field: str, text: str) -> float:
+    """A finite figure of 0 or more, without sign or exponent."""
     if not FIGURE.fullmatch(text) or not math.isfinite(float(text)):
-        raise InvalidUpdate(f"figure {text[:40]!r}")
+        raise InvalidUpdateError(field, f"{shown(text)} is no figure")
     return float(text)
 
 
-def whole(text: str) -> str:
+def read_nonce(text: str) -> int:
+    """A nonce: decimal digits."""
     if not text.isdecimal():
-        raise InvalidUpdate(f"mark {text[:40]!r}")
-    return text
+        raise InvalidUpdateError("nonce_out", f"{shown(text)} is no number")
+    return int(text)
 
 
-def way(text: str) -> int:
-    if text not in ("0", "1", "2", "3"):
-        raise InvalidUpdate(f"policy {text[:40]!r}")
-    return int(text)
+def read_retry(fields: dict[str, str]) -> Retry:
+    """The retry mode of a level."""
+    mode = RETRY_MODES.get(fields["policy"])
+    if mode is None:
+        raise InvalidUpdateError("policy", f"{shown(fields['policy'])} is no retry mode")
+    return mode
+
+
+def read_flag(fields: dict[str, str], name: str) -> bool:
+    """A flag, 0 or 1; 0 if it is missing."""
+    text = fields.get(name, "0")
+    if text not in ("0", "1"):
+        raise InvalidUpdateError(name, f"{shown(text)} is neither 0 nor 1")
+    return text == "1"
 
 
-def flag(fields: dict[str, str], name: str) -> bool:
-    if fields.get(name, "0") not in ("0", "1"):
-        raise InvalidUpdate(f"{name} {fields[name][:40]!r}")
-    return fields.get(name) == "1"
+def shown(value: str) -> str:
+    """A value as an error shows it."""
+    return repr(value[:MAX_VALUE_SHOWN])
--- a/stackwheel/scale/choice.py
+++ b/stackwheel/scale/choice.py
@@ -6,14 +6,14 @@
 import time
 from random import Random
 
-from stackwheel.forwarder.state import ForwarderState, choose
+from stackwheel.forwarder.state import ForwarderState, LoadBalancingPolicy, choose
 from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdatePart
 from stackwheel.scale.slopes import Choice
 
 ROUTE = "read"
 TABLE_LINES = (23, 200, 512)  # a mean service; the most that a table usually has (docs/fleet.md); the largest cell
 ALREADY_TRIED = (0, 2)  # a first try, and the third
-PICK = "two"  # two drawn by weight, the one with less under way: the dearest that holds no state
+PICK: LoadBalancingPolicy = "two"  # two drawn by weight, the one with less under way: the dearest that holds no state
 CALLS = 2_000  # timed together, as one is near the clock's own cost
 REPEATS = 15
 
@@ -31,9 +31,9 @@
 
 def time_choice(lines: int, without: int, repeats: int = REPEATS, calls: int = CALLS) -> Choice:
     """Time choices from a table, some servers tried already; means of each repeat."""
-    held = table(lines).routes[ROUTE]
-    tried = held.open[:without]
-    random, under_way = Random(1), {name: number % 3 for number, name in enumerate(held.open)}
+    held = table(lines).class_tables[ROUTE]
+    tried = held.available[:without]
+    random, under_way = Random(1), {name: number % 3 for number, name in enumerate(held.available)}
     means = []
     for _ in range(repeats):
         began = time.perf_counter_ns()
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from stackwheel.forwarder.state import ForwarderState
-from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdate
+from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdateError
 from stackwheel.scale.accounting import Traffic
 from stackwheel.wire.http import split_address
 
@@ -58,8 +58,8 @@
         while True:
             try:
                 await self.stream()
-            except (OSError, InvalidUpdate, asyncio.LimitOverrunError, asyncio.IncompleteReadError) as error:
-                self.state.resets += isinstance(error, InvalidUpdate)
+            except (OSError, InvalidUpdateError, asyncio.LimitOverrunError, asyncio.IncompleteReadError) as error:
+                self.state.resets += isinstance(error, InvalidUpdateError)
             finally:
                 self.close()
             await asyncio.sleep(self.random.uniform(*REDIAL_SECONDS))
@@ -68,7 +68,7 @@
         """One connection, from SUBSCRIBE until it breaks."""
         host, port = split_address(self.settings.address)
         reader, self.writer = await asyncio.open_connection(host, port, limit=LINE_BYTES_MOST)
-        fresh = int(not any(held.lines for held in self.holdings.routes.values()))
+        fresh = int(not any(held.lines for held in self.holdings.class_tables.values()))
         rate = self.settings.requests_per_second
         self.say(f"SUBSCRIBE id={self.number} site={self.zone} rps={rate:g} new={fresh}")
         self.state.joins += 1
--- a/stackwheel/scale/real.py
+++ b/stackwheel/scale/real.py
@@ -132,7 +132,7 @@
         """All servers that have a line in the proxy's tables."""
         if self.proxy is None:
             return set()
-        return {name for held in self.proxy.holdings.routes.values() for name in held.lines}
+        return {name for held in self.proxy.holdings.class_tables.values() for name in held.lines}
 
     def bytes_in(self) -> int:
         """From discovery."""
--- a/stackwheel/trials/exchange.py
+++ b/stackwheel/trials/exchange.py
@@ -21,6 +21,7 @@
 from stackwheel.files.push import Pace, Pusher
 from stackwheel.files.reader import Place, Reader, Taken
 from stackwheel.files.records import Booking, Came, Incarnation, Met
+from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.rules.violations import Rule
 from stackwheel.service.ports import PlannerContext
 from stackwheel.state.messages import PlannerMessage
@@ -301,13 +302,13 @@
             return
         self.shown = choice.source, choice.content
         proxy = self.proxy
-        for route, held in proxy.holdings.routes.items():
+        for route, held in proxy.holdings.class_tables.items():
             if route in choice.content.tables:
                 held.lines = dict(choice.content.tables[route])
                 level = choice.content.levels.get(route)
-                held.level = (level.admit, level.policy) if level is not None else None
+                held.level = AdmissionLevel(level.admit, Retry(level.policy)) if level is not None else None
         proxy.holdings.ejected = dict.fromkeys(choice.content.withdrawn)
-        for held in proxy.holdings.routes.values():
+        for held in proxy.holdings.class_tables.values():
             proxy.holdings.refresh(held)
         proxy.fresh = False
         self.exchange.world.checker.note(
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -9,6 +9,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from stackwheel.files.publisher import FilePublisher
+from stackwheel.interface import AdmissionLevel
 from stackwheel.service.app import ProcessEnvironment, Service, no_transports
 from stackwheel.service.config import Config, ConfigError, read_config
 from stackwheel.trials.loop import Machine
@@ -166,7 +167,7 @@
 
     def believed(
         self, proxy: int
-    ) -> tuple[Mapping[int, Mapping[str, float]], Mapping[int, tuple[float, int] | None], Mapping[str, bool]] | None:
+    ) -> tuple[Mapping[int, Mapping[str, float]], Mapping[int, AdmissionLevel | None], Mapping[str, bool]] | None:
         """By class the lines and the level that it believes a proxy to hold, and what it has ejected there;
         None while something it sent is unanswered, or there is no stream."""
         assert self.service is not None
@@ -175,15 +176,14 @@
         if stream is None:
             return None
         lines: dict[int, dict[str, float]] = {}
-        levels: dict[int, tuple[float, int] | None] = {}
+        levels: dict[int, AdmissionLevel | None] = {}
         for place, table in stream.table_by_class.items():
             lines[place] = {
                 name: weight
                 for server, weight in module.updates.tables.get(table, {}).items()
                 if (name := ids.name(server)) is not None
             }
-            level = module.updates.admission_level(place, table)
-            levels[place] = None if level is None else (level[0], int(level[1]))
+            levels[place] = module.updates.admission_level(place, table)
         ejected = {name: out for server, out in stream.ejected.items() if (name := ids.name(server)) is not None}
         return lines, levels, ejected
 
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stackwheel.forwarder.state import ForwarderState, choose
-from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdate
+from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdateError
 from stackwheel.interface import Retry
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.loop import Machine
@@ -92,7 +92,7 @@
             return
         try:
             order = self.reader.take(line)
-        except InvalidUpdate as error:
+        except InvalidUpdateError as error:
             self.proxy.refuse(self, str(error))
             return
         if order is not None:
@@ -265,7 +265,7 @@
             return
         try:
             self.holdings.apply(order)
-        except InvalidUpdate as error:
+        except InvalidUpdateError as error:
             self.refuse(stream, str(error))
             return
         self.fresh = False
@@ -319,7 +319,7 @@
 
     def attempt(self, request: Request) -> None:
         world, place, now = self.world, request.place, self.world.loop.now
-        held = self.holdings.routes[self.routes[place]]
+        held = self.holdings.class_tables[self.routes[place]]
         avoid = self.avoided(now) if self.kept_off else ()
         name = choose(held, world.shape.pick, self.chance, self.under_way, avoid, request.tried)
         if name is None or sum(self.under_way.values()) >= ATTEMPTS_KEPT:
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -17,7 +17,7 @@
 from stackwheel.forwarder.updates import ConfigUpdate
 from stackwheel.interface import Availability, Settings
 from stackwheel.rules.checker import Checker, ListedEndpoint
-from stackwheel.rules.invariants import disagreement, level_disagreement, over_bounds
+from stackwheel.rules.invariants import BoundedCount, disagreement, level_disagreement, over_bounds
 from stackwheel.rules.violations import TOLD_AT_LAST, Limits, Rule, Violation
 from stackwheel.service.config import Config
 from stackwheel.trials import events
@@ -252,7 +252,7 @@
             return
         lines, levels, ejected = believed
         for place, wanted in lines.items():
-            held = proxy.holdings.routes[proxy.routes[place]]
+            held = proxy.holdings.class_tables[proxy.routes[place]]
             why = disagreement(held.lines, wanted) or level_disagreement(held.level, levels[place])
             if why is not None:
                 self.checker.break_rule(self.ms(), Rule.AGREES, f"class {place}: {why}", host.number, proxy.number)
@@ -582,7 +582,7 @@
             return 0.0  # no order could be there yet
         avoid, work = proxy.avoided(now) if proxy.kept_off else (), 0.0
         for place, wanted in enumerate(self.shape.classes):
-            held = proxy.holdings.routes[proxy.routes[place]]
+            held = proxy.holdings.class_tables[proxy.routes[place]]
             if server.name not in held.lines or server.name in proxy.holdings.ejected:
                 continue
             share = proxy.holdings.shares(proxy.routes[place], avoid).get(server.name, 0.0)
@@ -597,7 +597,7 @@
     def look_at_bounds(self) -> None:
         for host in self.hosts:
             if host.running and not host.machine.still and self.checker.planners.get(host.number) is not None:
-                for why in over_bounds(list(host.figures())):
+                for why in over_bounds([BoundedCount(*figure) for figure in host.figures()]):
                     self.checker.break_rule(self.ms(), Rule.BOUNDED, why, host.number)
         self.loop.at(self.loop.now + BOUNDS, None, self.look_at_bounds)
 
--- a/tests/rules/test_checker.py
+++ b/tests/rules/test_checker.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from stackwheel.interface import Availability, RequestClass
+from stackwheel.interface import AdmissionLevel, Availability, RequestClass, Retry
 from stackwheel.rules.checker import Checker, ListedEndpoint
-from stackwheel.rules.invariants import disagreement, level_disagreement, over_bounds
+from stackwheel.rules.invariants import BoundedCount, disagreement, level_disagreement, over_bounds
 from stackwheel.rules.violations import AFTER_READY, Limits, Rule, Violation
 
 READ = RequestClass("read", idempotency="repeatable")
@@ -249,6 +249,13 @@
     assert disagreement({"a": 0.5}, {"a": 0.51}) == "line a: held 0.5, believed 0.51"
     assert disagreement({"a": 0.5, "b": 1.0}, {"a": 0.5}) == "line b: held 1.0, believed None"
     assert disagreement({"a": 0.5}, {"c": 0.5}) == "line a: held 0.5, believed None"
-    assert level_disagreement(None, None) is None and level_disagreement((0.5, 1), (0.5, 1)) is None
-    assert level_disagreement((0.5, 1), (0.5, 2)) and level_disagreement((0.5, 1), None)
-    assert over_bounds([("tasks", 3, 3), ("marks", 65, 64)]) == ["marks: 65, at most 64"]
+    once = AdmissionLevel(0.5, Retry.ONCE_IF_NOT_EXECUTED)
+    assert level_disagreement(None, None) is None
+    assert level_disagreement(once, AdmissionLevel(0.5, Retry.ONCE_IF_NOT_EXECUTED)) is None
+    assert level_disagreement(once, AdmissionLevel(0.5, Retry.ONCE)) == "level held (0.5, 1), believed (0.5, 2)"
+    assert level_disagreement(once, AdmissionLevel(0.6, Retry.ONCE_IF_NOT_EXECUTED)) is not None
+    assert level_disagreement(once, None) == "level held (0.5, 1), believed None"
+
+
+def test_only_what_is_over_its_bound_is_named() -> None:
+    assert over_bounds([BoundedCount("tasks", 3, 3), BoundedCount("marks", 65, 64)]) == ["marks: 65, at most 64"]
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -75,7 +75,7 @@
             planner.tell(writer, "CONFIG nonce_out=9")
             answer = await planner.until(reader, Ack)
             assert isinstance(answer, Ack) and answer.nonce == 9 and answer.elapsed > 0
-            assert proxy.holdings.routes["write"].lines == {"s-0": 1.0, "s-1": 2.0} and proxy.holds_table()
+            assert proxy.holdings.class_tables["write"].lines == {"s-0": 1.0, "s-1": 2.0} and proxy.holds_table()
             assert traffic.bytes_out == planner.told and traffic.messages_out == 2
             assert traffic.bytes_in >= planner.heard > 0 and proxy.state.orders == 1
 
@@ -91,7 +91,7 @@
             again, _ = await planner.stream()
             assert await planner.line(again) == Join(3, 0, 40.0, False)
             assert proxy.state.resets == 1 and proxy.state.joins == 2
-            assert proxy.holdings.routes["read"].lines == {"s-0": 1.0}
+            assert proxy.holdings.class_tables["read"].lines == {"s-0": 1.0}
 
     asyncio.run(asyncio.wait_for(work(), WORK_MOST))
 
