--- a/stackwheel/state/streams.py
+++ b/stackwheel/state/streams.py
@@ -21,10 +21,10 @@
 class StreamConnection(Protocol):
     """The connection that a stream uses. To the streams only its identity counts."""
 
-    def superseded(self) -> None:
+    def on_superseded(self) -> None:
         """Another connection carries the proxy's stream from now on."""
 
-    def activated(self) -> None:
+    def on_attached(self) -> None:
         """This connection carries the proxy's stream from now on, even if it was superseded before."""
 
 
@@ -96,8 +96,8 @@
         timed_out = self.timed_out.pop(stream.proxy, None)
         for former in (active, timed_out):
             if former is not None and former.connection is not stream.connection:
-                former.connection.superseded()
-        stream.connection.activated()  # it may have joined, been superseded and joined again within one batch
+                former.connection.on_superseded()
+        stream.connection.on_attached()  # it may have joined, been superseded and joined again within one batch
         self.by_proxy[stream.proxy] = stream
         if active is not None:
             yield ProxyLeft(active.proxy)
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -28,10 +28,10 @@
     def __init__(self) -> None:
         self.superseded_count = 0
 
-    def superseded(self) -> None:
+    def on_superseded(self) -> None:
         self.superseded_count += 1
 
-    def activated(self) -> None:
+    def on_attached(self) -> None:
         pass
 
 
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -26,10 +26,10 @@
     def __init__(self) -> None:
         self.replaced = False
 
-    def superseded(self) -> None:
+    def on_superseded(self) -> None:
         self.replaced = True
 
-    def activated(self) -> None:
+    def on_attached(self) -> None:
         self.replaced = False
 
 
