--- a/tests/fake_services.py
+++ b/tests/fake_services.py
@@ -1,4 +1,4 @@
-"""Stand-ins written from the protocol's page: a proxy that applies orders, discovery with its failures, free ports."""
+"""A discovery service that fails as a test wants it to, free ports and the example's configuration."""
 
 from __future__ import annotations
 
@@ -26,70 +26,6 @@
 toy = load_example("toy_server")
 
 
-class Refused(AssertionError):
-    """A real proxy would reset the stream."""
-
-
-class Tables:
-    """What a proxy holds: it applies whole messages, and refuses what it can't use."""
-
-    def __init__(self, classes: tuple[str, ...], servers: set[str]) -> None:
-        self.classes, self.servers = classes, servers
-        self.lines: dict[str, dict[str, float]] = {name: {} for name in classes}
-        self.levels: dict[str, tuple[float, int]] = {}
-        self.ejected: set[str] = set()
-        self.parts: list[dict[str, str]] = []
-        self.costs: list[int] = []  # lines of each message
-        self.marks: list[int] = []
-
-    def take(self, line: str) -> list[int]:
-        """A line of the stream; the marks that are due for an answer once a message is whole."""
-        kind, *words = line.split(" ")
-        fields = dict(word.split("=", 1) for word in words)
-        known = {"routes", "full", "endpoints", "admit", "policy", "eject", "restore", "nonce_out", "continued"}
-        if kind != "CONFIG" or not fields.keys() <= known or ("admit" in fields) != ("policy" in fields):
-            raise Refused(line)
-        self.parts.append(fields)
-        if fields.get("continued") == "1":
-            if len(self.parts) >= 64:
-                raise Refused("over 64 parts")
-            return []
-        parts, self.parts = self.parts, []
-        self.costs.append(sum(self.apply(part) for part in parts))
-        marks = [int(part["nonce_out"]) for part in parts if "nonce_out" in part]
-        self.marks += marks
-        return marks
-
-    def apply(self, part: dict[str, str]) -> int:
-        classes = part["routes"].split("+") if "routes" in part else self.classes
-        pairs = [pair.rsplit(":", 1) for pair in part.get("endpoints", "").split(",") if pair]
-        lines = {name: self.weight(text) for name, text in pairs}
-        health = [name for field in ("eject", "restore") for name in part.get(field, "").split(",") if name]
-        if not set(classes) <= set(self.classes) or not {*lines, *health} <= self.servers:
-            raise Refused(str(part))
-        for name in classes:
-            if part.get("full") == "1":
-                self.lines[name] = {}
-                self.levels.pop(name, None)
-            self.lines[name].update(lines)
-            self.lines[name] = {s: w for s, w in self.lines[name].items() if w > 0}
-            if "admit" in part:
-                self.levels[name] = self.weight(part["admit"]), int(part["policy"])
-        self.ejected |= {name for name in part.get("eject", "").split(",") if name}
-        self.ejected -= set(part.get("restore", "").split(","))
-        full, level, mark = part.get("full") == "1", "admit" in part, "nonce_out" in part
-        return len(lines) + len(health) + full + level + mark
-
-    @staticmethod
-    def weight(text: str) -> float:
-        if not text.replace(".", "", 1).isdigit():
-            raise Refused(f"weight {text}")
-        return float(text)
-
-    def open_lines(self, name: str) -> dict[str, float]:
-        return {s: w for s, w in self.lines[name].items() if s not in self.ejected}
-
-
 class Discovery(toy.Registry):  # type: ignore[name-defined, misc]
     """The toy's discovery, with what can go wrong, in the order given, before it does as it should."""
 
--- a/tests/planner_process.py
+++ b/tests/planner_process.py
@@ -13,7 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from fake_services import ROOT, Discovery, Tables, config
+from fake_services import ROOT, Discovery, config
+from proxy_model import ProxyTables
 
 MOST = 30.0  # seconds that any one thing may take
 
@@ -24,7 +25,7 @@
 
 def full(servers: set[str]) -> Any:
     """Holds those servers, and no others, for all classes."""
-    return lambda tables: all(set(tables.open_lines(name)) == servers for name in tables.classes)
+    return lambda tables: all(set(tables.available_lines(name)) == servers for name in tables.classes)
 
 
 class Connection:
@@ -54,10 +55,10 @@
 class Proxy:
     """Joins, applies what it is ordered, answers marks, and reports demand when told to."""
 
-    def __init__(self, number: int, connection: Connection, tables: Tables) -> None:
+    def __init__(self, number: int, connection: Connection, tables: ProxyTables) -> None:
         self.number, self.connection, self.tables = number, connection, tables
 
-    async def until(self, done: Callable[[Tables], bool]) -> None:
+    async def until(self, done: Callable[[ProxyTables], bool]) -> None:
         while not done(self.tables):
             line = await self.connection.line()
             assert line, "the stream has ended"
@@ -93,7 +94,7 @@
         connection = await self.connect()
         connection.say(f"SUBSCRIBE id={number} site={zone} rps=20.0 new={fresh}")
         classes = tuple(wanted["name"] for wanted in self.config["settings"]["services"])
-        return Proxy(number, connection, Tables(classes, set(self.discovery.instances)))
+        return Proxy(number, connection, ProxyTables(classes, set(self.discovery.instances)))
 
     async def collector(self, zone: str = "east") -> Connection:
         connection = await self.connect()
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -8,10 +8,12 @@
 from pathlib import Path
 
 import pytest
-from fake_services import Discovery, Tables, config, free_port
+from fake_services import Discovery, config, free_port
 from planner_process import MOST, full, run, running, start
+from proxy_model import ProxyTables
 
 from stackwheel import peers
+from stackwheel.forwarder.updates import InvalidUpdateError
 
 
 def test_a_proxy_gets_its_tables_and_their_changes(tmp_path: Path) -> None:
@@ -378,7 +380,7 @@
 
 
 def test_stand_ins_refuse_what_a_proxy_would() -> None:
-    tables = Tables(("read",), {"s-0"})
+    tables = ProxyTables(("read",), {"s-0"})
     for line in (
         "CONFIG routes=rest",
         "CONFIG endpoints=s-9:1",
@@ -386,6 +388,6 @@
         "HELLO",
         "CONFIG admit=1",
     ):
-        with pytest.raises(AssertionError):
+        with pytest.raises(InvalidUpdateError):
             tables.take(line)
     assert Discovery().generation == 1
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -1,11 +1,14 @@
-"""Orders as proxies hold them: a stand-in applies what is written and must hold what the policy ordered."""
+"""Updates of tables: a proxy that reads what is encoded must have what the policy set."""
+
+from __future__ import annotations
 
 from collections.abc import Iterator
 
-from fake_services import Tables
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
+from planner_harness import FakeConnection
+from proxy_model import ProxyTables
 
 from stackwheel import interface as face
 from stackwheel.endpoints import EndpointList, Instance
@@ -22,181 +25,178 @@
 ONE, TWO, THREE, *_ = (server_id(name) for name in SERVERS)
 
 
-class Line:
-    def __init__(self) -> None:
-        self.replaced = False
-
-    def on_superseded(self) -> None:
-        self.replaced = True
-
-    def on_attached(self) -> None:
-        self.replaced = False
-
-
-def listing(*started: str) -> EndpointList:
+def endpoint_list(*restarted: str) -> EndpointList:
     return EndpointList(
         1,
         True,
         tuple(
-            Instance(name, "127.0.0.1:1", "a", "small", 0, Availability.READY, 1.0, 5000.0 if name in started else 0.0)
+            Instance(
+                name, "127.0.0.1:1", "a", "small", 0, Availability.READY, 1.0, 5000.0 if name in restarted else 0.0
+            )
             for name in SERVERS
         ),
     )
 
 
-class Setup:
-    def __init__(self, *started: str) -> None:
+class UpdatesHarness:
+    """The tables under test, with proxies that apply the encoded updates."""
+
+    def __init__(self, *restarted: str) -> None:
         self.ids = ServerIds()
-        self.roster = EndpointCache(("a",), ("small",), self.ids)
-        self.roster.apply(listing(*started))
+        EndpointCache(("a",), ("small",), self.ids).apply(endpoint_list(*restarted))
         self.streams = ProxyStreams()
-        self.orders = TableUpdates(len(CLASSES), self.streams)
+        self.updates = TableUpdates(len(CLASSES), self.streams)
         self.encoder = Encoder(Names(classes=CLASSES), self.ids)
-        self.held: dict[int, Tables] = {}
+        self.proxies: dict[int, ProxyTables] = {}
 
-    def join(self, proxy: int, fresh: bool = True) -> None:
-        list(self.streams.join(ProxyStream(proxy, 0, 1.0, fresh, Line())))
-        self.held.setdefault(proxy, Tables(CLASSES, set(SERVERS)))
+    def join(self, proxy: int, newly_started: bool = True) -> None:
+        list(self.streams.join(ProxyStream(proxy, 0, 1.0, newly_started, FakeConnection())))
+        self.proxies.setdefault(proxy, ProxyTables(CLASSES, set(SERVERS)))
 
-    def take(self, *actions: Action) -> dict[int, ProxyUpdate]:
-        messages = self.orders.apply(actions)
-        for message, data in zip(messages, self.encoder.encode(messages), strict=True):
+    def apply(self, *actions: Action) -> dict[int, ProxyUpdate]:
+        """Apply one reply of the policy and have the proxies read what is encoded; the updates by proxy."""
+        updates = self.updates.apply(actions)
+        for update, data in zip(updates, self.encoder.encode(updates), strict=True):
             assert data.endswith(b"\r\n")
             for line in data.decode().split("\r\n")[:-1]:
-                self.held[message.proxy].take(line)
-            assert self.held[message.proxy].costs[-1] == message.cost()
-        return {message.proxy: message for message in messages}
+                self.proxies[update.proxy].take(line)
+            assert self.proxies[update.proxy].costs[-1] == update.cost()
+        return {update.proxy: update for update in updates}
 
 
-def test_one_reply_is_one_message_in_its_end_state() -> None:
-    setup = Setup()
-    setup.join(0)
-    setup.join(1)
-    setup.take(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, (0,)))
-    got = setup.take(
+def test_one_reply_is_one_update_to_its_end_state() -> None:
+    harness = UpdatesHarness()
+    harness.join(0)
+    harness.join(1)
+    harness.apply(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, (0,)))
+    sent = harness.apply(
         face.SetWeight(7, ONE, 2.0),
         face.SetWeight(7, TWO, 3.0),
         face.SetWeight(7, ONE, 0.0),
         face.SetAdmission(7, (0,), 0.5, Retry.NEVER),
         face.AttachNonce(4, False),
     )
-    assert list(got) == [0]  # the other uses no table of these
-    assert got[0].parts == (UpdatePart((0,), False, ((ONE, 0.0), (TWO, 3.0)), (0.5, Retry.NEVER)),)
-    assert got[0].nonce == 4
-    assert setup.held[0].lines["read"] == {"s-1": 3.0}
+    assert list(sent) == [0]  # the other proxy uses none of these tables
+    assert sent[0].parts == (UpdatePart((0,), False, ((ONE, 0.0), (TWO, 3.0)), (0.5, Retry.NEVER)),)
+    assert sent[0].nonce == 4
+    assert harness.proxies[0].lines["read"] == {"s-1": 3.0}
 
 
 def test_assignment_costs_what_the_policy_charges() -> None:
-    """A table bound whole: its lines, its level and the table itself; the mark goes with the head."""
-    setup = Setup()
-    setup.join(0)
+    """A complete table: its lines, its level and the table itself; the nonce is part of the message's overhead."""
+    harness = UpdatesHarness()
+    harness.join(0)
     level = face.SetAdmission(7, (0,), 1.0, Retry.ONCE_IF_NOT_EXECUTED)
-    got = setup.take(
+    sent = harness.apply(
         face.SetWeight(7, ONE, 1.0),
         face.SetWeight(7, TWO, 1.0),
         level,
         face.AssignTable(0, 7, (0,)),
         face.AttachNonce(1, False),
     )
-    assert got[0].cost() == (2 + 2) + 1
+    assert sent[0].cost() == (2 + 2) + 1
 
 
 def test_a_table_for_all_classes() -> None:
-    setup = Setup()
-    setup.join(0)
-    setup.take(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, ()))
-    assert setup.held[0].lines == {"read": {"s-0": 1.0}, "write": {"s-0": 1.0}}
+    harness = UpdatesHarness()
+    harness.join(0)
+    harness.apply(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, ()))
+    assert harness.proxies[0].lines == {"read": {"s-0": 1.0}, "write": {"s-0": 1.0}}
 
 
-def test_a_whole_table_comes_with_its_level_again() -> None:
-    setup = Setup()
-    setup.join(0)
-    setup.take(face.SetWeight(7, ONE, 1.0), face.SetAdmission(7, (0,), 0.4, Retry.NEVER), face.AssignTable(0, 7, (0,)))
-    setup.take(face.AssignTable(0, 7, (0,)))
-    assert setup.held[0].levels == {"read": (0.4, 0)}
+def test_a_complete_table_is_sent_with_its_level() -> None:
+    harness = UpdatesHarness()
+    harness.join(0)
+    harness.apply(
+        face.SetWeight(7, ONE, 1.0), face.SetAdmission(7, (0,), 0.4, Retry.NEVER), face.AssignTable(0, 7, (0,))
+    )
+    harness.apply(face.AssignTable(0, 7, (0,)))
+    assert harness.proxies[0].levels == {"read": (0.4, 0)}
 
 
-def test_of_two_levels_the_lower_holds_with_the_tables_own_retry() -> None:
-    setup = Setup()
-    setup.join(0)
-    setup.take(
+def test_of_two_levels_the_lower_holds_with_the_retry_mode_of_the_table() -> None:
+    harness = UpdatesHarness()
+    harness.join(0)
+    harness.apply(
         face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, (0,)), face.SetAdmission(ALL_TABLES, (), 0.5, Retry.TWICE)
     )
-    assert setup.held[0].levels == {"read": (0.5, 3), "write": (0.5, 3)}  # standing tables too
-    setup.take(face.SetAdmission(7, (0,), 0.8, Retry.NEVER))
-    assert setup.held[0].levels["read"] == (0.5, 0)
-    setup.take(face.SetAdmission(ALL_TABLES, (0,), 0.9, Retry.TWICE))
-    assert setup.held[0].levels["read"] == (0.8, 0)
-
-
-def test_a_cleared_table_is_empty_and_without_level() -> None:
-    setup = Setup()
-    setup.join(0)
-    setup.take(face.SetWeight(7, ONE, 1.0), face.SetAdmission(7, (0,), 0.4, Retry.NEVER), face.AssignTable(0, 7, (0,)))
-    setup.take(face.ClearTable(7), face.SetWeight(7, TWO, 2.0))
-    assert setup.held[0].lines["read"] == {"s-1": 2.0}
-    assert setup.held[0].levels == {}
+    assert harness.proxies[0].levels == {"read": (0.5, 3), "write": (0.5, 3)}  # standing tables too
+    harness.apply(face.SetAdmission(7, (0,), 0.8, Retry.NEVER))
+    assert harness.proxies[0].levels["read"] == (0.5, 0)
+    harness.apply(face.SetAdmission(ALL_TABLES, (0,), 0.9, Retry.TWICE))
+    assert harness.proxies[0].levels["read"] == (0.8, 0)
+
+
+def test_a_cleared_table_has_no_lines_and_no_level() -> None:
+    harness = UpdatesHarness()
+    harness.join(0)
+    harness.apply(
+        face.SetWeight(7, ONE, 1.0), face.SetAdmission(7, (0,), 0.4, Retry.NEVER), face.AssignTable(0, 7, (0,))
+    )
+    harness.apply(face.ClearTable(7), face.SetWeight(7, TWO, 2.0))
+    assert harness.proxies[0].lines["read"] == {"s-1": 2.0}
+    assert harness.proxies[0].levels == {}
 
 
-def test_withdrawals_reach_who_may_hold_the_server() -> None:
-    setup = Setup()
+def test_ejections_reach_the_proxies_that_may_use_the_server() -> None:
+    harness = UpdatesHarness()
     for proxy in range(3):
-        setup.join(proxy)
-    setup.take(
+        harness.join(proxy)
+    harness.apply(
         face.SetWeight(7, ONE, 1.0), face.SetWeight(8, TWO, 1.0), face.AssignTable(0, 7, ()), face.AssignTable(1, 8, ())
     )
-    got = setup.take(face.SetEjection(ONE, True))
-    assert list(got) == [0, 2]  # it is in the one's table, and the third holds others'
-    assert setup.take(face.SetEjection(ONE, True)) == {}  # they know
-    setup.join(3)
-    assert list(setup.take(face.SetEjection(ONE, True))) == [3]  # who has joined since does not
-    assert list(setup.take(face.SetEjection(ONE, False))) == [0, 2, 3]
-    assert all(not held.ejected for held in setup.held.values())
-
-
-def test_a_withdrawn_server_in_a_new_table_is_shut_out() -> None:
-    setup = Setup()
-    setup.take(face.SetEjection(ONE, True))
-    setup.join(0)
-    got = setup.take(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, ()))
-    assert got[0].eject == (ONE,)
-    assert setup.held[0].open_lines("read") == {}
-
-
-def test_letting_back_costs_no_lines_that_the_policy_does_not_count() -> None:
-    """After a release each whole table let back every new server: the channel carried twice what was booked."""
-    setup = Setup("s-0", "s-1")  # started lately
-    setup.join(0, fresh=False)
-    got = setup.take(face.SetWeight(7, ONE, 1.0), face.SetWeight(7, TWO, 1.0), face.AssignTable(0, 7, ()))
-    assert (got[0].eject, got[0].restore) == ((), ())
-    assert got[0].cost() == 3
-
-
-def test_marks_of_an_earlier_life_are_told_apart() -> None:
-    setup = Setup()
-    setup.join(0)
-    assert setup.take(face.AttachNonce(5, True))[0].nonce == 5
-    assert setup.orders.policy_nonce(5) == 5
-    setup.orders.restart()
-    assert setup.take(face.AttachNonce(5, True))[0].nonce == NONCES_PER_INCARNATION + 5
-    assert setup.orders.policy_nonce(5) is None
-    assert setup.orders.policy_nonce(NONCES_PER_INCARNATION + 5) == 5
+    sent = harness.apply(face.SetEjection(ONE, True))
+    assert list(sent) == [0, 2]  # it is in the table of one, and the third may have tables of another planner
+    assert harness.apply(face.SetEjection(ONE, True)) == {}  # they were told
+    harness.join(3)
+    assert list(harness.apply(face.SetEjection(ONE, True))) == [3]  # it has joined since
+    assert list(harness.apply(face.SetEjection(ONE, False))) == [0, 2, 3]
+    assert all(not proxy.ejected for proxy in harness.proxies.values())
+
+
+def test_an_ejected_server_in_a_new_table_is_ejected_there() -> None:
+    harness = UpdatesHarness()
+    harness.apply(face.SetEjection(ONE, True))
+    harness.join(0)
+    sent = harness.apply(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, ()))
+    assert sent[0].eject == (ONE,)
+    assert harness.proxies[0].available_lines("read") == {}
+
+
+def test_no_restore_is_sent_that_the_policy_does_not_count() -> None:
+    """After a release each complete table restored every new server: the channel carried twice what was charged."""
+    harness = UpdatesHarness("s-0", "s-1")
+    harness.join(0, newly_started=False)
+    sent = harness.apply(face.SetWeight(7, ONE, 1.0), face.SetWeight(7, TWO, 1.0), face.AssignTable(0, 7, ()))
+    assert (sent[0].eject, sent[0].restore) == ((), ())
+    assert sent[0].cost() == 3
+
+
+def test_nonces_of_an_earlier_incarnation_are_recognized() -> None:
+    harness = UpdatesHarness()
+    harness.join(0)
+    assert harness.apply(face.AttachNonce(5, True))[0].nonce == 5
+    assert harness.updates.policy_nonce(5) == 5
+    harness.updates.restart()
+    assert harness.apply(face.AttachNonce(5, True))[0].nonce == NONCES_PER_INCARNATION + 5
+    assert harness.updates.policy_nonce(5) is None
+    assert harness.updates.policy_nonce(NONCES_PER_INCARNATION + 5) == 5
 
 
 servers = st.sampled_from([server_id(name) for name in SERVERS])
-tables = st.integers(0, 3)
-places = st.lists(st.integers(0, 1), unique=True, max_size=2).map(tuple)
+table_numbers = st.integers(0, 3)
+class_lists = st.lists(st.integers(0, 1), unique=True, max_size=2).map(tuple)
 weights = st.sampled_from([0.0, 1e-12, 0.25, 3.0])
 actions = st.one_of(
-    st.builds(face.SetWeight, tables, servers, weights),
-    st.builds(face.SetWeight, tables, servers, weights),
-    st.builds(face.AssignTable, st.integers(0, 3), tables, places),
-    st.builds(face.ClearTable, tables),
+    st.builds(face.SetWeight, table_numbers, servers, weights),
+    st.builds(face.SetWeight, table_numbers, servers, weights),
+    st.builds(face.AssignTable, st.integers(0, 3), table_numbers, class_lists),
+    st.builds(face.ClearTable, table_numbers),
     st.builds(face.SetEjection, servers, st.booleans()),
     st.builds(
         face.SetAdmission,
-        tables | st.just(ALL_TABLES),
-        places,
+        table_numbers | st.just(ALL_TABLES),
+        class_lists,
         st.sampled_from([0.0, 0.5, 1.0]),
         st.sampled_from(Retry),
     ),
@@ -204,41 +204,44 @@
 )
 
 
-def expected(orders: TableUpdates, stream: ProxyStream, place: int) -> Iterator[tuple[Server, float]]:
-    for server, weight in orders.tables.get(stream.table_by_class[place], {}).items():
-        if server not in orders.ejected:
+def expected(updates: TableUpdates, stream: ProxyStream, request_class: int) -> Iterator[tuple[Server, float]]:
+    for server, weight in updates.tables.get(stream.table_by_class[request_class], {}).items():
+        if server not in updates.ejected:
             yield server, weight
 
 
 @hypothesis_settings(deadline=None)
 @given(st.lists(st.lists(actions, max_size=8), max_size=8), st.booleans())
-def test_proxies_hold_what_was_ordered(replies: list[list[Action]], fresh: bool) -> None:
-    setup = Setup(*SERVERS)
+def test_proxies_have_what_was_set(replies: list[list[Action]], newly_started: bool) -> None:
+    harness = UpdatesHarness(*SERVERS)
     for proxy in range(3):
-        setup.join(proxy, fresh)
+        harness.join(proxy, newly_started)
     for reply in replies:
-        setup.take(*reply)
-        for proxy, stream in setup.streams.by_proxy.items():
-            held = setup.held[proxy]
-            for place, table in stream.table_by_class.items():
-                name = CLASSES[place]
-                assert held.open_lines(name) == {setup.ids.name(s): w for s, w in expected(setup.orders, stream, place)}
-                level = setup.orders.admission_level(place, table)
-                assert held.levels.get(name) == (level and (level[0], int(level[1])))
+        harness.apply(*reply)
+        for proxy, stream in harness.streams.by_proxy.items():
+            tables = harness.proxies[proxy]
+            for request_class, table in stream.table_by_class.items():
+                name = CLASSES[request_class]
+                assert tables.available_lines(name) == {
+                    harness.ids.name(server): weight
+                    for server, weight in expected(harness.updates, stream, request_class)
+                }
+                level = harness.updates.admission_level(request_class, table)
+                assert tables.levels.get(name) == (level and (level[0], int(level[1])))
 
 
 def test_classes_that_share_a_table_share_its_lines_whatever_their_levels() -> None:
-    """A line for three classes went out three times as soon as their levels differed."""
-    setup = Setup()
-    setup.join(0)
-    levels = [face.SetAdmission(7, (place,), 0.5 + place / 4, Retry.NEVER) for place in (0, 1)]
-    got = setup.take(face.SetWeight(7, ONE, 1.0), *levels, face.AssignTable(0, 7, (0, 1)))
-    assert got[0].parts == (
+    """A line for three classes was sent three times as soon as their levels differed."""
+    harness = UpdatesHarness()
+    harness.join(0)
+    levels = [face.SetAdmission(7, (request_class,), 0.5 + request_class / 4, Retry.NEVER) for request_class in (0, 1)]
+    sent = harness.apply(face.SetWeight(7, ONE, 1.0), *levels, face.AssignTable(0, 7, (0, 1)))
+    assert sent[0].parts == (
         UpdatePart((0, 1), True, ((ONE, 1.0),), None),
         UpdatePart((0,), False, (), (0.5, Retry.NEVER)),
         UpdatePart((1,), False, (), (0.75, Retry.NEVER)),
     )
-    got = setup.take(face.SetWeight(7, TWO, 1.0), face.SetAdmission(7, (1,), 0.5, Retry.NEVER))
-    assert got[0].cost() == 2
-    assert setup.held[0].lines == {name: {"s-0": 1.0, "s-1": 1.0} for name in CLASSES}
-    assert setup.held[0].levels["write"][0] == 0.5
+    sent = harness.apply(face.SetWeight(7, TWO, 1.0), face.SetAdmission(7, (1,), 0.5, Retry.NEVER))
+    assert sent[0].cost() == 2
+    assert harness.proxies[0].lines == {name: {"s-0": 1.0, "s-1": 1.0} for name in CLASSES}
+    assert harness.proxies[0].levels["write"][0] == 0.5
--- a/tests/wire/test_line_codec.py
+++ b/tests/wire/test_line_codec.py
@@ -3,9 +3,9 @@
 import math
 
 import pytest
-from fake_services import Tables
 from hypothesis import given
 from hypothesis import strategies as st
+from proxy_model import ProxyTables
 
 from stackwheel.interface import Retry, Server
 from stackwheel.settings import Names
@@ -281,7 +281,7 @@
         (one,),
         905,
     )
-    tables = Tables(NAMES.classes, {"s-1", "s-2", "s-3"})
+    tables = ProxyTables(NAMES.classes, {"s-1", "s-2", "s-3"})
     (data,) = Encoder(NAMES, ids).encode([message])
     nonces = [tables.take(line) for line in data.decode().split("\r\n") if line]
     assert nonces == [[], [], [905]] and tables.costs == [message.cost()] == [8]
