--- a/stackwheel/rules/__init__.py
+++ b/stackwheel/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules and the service's own invariants, checked as events come. No I/O, no clock of its own."""
+"""The protocol's rules and the service's own invariants, checked as events arrive. No I/O, no clock of its own."""
--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -1,7 +1,7 @@
-"""The five rules, checked as each event comes: what an event may break is looked at, and nothing else.
+"""The rules, checked as each event arrives: what an event may break is looked at, and nothing else.
 
-Times are ms. A limit that runs out while nothing happens stands in a heap, so that a step of time costs one
-comparison. Whoever feeds the checker says what the world knows, not what a planner believes.
+Times are ms. A limit that runs out while nothing happens is in a heap, so that a step of time costs one comparison.
+Whoever feeds the checker says what is the case, not what a planner believes.
 """
 
 from __future__ import annotations
@@ -9,79 +9,98 @@
 import heapq
 import math
 from collections import deque
-from dataclasses import dataclass, field
+from enum import IntEnum
+from typing import NamedTuple
 
 from stackwheel.interface import Availability, RequestClass
-from stackwheel.rules.violations import AFTER_READY, Limits, Rule, Violation
+from stackwheel.rules.event_log import EventLog
+from stackwheel.rules.views import ListedEndpoint, PlannerView, ProxyState, ZoneClass
+from stackwheel.rules.violations import READY_GRACE, Limits, Rule, Violation
 
-TRAIL = 12  # last events told with a verdict
-RECENT = 400  # events remembered at all
-VERDICTS_MOST = 100  # of one run; more say nothing new
-WINDOW_MARGIN = 1.0  # ms: a message at the very end of the cap's window has left it
-PROMPT_WITHIN = 1.0  # ms from the end of the last try to the answer
+MAX_VIOLATIONS = 100
+"""Violations reported of one run; more say nothing new."""
 
+WINDOW_MARGIN = 1.0
+"""ms: a message at the very end of the cap's window has left it."""
 
-@dataclass(frozen=True, slots=True)
-class ListedEndpoint:
-    """A server as a planner has been told of it."""
+MAX_ANSWER_DELAY = 1.0
+"""ms from the end of the last attempt to the answer."""
 
-    availability: Availability
-    zone: int
-    kind: int
-    warm_at: float
-    started: float = 0.0  # when its process did; 0: long ago
+MIN_CAPACITY = 1e-9
+"""In place of a capacity of 0 where a load is divided by it."""
 
 
-@dataclass(slots=True)
-class PlannerView:
-    """What binds one planner in this life: what it was told, and since when its limits run."""
+class DeadlineKind(IntEnum):
+    """What has to be looked at when a deadline passes."""
 
-    ready_at: float
-    holds_from: float  # no limit runs before
-    listed: dict[str, ListedEndpoint] = field(default_factory=dict)
-    away: dict[str, float] = field(default_factory=dict)  # told that it drains or is gone, and when
-    started: dict[str, float] = field(default_factory=dict)  # of the process told of last
-    since: dict[str, float] = field(default_factory=dict)  # of a listed server: when its start was told
-    able: dict[tuple[int, int], float] = field(default_factory=dict)  # zone and class: a warm server since
-    written: dict[int, deque[float]] = field(default_factory=dict)  # messages to a proxy within the window
+    UNSERVED = 0
+    """A proxy that has had no server for a class."""
 
-    def superseded(self, server: str, listed: ListedEndpoint) -> bool:
-        """Whether a word of an older generation says nothing any more: it is of a process that a later one has
-        followed under the same name, or has one ready that was told to drain or to be gone since."""
-        latest = self.started.get(server, listed.started)
-        if listed.started != latest:
-            return listed.started < latest
-        return listed.availability is Availability.READY and server in self.away
+    SERVER_WARM = 1
+    """The servers listed at a planner, one of which has its full capacity now."""
 
 
-@dataclass(slots=True)
-class ProxyState:
-    zone: int
-    planner: int | None = None
-    joined_at: float = 0.0
-    holds_from: float = 0.0  # no limit runs before: it stands still
-    bare: dict[int, float] = field(default_factory=dict)  # class: without a line since
+class Deadline(NamedTuple):
+    """A time at which something has to be looked at; `subject` is a proxy or planner by `kind`."""
+
+    at: float
+    kind: DeadlineKind
+    subject: int
+    request_class: int
+
+
+class Execution(NamedTuple):
+    """A request took effect: at which servers, by the number of their deduplication scope, and when (ms)."""
+
+    scope: int
+    at: float
+
+
+class ReportKey(NamedTuple):
+    """What a violation is reported once for."""
+
+    rule: Rule
+    planner: int | None
+    proxy: int | None
+    server: str | None
 
 
 class Checker:
-    """Fed with events in order of time; `verdicts` holds what they broke, one for each rule and subject."""
+    """Fed with events in order of time.
+
+    Attributes:
+        limits: the figures of the rules.
+        classes: the request classes.
+        zones: number of zones.
+        planners: the planners that answer; one entry each.
+        proxies: all proxies.
+        deadlines: heap of the times at which limits run out.
+        executions: for each request that may still run, how it took effect; removed by `forget_request`.
+        overloaded_since: servers that warm up and are overloaded, since when.
+        violations: what was broken, once for each rule and subject; at most `MAX_VIOLATIONS`.
+        events: the last events, for the trail of a violation.
+        checks: how often a rule was looked at.
+    """
 
     def __init__(self, limits: Limits, classes: tuple[RequestClass, ...], zones: int) -> None:
-        self.limits, self.classes, self.zones = limits, classes, zones
+        self.limits = limits
+        self.classes = classes
+        self.zones = zones
         self.planners: dict[int, PlannerView] = {}
         self.proxies: dict[int, ProxyState] = {}
-        self.due: list[tuple[float, int, int, int]] = []  # when, kind, proxy or planner, class
-        self.effects: dict[int, list[tuple[int, float]]] = {}  # request: groups that it had an effect in
-        self.over: dict[str, float] = {}  # cold server: sent too much since
-        self.verdicts: list[Violation] = []
-        self.told: set[tuple[object, ...]] = set()
-        self.recent: deque[tuple[float, str, tuple[object, ...]]] = deque(maxlen=RECENT)
+        self.deadlines: list[Deadline] = []
+        self.executions: dict[int, list[Execution]] = {}
+        self.overloaded_since: dict[str, float] = {}
+        self.violations: list[Violation] = []
+        self.events = EventLog()
         self.checks = 0
+        self._reported: set[ReportKey] = set()
 
-    # what is remembered for the trail
+    # Reports
 
-    def note(self, now: float, what: str, *about: object) -> None:
-        self.recent.append((now, what, about))
+    def note(self, now: float, text: str, *subjects: object) -> None:
+        """Remember an event for the trail of a violation."""
+        self.events.note(now, text, *subjects)
 
     def break_rule(
         self,
@@ -92,254 +111,213 @@
         proxy: int | None = None,
         server: str | None = None,
     ) -> None:
-        key = (rule, planner, proxy, server)
-        if key in self.told or len(self.verdicts) >= VERDICTS_MOST:
+        """Report a violation, unless the same rule was reported for the same subjects before."""
+        key = ReportKey(rule, planner, proxy, server)
+        if key in self._reported or len(self.violations) >= MAX_VIOLATIONS:
             return
-        self.told.add(key)
-        concerned = {f"planner-{planner}", f"proxy-{proxy}", server} - {None, "planner-None", "proxy-None"}
-        trail = [
-            f"{at / 1000.0:.3f} s {what} {' '.join(map(str, about))}".rstrip()
-            for at, what, about in self.recent
-            if not concerned or concerned & set(about) or not about
-        ]
-        self.verdicts.append(Violation(now, rule, planner, proxy, server, detail, tuple(trail[-TRAIL:])))
+        self._reported.add(key)
+        subjects = {f"planner-{planner}", f"proxy-{proxy}", server} - {None, "planner-None", "proxy-None"}
+        trail = self.events.trail(subjects)
+        self.violations.append(Violation(now, rule, planner, proxy, server, detail, trail))
 
-    # planners
+    # Planners
 
     def planner_ready(self, planner: int, now: float) -> None:
-        """It has answered for the first time in this life; what a killed one held is no duty of it."""
-        self.planners[planner] = PlannerView(now, now + AFTER_READY)
+        """A planner's process has answered for the first time; nothing that a former one knew binds it."""
+        self.planners[planner] = PlannerView(now, now + READY_GRACE)
         self.note(now, "ready", f"planner-{planner}")
 
-    def planner_gone(self, planner: int, now: float) -> None:
+    def planner_stopped(self, planner: int, now: float) -> None:
+        """A planner's process has ended, and with it its streams."""
         self.planners.pop(planner, None)
         for proxy, state in self.proxies.items():
             if state.planner == planner:
-                self.left(proxy, now)
+                self.proxy_left(proxy, now)
         self.note(now, "gone", f"planner-{planner}")
 
-    def hold_off(self, planner: int, until: float) -> None:
-        """No limit runs before that time: after a reload, or while it stands still."""
+    def suspend_limits(self, planner: int, until: float) -> None:
+        """Run no limit of a planner before that time: after a reload, or while its process is suspended."""
         if planner in self.planners:
             view = self.planners[planner]
-            view.holds_from = max(view.holds_from, until)
-            self.look_again(planner)
+            view.limits_from = max(view.limits_from, until)
+            self._schedule_proxies_of(planner)
 
-    def hold_off_proxy(self, proxy: int, until: float) -> None:
-        """A forwarder that stands still does nothing, and so breaks nothing."""
+    def suspend_proxy_limits(self, proxy: int, until: float) -> None:
+        """Run no limit of a proxy before that time: while it is suspended, it does nothing that breaks a rule."""
         state = self.proxies[proxy]
-        state.holds_from = max(state.holds_from, until)
-        for place in state.bare:
-            self.watch(proxy, state, place)
+        state.limits_from = max(state.limits_from, until)
+        self._schedule(proxy, state)
 
-    def tell(self, planner: int, now: float, server: str, listed: ListedEndpoint) -> None:
+    def endpoint_notified(self, planner: int, now: float, server: str, listed: ListedEndpoint) -> None:
         """Discovery has told a planner of a server, and nothing newer before."""
         view = self.planners.get(planner)
         if view is None:
             return
         self.note(now, f"told {listed.availability.name}", f"planner-{planner}", server)
-        view.started[server] = listed.started
-        known = view.listed.get(server)
-        if listed.availability is Availability.REMOVED:
-            view.listed.pop(server, None)
-            view.since.pop(server, None)
-            if known is not None and not self.limits.removal_is_advisory:
-                view.away.setdefault(server, now)
-        else:
-            if known is None or known.warm_at != listed.warm_at:
-                view.since[server] = now
-            view.listed[server] = listed
-            if listed.availability is Availability.DRAINING:
-                view.away.setdefault(server, now)
-            else:
-                view.away.pop(server, None)
-                if listed.warm_at > now:
-                    heapq.heappush(self.due, (listed.warm_at, 1, planner, 0))
-        self.refresh(planner, now)
-
-    def refresh(self, planner: int, now: float) -> None:
-        """Which zones and classes have a warm server listed, and since when without a break."""
-        view = self.planners[planner]
-        warm = [s for s in view.listed.values() if s.availability is Availability.READY and s.warm_at <= now]
-        able: dict[tuple[int, int], float] = {}
-        for place, wanted in enumerate(self.classes):
-            fit = [
-                s
-                for s in warm
-                if (not wanted.allowed_zones or s.zone in wanted.allowed_zones)
-                and (not wanted.allowed_kinds or s.kind in wanted.allowed_kinds)
-            ]
-            for zone in range(self.zones):
-                if any(s.zone == zone for s in fit) if wanted.zone_local else fit:
-                    able[zone, place] = view.able.get((zone, place), now)
-        grown = able.keys() - view.able.keys()
-        view.able = able
-        if grown:
-            self.look_again(planner)
-
-    def look_again(self, planner: int) -> None:
-        for proxy, state in self.proxies.items():
-            if state.planner == planner:
-                for place in state.bare:
-                    self.watch(proxy, state, place)
+        view.notified(server, listed, now, self.limits.removal_is_advisory)
+        if listed.availability is Availability.READY and listed.warm_at > now:
+            heapq.heappush(self.deadlines, Deadline(listed.warm_at, DeadlineKind.SERVER_WARM, planner, 0))
+        self._update_serviceable(planner, now)
 
-    # proxies
+    def _update_serviceable(self, planner: int, now: float) -> None:
+        if self.planners[planner].update_serviceable(self.classes, self.zones, now):
+            self._schedule_proxies_of(planner)
 
-    def proxy_comes(self, proxy: int, zone: int) -> None:
+    # Proxies without a server
+
+    def proxy_started(self, proxy: int, zone: int) -> None:
+        """A proxy exists from now on."""
         self.proxies[proxy] = ProxyState(zone)
 
-    def joined(self, proxy: int, planner: int, now: float) -> None:
+    def proxy_joined(self, proxy: int, planner: int, now: float) -> None:
+        """A proxy has opened its stream to a planner."""
         state = self.proxies[proxy]
-        state.planner, state.joined_at = planner, now
+        state.planner = planner
+        state.joined_at = now
         self.note(now, "joined", f"proxy-{proxy}", f"planner-{planner}")
-        for place in state.bare:
-            self.watch(proxy, state, place)
+        self._schedule(proxy, state)
 
-    def left(self, proxy: int, now: float) -> None:
+    def proxy_left(self, proxy: int, now: float) -> None:
+        """A proxy's stream has ended; it may have none."""
         state = self.proxies[proxy]
         if state.planner is not None:
             self.note(now, "left", f"proxy-{proxy}", f"planner-{state.planner}")
         state.planner = None
 
-    def lines(self, proxy: int, place: int, some: bool, now: float) -> None:
-        """Whether it has a line to pick for a class."""
+    def lines_changed(self, proxy: int, request_class: int, has_lines: bool, now: float) -> None:
+        """Whether a proxy has a server for a class now."""
+        state = self.proxies[proxy]
+        if has_lines:
+            state.unserved_since.pop(request_class, None)
+        elif request_class not in state.unserved_since:
+            state.unserved_since[request_class] = now
+            self._schedule_class(proxy, state, request_class)
+
+    def advance(self, now: float) -> None:
+        """Time has moved: look at the limits that have run out."""
+        while self.deadlines and self.deadlines[0].at <= now:
+            deadline = heapq.heappop(self.deadlines)
+            self.checks += 1
+            if deadline.kind is DeadlineKind.SERVER_WARM:
+                if deadline.subject in self.planners:
+                    self._update_serviceable(deadline.subject, now)
+            elif deadline.subject in self.proxies:
+                self._check_served(deadline.subject, deadline.request_class, now)
+
+    def _check_served(self, proxy: int, request_class: int, now: float) -> None:
         state = self.proxies[proxy]
-        if some:
-            state.bare.pop(place, None)
-        elif place not in state.bare:
-            state.bare[place] = now
-            self.watch(proxy, state, place)
-
-    def bare_until(self, state: ProxyState, place: int) -> float:
-        """When the limit on a class without a line runs out; never while no limit runs."""
+        if self._unserved_deadline(state, request_class) > now:
+            self._schedule_class(proxy, state, request_class)
+            return
+        since = state.unserved_since[request_class] / 1000.0
+        self.break_rule(
+            now, Rule.SERVED, f"no line for class {request_class} since {since:.3f} s", state.planner, proxy
+        )
+
+    def _unserved_deadline(self, state: ProxyState, request_class: int) -> float:
+        """When the limit on a class without a server runs out; infinite while no limit runs."""
         view = self.planners.get(state.planner) if state.planner is not None else None
-        since = state.bare.get(place)
-        able = view.able.get((state.zone, place)) if view is not None else None
-        if view is None or since is None or able is None:
+        since = state.unserved_since.get(request_class)
+        if view is None or since is None:
             return math.inf
-        return max(since, able, state.joined_at, view.holds_from, state.holds_from) + self.limits.unserved
+        serviceable_since = view.serviceable_since.get(ZoneClass(state.zone, request_class))
+        if serviceable_since is None:
+            return math.inf
+        started_at = max(since, serviceable_since, state.joined_at, view.limits_from, state.limits_from)
+        return started_at + self.limits.max_unserved_time
+
+    def _schedule_proxies_of(self, planner: int) -> None:
+        for proxy, state in self.proxies.items():
+            if state.planner == planner:
+                self._schedule(proxy, state)
 
-    def watch(self, proxy: int, state: ProxyState, place: int) -> None:
-        until = self.bare_until(state, place)
-        if until < math.inf:
-            heapq.heappush(self.due, (until, 0, proxy, place))
+    def _schedule(self, proxy: int, state: ProxyState) -> None:
+        for request_class in state.unserved_since:
+            self._schedule_class(proxy, state, request_class)
 
-    def advance(self, now: float) -> None:
-        """Time has moved: limits that ran out are looked at."""
-        due = self.due
-        while due and due[0][0] <= now:
-            _, kind, subject, place = heapq.heappop(due)
-            self.checks += 1
-            if kind == 1:
-                if subject in self.planners:
-                    self.refresh(subject, now)
-            elif subject in self.proxies:
-                state = self.proxies[subject]
-                until = self.bare_until(state, place)
-                if until <= now:
-                    self.break_rule(
-                        now,
-                        Rule.SERVED,
-                        f"no line for class {place} since {state.bare[place] / 1000.0:.3f} s",
-                        state.planner,
-                        subject,
-                    )
-                elif until < math.inf:
-                    heapq.heappush(due, (until, 0, subject, place))
-
-    # requests
-
-    def sent(self, proxy: int, server: str, now: float) -> None:
-        """A try has left a proxy for a server."""
+    def _schedule_class(self, proxy: int, state: ProxyState, request_class: int) -> None:
+        at = self._unserved_deadline(state, request_class)
+        if at < math.inf:
+            heapq.heappush(self.deadlines, Deadline(at, DeadlineKind.UNSERVED, proxy, request_class))
+
+    # Requests
+
+    def attempt_sent(self, proxy: int, server: str, now: float) -> None:
+        """A proxy has sent an attempt to a server."""
         state = self.proxies[proxy]
         view = self.planners.get(state.planner) if state.planner is not None else None
-        if view is None or server not in view.away:
+        if view is None or server not in view.unavailable_since:
             return
         self.checks += 1
-        since = max(view.away[server], state.joined_at, view.holds_from, state.holds_from)
-        if now > since + self.limits.drain:
-            self.break_rule(
-                now, Rule.DRAINS, f"sent {(now - since) / 1000.0:.2f} s after it was told", state.planner, proxy, server
-            )
-
-    def effect(self, request: int, place: int, group: int, proxy: int, server: str, now: float) -> None:
-        """A request has had its effect; `group`: the servers that drop its repeats among themselves."""
-        done = self.effects.get(request)
-        if done is None:
-            self.effects[request] = [(group, now)]
+        since = max(view.unavailable_since[server], state.joined_at, view.limits_from, state.limits_from)
+        if now > since + self.limits.drain_grace:
+            detail = f"sent {(now - since) / 1000.0:.2f} s after it was told"
+            self.break_rule(now, Rule.DRAINS, detail, state.planner, proxy, server)
+
+    def request_executed(
+        self, request: int, request_class: int, scope: int, proxy: int, server: str, now: float
+    ) -> None:
+        """A request has taken effect; `scope`: number of the servers that drop its repeats among themselves."""
+        executions = self.executions.get(request)
+        if executions is None:
+            self.executions[request] = [Execution(scope, now)]
             return
-        wanted = self.classes[place]
-        if wanted.idempotency == "repeatable":
+        if self.classes[request_class].idempotency == "repeatable":
             return
         self.checks += 1
-        done.append((group, now))
-        self.break_rule(
-            now,
-            Rule.ONCE,
-            f"request {request} of class {place} took effect {len(done)} times",
-            self.proxies[proxy].planner,
-            proxy,
-            server,
-        )
+        executions.append(Execution(scope, now))
+        detail = f"request {request} of class {request_class} took effect {len(executions)} times"
+        self.break_rule(now, Rule.ONCE, detail, self.proxies[proxy].planner, proxy, server)
 
     def forget_request(self, request: int) -> None:
-        """Nothing of it can run any more."""
-        self.effects.pop(request, None)
+        """No attempt of a request can run any more."""
+        self.executions.pop(request, None)
 
-    def answered(self, request: int, proxy: int, decided: float, now: float) -> None:
-        """A final answer went out; `decided`: when it could have."""
+    def request_answered(self, request: int, proxy: int, decided_at: float, now: float) -> None:
+        """A proxy has sent its final answer, which it could have sent at `decided_at`."""
         state = self.proxies[proxy]
-        if now - max(decided, state.holds_from) > PROMPT_WITHIN:
-            self.break_rule(
-                now,
-                Rule.PROMPT,
-                f"request {request} answered {now - decided:.0f} ms after its end",
-                state.planner,
-                proxy,
-            )
-
-    # servers
-
-    def cold_load(self, server: str, load: float, bears: float, now: float) -> None:
-        """What all joined proxies together send to a cold server, and what it can do, in the same unit."""
+        if now - max(decided_at, state.limits_from) > MAX_ANSWER_DELAY:
+            detail = f"request {request} answered {now - decided_at:.0f} ms after its end"
+            self.break_rule(now, Rule.PROMPT, detail, state.planner, proxy)
+
+    # Servers that warm up
+
+    def warming_server_load(self, server: str, load: float, capacity: float, now: float) -> None:
+        """What all joined proxies together send to a server that warms up, and its present capacity; same unit."""
         self.checks += 1
-        if load <= self.limits.overload_multiple * bears:
-            self.over.pop(server, None)
+        if load <= self.limits.overload_multiple * capacity:
+            self.overloaded_since.pop(server, None)
             return
-        since = self.over.setdefault(server, now)
-        if now - since >= self.limits.overload:
-            self.break_rule(
-                now,
-                Rule.COLD,
-                f"sent {load / max(1e-9, bears):.1f} times what it can do for {(now - since) / 1000.0:.1f} s",
-                server=server,
-            )
+        since = self.overloaded_since.setdefault(server, now)
+        if now - since >= self.limits.overload_duration:
+            multiple = load / max(MIN_CAPACITY, capacity)
+            detail = f"sent {multiple:.1f} times what it can do for {(now - since) / 1000.0:.1f} s"
+            self.break_rule(now, Rule.COLD, detail, server=server)
 
-    def server_warm(self, server: str) -> None:
-        self.over.pop(server, None)
+    def server_warmed_up(self, server: str) -> None:
+        """A server has its full capacity, or no longer runs."""
+        self.overloaded_since.pop(server, None)
 
-    # the channel
+    # The channel
 
-    def queued(self, planner: int, lines: float, now: float) -> None:
+    def lines_queued(self, planner: int, lines: float, now: float) -> None:
+        """So many lines of a planner wait in the channel."""
         self.checks += 1
-        if self.limits.backlog and lines > self.limits.backlog:
-            self.break_rule(now, Rule.QUEUE, f"{lines:.0f} lines wait, {self.limits.backlog:.0f} may", planner)
+        limit = self.limits.queue_limit
+        if limit and lines > limit:
+            self.break_rule(now, Rule.QUEUE, f"{lines:.0f} lines wait, {limit:.0f} may", planner)
 
-    def wrote(self, planner: int, proxy: int, now: float) -> None:
+    def message_written(self, planner: int, proxy: int, now: float) -> None:
         """A planner has written a message to a proxy."""
+        cap = self.limits.message_cap
+        window = self.limits.message_window
         view = self.planners.get(planner)
-        if view is None or not self.limits.cap:
+        if view is None or not cap:
             return
         self.checks += 1
-        times = view.written.setdefault(proxy, deque(maxlen=self.limits.cap + 1))
+        times = view.message_times.setdefault(proxy, deque(maxlen=cap + 1))
         times.append(now)
-        while now - times[0] >= self.limits.cap_window - WINDOW_MARGIN:
+        while now - times[0] >= window - WINDOW_MARGIN:
             times.popleft()
-        if len(times) > self.limits.cap:
-            self.break_rule(
-                now,
-                Rule.CAP,
-                f"over {self.limits.cap} messages within {self.limits.cap_window / 1000.0:g} s",
-                planner,
-                proxy,
-            )
+        if len(times) > cap:
+            self.break_rule(now, Rule.CAP, f"over {cap} messages within {window / 1000.0:g} s", planner, proxy)
--- a/stackwheel/trials/events.py
+++ b/stackwheel/trials/events.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stackwheel.interface import Availability
-from stackwheel.rules.violations import AFTER_RELOAD
+from stackwheel.rules.violations import RELOAD_GRACE
 from stackwheel.trials import script as s
 from stackwheel.trials.exchange import PushTrouble
 from stackwheel.trials.loop import Machine
@@ -99,13 +99,13 @@
         if host.machine.alive and not host.machine.still:
             world.loop.stand_still(host.machine, True)
             if span > STALL_ALLOWED:
-                world.checker.hold_off(number, until)
+                world.checker.suspend_limits(number, until)
             soon(world, span, world.loop.stand_still, host.machine, False)
     for proxy in proxies_of(world, who):
         if proxy.mind.alive and not proxy.mind.still:
             world.loop.stand_still(proxy.mind, True)
             world.loop.stand_still(proxy.machine, fault.deaf)
-            world.checker.hold_off_proxy(proxy.number, until)
+            world.checker.suspend_proxy_limits(proxy.number, until)
             soon(world, span, wake_proxy, world, proxy, proxy.machine, proxy.mind)
     for relay in relays_of(world, who):
         if relay.running and not relay.machine.still:
@@ -184,7 +184,7 @@
     if not proxy.machine.alive:
         return
     proxy.stream = proxy.dialling = None
-    world.checker.left(proxy.number, world.ms())
+    world.checker.proxy_left(proxy.number, world.ms())
     world.network.kill(proxy.machine)
     world.loop.kill(proxy.mind)
     soon(world, max(0.01, back), world.proxy_back, proxy)
@@ -322,8 +322,8 @@
     for number in s.members(fault.planners, world.shape, "planner"):
         planner = world.hosts[number]
         if planner.running:
-            world.checker.hold_off(number, world.ms() + AFTER_RELOAD)
-            world.reachable_since[number] = world.loop.now + AFTER_RELOAD / 1000.0
+            world.checker.suspend_limits(number, world.ms() + RELOAD_GRACE)
+            world.reachable_since[number] = world.loop.now + RELOAD_GRACE / 1000.0
             planner.reload()
 
 
@@ -396,9 +396,9 @@
             soon(world, fault.span, setattr, disk, fault.how, False)
     troubled = [int(n.partition("-")[2]) for n in names if n.startswith("planner")]
     for number in troubled:  # what can't be written is told to nobody
-        world.checker.hold_off(number, world.ms() + fault.span * 1000.0 + 1000.0)
+        world.checker.suspend_limits(number, world.ms() + fault.span * 1000.0 + 1000.0)
     for number in s.members(fault.who, world.shape, "proxy"):
-        world.checker.hold_off_proxy(number, world.ms() + fault.span * 1000.0 + 1000.0)
+        world.checker.suspend_proxy_limits(number, world.ms() + fault.span * 1000.0 + 1000.0)
 
 
 class Stranger(Lines):
--- a/stackwheel/trials/exchange.py
+++ b/stackwheel/trials/exchange.py
@@ -125,7 +125,7 @@
         """What the desk posts: a forwarder that joins by files counts as joined."""
         if isinstance(item, ProxyStream):
             self.joined[item.proxy] = host.number
-            self.world.checker.joined(item.proxy, host.number, self.world.ms())
+            self.world.checker.proxy_joined(item.proxy, host.number, self.world.ms())
         context.post(item)
 
     def planner_down(self, planner: int) -> None:
@@ -201,7 +201,7 @@
     def leave(self, proxies: list[int]) -> None:
         for proxy in proxies:
             if self.joined.pop(proxy, None) is not None:
-                self.world.checker.left(proxy, self.world.ms())
+                self.world.checker.proxy_left(proxy, self.world.ms())
 
     def cut(self) -> None:
         """A cut has begun: forwarders across it count as left until an answer has passed again."""
@@ -233,7 +233,7 @@
         known = host.desk is not None and proxy.number in host.desk.ledger.forwarders
         if known and host.running and proxy.number not in self.joined and self.sound(proxy, host.number):
             self.joined[proxy.number] = host.number  # heard again
-            self.world.checker.joined(proxy.number, host.number, self.world.ms())
+            self.world.checker.proxy_joined(proxy.number, host.number, self.world.ms())
 
     def sound(self, proxy: Proxy, planner: int) -> bool:
         return (
--- a/stackwheel/trials/measure.py
+++ b/stackwheel/trials/measure.py
@@ -15,17 +15,17 @@
 SIZES = ((2, 8, 8), (2, 20, 20), (2, 50, 30), (3, 100, 50), (4, 200, 100), (4, 500, 150))
 CHECKS = (
     "advance",
-    "sent",
-    "effect",
-    "answered",
+    "attempt_sent",
+    "request_executed",
+    "request_answered",
     "forget_request",
-    "lines",
-    "queued",
-    "wrote",
-    "tell",
-    "joined",
-    "left",
-    "cold_load",
+    "lines_changed",
+    "lines_queued",
+    "message_written",
+    "endpoint_notified",
+    "proxy_joined",
+    "proxy_left",
+    "warming_server_load",
     "note",
 )
 
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -280,7 +280,7 @@
     def tell_lines(self) -> None:
         now = self.world.ms()
         for place, name in enumerate(self.routes):
-            self.world.checker.lines(self.number, place, not self.holdings.has_no_servers(name), now)
+            self.world.checker.lines_changed(self.number, place, not self.holdings.has_no_servers(name), now)
 
     # reports
 
@@ -327,7 +327,7 @@
             world.finish(request, self, False, now)
             return
         self.under_way[name] = self.under_way.get(name, 0) + 1
-        world.checker.sent(self.number, name, now * 1000.0)
+        world.checker.attempt_sent(self.number, name, now * 1000.0)
         retry = self.holdings.retry_mode(self.routes[place], Retry(world.shape.usual_retry))
         until = request.until
         if retry >= Retry.ONCE and request.further < retry - Retry.ONCE_IF_NOT_EXECUTED:
--- a/stackwheel/trials/relay_views.py
+++ b/stackwheel/trials/relay_views.py
@@ -9,7 +9,7 @@
 
 from stackwheel.cells.assignment import service_of
 from stackwheel.interface import Availability
-from stackwheel.rules.violations import TOLD_AT_LAST, Rule
+from stackwheel.rules.violations import NOTIFICATION_DEADLINE, Rule
 from stackwheel.trials.discovery import LIFECYCLES, Record
 from stackwheel.trials.network import Transport
 
@@ -99,8 +99,8 @@
         if not waiting or open_since is None or planner not in self.world.checker.planners:
             return
         now = self.world.loop.now
-        settled = open_since + (self.world.shape.ask_within + TOLD_AT_LAST) / 1000.0
-        while waiting and now >= max(waiting[0][0] + TOLD_AT_LAST / 1000.0, settled):
+        settled = open_since + (self.world.shape.ask_within + NOTIFICATION_DEADLINE) / 1000.0
+        while waiting and now >= max(waiting[0][0] + NOTIFICATION_DEADLINE / 1000.0, settled):
             for record in waiting.popleft()[1]:
                 self.tell(planner, record)
 
@@ -111,7 +111,7 @@
         place = next(n for n, one in reversed(list(enumerate(self.history[record.name]))) if one is record)
         if planner in self.world.checker.planners and place > places.get(record.name, -1):
             places[record.name] = place
-            self.world.checker.tell(planner, self.world.ms(), record.name, self.world.listed(record))
+            self.world.checker.endpoint_notified(planner, self.world.ms(), record.name, self.world.listed(record))
 
     # what came
 
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -16,9 +16,10 @@
 
 from stackwheel.forwarder.updates import ConfigUpdate
 from stackwheel.interface import Availability, Settings
-from stackwheel.rules.checker import Checker, ListedEndpoint
+from stackwheel.rules.checker import Checker
 from stackwheel.rules.invariants import BoundedCount, disagreement, level_disagreement, over_bounds
-from stackwheel.rules.violations import TOLD_AT_LAST, Limits, Rule, Violation
+from stackwheel.rules.views import ListedEndpoint
+from stackwheel.rules.violations import NOTIFICATION_DEADLINE, Limits, Rule, Violation
 from stackwheel.service.config import Config
 from stackwheel.trials import events
 from stackwheel.trials.discovery import Call, Discovery, News, Record
@@ -142,7 +143,7 @@
         self.network.groups[("10.3.255.1", 7946)] = tuple((host.host, 7946) for host in self.hosts)
         self.channels = [Channel() for _ in self.hosts]
         settings = self.settings()
-        self.checker = Checker(Limits.of(settings), settings.classes, shape.zones)
+        self.checker = Checker(Limits.from_settings(settings), settings.classes, shape.zones)
         self.loop.after_step = self.after_step
         self.checked_at = -1.0
         self.proxies: list[Proxy] = []
@@ -151,7 +152,7 @@
             self.zone_of_machine[f"proxy-{number}"] = zone
             proxy = Proxy(self, number, zone, Machine(f"proxy-{number}"))
             self.network.settle(f"10.1.{number // 250}.{number % 250 + 1}", proxy.machine)
-            self.checker.proxy_comes(number, zone)
+            self.checker.proxy_started(number, zone)
             self.proxies.append(proxy)
         self.collectors: list[Collector] = []
         for zone in range(shape.zones):
@@ -222,7 +223,7 @@
             and not (self.between_cut(proxy, host.number))
         ):
             stream.counted = True
-            self.checker.joined(proxy.number, host.number, self.ms())
+            self.checker.proxy_joined(proxy.number, host.number, self.ms())
         *lines, stream.taken = (stream.taken + data).split(b"\r\n")
         for line in lines:
             if (
@@ -267,12 +268,12 @@
             self.relays.wrote(end, data)
         host = self.by_host.get(end.machine.name)
         if host is not None and data.startswith(b"CONFIG") and isinstance(end.far.protocol, Stream):
-            self.checker.wrote(host.number, end.far.protocol.proxy.number, self.ms())
+            self.checker.message_written(host.number, end.far.protocol.proxy.number, self.ms())
 
     def after_step(self, now: float) -> None:
         if now > self.checked_at:
             self.checked_at = now
-            if self.checker.due:
+            if self.checker.deadlines:
                 self.checker.advance(now * 1000.0)
 
     def fault(self, message: Any) -> None:
@@ -292,10 +293,10 @@
         if self.relays is not None:
             self.relays.planner_up(host.number)
         for record in self.records().values():
-            self.checker.tell(host.number, self.ms(), record.name, self.listed(record))
+            self.checker.endpoint_notified(host.number, self.ms(), record.name, self.listed(record))
 
     def planner_down(self, host: PlannerHost) -> None:
-        self.checker.planner_gone(host.number, self.ms())
+        self.checker.planner_stopped(host.number, self.ms())
         if self.exchange is not None:
             self.exchange.planner_down(host.number)
         for proxy in self.proxies:
@@ -328,7 +329,7 @@
     def counts_left(self, proxy: Proxy, stream: Stream) -> None:
         stream.counted = False
         if proxy.stream is stream or proxy.stream is None:
-            self.checker.left(proxy.number, self.ms())
+            self.checker.proxy_left(proxy.number, self.ms())
 
     # discovery
 
@@ -371,17 +372,17 @@
         overtaken = not news.whole and news.generation < self.told_generation.get(planner, 0)
         for record in news.records:
             listed = self.listed(record)
-            if not (overtaken and view.superseded(record.name, listed)):
-                self.checker.tell(planner, now, record.name, listed)
+            if not (overtaken and view.is_outdated(record.name, listed)):
+                self.checker.endpoint_notified(planner, now, record.name, listed)
         if news.whole:
             names = {record.name for record in news.records}
             for name, entry in [item for item in view.listed.items() if item[0] not in names]:
-                self.checker.tell(planner, now, name, replace(entry, availability=Availability.REMOVED))
+                self.checker.endpoint_notified(planner, now, name, replace(entry, availability=Availability.REMOVED))
         self.told_generation[planner] = max(news.generation, self.told_generation.get(planner, 0))
 
     def on_written(self, call: Call, news: News) -> None:
         """What was written counts as told after a while, whether it arrived or not, where the way is open."""
-        self.loop.at(self.loop.now + TOLD_AT_LAST / 1000.0, None, self.told_at_last, call, news)
+        self.loop.at(self.loop.now + NOTIFICATION_DEADLINE / 1000.0, None, self.told_at_last, call, news)
 
     def told_at_last(self, call: Call, news: News) -> None:
         if call.planner is None or news not in call.news or call.transport is None:
@@ -403,7 +404,7 @@
 
     def watch_for_unasked(self, generation: int) -> None:
         """A planner that neither watches nor asks for as long as allowed counts as told."""
-        wait = self.shape.ask_within / 1000.0 + TOLD_AT_LAST / 1000.0
+        wait = self.shape.ask_within / 1000.0 + NOTIFICATION_DEADLINE / 1000.0
         self.loop.at(self.loop.now + wait, None, self.unasked, generation, self.loop.now)
 
     def unasked(self, generation: int, since: float) -> None:
@@ -425,7 +426,7 @@
         channel = self.channels[stream.planner]
         at = channel.take(self.loop.now, proxy.number, cost, shape.channel_rate, transit)
         if self.loop.now >= self.burst_until.get(stream.planner, 0.0):
-            self.checker.queued(stream.planner, channel.waiting, self.ms())
+            self.checker.lines_queued(stream.planner, channel.waiting, self.ms())
         self.count("messages")
         self.count("lines", order.cost())
         self.loop.at(at, proxy.mind, proxy.apply, stream, order, self.loop.now)
@@ -515,15 +516,15 @@
     def take_effect(self, request: Request, group: int, proxy: Proxy, server: Server, at: float) -> None:
         wanted = self.shape.classes[request.place]
         if wanted.effect == "by_key":
-            before = self.checker.effects.get(request.number, [])
+            before = self.checker.executions.get(request.number, [])
             if any(g == group and at * 1000.0 - t < wanted.key_window for g, t in before):
                 return  # dropped as a repeat
-        self.checker.effect(request.number, request.place, group, proxy.number, server.name, at * 1000.0)
+        self.checker.request_executed(request.number, request.place, group, proxy.number, server.name, at * 1000.0)
 
     def finish(self, request: Request, proxy: Proxy, good: bool, decided: float) -> None:
         """The final answer to a client, at once; the client may come again."""
         now = self.loop.now
-        self.checker.answered(request.number, proxy.number, min(decided, now) * 1000.0, now * 1000.0)
+        self.checker.request_answered(request.number, proxy.number, min(decided, now) * 1000.0, now * 1000.0)
         self.checker.forget_request(request.number)
         wanted = self.shape.classes[request.place]
         self.digest.update(CONDITION.pack(now, request.number & 0xFFFFFFFF) + (b"+" if good else b"-"))
@@ -563,10 +564,10 @@
         for name, server in list(self.cold.items()):
             if now >= server.warm_at() or not server.alive or server.fallen:
                 del self.cold[name]
-                self.checker.server_warm(name)
+                self.checker.server_warmed_up(name)
                 continue
             load = sum(self.sent_to(proxy, server, now) for proxy in self.proxies)
-            self.checker.cold_load(name, load, server.bears(now), now * 1000.0)
+            self.checker.warming_server_load(name, load, server.bears(now), now * 1000.0)
         self.loop.at(now + LOOK, None, self.look_at_cold)
 
     def sent_to(self, proxy: Proxy, server: Server, now: float) -> float:
@@ -577,7 +578,7 @@
         known = view.listed.get(server.name)
         if known is None or known.warm_at != server.warm_at() * 1000.0:
             return 0.0
-        since = max(view.since[server.name], state.joined_at, view.holds_from, state.holds_from)
+        since = max(view.listed_since[server.name], state.joined_at, view.limits_from, state.limits_from)
         if now * 1000.0 < since + ORDERED_WITHIN + 2 * self.shape.transit * self.transit:
             return 0.0  # no order could be there yet
         avoid, work = proxy.avoided(now) if proxy.kept_off else (), 0.0
@@ -652,14 +653,14 @@
                 logger.remove(tracing)
 
     def result(self) -> Result:
-        for verdict in self.checker.verdicts:
+        for verdict in self.checker.violations:
             self.digest.update(str(verdict).encode())
         service = self.answered / self.asked if self.asked else 1.0
         figures = {**self.counts, "checks": self.checker.checks, "queue_most": max(c.most for c in self.channels)}
         return Result(
             self.script.seed,
             self.digest.hexdigest(),
-            self.checker.verdicts,
+            self.checker.violations,
             self.loop.now,
             self.loop.steps,
             self.requests,
--- a/tests/trials/test_hard_cases.py
+++ b/tests/trials/test_hard_cases.py
@@ -72,8 +72,8 @@
 def test_the_bytes_of_an_older_stream_arrive_after_the_newer_one_has_joined() -> None:
     world = Watched(s.Doubled(8.0, ("proxies",), 2.0), s.Drain(9.0, ("server-0",), 5.0))
     joins: list[tuple[float, int]] = []
-    honest = world.checker.joined
-    world.checker.joined = lambda proxy, planner, now: (joins.append((now, proxy)), honest(proxy, planner, now))  # type: ignore[method-assign, assignment]
+    honest = world.checker.proxy_joined
+    world.checker.proxy_joined = lambda proxy, planner, now: (joins.append((now, proxy)), honest(proxy, planner, now))  # type: ignore[method-assign, assignment]
     world.go()
     assert len([1 for at, _ in joins if 8000.0 < at < 9000.0]) == 8
 
--- a/tests/trials/test_relay_trials.py
+++ b/tests/trials/test_relay_trials.py
@@ -205,7 +205,7 @@
     reading = Reading()
     for one in told:
         world.relays.views.read(0, reading, one)
-    (verdict,) = world.checker.verdicts
+    (verdict,) = world.checker.violations
     assert verdict.rule is Rule.PART and why in verdict.detail
 
 
@@ -224,7 +224,7 @@
     views.remember([next_word(world, "s-1", Availability.READY)])
     views.read(0, reading, listing(5, ("s-1", "terminating")))
     views.read(0, reading, listing(6, ("s-1", "in_service")))
-    assert world.checker.verdicts == []
+    assert world.checker.violations == []
 
 
 def test_older_words_oblige_a_planner_to_nothing(world: World) -> None:
@@ -232,9 +232,9 @@
     views = world.relays.views
     world.relays.changed([next_word(world, "s-1", Availability.DRAINING)])
     views.read(0, Reading(), listing(5, ("s-1", "terminating")))
-    assert "s-1" in world.checker.planners[0].away
+    assert "s-1" in world.checker.planners[0].unavailable_since
     views.read(0, Reading(), listing(4, ("s-1", "in_service")))
-    assert "s-1" in world.checker.planners[0].away
+    assert "s-1" in world.checker.planners[0].unavailable_since
 
 
 @pytest.mark.parametrize("how", ["lost", "kept", "back", "another"])
@@ -270,7 +270,7 @@
     views = world.relays.views
     world.loop.now = 100.0
     world.relays.changed([next_word(world, "s-1", Availability.DRAINING)])
-    away = world.checker.planners[0].away
+    away = world.checker.planners[0].unavailable_since
     for now, open_since, told in (
         (105.9, 0.0, False),  # not yet
         (106.1, None, False),  # no way
@@ -281,7 +281,7 @@
         views.pass_time(0, open_since)
         assert ("s-1" in away) is told
     views.pass_time(1, 0.0)
-    assert "s-1" in world.checker.planners[1].away
+    assert "s-1" in world.checker.planners[1].unavailable_since
 
 
 def test_relays_are_named_only_where_there_are_some() -> None:
