--- a/stackwheel/forwarder/updates.py
+++ b/stackwheel/forwarder/updates.py
@@ -95,14 +95,14 @@
         return update
 
 
-class PartRead(NamedTuple):
+class UpdateLine(NamedTuple):
     """A part, and whether more parts of its update follow."""
 
     part: ConfigUpdatePart
     continued: bool
 
 
-def read_part(line: str) -> PartRead:
+def read_part(line: str) -> UpdateLine:
     """Read one line of an update; `InvalidUpdateError` names the field that can't be used."""
     fields = read_fields(line)
     if ("admit" in fields) != ("policy" in fields):
@@ -118,19 +118,19 @@
         restore=read_names(fields, "restore"),
         nonce=nonce,
     )
-    return PartRead(part, read_flag(fields, "continued"))
+    return UpdateLine(part, read_flag(fields, "continued"))
 
 
 def read_fields(line: str) -> dict[str, str]:
     """The fields of a line by name: each is known and given once."""
-    kind, *words = line.split(" ")
+    kind, *tokens = line.split(" ")
     if kind != KIND:
         raise InvalidUpdateError("kind", f"{shown(kind)} is not {KIND}")
     fields: dict[str, str] = {}
-    for word in words:
-        name, equals, value = word.partition("=")
+    for token in tokens:
+        name, equals, value = token.partition("=")
         if not equals or name not in FIELDS or name in fields:
-            raise InvalidUpdateError("field", f"{shown(word)} is unknown, repeated or not name=value")
+            raise InvalidUpdateError("field", f"{shown(token)} is unknown, repeated or not name=value")
         fields[name] = value
     return fields
 
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -50,7 +50,7 @@
 MIN_RESTART_INTERVAL = 1000.0
 """ms between two restarts of a policy that fails again and again."""
 
-NOT_LISTED = -1.0
+NO_PROCESS = -1.0
 """As the start time of a server that is not listed: no process has it."""
 
 
@@ -218,7 +218,7 @@
     def _health_check_target(self, server: Server) -> HealthCheckTarget:
         """What a health check of that server is meant for now."""
         entry = self.endpoints.entries.get(server)
-        started_at = entry.started_at if entry is not None else NOT_LISTED
+        started_at = entry.started_at if entry is not None else NO_PROCESS
         return HealthCheckTarget(self.incarnation, started_at, self.endpoints.addresses.get(server, ""))
 
     def _forget_removed_servers(self) -> None:
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -99,8 +99,8 @@
 
     def level_changed(self, request_class: int, table: int | None) -> bool:
         """Whether the admission level of a class was set, in its table or in all."""
-        own = table is not None and request_class in self.levels.get(table, ())
-        return own or request_class in self.levels.get(ALL_TABLES, ())
+        in_table = table is not None and request_class in self.levels.get(table, ())
+        return in_table or request_class in self.levels.get(ALL_TABLES, ())
 
 
 class PartsKey(NamedTuple):
@@ -187,10 +187,10 @@
         Where both its table and all tables have a level, the lower one holds, with the retry mode of the table.
         """
         everywhere = self.levels.get(ALL_TABLES, {}).get(request_class)
-        own = self.levels.get(table, {}).get(request_class) if table is not None else None
-        if own is None or everywhere is None:
-            return own or everywhere
-        return AdmissionLevel(min(own.admitted, everywhere.admitted), own.retry)
+        of_table = self.levels.get(table, {}).get(request_class) if table is not None else None
+        if of_table is None or everywhere is None:
+            return of_table or everywhere
+        return AdmissionLevel(min(of_table.admitted, everywhere.admitted), of_table.retry)
 
     # Actions in
 
@@ -255,9 +255,9 @@
         for request_class in self.classes:
             table = stream.table_by_class.get(request_class)
             complete = request_class in changes.assigned.get(stream.proxy, ()) or table in changes.cleared
-            level_due = complete or changes.level_changed(request_class, table)
-            if level_due or (table is not None and table in changes.lines):
-                level = self.admission_level(request_class, table) if level_due else None
+            sends_level = complete or changes.level_changed(request_class, table)
+            if sends_level or (table is not None and table in changes.lines):
+                level = self.admission_level(request_class, table) if sends_level else None
                 groups.setdefault((table, complete), {})[request_class] = level
         for (table, complete), levels in groups.items():
             key = PartsKey(table, complete, tuple(levels.items()))
