--- a/stackwheel/scale/real.py
+++ b/stackwheel/scale/real.py
@@ -135,7 +135,7 @@
         """All servers that have a line in the proxy's tables."""
         if self.proxy is None:
             return set()
-        return {name for class_table in self.proxy.forwarder.routes.values() for name in class_table.lines}
+        return {name for class_table in self.proxy.forwarder.class_tables.values() for name in class_table.lines}
 
     def bytes_in(self) -> int:
         """From discovery."""
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -166,7 +166,7 @@
         if absent := self.config.defaulted_settings:
             logger.warning("settings not given, defaults in force: kind={} count={}", ",".join(absent), len(absent))
         # Before anything is opened, so that a client that connects finds a planner that is ready.
-        self.planner.decide([self.endpoints.cached_update()])
+        self.planner.run_policy([self.endpoints.cached_update()])
         self.environment.freeze_startup_objects()
         await self.transport.open(self.planner.post)
         logger.info(
--- a/stackwheel/service/ports.py
+++ b/stackwheel/service/ports.py
@@ -10,7 +10,7 @@
 from stackwheel.service.config import Config
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 
@@ -43,4 +43,4 @@
     config: Config
     clock: Clock
     endpoints: EndpointCache
-    post: Callable[[Item], None]
+    post: Callable[[PlannerMessage], None]
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -11,7 +11,7 @@
 from stackwheel.rules.violations import Rule
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
-from stackwheel.state.streams import ProxyStreams, carried
+from stackwheel.state.streams import ProxyStreams, stream_over
 from stackwheel.trials.defects.planting import Defect, Patch
 
 EVENTS_PROCESSED = 3  # of each batch
@@ -21,7 +21,7 @@
     """The end of any stream of a proxy counts as the end of its present one."""
 
     def leave(self: ProxyStreams, proxy: int, _line: Any) -> Iterable[face.Event]:
-        self.silent.pop(proxy, None)
+        self.timed_out.pop(proxy, None)
         if self.by_proxy.pop(proxy, None) is not None:
             yield face.ProxyLeft(proxy)
 
@@ -31,13 +31,13 @@
 def superseded_stream_takes_over() -> Sequence[Patch]:
     """The older stream of a proxy takes it over again with its late lines."""
 
-    def heard(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
+    def message_received(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
         stream = self.by_proxy.get(proxy)
-        if stream is not None and not carried(self.by_proxy, proxy, line):
+        if stream is not None and not stream_over(self.by_proxy, proxy, line):
             stream.connection = line
         return ()
 
-    return [Patch(ProxyStreams, "heard", heard)]
+    return [Patch(ProxyStreams, "message_received", message_received)]
 
 
 def full_list_taken_as_delta() -> Sequence[Patch]:
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -10,7 +10,7 @@
 
 from stackwheel import interface as face
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.wire import timing
@@ -56,7 +56,7 @@
 
     names: Names
     proxy_count: int
-    post: Callable[[Item], None]
+    post: Callable[[PlannerMessage], None]
     on_identified: Callable[[Connection, bool], None]
     limiter: Callable[[int], RateLimiter]
     buffer_budget: BufferBudget
--- a/stackwheel/wire/health_check_runner.py
+++ b/stackwheel/wire/health_check_runner.py
@@ -7,7 +7,7 @@
 from stackwheel.interface import HealthCheckOutcome, HealthCheckResult, Server
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
-from stackwheel.state.planner_actor import HealthCheckCompleted, HealthCheckTarget
+from stackwheel.state.messages import HealthCheckCompleted, HealthCheckTarget
 from stackwheel.wire.connection_table import ConnectionTable
 from stackwheel.wire.health_checks import check_health, health_check_call
 from stackwheel.wire.task_supervisor import TaskSupervisor
--- a/tests/planner_process.py
+++ b/tests/planner_process.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from fake_services import ROOT, Discovery, Tables, config
+from fake_services import ROOT, Discovery, config
+from proxy_model import ProxyTables
 
 MAX_WAIT_S = 30.0  # for any one thing
 TEST_TIMEOUT_S = 120
@@ -29,9 +30,9 @@
     asyncio.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
-def serves_exactly(servers: set[str]) -> Callable[[Tables], bool]:
+def serves_exactly(servers: set[str]) -> Callable[[ProxyTables], bool]:
     """A condition on a proxy's tables: these servers, and no others, for all classes."""
-    return lambda tables: all(set(tables.open_lines(name)) == servers for name in tables.classes)
+    return lambda tables: all(set(tables.available_lines(name)) == servers for name in tables.classes)
 
 
 class ClientConnection:
@@ -64,12 +65,12 @@
 class ProxyClient:
     """A proxy that applies updates, acknowledges their nonces, and reports demand on request."""
 
-    def __init__(self, number: int, connection: ClientConnection, tables: Tables) -> None:
+    def __init__(self, number: int, connection: ClientConnection, tables: ProxyTables) -> None:
         self.number = number
         self.connection = connection
         self.tables = tables
 
-    async def wait_until(self, condition: Callable[[Tables], bool]) -> None:
+    async def wait_until(self, condition: Callable[[ProxyTables], bool]) -> None:
         while not condition(self.tables):
             line = await self.connection.read_line()
             assert line, "the stream has ended"
@@ -109,7 +110,7 @@
         connection = await self.connect()
         connection.send_lines(f"SUBSCRIBE id={number} site={zone} rps=20.0 new={newly_started}")
         classes = tuple(request_class["name"] for request_class in self.config["settings"]["services"])
-        return ProxyClient(number, connection, Tables(classes, set(self.discovery.instances)))
+        return ProxyClient(number, connection, ProxyTables(classes, set(self.discovery.instances)))
 
     async def connect_collector(self, zone: str = "east") -> ClientConnection:
         connection = await self.connect()
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -78,7 +78,7 @@
             assert isinstance(answer, AckMessage)
             assert answer.nonce == 9
             assert answer.elapsed > 0
-            assert proxy.forwarder.routes["write"].lines == {"s-0": 1.0, "s-1": 2.0}
+            assert proxy.forwarder.class_tables["write"].lines == {"s-0": 1.0, "s-1": 2.0}
             assert proxy.holds_table()
             assert traffic.bytes_out == planner.told
             assert traffic.messages_out == 2
@@ -98,7 +98,7 @@
             assert await planner.line(again) == JoinMessage(3, 0, 40.0, False)
             assert proxy.state.resets == 1
             assert proxy.state.joins == 2
-            assert proxy.forwarder.routes["read"].lines == {"s-0": 1.0}
+            assert proxy.forwarder.class_tables["read"].lines == {"s-0": 1.0}
 
     asyncio.run(asyncio.wait_for(work(), WORK_MOST))
 
--- a/tests/service/test_configured_names.py
+++ b/tests/service/test_configured_names.py
@@ -17,7 +17,8 @@
 from stackwheel.service.config import read_config
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import HealthCheckTarget, PlannerActor
+from stackwheel.state.messages import HealthCheckTarget
+from stackwheel.state.planner_actor import PlannerActor
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream, StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
@@ -123,7 +124,7 @@
     ports = RecordingPorts(Encoder(loaded.names, endpoints.server_ids), {new: old for old, new in names.items()})
     planner = PlannerActor(loaded.settings, 0.0, 5, clock, endpoints, ports)
     planner.set_timer = lambda _delay, _token: None  # type: ignore[method-assign]
-    planner.decide([endpoints.cached_update()])
+    planner.run_policy([endpoints.cached_update()])
     for proxy in range(PROXIES):
         planner.post(
             ProxyStream(
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -25,7 +25,7 @@
 from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
 from stackwheel.service.reload import Reload
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient
 from stackwheel.wire.transport import Addresses
 
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -8,10 +8,12 @@
 from pathlib import Path
 
 import pytest
-from fake_services import Discovery, Tables, config, free_port
+from fake_services import Discovery, config, free_port
 from planner_process import MAX_WAIT_S, run_async, running_planner, serves_exactly, start_planner
+from proxy_model import ProxyTables
 
 from stackwheel import peers
+from stackwheel.forwarder.updates import InvalidUpdateError
 
 
 def test_a_proxy_gets_its_tables_and_their_changes(tmp_path: Path) -> None:
@@ -280,7 +282,7 @@
             await proxy.wait_until(serves_exactly({"s-0", "s-2", "s-3"}))
             _, log = await planner.stop()
             assert "failed" not in log
-            assert "counts as left" not in log
+            assert "timed out" not in log
             assert planner.discovery.calls == ["served"]
 
     run_async(work())
@@ -403,7 +405,7 @@
 
 
 def test_fake_proxy_tables_reject_what_a_proxy_would() -> None:
-    tables = Tables(("read",), {"s-0"})
+    tables = ProxyTables(("read",), {"s-0"})
     for line in (
         "CONFIG routes=rest",
         "CONFIG endpoints=s-9:1",
@@ -411,6 +413,6 @@
         "HELLO",
         "CONFIG admit=1",
     ):
-        with pytest.raises(AssertionError):
+        with pytest.raises(InvalidUpdateError):
             tables.take(line)
     assert Discovery().generation == 1
--- a/tests/transport_harness.py
+++ b/tests/transport_harness.py
@@ -12,7 +12,7 @@
 from stackwheel.service.config import read_config
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.wire.transport import SocketTransport
 
@@ -31,7 +31,7 @@
         endpoints.apply(EndpointList(1, True, (server,)))
         self.transport = SocketTransport(loaded.addresses, loaded.settings, loaded.names, endpoints, Clock())
         self.table = self.transport.connection_table
-        self.posted: list[Item] = []
+        self.posted: list[PlannerMessage] = []
         host, _, port = loaded.addresses.listen.rpartition(":")
         self.listen_address = (host, int(port))
 
--- a/tests/wire/test_connection_races.py
+++ b/tests/wire/test_connection_races.py
@@ -16,7 +16,7 @@
 from transport_harness import TransportHarness, read_until_closed, run_async, wait_until
 
 from stackwheel import interface as face
-from stackwheel.state.planner_actor import StreamEnded
+from stackwheel.state.messages import StreamEnded
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 from stackwheel.wire.connection import Connection
@@ -316,7 +316,7 @@
         await asyncio.sleep(0)
         before = open_descriptors()
         server, entry = next(iter(harness.transport.endpoints.entries.items()))
-        from stackwheel.state.planner_actor import HealthCheckTarget
+        from stackwheel.state.messages import HealthCheckTarget
 
         for _ in range(50):
             harness.transport.start_health_check(server, HealthCheckTarget(0, entry.started_at, address))
