--- a/stackwheel/service/__init__.py
+++ b/stackwheel/service/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, clock, logging."""
+"""One planner or relay as a process: configuration, composition, reload, logging and shutdown."""
--- a/stackwheel/wire/__init__.py
+++ b/stackwheel/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken: typed messages, their codec, HTTP, datagrams and the connections' actors."""
+"""Network I/O: the line protocol's messages and connections, HTTP calls, the discovery client and gossip datagrams."""
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -228,7 +228,7 @@
             case DemandMessage() | AckMessage():
                 raise not_served(message)
             case CollectorMessage() if message.zone == self.zone:
-                pass  # it has said so before
+                pass  # it is this collector already
             case _:
                 raise not_expected(message)
 
