--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -233,7 +233,7 @@
 
     def _carry_out(self, actions: list[Action]) -> list[ProxyUpdate]:
         """Send the updates that follow from a reply, then carry out its other actions in order."""
-        updates = self.updates.apply(actions)
+        updates = self.updates.apply_action(actions)
         streams = self.streams.by_proxy
         self.ports.deliver([(streams[update.proxy].connection, update) for update in updates])
         now = self.clock.now()
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -164,7 +164,7 @@
         """Forget a server that nothing references."""
         self.ever_ejected.pop(server, None)
 
-    def apply(self, actions: Iterable[Action]) -> list[ProxyUpdate]:
+    def apply_action(self, actions: Iterable[Action]) -> list[ProxyUpdate]:
         """Bring the tables to the end state of a reply.
 
         Returns:
