--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -9,7 +9,6 @@
 
 from loguru import logger
 
-from stackwheel.balance import Planner
 from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
 from stackwheel.interface import (
     Acknowledged,
@@ -28,6 +27,7 @@
     TimerFired,
     WatchEndpoints,
 )
+from stackwheel.policy.planner import Planner
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.messages import (
