--- a/stackwheel/endpoints.py
+++ b/stackwheel/endpoints.py
@@ -134,7 +134,7 @@
 
     @classmethod
     def from_list(cls, endpoint_list: EndpointList, first_received_at: float) -> StaleSnapshot:
-        """Hold a complete list back."""
+        """Defer a complete list."""
         by_name = {instance.name: instance for instance in endpoint_list.instances}
         return cls(first_received_at, endpoint_list.generation, by_name, set(endpoint_list.unreadable))
 
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -41,8 +41,8 @@
         removed: when the process of each removed server had started, the oldest removal first. The owner forgets
             those of `excess_removed` that nothing names any more; each of them may return.
         restarted: those of `entries` that had an earlier process under the same id.
-        stale_snapshot: a complete list that is held back, if any; for `MAX_LIST_AGE` at most.
-        refetch_needed: whether a held back list was overtaken by changes: if discovery had started its generations
+        stale_snapshot: a complete list that is deferred, if any; for `MAX_LIST_AGE` at most.
+        refetch_needed: whether a deferred list was overtaken by changes: if discovery had started its generations
             again, the servers that left by that list are not known.
     """
 
@@ -103,7 +103,7 @@
 
         Of changes that is what is `EntryFreshness.NEW`: anything else would bring back what has left since. A
         complete list with entries that are `REVIVED` is an older state, as a fetch that a watch has overtaken
-        gives it: it counts like changes, and is held back. Where nothing newer arrives while a list can be that
+        gives it: it counts like changes, and is deferred. Where nothing newer arrives while a list can be that
         old, discovery has started its generations again and the list holds, see `confirmed_snapshot`.
         """
         if received.generations_restarted or received.generation >= self.generation:
@@ -116,7 +116,7 @@
             if self.stale_snapshot is not None:
                 self.stale_snapshot.advance(received)
         elif any(freshness is EntryFreshness.REVIVED for _, freshness in compared):
-            self._hold_back(received, now)
+            self._defer(received, now)
         else:
             self.stale_snapshot = None
             return received
@@ -124,7 +124,7 @@
         return EndpointList(self.generation, False, fresh)
 
     def confirmed_snapshot(self, now: float) -> EndpointList | None:
-        """The complete list that was held back, once nothing newer can be in transit; it is to be applied."""
+        """The complete list that was deferred, once nothing newer can be in transit; it is to be applied."""
         if self.stale_snapshot is None or now < self.stale_snapshot.first_received_at + MAX_LIST_AGE:
             return None
         return self.stale_snapshot.endpoint_list()
@@ -209,9 +209,9 @@
             self.addresses.pop(entry.server, None)
         return entries
 
-    def _hold_back(self, received: EndpointList, now: float) -> None:
+    def _defer(self, received: EndpointList, now: float) -> None:
         logger.warning(
-            "endpoint list held back: generation={} duration_s={:g} reason=it lists servers that drain or have left "
+            "endpoint list deferred: generation={} duration_s={:g} reason=it lists servers that drain or have left "
             "by generation {}",
             received.generation,
             MAX_LIST_AGE / 1000.0,
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -134,13 +134,13 @@
         confirmed = self.endpoints.confirmed_snapshot(self.clock.now())
         if confirmed is not None:
             logger.warning(
-                "endpoint list accepted: generation={} duration_s={:g} reason=it was held back and nothing newer came",
+                "endpoint list accepted: generation={} duration_s={:g} reason=it was deferred and nothing newer came",
                 confirmed.generation,
                 MAX_LIST_AGE / 1000.0,
             )
             events.append(self.endpoints.apply(confirmed))
         if self.endpoints.take_refetch_needed():
-            logger.warning("endpoint list requested: kind=full reason=changes overtook a list that was held back")
+            logger.warning("endpoint list requested: kind=full reason=changes overtook a deferred list")
             self.ports.fetch_endpoints()
         self.run_policy([*events, *self.streams.time_out(self.clock.now())])
         self._forget_removed_servers()
--- a/tests/state/test_endpoint_cache.py
+++ b/tests/state/test_endpoint_cache.py
@@ -78,7 +78,7 @@
     assert view.cache.confirmed_snapshot(1e9) is None
 
 
-def test_changes_that_overtake_a_held_back_list_cause_one_fetch() -> None:
+def test_changes_that_overtake_a_deferred_list_cause_one_fetch() -> None:
     """Discovery restarted its generations without c and reached the old ones before the list was accepted: c stayed."""
     view = PolicyView(delta(42, instance("b", DRAINING)))
     assert not view.cache.take_refetch_needed()
@@ -133,7 +133,9 @@
 
 
 @pytest.mark.parametrize("removal_is_advisory", [True, False])
-def test_a_late_drain_of_a_removed_server_is_told_where_removal_is_advisory(removal_is_advisory: bool) -> None:
+def test_a_late_drain_of_a_removed_server_reaches_the_policy_where_removal_is_advisory(
+    removal_is_advisory: bool,
+) -> None:
     """The policy keeps what the list dropped there; an older generation's drain of it was ignored (seed 700451)."""
     view = PolicyView(
         delta(41, instance("c", READY, 100.0)), delta(43, instance("b", REMOVED), instance("c", REMOVED, 100.0))
@@ -141,8 +143,8 @@
     view.cache.removal_is_advisory = removal_is_advisory
     # The drain of c is of its earlier process.
     update = view.cache.apply(delta(42, instance("a"), instance("b", DRAINING), instance("c", DRAINING)))
-    told = [(view.cache.server_ids.name(entry.server), entry.availability) for entry in update.entries]
-    assert told == ([("b", DRAINING)] if removal_is_advisory else [])
+    notified = [(view.cache.server_ids.name(entry.server), entry.availability) for entry in update.entries]
+    assert notified == ([("b", DRAINING)] if removal_is_advisory else [])
     assert list(view.cache.entries) == list(view.cache.addresses) == [server_id("a")]
     assert view.cache.generation == 43
     assert list(view.cache.removed) == [server_id("b"), server_id("c")]
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -27,7 +27,7 @@
 from stackwheel.state.server_ids import server_id
 
 
-def test_the_list_is_fetched_where_changes_overtake_a_held_back_one() -> None:
+def test_the_list_is_fetched_where_changes_overtake_a_deferred_one() -> None:
     """Discovery restarted its generations and reached the old ones: who had left by its first list stayed listed."""
     harness = ActorHarness()
     draining = replace(ready_instance("s-0"), availability=Availability.DRAINING)
@@ -161,14 +161,14 @@
     assert harness.process(report) == [report]
 
 
-def test_a_held_back_list_is_accepted_in_time() -> None:
+def test_a_deferred_list_is_accepted_in_time() -> None:
     clock = ManualClock()
     harness = ActorHarness(clock)
     removed = replace(ready_instance("s-0"), availability=Availability.REMOVED)
     harness.process(EndpointList(5, False, (removed,)))
-    (held_back,) = harness.process(endpoint_list("s-0", "s-1", generation=2))
-    assert isinstance(held_back, face.EndpointUpdate)
-    assert held_back.kind is face.UpdateKind.DELTA
+    (deferred,) = harness.process(endpoint_list("s-0", "s-1", generation=2))
+    assert isinstance(deferred, face.EndpointUpdate)
+    assert deferred.kind is face.UpdateKind.DELTA
     clock.time += MAX_LIST_AGE - 1.0
     assert harness.process() == []
     clock.time += 1.0
