--- a/stackwheel/trials/defects/files.py
+++ b/stackwheel/trials/defects/files.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from stackwheel.files import codec, publisher
-from stackwheel.files.accept import Acceptor
-from stackwheel.files.disk import SwapFailed
-from stackwheel.files.reader import Reader
+from stackwheel.files.acceptor import Acceptor
+from stackwheel.files.errors import FileRejectedError, ReplaceError, ReplaceStep, Stage
+from stackwheel.files.reader import FileReader
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.defects.planting import Defect, Patch, returns
 
@@ -18,44 +18,43 @@
 def written_in_place() -> Sequence[Patch]:
     """A file is written piece by piece under its final name."""
 
-    def swap(disk: Any, folder: str, name: str, data: bytes) -> SwapFailed | None:
+    def replace_file(disk: Any, folder: str, name: str, data: bytes) -> None:
         try:
             handle = disk.create(f"{folder}/{name}")
             for start in range(0, len(data), WRITE_BYTES):
                 disk.write(handle, data[start : start + WRITE_BYTES])
             disk.close(handle)
         except OSError as error:
-            return SwapFailed("write", str(error))
-        return None
+            raise ReplaceError(ReplaceStep.WRITE, str(error)) from error
 
-    return [Patch(publisher, "swap", swap)]
+    return [Patch(publisher, "replace_file", replace_file)]
 
 
 def sequence_unchecked() -> Sequence[Patch]:
     """A file is accepted whatever was applied before it."""
-    original = Acceptor.offer
+    original = Acceptor.validate
 
-    def offer(self: Acceptor, orders: Any, now: float) -> Any:
-        marks = self.memory.marks
-        self.memory.marks = {}
+    def validate(self: Acceptor, update: Any, now: float) -> Any:
+        applied = self.memory.applied
+        self.memory.applied = {}
         try:
-            return original(self, orders, now)
+            return original(self, update, now)
         finally:
-            self.memory.marks = marks
+            self.memory.applied = applied
 
-    return [Patch(Acceptor, "offer", offer)]
+    return [Patch(Acceptor, "validate", validate)]
 
 
-def bookings_forgotten() -> Sequence[Patch]:
-    """No id of a booking order is remembered."""
-    original = Acceptor.commit
+def reservations_forgotten() -> Sequence[Patch]:
+    """No id of a reservation is remembered."""
+    original = Acceptor.record_applied
 
-    def commit(self: Acceptor, accepted: Any, now: float) -> Any:
-        memory = original(self, accepted, now)
-        memory.bookings = {}
+    def record_applied(self: Acceptor, acceptance: Any, now: float) -> Any:
+        memory = original(self, acceptance, now)
+        memory.reservations = {}
         return memory
 
-    return [Patch(Acceptor, "commit", commit)]
+    return [Patch(Acceptor, "record_applied", record_applied)]
 
 
 def trailer_unchecked() -> Sequence[Patch]:
@@ -63,17 +62,19 @@
 
     def unseal(data: bytes, _keys: Any = None) -> Any:
         body = data.partition(b"\n")[2].partition(b"\nend ")[0]
-        return body or codec.Refusal(codec.Stage.TRAILER, "empty")
+        if not body:
+            raise FileRejectedError(Stage.TRAILER, "empty")
+        return body
 
     return [Patch(codec, "unseal", unseal)]
 
 
 def age_unchecked() -> Sequence[Patch]:
     """A file is accepted as if it had just been made, and never expires."""
-    original = Acceptor.offer
+    original = Acceptor.validate
     return [
-        Patch(Acceptor, "offer", lambda self, orders, now: original(self, orders, min(now, orders.made))),
-        Patch(Reader, "over", returns(False)),
+        Patch(Acceptor, "validate", lambda self, update, now: original(self, update, min(now, update.created_at))),
+        Patch(FileReader, "expired", returns(False)),
     ]
 
 
@@ -96,7 +97,7 @@
         "booking-forgotten",
         "files",
         (Rule.ONCE,),
-        bookings_forgotten,
+        reservations_forgotten,
         "ids of booking orders are not remembered",
     ),
     Defect(
