--- a/stackwheel/service/file_transport.py
+++ b/stackwheel/service/file_transport.py
@@ -5,14 +5,18 @@
 import random
 from pathlib import Path
 
-from stackwheel.config_language.load import OperatorsError, load
-from stackwheel.config_language.schema import Files
+from stackwheel.config_language.errors import OperatorsFileError
+from stackwheel.config_language.load import load
+from stackwheel.config_language.schema import FilesRecord
 from stackwheel.files.codec import NO_KEYS
 from stackwheel.files.disk import SystemDisk
-from stackwheel.files.keys import KeyFileError, load_keys
-from stackwheel.files.ledger import Ledger, Terms
+from stackwheel.files.environment import FileEnvironment
+from stackwheel.files.errors import KeyFileError
+from stackwheel.files.file_builder import PublisherSettings
+from stackwheel.files.key_file import load_keys
 from stackwheel.files.publisher import FilePublisher, Folders
-from stackwheel.files.push import Pace, Pusher
+from stackwheel.files.publisher_state import PublisherState
+from stackwheel.files.push_scheduler import PushLimits, PushScheduler
 from stackwheel.service.ports import PlannerContext, ProxyTransport, TransportSetupError
 
 INCARNATION_BITS = 48
@@ -26,25 +30,29 @@
     """
     try:
         records = load(Path(path)).records
-        return [build_publisher(context, records.files)] if records.files.on else []
-    except (OperatorsError, KeyFileError) as error:
+        return [build_publisher(context, records.files)] if records.files.enabled else []
+    except (OperatorsFileError, KeyFileError) as error:
         raise TransportSetupError(str(error)) from error
 
 
-def build_publisher(context: PlannerContext, files: Files) -> FilePublisher:
+def build_publisher(context: PlannerContext, files: FilesRecord) -> FilePublisher:
     """The file publisher as the operators' file describes it; KeyFileError where its keys can't be used."""
     config = context.config
-    keys = load_keys(Path(files.keys)) if files.keys else NO_KEYS
-    terms = Terms(files.life, files.whole_every, config.settings.report_interval)
-    ledger = Ledger(
+    keys = load_keys(Path(files.key_file)) if files.key_file else NO_KEYS
+    state = PublisherState(
         config.name,
         config.names,
         config.settings.proxy_count,
-        terms,
+        PublisherSettings(files.lifetime_ms, files.deltas_per_full_file, config.settings.report_interval),
         context.endpoints.server_ids.name,
         random.Random(config.seed).getrandbits(INCARNATION_BITS),
     )
-    pace = Pace(files.pace.cap, files.pace.span, files.pace.least)
-    pusher = Pusher(pace, config.seed, files.under_way)
-    folders = Folders(files.out, files.answers)
-    return FilePublisher(ledger, pusher, folders, SystemDisk(), context.clock.now, context.post, keys)
+    limits = PushLimits(files.pace.max_files, files.pace.window_ms, files.pace.min_interval_ms)
+    return FilePublisher(
+        state,
+        PushScheduler(limits, config.seed, files.max_concurrent_writes),
+        Folders(files.output_folder, files.reports_folder),
+        FileEnvironment(SystemDisk(), context.clock.now),
+        context.post,
+        keys,
+    )
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -9,7 +9,6 @@
 
 from loguru import logger
 
-from stackwheel.balance import Planner
 from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
 from stackwheel.interface import (
     Acknowledged,
@@ -28,6 +27,7 @@
     TimerFired,
     WatchEndpoints,
 )
+from stackwheel.policy.planner import Planner
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.messages import (
@@ -134,13 +134,13 @@
         confirmed = self.endpoints.confirmed_snapshot(self.clock.now())
         if confirmed is not None:
             logger.warning(
-                "endpoint list accepted: generation={} duration_s={:g} reason=it was held back and nothing newer came",
+                "endpoint list accepted: generation={} duration_s={:g} reason=it was deferred and nothing newer came",
                 confirmed.generation,
                 MAX_LIST_AGE / 1000.0,
             )
             events.append(self.endpoints.apply(confirmed))
         if self.endpoints.take_refetch_needed():
-            logger.warning("endpoint list requested: kind=full reason=changes overtook a list that was held back")
+            logger.warning("endpoint list requested: kind=full reason=changes overtook a deferred list")
             self.ports.fetch_endpoints()
         self.run_policy([*events, *self.streams.time_out(self.clock.now())])
         self._forget_removed_servers()
@@ -233,7 +233,7 @@
 
     def _carry_out(self, actions: list[Action]) -> list[ProxyUpdate]:
         """Send the updates that follow from a reply, then carry out its other actions in order."""
-        updates = self.updates.apply(actions)
+        updates = self.updates.apply_action(actions)
         streams = self.streams.by_proxy
         self.ports.deliver([(streams[update.proxy].connection, update) for update in updates])
         now = self.clock.now()
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -7,9 +7,9 @@
 
 from policy_harness import SETTINGS
 
-from stackwheel.balance import Planner
 from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Action, AttachNonce, Availability, Event, Server, Settings
+from stackwheel.policy.planner import Planner
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.messages import HealthCheckTarget, PlannerMessage
--- a/tests/service/test_app.py
+++ b/tests/service/test_app.py
@@ -4,7 +4,7 @@
 
 from policy_harness import SETTINGS
 
-from stackwheel.balance import Outbox
+from stackwheel.policy.channel import Outbox
 from stackwheel.service.app import stream_timeout, with_slot_jitter
 from stackwheel.wire.connection_limits import RateLimiter
 
@@ -14,8 +14,8 @@
     settings = replace(SETTINGS, message_cap=2, message_window=10_000.0)
     outbox = Outbox(with_slot_jitter(settings))
     proxy = 3
-    outbox.written[proxy] = [1000.0, 2000.0]
-    outbox.advance(10_990.0, {})
+    outbox.message_times[proxy] = [1000.0, 2000.0]
+    outbox.begin(10_990.0, {})
     assert outbox.may_write(proxy, 1.0)
     assert replace(with_slot_jitter(settings), message_window=settings.message_window) == settings
 
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -12,8 +12,8 @@
 from planner_process import MAX_WAIT_S, run_async, running_planner, serves_exactly, start_planner
 from proxy_model import ProxyTables
 
-from stackwheel import peers
 from stackwheel.forwarder.updates import InvalidUpdateError
+from stackwheel.policy import gossip
 
 
 def test_a_proxy_gets_its_tables_and_their_changes(tmp_path: Path) -> None:
@@ -227,7 +227,7 @@
             collector.send_lines("LOAD site=east target=s-0 count=20 fail=0 mean=50 over=1000.0")
             payload = await asyncio.wait_for(loop.sock_recv(other, 1000), MAX_WAIT_S)
             assert 0 < len(payload) <= 256
-            assert peers.unpack(payload) is not None
+            assert gossip.decode(payload).rates
             _, log = await planner.stop()
             dropped = [line for line in log.splitlines() if "dropped" in line]
             assert len(dropped) == 2
--- a/tests/state/test_state_bounds.py
+++ b/tests/state/test_state_bounds.py
@@ -17,9 +17,9 @@
 from policy_harness import SETTINGS
 
 from stackwheel import interface as face
-from stackwheel import peers
 from stackwheel.endpoints import MIN_REMOVED_KEPT, EndpointList, Instance
 from stackwheel.interface import Availability
+from stackwheel.policy import gossip
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.messages import (
     StreamEnded,
@@ -52,7 +52,7 @@
         actor.post(StreamMessage(1, None, connection))
         for place in range(number - 4, number + 1):
             actor.post(face.LoadReport(0, server_id(f"s-{place}"), 20, 0, 60.0, 1000.0))
-        actor.post(face.GossipReceived(1, peers.pack(1, {server_id(f"s-{number}"): 0.9})[0]))
+        actor.post(face.GossipReceived(1, gossip.encode(1, {server_id(f"s-{number}"): 0.9})[0]))
         actor.post(face.DemandReport(1, 0, 40, 0, 1000.0))
         actor.process_batch()
         for _, _, update in [call for call in ports.calls if call[0] == "update" and call[2].nonce is not None]:
@@ -99,10 +99,10 @@
                             endpoints.server_ids.names,
                             actor.streams.by_proxy[1].ejected,
                             actor.updates.ejected,
-                            policy.servers,
-                            policy.peers[1][2],
-                            policy.outbox.unacked,
-                            policy.outbox.written,
+                            policy.pool.views,
+                            policy.peers.figures[1].rates,
+                            policy.outbox.unacknowledged,
+                            policy.outbox.message_times,
                         )
                     ]
                     + [sum(len(lines) for lines in actor.updates.tables.values())]
