--- a/tests/wire/test_transport.py
+++ b/tests/wire/test_transport.py
@@ -293,7 +293,7 @@
 
 def test_results_of_health_checks_are_posted() -> None:
     async def work() -> None:
-        server = await asyncio.start_server(toy.serve_probe, "127.0.0.1", 0)
+        server = await asyncio.start_server(toy.serve_health_check, "127.0.0.1", 0)
         harness = TransportHarness("{}:{}".format(*server.sockets[0].getsockname()[:2]))
         await harness.open()
         listed = HealthCheckTarget(0, 0.0, harness.transport.endpoints.addresses[server_id("s-0")])
