--- a/tests/service/test_config.py
+++ b/tests/service/test_config.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("known", [[], {"instances": []}, {"generation": 1, "reset": True, "instances": [{}]}])
-def test_a_cached_endpoint_list_has_to_be_readable_as_a_whole(known: object) -> None:
+def test_a_cached_endpoint_list_with_an_unreadable_entry_is_rejected(known: object) -> None:
     with pytest.raises(ConfigError) as caught:
         read_config({**config(ADDRESS), "known": known})
     assert caught.value.place == "known"
