--- a/stackwheel/files/publisher_state.py
+++ b/stackwheel/files/publisher_state.py
@@ -13,7 +13,7 @@
 from stackwheel.files.incarnations import next_incarnation
 from stackwheel.files.records import Incarnation, ProxyStatus, Reservation, ServerObservation, TableUpdate
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate
@@ -78,7 +78,7 @@
         """The files that have to be written now."""
         return self.files.due_updates(self.proxies.values(), now)
 
-    def receive_status(self, status: ProxyStatus, now: float) -> Iterator[Item]:
+    def receive_status(self, status: ProxyStatus, now: float) -> Iterator[PlannerMessage]:
         """What a status file means for the planner actor; nothing if it is not new or can't be right."""
         if status.proxy >= self.proxy_count or status.zone not in self.names.zones:
             self.rejected_count += 1
@@ -101,7 +101,7 @@
             yield from self._acknowledged(proxy, status, now)
         yield from self._reports(proxy, status)
 
-    def expire_silent(self, now: float) -> Iterator[Item]:
+    def expire_silent(self, now: float) -> Iterator[PlannerMessage]:
         """Proxies that have written no status for long count as departed and are forgotten."""
         oldest = now - SILENT_REPORT_INTERVALS * self.settings.report_interval
         for proxy in [proxy for proxy in self.proxies.values() if proxy.last_received_at < oldest]:
@@ -109,7 +109,7 @@
             self.files.forget_proxy(proxy.zone, proxy.proxy)
             yield StreamEnded(proxy.proxy, proxy.connection)
 
-    def _acknowledged(self, proxy: FileProxy, status: ProxyStatus, now: float) -> Iterator[Item]:
+    def _acknowledged(self, proxy: FileProxy, status: ProxyStatus, now: float) -> Iterator[PlannerMessage]:
         """What a status says about this planner's own files."""
         if status.planner_incarnation == self.incarnation:
             nonce = proxy.acknowledge(status.applied_sequence)
@@ -123,7 +123,7 @@
         ):  # the clock was stepped back: an earlier incarnation of this planner counts as later than the present one
             self.start_incarnation(now, [status.planner_incarnation])
 
-    def _reports(self, proxy: FileProxy, status: ProxyStatus) -> Iterator[Item]:
+    def _reports(self, proxy: FileProxy, status: ProxyStatus) -> Iterator[PlannerMessage]:
         if status.window <= 0:
             return
         for demand in status.demand:
--- a/stackwheel/scale/choice_timing.py
+++ b/stackwheel/scale/choice_timing.py
@@ -6,14 +6,16 @@
 import time
 from random import Random
 
-from stackwheel.forwarder.state import ForwarderState, choose
+from stackwheel.forwarder.state import ForwarderState, LoadBalancingPolicy, choose
 from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdatePart
 from stackwheel.scale.slopes import Choice
 
 ROUTE = "read"
 TABLE_LINES = (23, 200, 512)  # a mean service; the most that a table usually has (docs/fleet.md); the largest cell
 ATTEMPTS_MADE = (0, 2)  # a first try, and the third
-LOAD_BALANCING_POLICY = "two"  # two drawn by weight, the one with less under way: the dearest that holds no state
+LOAD_BALANCING_POLICY: LoadBalancingPolicy = (
+    "two"  # two drawn by weight, the one with less under way: the dearest that holds no state
+)
 CALLS = 2_000  # timed together, as one is near the clock's own cost
 REPEATS = 15
 
@@ -31,10 +33,10 @@
 
 def time_choice(lines: int, without: int, repeats: int = REPEATS, calls: int = CALLS) -> Choice:
     """Time choices from a table, some servers tried already; means of each repeat."""
-    class_table = table(lines).routes[ROUTE]
-    attempted = class_table.open[:without]
+    class_table = table(lines).class_tables[ROUTE]
+    attempted = class_table.available[:without]
     random = Random(1)
-    in_flight = {name: number % 3 for number, name in enumerate(class_table.open)}
+    in_flight = {name: number % 3 for number, name in enumerate(class_table.available)}
     means = []
     for _ in range(repeats):
         began = time.perf_counter_ns()
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -26,7 +26,7 @@
     load_assignment,
     load_relay_config,
 )
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import DiscoveryClient
 from stackwheel.wire.endpoint_list_server import EndpointListServer, open_listener
--- a/stackwheel/trials/exchange.py
+++ b/stackwheel/trials/exchange.py
@@ -26,9 +26,10 @@
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
 from stackwheel.files.reader import FileReader, ReaderConfig, StatusReport
 from stackwheel.files.records import ClassDemand, FileVersion, Reservation, ServerObservation
+from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.rules.violations import Rule
 from stackwheel.service.ports import PlannerContext
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.streams import ProxyStream
 from stackwheel.trials.disks import TrialDisk
 from stackwheel.trials.loop import Machine
@@ -123,11 +124,11 @@
         host.publisher = publisher
         return [publisher]
 
-    def heard(self, host: PlannerHost, context: PlannerContext, item: Item) -> None:
+    def heard(self, host: PlannerHost, context: PlannerContext, item: PlannerMessage) -> None:
         """What the publisher posts: a forwarder that joins by files counts as joined."""
         if isinstance(item, ProxyStream):
             self.joined[item.proxy] = host.number
-            self.world.checker.joined(item.proxy, host.number, self.world.ms())
+            self.world.checker.proxy_joined(item.proxy, host.number, self.world.ms())
         context.post(item)
 
     def planner_down(self, planner: int) -> None:
@@ -203,7 +204,7 @@
     def leave(self, proxies: list[int]) -> None:
         for proxy in proxies:
             if self.joined.pop(proxy, None) is not None:
-                self.world.checker.left(proxy, self.world.ms())
+                self.world.checker.proxy_left(proxy, self.world.ms())
 
     def cut(self) -> None:
         """A cut has begun: forwarders across it count as left until an answer has passed again."""
@@ -235,7 +236,7 @@
         known = host.publisher is not None and proxy.number in host.publisher.state.proxies
         if known and host.running and proxy.number not in self.joined and self.sound(proxy, host.number):
             self.joined[proxy.number] = host.number  # heard again
-            self.world.checker.joined(proxy.number, host.number, self.world.ms())
+            self.world.checker.proxy_joined(proxy.number, host.number, self.world.ms())
 
     def sound(self, proxy: Proxy, planner: int) -> bool:
         return (
@@ -302,13 +303,13 @@
             return
         self.shown = choice.source, choice.content
         proxy = self.proxy
-        for route, held in proxy.holdings.routes.items():
+        for route, held in proxy.holdings.class_tables.items():
             if route in choice.content.tables:
                 held.lines = dict(choice.content.tables[route])
                 level = choice.content.levels.get(route)
-                held.level = (level.admitted, level.retry) if level is not None else None
+                held.level = AdmissionLevel(level.admitted, Retry(level.retry)) if level is not None else None
         proxy.holdings.ejected = dict.fromkeys(choice.content.ejected)
-        for held in proxy.holdings.routes.values():
+        for held in proxy.holdings.class_tables.values():
             proxy.holdings.refresh(held)
         proxy.fresh = False
         self.exchange.world.checker.note(
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -9,8 +9,9 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from stackwheel.files.publisher import FilePublisher
+from stackwheel.interface import AdmissionLevel
 from stackwheel.service.app import ProcessEnvironment, Service, no_transports
-from stackwheel.service.config import Config, ConfigError, read_config
+from stackwheel.service.config import Config, read_config
 from stackwheel.trials.loop import Machine
 from stackwheel.trials.network import Address
 from stackwheel.wire.connection import Connection
@@ -115,11 +116,8 @@
             "settings": settings_document(world, self.number),
         }
 
-    def load(self) -> Config | ConfigError:
-        try:
-            return read_config(self.document())
-        except (ValueError, KeyError, TypeError) as error:
-            return ConfigError(str(error))
+    def load(self) -> Config:
+        return read_config(self.document())
 
     def start(self) -> None:
         """A new process: it knows the list as it is now and nothing else."""
@@ -132,7 +130,6 @@
         self.lives += 1
         self.discovery = world.discovery_of(self.number)
         config = self.load()
-        assert not isinstance(config, ConfigError), config.reason
         loop = world.loop
         exchange = world.exchange
         around = ProcessEnvironment(
@@ -166,7 +163,7 @@
 
     def believed(
         self, proxy: int
-    ) -> tuple[Mapping[int, Mapping[str, float]], Mapping[int, tuple[float, int] | None], Mapping[str, bool]] | None:
+    ) -> tuple[Mapping[int, Mapping[str, float]], Mapping[int, AdmissionLevel | None], Mapping[str, bool]] | None:
         """By class the lines and the level that it believes a proxy to hold, and what it has ejected there;
         None while something it sent is unanswered, or there is no stream."""
         assert self.service is not None
@@ -175,15 +172,14 @@
         if stream is None:
             return None
         lines: dict[int, dict[str, float]] = {}
-        levels: dict[int, tuple[float, int] | None] = {}
+        levels: dict[int, AdmissionLevel | None] = {}
         for place, table in stream.table_by_class.items():
             lines[place] = {
                 name: weight
-                for server, weight in module.tables.tables.get(table, {}).items()
+                for server, weight in module.updates.tables.get(table, {}).items()
                 if (name := ids.name(server)) is not None
             }
-            level = module.tables.level(place, table)
-            levels[place] = None if level is None else (level[0], int(level[1]))
+            levels[place] = module.updates.admission_level(place, table)
         ejected = {name: out for server, out in stream.ejected.items() if (name := ids.name(server)) is not None}
         return lines, levels, ejected
 
@@ -205,7 +201,7 @@
         links, module, roster = self.service.transport, self.service.planner, self.service.endpoints
         table = links.connection_table
         proxies = self.world.shape.proxies
-        yield "streams", len(module.streams.by_proxy) + len(module.streams.silent), proxies
+        yield "streams", len(module.streams.by_proxy) + len(module.streams.timed_out), proxies
         yield "limiters", len(links.limiters), proxies
         yield "bytes that wait", links.buffer_budget.total_bytes, links.buffer_budget.max_bytes
         yield (
--- a/stackwheel/wire/health_check_runner.py
+++ b/stackwheel/wire/health_check_runner.py
@@ -7,7 +7,7 @@
 from stackwheel.interface import HealthCheckOutcome, HealthCheckResult, Server
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
-from stackwheel.state.planner_actor import HealthCheckCompleted, HealthCheckTarget
+from stackwheel.state.messages import HealthCheckCompleted, HealthCheckTarget
 from stackwheel.wire.connection_table import ConnectionTable
 from stackwheel.wire.health_checks import check_health, health_check_call
 from stackwheel.wire.task_supervisor import TaskSupervisor
@@ -33,7 +33,7 @@
 
     def start(self, server: Server, target: HealthCheckTarget) -> None:
         """Check a server; dropped where no descriptor is free, as incoming connections need them."""
-        if self.connections.is_full():
+        if self.connections.at_capacity():
             return
         if target.address:
             self.connections.health_checks_in_flight += 1  # now, as many may be started in one turn of the loop
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -14,7 +14,7 @@
 from stackwheel.settings import Names
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import HealthCheckTarget, Item
+from stackwheel.state.messages import HealthCheckTarget, PlannerMessage
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 from stackwheel.wire import timing
@@ -89,17 +89,9 @@
         self.names = names
         self.endpoints = endpoints
         self.listen_at = listen_at
-        self.post: Callable[[Item], None] = discard
+        self.post: Callable[[PlannerMessage], None] = discard
         self.encoder = Encoder(names, endpoints.server_ids)
-        self.discovery = DiscoveryClient(
-            addresses.discovery,
-            endpoints.generation,
-            not settings.endpoint_list_on_request,
-            self._post_item,
-            Random(seed),
-            settings.list_poll_deadline,
-            timing.watch_renewal_interval(settings.planner_count),
-        )
+        self.discovery = self._discovery_client(Random(seed))
         self.datagrams = GossipProtocol(addresses.peers, addresses.peers_all, settings.planner_index, self._post_item)
         self.supervisor = TaskSupervisor()
         self.connection_table = ConnectionTable(addresses.sockets)
@@ -116,10 +108,22 @@
             is_listed=self.is_listed,
         )
 
-    def _post_item(self, item: Item) -> None:
+    def _post_item(self, item: PlannerMessage) -> None:
         self.post(item)
 
-    async def open(self, post: Callable[[Item], None]) -> None:
+    def _discovery_client(self, random: Random) -> DiscoveryClient:
+        settings = self.settings
+        return DiscoveryClient(
+            self.addresses.discovery,
+            self.endpoints.generation,
+            not settings.endpoint_list_on_request,
+            self._post_item,
+            random,
+            settings.list_poll_deadline,
+            timing.watch_renewal_interval(settings.planner_count),
+        )
+
+    async def open(self, post: Callable[[PlannerMessage], None]) -> None:
         """Start everything, the listener last; `post` gets what arrives. OSError if an address can't be bound."""
         self.post = post
         loop = asyncio.get_running_loop()
@@ -219,5 +223,5 @@
         self.datagrams.send(payload, peer)
 
 
-def discard(_item: Item) -> None:
+def discard(_item: PlannerMessage) -> None:
     """Stands in for the planner's mailbox until the transport is opened."""
--- a/tests/service/test_logging_setup.py
+++ b/tests/service/test_logging_setup.py
@@ -1,21 +1,25 @@
-"""Repeats are held down, and counted."""
+"""Lines that repeat are suppressed and counted."""
 
 from typing import Any, NamedTuple
 
-from stackwheel.service.logging_setup import BURST, SPAN, HoldDown
+from stackwheel.service.logging_setup import MAX_LINES_PER_WINDOW, WINDOW_S, RepeatFilter
 
 
 class Level(NamedTuple):
     no: int
 
 
-def test_repeats_are_held_down() -> None:
-    at = 0.0
-    hold = HoldDown(lambda: at)
+def test_repeated_lines_are_suppressed_and_counted() -> None:
+    now = 0.0
+    repeat_filter = RepeatFilter(lambda: now)
     record: dict[str, Any] = {"name": "here", "line": 7, "extra": {}, "level": Level(30)}
-    assert [hold(record) for _ in range(BURST + 3)] == [True] * BURST + [False] * 3  # type: ignore[arg-type]
-    assert hold({**record, "line": 8})  # type: ignore[typeddict-item, arg-type]
-    assert all(hold({**record, "level": Level(10)}) for _ in range(BURST + 3))  # type: ignore[typeddict-item, arg-type]
-    at = SPAN
-    assert hold(record) and record["extra"]["held"] == " (3 more like this were held down)"  # type: ignore[arg-type]
-    assert hold(record) and record["extra"]["held"] == ""  # type: ignore[arg-type]
+    assert [repeat_filter(record) for _ in range(MAX_LINES_PER_WINDOW + 3)] == [True] * MAX_LINES_PER_WINDOW + [
+        False
+    ] * 3  # type: ignore[arg-type]
+    assert repeat_filter({**record, "line": 8})  # type: ignore[typeddict-item, arg-type]
+    assert all(repeat_filter({**record, "level": Level(10)}) for _ in range(MAX_LINES_PER_WINDOW + 3))  # type: ignore[typeddict-item, arg-type]
+    now = WINDOW_S
+    assert repeat_filter(record)
+    assert record["extra"]["suppressed"] == " (3 similar lines suppressed)"
+    assert repeat_filter(record)
+    assert record["extra"]["suppressed"] == ""
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -10,7 +10,7 @@
 from stackwheel.interface import Action, Event, Settings
 from stackwheel.policy.planner import Planner
 from stackwheel.service.config import Config, read_config
-from stackwheel.settings import build_all, flatten, parse_settings
+from stackwheel.settings import flatten, load_settings, parse_settings
 from stackwheel.simulator.decoder import Batch, CreatePlanner, Decoder, InstanceItem, StopPlanner
 from stackwheel.simulator.encoder import encode_action
 from stackwheel.simulator.host import Host
@@ -70,7 +70,7 @@
     pairs = dict(flatten(nested_settings()))
     text = "\n".join(f"{path}={value}" for path, value in pairs.items()).encode()
     assert parse_settings(text) == parse_settings(simulator_frames.SETTINGS.encode())
-    _, names, _ = build_all(pairs)
+    names = load_settings(nested_settings()).names
     assert names.classes == CLASSES
     assert names.columns == ("outstanding",)
 
@@ -168,7 +168,7 @@
                 update = parse_endpoint_list(list_document(event))
                 if event.kind is face.UpdateKind.CACHED:
                     endpoints.apply(update)
-                    actor.decide([endpoints.cached_update()])
+                    actor.run_policy([endpoints.cached_update()])
                 else:
                     actor.post(update)
                 continue
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples, as the README has a newcomer try them, on free ports."""
+"""The examples as the README uses them, on free ports."""
 
 import asyncio
 import contextlib
@@ -8,23 +8,23 @@
 from pathlib import Path
 
 from fake_services import ROOT, config
-from planner_process import MOST, start
+from planner_process import MAX_WAIT_S, start_planner
 
 from stackwheel.service.config import read_config
 
 TEST_TIMEOUT_S = 100
-DIAL_INTERVAL_S = 0.05
+CONNECT_INTERVAL_S = 0.05
 
 
-async def start_example(name: str, *words: str) -> asyncio.subprocess.Process:
+async def start_example(name: str, *arguments: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
-        sys.executable, str(ROOT / "examples" / name), *words, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        sys.executable, str(ROOT / "examples" / name), *arguments, cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
 
 
 async def read_line(process: asyncio.subprocess.Process) -> str:
     assert process.stdout is not None
-    return (await asyncio.wait_for(process.stdout.readline(), MOST)).decode().strip()
+    return (await asyncio.wait_for(process.stdout.readline(), MAX_WAIT_S)).decode().strip()
 
 
 async def read_update(proxy: asyncio.subprocess.Process) -> str:
@@ -40,7 +40,7 @@
             _, writer = await asyncio.open_connection(host, port)
             writer.close()
             return
-        await asyncio.sleep(DIAL_INTERVAL_S)
+        await asyncio.sleep(CONNECT_INTERVAL_S)
 
 
 def removes(update: str, server: str) -> bool:
@@ -48,14 +48,14 @@
     return f"{server}:0" in update.replace(",", " ").replace("=", " ").split()
 
 
-def test_a_newcomer_sees_tables_and_a_drain(tmp_path: Path) -> None:
+def test_the_examples_show_tables_and_a_drain(tmp_path: Path) -> None:
     async def run_examples(processes: list[asyncio.subprocess.Process]) -> None:
         toy_server = await start_example("toy_server.py", "--port", "0", "--drain", "3")
         processes.append(toy_server)
-        words = (await read_line(toy_server)).split()
-        assert words[:2] == ["discovery", "on"]
-        configuration = config(words[2])
-        planner = await start(configuration, tmp_path)
+        first_line = (await read_line(toy_server)).split()
+        assert first_line[:2] == ["discovery", "on"]
+        configuration = config(first_line[2])
+        planner = await start_planner(configuration, tmp_path)
         processes.append(planner)
         host, _, port = configuration["listen"].rpartition(":")
         await wait_until_listening(host, int(port))
