--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -135,35 +135,36 @@
         changes = self.group_changes(group, only_urgent, now)
         levels = [self.shedding.levels(table, admitted) for table in group.tables]
         level_lines = count_level_lines(group, levels)
-        must_go = count_must_go(changes)
-        lacks_lines = any(change.urgency == Urgency.NEW for change in changes)
-        paced = 0.0 if only_urgent else self.paced_lines(group, lacks_lines)
         free = self.free_lines_for_each(group) - level_lines
         fits = free > 0 and self.may_write(group, changes, now)
-        limit = int(bounded(max(must_go, paced), 0, max(0, free)))
+        paced = 0.0 if only_urgent else self.paced_lines(group, lacks_lines(changes))
+        limit = int(bounded(max(count_must_go(changes), paced), 0, max(0, free)))
         chosen = changes[:limit] if fits else []
-        self.has_deferred |= lacks_lines or (level_lines > 0 and not fits) or count_must_go(chosen) < must_go
-        if not chosen and (only_urgent or not level_lines or not fits):
-            return
-        self.write_group(group, chosen, levels)
-        if paced:
-            message_lines = self.outbox.overhead_lines + len(chosen)
-            self.outbox.change_allowance -= max(1, len(group.users)) * message_lines
-        if chosen:
-            group.written_at = now
+        self.note_deferred(changes, chosen, levels_wait=level_lines > 0 and not fits)
+        sends_levels = level_lines > 0 and fits and not only_urgent
+        if chosen or sends_levels:
+            self.write_group(group, chosen, levels, now)
+            if paced:
+                message_lines = self.outbox.overhead_lines + len(chosen)
+                self.outbox.change_allowance -= max(1, len(group.users)) * message_lines
+
+    def note_deferred(self, changes: Sequence[WeightChange], chosen: Sequence[WeightChange], levels_wait: bool) -> None:
+        """Note whether something of a group has to be tried again soon: urgent changes, missing lines or levels."""
+        urgent_wait = count_must_go(chosen) < count_must_go(changes)
+        self.has_deferred |= lacks_lines(changes) or levels_wait or urgent_wait
 
     def free_lines_for_each(self, group: TableGroup) -> float:
         """Lines that a message to each proxy of a group may have before the queue is too long."""
         free = self.outbox.free_lines(MAX_QUEUE_SHARE)
         return free / max(1, len(group.users)) - self.outbox.overhead_lines
 
-    def paced_lines(self, group: TableGroup, lacks_lines: bool) -> float:
+    def paced_lines(self, group: TableGroup, is_lacking: bool) -> float:
         """Lines for each proxy of a group that the pace of changes allows; none once it is spent.
 
         What a table lacks may go beyond the pace while the queue is short: no other change would use it.
         """
         outbox = self.outbox
-        if outbox.change_allowance <= 0 and not (lacks_lines and outbox.free_lines(CHANGE_QUEUE_SHARE / 2) > 0):
+        if outbox.change_allowance <= 0 and not (is_lacking and outbox.free_lines(CHANGE_QUEUE_SHARE / 2) > 0):
             return 0.0
         overhead = outbox.overhead_lines
         return max(overhead, outbox.max_change_allowance / max(1, len(group.users)) - overhead)
@@ -224,13 +225,15 @@
         return Urgency.SOON if view.is_ejected(now) else Urgency.ROUTINE
 
     def write_group(
-        self, group: TableGroup, chosen: Sequence[WeightChange], levels: list[dict[int, AdmissionLevel]]
+        self, group: TableGroup, chosen: Sequence[WeightChange], levels: list[dict[int, AdmissionLevel]], now: float
     ) -> None:
         """Send chosen changes of a group's tables, and all of their levels that differ."""
         users = list(group.users)
         for position, table in enumerate(group.tables):
             weights = {change.server: change.weight for change in chosen if change.position == position}
             self.write(table, users, weights, levels[position])
+        if chosen:
+            group.written_at = now
 
     def write_unused(self, groups: Sequence[TableGroup], now: float) -> None:
         """Order the tables of groups that no proxy uses yet."""
@@ -264,6 +267,11 @@
     return sum(change.urgency < Urgency.NEW for change in changes)
 
 
+def lacks_lines(changes: Sequence[WeightChange]) -> bool:
+    """Whether some table lacks a part that was never sent."""
+    return any(change.urgency == Urgency.NEW for change in changes)
+
+
 def count_level_lines(group: TableGroup, levels: list[dict[int, AdmissionLevel]]) -> int:
     """How many levels of a group's tables differ enough to be sent."""
     return sum(
