--- a/tests/fake_services.py
+++ b/tests/fake_services.py
@@ -26,7 +26,7 @@
 toy = load_example("toy_server")
 
 
-class Discovery(toy.Registry):  # type: ignore[name-defined, misc]
+class Discovery(toy.DiscoveryService):  # type: ignore[name-defined, misc]
     """The toy's discovery, with what can go wrong, in the order given, before it does as it should."""
 
     def __init__(self) -> None:
