--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -27,9 +27,9 @@
     run_relay_chunk,
     run_seeds,
 )
-from stackwheel.trials.script import Script, ScriptError, encode, load, words
-from stackwheel.trials.shrink import RUNS_MOST, Shrinker
-from stackwheel.trials.world import run_script
+from stackwheel.trials.script import Script, ScriptError, describe, encode, load
+from stackwheel.trials.shrink import MAX_RUNS, Shrinker
+from stackwheel.trials.simulation import run_script
 
 SHOWN = 20  # broken seeds told one by one
 SEEDS_MOST = 10_000_000
@@ -108,7 +108,7 @@
         except KeyboardInterrupt:
             stopped = True
     results.close()  # type: ignore[attr-defined]
-    summary.seconds = time.perf_counter() - began
+    summary.wall_seconds = time.perf_counter() - began
     if as_json:
         print(json.dumps({**summary.document(), **({"stopped": True} if stopped else {})}))
     else:
@@ -120,18 +120,18 @@
     if summary.broken:
         table = Table("seed", "at", "rule", "who and what")
         for result in summary.broken[:SHOWN]:
-            if result.fault:
-                table.add_row(str(result.seed), "", "the trial itself failed", result.fault.strip().splitlines()[-1])
+            if result.error:
+                table.add_row(str(result.seed), "", "the trial itself failed", result.error.strip().splitlines()[-1])
             for verdict in result.verdicts[:2]:
                 table.add_row(str(result.seed), f"{verdict.at / 1000.0:.2f}", verdict.rule.value, str(verdict))
         console.print(table)
         for rule, results in by_rule(summary.broken).items():
             console.print(f"{rule.value}: {len(results)} seeds, the first {results[0].seed}")
-    rate = summary.seeds / max(1e-9, summary.seconds)
+    rate = summary.seeds / max(1e-9, summary.wall_seconds)
     console.print(
         f"{'stopped after ' if stopped else ''}{summary.seeds} seeds, {len(summary.broken)} broken; "
-        f"{summary.virtual_seconds:.0f} virtual s in {summary.seconds:.1f} s on {jobs} processes: "
-        f"{rate:.1f} seeds/s, {summary.virtual_seconds / max(1e-9, summary.cpu):.0f} virtual s a core "
+        f"{summary.virtual_seconds:.0f} virtual s in {summary.wall_seconds:.1f} s on {jobs} processes: "
+        f"{rate:.1f} seeds/s, {summary.virtual_seconds / max(1e-9, summary.cpu_seconds):.0f} virtual s a core "
         f"second; mean service {summary.service:.3f}; digest {summary.hasher.hexdigest()}"
     )
 
@@ -170,7 +170,7 @@
         figures = ", ".join(f"{name.replace('_', ' ')} {value:g}" for name, value in found.figures.items())
         click.echo(
             f"{len(found.verdicts)} verdicts; {found.requests} requests, service {found.service:.3f}, "
-            f"{found.steps} steps; {figures}; digest {found.digest}"
+            f"{found.callbacks_run} steps; {figures}; digest {found.digest}"
         )
     return 1 if found.verdicts else 0
 
@@ -181,7 +181,7 @@
 @click.option(
     "--rule", type=click.Choice([r.name.lower() for r in Rule]), help="The rule; the first broken if not given."
 )
-@click.option("--runs", type=click.IntRange(1, 100_000), default=RUNS_MOST, show_default=True, help="Trials at most.")
+@click.option("--runs", type=click.IntRange(1, 100_000), default=MAX_RUNS, show_default=True, help="Trials at most.")
 @click.option("--defect", type=click.Choice([d.name for d in ALL_DEFECTS]), help="With a deliberate defect planted.")
 @files_flag
 @relays_flag
@@ -199,7 +199,7 @@
         out.write_bytes(encode(found.script))
     except OSError as error:
         raise click.UsageError(f"{out}: {error.strerror or error}") from None
-    click.echo("\n".join(words(found.script)))
+    click.echo("\n".join(describe(found.script)))
     click.echo(f"breaks at {found.at:.2f} s: {chosen.value}; {found.runs} trials; saved as {out}")
     return 0
 
@@ -212,7 +212,7 @@
 def show(what: str, files: bool, relays: bool, as_json: bool) -> None:
     """Tell a seed's script in words."""
     script = script_of(what, files, relays)
-    click.echo(encode(script).decode().rstrip() if as_json else "\n".join(words(script)))
+    click.echo(encode(script).decode().rstrip() if as_json else "\n".join(describe(script)))
 
 
 @trial.command()
@@ -254,8 +254,8 @@
         if not as_json:
             click.echo(
                 f"{row.proxies:4} proxies {row.servers:4} servers {row.planners} planners: "
-                f"{row.cpu_a_second * 1000:8.1f} ms a virtual second, {row.steps_a_second:8.0f} steps, "
-                f"{row.requests_a_second:6.0f} requests, checks {row.checks_share:.1%}, "
+                f"{row.cpu_per_second * 1000:8.1f} ms a virtual second, {row.callbacks_per_second:8.0f} steps, "
+                f"{row.requests_per_second:6.0f} requests, checks {row.checks_share:.1%}, "
                 f"{row.verdicts} verdicts, {row.memory_mb:.0f} MB"
             )
     if as_json:
--- a/stackwheel/trials/defects/forwarder.py
+++ b/stackwheel/trials/defects/forwarder.py
@@ -3,12 +3,10 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any
 
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.defects.planting import Defect, Patch
-from stackwheel.trials.proxies import Proxy
-from stackwheel.trials.world import World
+from stackwheel.trials.requests import Clients, Request, RequestReceiver
 
 DELAYED_UNTIL_BEFORE_DEADLINE_S = 0.04  # how long before its client's deadline a failure is answered
 TOO_LATE_TO_DELAY_S = 0.05  # within this of the deadline a failure is answered at once
@@ -16,16 +14,17 @@
 
 def final_failure_delayed() -> Sequence[Patch]:
     """A failure that is final is answered only shortly before the client's deadline."""
-    original = World.finish
+    original = Clients.finish
 
-    def finish(self: World, request: Any, proxy: Proxy, good: bool, decided: float) -> None:
-        if good or self.loop.now >= request.until - TOO_LATE_TO_DELAY_S:
-            original(self, request, proxy, good, decided)
+    def finish(self: Clients, request: Request, proxy: RequestReceiver, good: bool, decided_at: float) -> None:
+        loop = self.context.loop
+        if good or loop.now >= request.deadline - TOO_LATE_TO_DELAY_S:
+            original(self, request, proxy, good, decided_at)
         else:
-            delayed_until = request.until - DELAYED_UNTIL_BEFORE_DEADLINE_S
-            self.loop.at(delayed_until, proxy.machine, original, self, request, proxy, good, decided)
+            delayed_until = request.deadline - DELAYED_UNTIL_BEFORE_DEADLINE_S
+            loop.schedule_at(delayed_until, proxy.machine, original, self, request, proxy, good, decided_at)
 
-    return [Patch(World, "finish", finish)]
+    return [Patch(Clients, "finish", finish)]
 
 
 FORWARDER_DEFECTS: tuple[Defect, ...] = (
--- a/stackwheel/trials/disks.py
+++ b/stackwheel/trials/disks.py
@@ -1,80 +1,112 @@
-"""Disks of a trial: files in memory, with what can go wrong with them; no file of the machine is touched."""
+"""Disks of a simulation: files in memory, with what can go wrong with them; no file of the machine is touched."""
 
 from __future__ import annotations
 
 import errno
 from collections.abc import Callable
+from dataclasses import dataclass, field
 
 from stackwheel.files.disk import PART
+from stackwheel.trials.loop import do_nothing
 
+USUAL_DELAY_S = 0.002  # that an operation takes
 
-class TrialDisk:
-    """One machine's disk. It outlives the machine's processes."""
+
+@dataclass(slots=True)
+class OpenFile:
+    """A file that is being written."""
+
+    path: str
+    data: bytearray = field(default_factory=bytearray)
+
+
+class SimulatedDisk:
+    """One machine's disk. It outlives the machine's processes.
+
+    Attributes:
+        full: Nothing can be written.
+        missing: The folders have vanished.
+        delay: What an operation takes, in s.
+        on_renamed: Called with path and data of a file that has got its final name.
+        on_written_in_place: Called with the path where somebody writes to a final name.
+    """
 
     def __init__(self, owner: str) -> None:
         self.owner = owner
         self.files: dict[str, bytes] = {}
-        self.open: dict[int, tuple[str, bytearray]] = {}
-        self.handles = 0
+        self.open_files: dict[int, OpenFile] = {}
+        self.handle_count = 0
         self.full = False
-        self.gone = False  # the folders have vanished
-        self.slow = 0.002  # s that something takes
-        self.renamed: Callable[[str, bytes], None] = lambda path, data: None
-        self.in_place: Callable[[str], None] = lambda path: None  # somebody wrote to a final name
-
-    def fail(self) -> None:
-        if self.gone:
+        self.missing = False
+        self.delay = USUAL_DELAY_S
+        self.on_renamed: Callable[[str, bytes], None] = do_nothing
+        self.on_written_in_place: Callable[[str], None] = do_nothing
+
+    def check_present(self) -> None:
+        """Raise `FileNotFoundError` where the folders have vanished."""
+        if self.missing:
             raise OSError(errno.ENOENT, "No such file or directory")
 
     def create(self, path: str) -> int:
-        self.fail()
+        """Open a file for writing; return its handle."""
+        self.check_present()
         if not path.endswith(PART):
-            self.in_place(path)
+            self.on_written_in_place(path)
             self.files[path] = b""
-        self.handles += 1
-        self.open[self.handles] = path, bytearray()
-        return self.handles
+        self.handle_count += 1
+        self.open_files[self.handle_count] = OpenFile(path)
+        return self.handle_count
 
     def write(self, handle: int, data: bytes) -> int:
+        """Append to an open file; return how many bytes were written."""
         if self.full:
             raise OSError(errno.ENOSPC, "No space left on device")
-        path, held = self.open[handle]
-        held += data
-        if path in self.files:
-            self.files[path] = bytes(held)
+        file = self.open_files[handle]
+        file.data += data
+        if file.path in self.files:
+            self.files[file.path] = bytes(file.data)
         return len(data)
 
     def sync(self, handle: int) -> None:
-        self.fail()
+        """Write a file's data through to the disk."""
+        assert handle in self.open_files
+        self.check_present()
 
     def close(self, handle: int) -> None:
-        path, held = self.open.pop(handle)
-        if not path.endswith(PART):
-            self.renamed(path, bytes(held))
+        """Close an open file."""
+        file = self.open_files.pop(handle)
+        if not file.path.endswith(PART):
+            self.on_renamed(file.path, bytes(file.data))
         else:
-            self.files[path] = bytes(held)
+            self.files[file.path] = bytes(file.data)
 
     def rename(self, old: str, new: str) -> None:
-        self.fail()
+        """Give a file another name, replacing what has it."""
+        self.check_present()
         if old not in self.files:
             raise OSError(errno.ENOENT, "No such file or directory")
         self.files[new] = self.files.pop(old)
-        self.renamed(new, self.files[new])
+        self.on_renamed(new, self.files[new])
 
     def sync_folder(self, path: str) -> None:
-        self.fail()
+        """Write a folder's entries through to the disk."""
+        assert path.startswith("/")
+        self.check_present()
 
     def remove(self, path: str) -> None:
+        """Remove a file, if it is there."""
         self.files.pop(path, None)
 
     def names(self, path: str) -> list[str]:
-        self.fail()
+        """The names in a folder, in order."""
+        self.check_present()
         start = path.rstrip("/") + "/"
         inside = [name[len(start) :] for name in self.files if name.startswith(start)]
         return sorted(dict.fromkeys(name.partition("/")[0] for name in inside))
 
     def read(self, path: str, most: int) -> bytes:
-        self.fail()
+        """The first bytes of a file, one more than `most` where it is longer."""
+        self.check_present()
         if path not in self.files:
             raise OSError(errno.ENOENT, "No such file or directory")
         return self.files[path][: most + 1]
--- /dev/null
+++ b/stackwheel/trials/file_exchange.py
@@ -0,0 +1,331 @@
+"""Trials with files: planners publish them, something pushes them to proxies, and all that goes wrong between.
+
+The shipped publisher, ledger, pusher, reader and precedence run here as they are. The push between two machines is
+the model's: late, duplicated, torn (copied in place), out of order, or of an old file again.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from functools import partial
+from typing import Any, NamedTuple
+
+from stackwheel.files.accept import target
+from stackwheel.files.codec import encode
+from stackwheel.files.ledger import Ledger, Terms
+from stackwheel.files.publisher import FilePublisher, Folders
+from stackwheel.files.push import Pace, Pusher
+from stackwheel.files.reader import Taken
+from stackwheel.files.records import Booking, Incarnation
+from stackwheel.rules.violations import Rule
+from stackwheel.service.ports import PlannerContext
+from stackwheel.state.planner_actor import Item
+from stackwheel.state.streams import ProxyStream
+from stackwheel.trials.context import SimulationContext
+from stackwheel.trials.disks import SimulatedDisk
+from stackwheel.trials.file_proxies import KEYS, FileProxy
+from stackwheel.trials.fleet import ServerFleet
+from stackwheel.trials.loop import Machine
+from stackwheel.trials.planner_config import EPOCH_S
+from stackwheel.trials.planners import PlannerHost
+from stackwheel.trials.proxies import Proxy
+
+PUSH_DURATION_S = (0.02, 0.2)
+TORN_SECOND_STEP_S = 0.3  # at most, between the two steps of a copy in place
+DUPLICATE_DELAY_S = 3.0  # at most
+STALE_DELAY_S = 1.0  # at most
+LARGE_DELAY_S = 0.5  # of pushes, from which on proxies count as left
+REST_AFTER_FAULT_S = 1.0  # beyond its delay, until pushes count as sound again
+BOOKING_INTERVAL_S = 2.0  # between orders for bookings
+BOOKING_LIFETIME_MS = 15_000.0
+MAX_RECENT_FILES = 40  # old files that may be pushed again
+FILE_LIFETIME_MS = 8_000.0  # short, so that much comes after its time
+FILE_CYCLES = 10  # see Terms
+PUSH_SPACING_MS = 50.0  # see Pace
+PUBLISHER_INTERVAL_S = 0.1  # see FilePublisher
+
+
+@dataclass(slots=True)
+class PushFault:
+    """What holds between planners' folders and proxies' for now.
+
+    Attributes:
+        max_delay: Seconds, drawn up to it: so files overtake each other.
+        duplicated: Share that comes once more, late.
+        torn: Share that is copied in place, in two steps.
+        stale: Share beside which an old file is pushed again.
+        lost: Share that never comes.
+    """
+
+    max_delay: float = 0.0
+    duplicated: float = 0.0
+    torn: float = 0.0
+    stale: float = 0.0
+    lost: float = 0.0
+
+
+class PublishedFile(NamedTuple):
+    """A file that a planner has published."""
+
+    path: str
+    data: bytes
+
+
+class FileExchange:
+    """All files of a simulation, and what the rules say of them.
+
+    Attributes:
+        disks: By machine.
+        home_planners: By proxy: whose folder takes its answers.
+        published: All that planners published.
+        used: By proxy and target: the newest file used.
+        booking_effects: By proxy and booking order: how often it took effect.
+        pushes_sound_from: Pushes have been sound since then, in s.
+        joined: By proxy: the planner that knows it.
+    """
+
+    def __init__(
+        self,
+        context: SimulationContext,
+        fleet: ServerFleet,
+        planners: Sequence[PlannerHost],
+        proxies: Sequence[Proxy],
+    ) -> None:
+        self.context = context
+        self.fleet = fleet
+        self.planners = planners
+        self.proxies = proxies
+        self.fault = PushFault()
+        machines = [*(planner.machine for planner in planners), *(proxy.machine for proxy in proxies)]
+        self.disks = {machine.name: SimulatedDisk(machine.name) for machine in machines}
+        self.home_planners = {proxy.number: proxy.number % context.shape.planners for proxy in proxies}
+        self.file_proxies: dict[int, FileProxy] = {}
+        self.published: set[bytes] = set()
+        self.recent_files: list[PublishedFile] = []
+        self.used: dict[tuple[int, str], tuple[Incarnation, int]] = {}
+        self.booking_effects: dict[tuple[int, str], int] = {}
+        self.bookings_made = 0
+        self.pushes_sound_from = 0.0
+        self.joined: dict[int, int] = {}
+        for planner in planners:
+            self.disks[planner.machine.name].on_renamed = partial(self.file_published, planner)
+        for disk in self.disks.values():
+            disk.on_written_in_place = partial(self.written_in_place, disk.owner)
+        context.later(BOOKING_INTERVAL_S, self.make_bookings)
+
+    def report(self, detail: str, proxy: int | None = None) -> None:
+        """Report that a file was used that may not be."""
+        self.context.checker.break_rule(self.context.now_ms(), Rule.GENUINE, detail, None, proxy)
+
+    def written_in_place(self, owner: str, path: str) -> None:
+        """Somebody wrote to a final name."""
+        self.report(f"{owner} wrote {path} in place")
+
+    def wall_clock_ms(self) -> float:
+        """Unix time in ms."""
+        return (EPOCH_S + self.context.loop.now) * 1000.0
+
+    @staticmethod
+    def disk_runner(disk: SimulatedDisk) -> Callable[..., Any]:
+        """In place of a thread: the disk's time passes, then the work is done."""
+
+        async def run(work: Callable[..., Any], *args: Any) -> Any:
+            await asyncio.sleep(disk.delay)
+            return work(*args)
+
+        return run
+
+    # Planners.
+
+    def make_publisher(self, planner: PlannerHost, context: PlannerContext) -> FilePublisher:
+        """Make the publisher of a planner's new process."""
+        config = context.config
+        settings = config.settings
+        ledger = Ledger(
+            config.name,
+            config.names,
+            settings.proxy_count,
+            Terms(FILE_LIFETIME_MS, FILE_CYCLES, settings.report_interval),
+            context.endpoints.server_ids.name,
+            config.seed & 0xFFFF,
+        )
+        pusher = Pusher(Pace(settings.message_cap, settings.message_window, PUSH_SPACING_MS), config.seed)
+        disk = self.disks[planner.machine.name]
+        publisher = FilePublisher(
+            ledger,
+            pusher,
+            Folders("/out", "/answers"),
+            disk,
+            context.clock.now,
+            partial(self.publisher_posted, planner, context),
+            KEYS,
+            self.disk_runner(disk),
+            PUBLISHER_INTERVAL_S,
+        )
+        planner.publisher = publisher
+        return publisher
+
+    def publisher_posted(self, planner: PlannerHost, context: PlannerContext, item: Item) -> None:
+        """A publisher posts to its planner: a proxy that joins by files counts as joined."""
+        if isinstance(item, ProxyStream):
+            self.count_as_joined(item.proxy, planner.number)
+        context.post(item)
+
+    def planner_stopped(self, planner: int) -> None:
+        """A planner's process is about to end."""
+        self.joined = {proxy: known_by for proxy, known_by in self.joined.items() if known_by != planner}
+
+    def make_bookings(self) -> None:
+        """Let each planner order what must take effect once, at whoever reads it."""
+        for planner in self.planners:
+            if not planner.running or planner.publisher is None or planner.publisher.ledger.incarnation is None:
+                continue
+            self.bookings_made += 1
+            now = self.wall_clock_ms()
+            class_name = self.context.shape.classes[-1].name
+            booking = Booking(f"b{self.bookings_made}", class_name, 1, now + BOOKING_LIFETIME_MS, now)
+            planner.publisher.ledger.book(booking, now)
+        self.context.later(BOOKING_INTERVAL_S, self.make_bookings)
+
+    # Pushes.
+
+    def file_published(self, planner: PlannerHost, path: str, data: bytes) -> None:
+        """A planner's file has got its final name: it is pushed to the proxies concerned."""
+        _, _, folder, name = path.split("/")
+        self.published.add(data)
+        kind, _, number = folder.partition("-")
+        for proxy in self.proxies:
+            concerns_zone = kind == "zone" and self.context.zones[proxy.zone] == number
+            concerns_proxy = kind == "proxy" and str(proxy.number) == number
+            if concerns_zone or concerns_proxy:
+                self.push(planner.machine, proxy, f"/{kind}/{name}", data)
+        self.recent_files = [*self.recent_files[-MAX_RECENT_FILES:], PublishedFile(path, data)]
+
+    def push(self, source: Machine, proxy: Proxy, path: str, data: bytes) -> None:
+        """Push a file to a proxy, with what goes wrong for now."""
+        context = self.context
+        fault = self.fault
+        generator = context.random
+        if context.network.is_cut(source, proxy.machine) or generator.random() < fault.lost:
+            return
+        delay = generator.uniform(*PUSH_DURATION_S) + fault.max_delay * generator.random()
+        disk = self.disks[proxy.machine.name]
+        if generator.random() < fault.torn:
+            first = generator.randrange(1, len(data))
+            context.later(delay, self.copy_part, disk, path, data, first)
+            delay += TORN_SECOND_STEP_S * generator.random()
+        context.later(delay, disk.files.__setitem__, path, data)
+        if generator.random() < fault.duplicated:
+            again = delay + DUPLICATE_DELAY_S * generator.random()
+            context.later(again, disk.files.__setitem__, path, data)
+        if self.recent_files and generator.random() < fault.stale:
+            stale = generator.choice(self.recent_files)
+            folder = path.rpartition("/")[0]
+            stale_path = f"{folder}/{stale.path.rpartition('/')[2]}"
+            at = context.loop.now + delay + STALE_DELAY_S * generator.random()
+            context.loop.schedule_at(at, None, disk.files.__setitem__, stale_path, stale.data)
+
+    @staticmethod
+    def copy_part(disk: SimulatedDisk, path: str, data: bytes, end: int) -> None:
+        """Copied in place: the file's start over what lies there."""
+        disk.files[path] = data[:end] + disk.files.get(path, b"")[end:]
+
+    def set_fault(self, fault: PushFault, span: float) -> None:
+        """While pushes are late or lost, proxies count as left: no update is sure to reach them."""
+        self.fault = fault
+        if fault.max_delay > LARGE_DELAY_S or fault.lost or fault.torn:
+            self.proxies_left(list(self.joined))
+        self.context.later(span, self.end_fault, fault)
+
+    def end_fault(self, fault: PushFault) -> None:
+        """A fault ends, unless another has replaced it."""
+        if self.fault is fault:
+            self.fault = PushFault()
+            self.pushes_sound_from = self.context.loop.now + fault.max_delay + REST_AFTER_FAULT_S
+
+    def count_as_joined(self, proxy: int, planner: int) -> None:
+        """A proxy counts as joined for the rules."""
+        self.joined[proxy] = planner
+        self.context.checker.joined(proxy, planner, self.context.now_ms())
+
+    def proxies_left(self, proxies: list[int]) -> None:
+        """Proxies count as left for the rules."""
+        for proxy in proxies:
+            if self.joined.pop(proxy, None) is not None:
+                self.context.checker.left(proxy, self.context.now_ms())
+
+    def is_cut_off(self, proxy: Proxy, planner: int) -> bool:
+        """Whether something does not pass between a proxy and a planner."""
+        return self.context.network.is_cut_either_way(proxy.machine, self.planners[planner].machine)
+
+    def cut_began(self) -> None:
+        """Proxies across a cut count as left until an answer has passed again."""
+        self.proxies_left(
+            [proxy for proxy, planner in self.joined.items() if self.is_cut_off(self.proxies[proxy], planner)]
+        )
+
+    # Proxies.
+
+    def start_proxy(self, proxy: Proxy) -> None:
+        """Start the file reader of a proxy's new process: it reads what lies there."""
+        self.joined.pop(proxy.number, None)
+        disk = self.disks[proxy.machine.name]
+        file_proxy = FileProxy(self.context, self.fleet, self, proxy, disk, self.disk_runner(disk))
+        self.file_proxies[proxy.number] = file_proxy
+        self.context.loop.start_process(proxy.process, file_proxy.run())
+
+    def answer_written(self, proxy: Proxy, path: str, data: bytes) -> None:
+        """A proxy's answer has got its final name: it is pushed to the proxy's home planner."""
+        planner = self.planners[self.home_planners[proxy.number]]
+        if path.startswith("/answers/") and not self.is_cut_off(proxy, planner.number):
+            generator = self.context.random
+            delay = generator.uniform(*PUSH_DURATION_S) + self.fault.max_delay * generator.random()
+            disk = self.disks[planner.machine.name]
+            self.context.later(delay, self.answer_arrived, proxy, planner, disk, path, data)
+
+    def answer_arrived(self, proxy: Proxy, planner: PlannerHost, disk: SimulatedDisk, path: str, data: bytes) -> None:
+        """A proxy's answer lies in its planner's folder: the proxy counts as joined again, if all is sound."""
+        disk.files[path] = data
+        known = planner.publisher is not None and proxy.number in planner.publisher.ledger.forwarders
+        if known and planner.running and proxy.number not in self.joined and self.is_sound(proxy, planner.number):
+            self.count_as_joined(proxy.number, planner.number)
+
+    def is_sound(self, proxy: Proxy, planner: int) -> bool:
+        """Whether pushes are in order, and the path between a proxy and a planner is open."""
+        return (
+            self.fault == PushFault()
+            and self.context.loop.now >= self.pushes_sound_from
+            and not self.is_cut_off(proxy, planner)
+        )
+
+    def file_used(self, proxy: Proxy, taken: Taken, remembered: bool) -> None:
+        """A reader uses a file: it has to be genuine, newer than the last, and its bookings new.
+
+        Args:
+            proxy: Whose reader it is.
+            taken: The file.
+            remembered: Whether the reader could keep that it used it; else it is not held to it after a restart.
+        """
+        orders = taken.held.orders
+        key = proxy.number, target(orders)
+        last = self.used.get(key)
+        if last is not None and orders.mark < last:
+            self.report(f"{key[1]}: number {orders.sequence} applied after {last[1]}", proxy.number)
+        if remembered:
+            self.used[key] = max(orders.mark, last) if last is not None else orders.mark
+        if encode(orders, KEYS) not in self.published:
+            self.report(f"{taken.name}: used, and no planner wrote it", proxy.number)
+        if orders.until <= self.wall_clock_ms():
+            self.report(f"{taken.name}: used after its time", proxy.number)
+        for booking in taken.bookings:
+            self.booking_took_effect(proxy.number, booking.id)
+
+    def booking_took_effect(self, proxy: int, booking: str) -> None:
+        """A booking order has run at a proxy; it may only once."""
+        times = self.booking_effects.get((proxy, booking), 0) + 1
+        self.booking_effects[proxy, booking] = times
+        if times > 1:
+            detail = f"booking order {booking} took effect {times} times"
+            self.context.checker.break_rule(self.context.now_ms(), Rule.ONCE, detail, None, proxy)
--- /dev/null
+++ b/stackwheel/trials/file_proxies.py
@@ -0,0 +1,128 @@
+"""What a proxy's process does with files: reads them, applies them and answers."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any, NamedTuple, Protocol
+
+from stackwheel.files.accept import Content, target
+from stackwheel.files.codec import KeyRing
+from stackwheel.files.precedence import Source, SourcePrecedence, Terms
+from stackwheel.files.reader import Place, Reader, Taken
+from stackwheel.files.records import Came, Met
+from stackwheel.trials.context import SimulationContext
+from stackwheel.trials.disks import SimulatedDisk
+from stackwheel.trials.fleet import ServerFleet
+from stackwheel.trials.proxies import Proxy
+from stackwheel.trials.proxy_requests import ServerStatistics
+
+KEYS = KeyRing({"k1": b"trial key, thirty-two bytes long"}, "k1")
+LOOK_INTERVAL_S = 0.1  # between looks at the folders
+KEEP_MS = 5_000.0  # that a source's content is kept after its time; short, so that much comes after it
+
+
+class FileObserver(Protocol):
+    """What a proxy's file reader tells the rest of a simulation."""
+
+    def wall_clock_ms(self) -> float:
+        """Unix time in ms."""
+
+    def answer_written(self, proxy: Proxy, path: str, data: bytes) -> None:
+        """A proxy's file has got its final name."""
+
+    def file_used(self, proxy: Proxy, taken: Taken, remembered: bool) -> None:
+        """A reader uses a file."""
+
+
+class AppliedChoice(NamedTuple):
+    """The source that a proxy goes by, and its content."""
+
+    source: Source
+    content: Content
+
+
+class FileProxy:
+    """The files' side of one incarnation of a proxy."""
+
+    def __init__(
+        self,
+        context: SimulationContext,
+        fleet: ServerFleet,
+        observer: FileObserver,
+        proxy: Proxy,
+        disk: SimulatedDisk,
+        run_on_disk: Callable[..., Any],
+    ) -> None:
+        self.context = context
+        self.fleet = fleet
+        self.observer = observer
+        self.proxy = proxy
+        disk.on_renamed = lambda path, data: observer.answer_written(proxy, path, data)
+        zone = context.zones[proxy.zone]
+        self.reader = Reader(
+            Place(zone, proxy.number, ("/zone", "/proxy"), "/answers", "/state"),
+            disk,
+            observer.wall_clock_ms,
+            lambda: KEYS,
+            run_on_disk,
+            int(context.loop.now * 1000) & 0xFFFF,
+        )
+        self.precedence = SourcePrecedence(Terms(keep=KEEP_MS))
+        self.applied_choice: AppliedChoice | None = None
+        self.reported_at = context.loop.now
+
+    async def run(self) -> None:
+        """Look at the folders, go by what prevails, and answer once an interval."""
+        loop = self.context.loop
+        await self.reader.start()
+        while True:
+            for event in await self.reader.look():
+                if isinstance(event, Taken):
+                    self.observer.file_used(self.proxy, event, self.reader.kept)
+                    self.precedence.file(target(event.held.orders), event.held, self.observer.wall_clock_ms())
+            self.apply_choice()
+            if loop.now - self.reported_at >= self.context.shape.report_interval / 1000.0:
+                await self.write_answer()
+            await asyncio.sleep(LOOK_INTERVAL_S)
+
+    def apply_choice(self) -> None:
+        """Set the tables by the sources that prevail; with nothing received yet, the standing ones stay."""
+        choice = self.precedence.choose(self.observer.wall_clock_ms())
+        applied = AppliedChoice(choice.source, choice.content)
+        if choice.source is Source.NOTHING or self.applied_choice == applied:
+            return
+        self.applied_choice = applied
+        self.apply_content(choice.content)
+        self.proxy.is_new = False
+        self.context.checker.note(self.context.now_ms(), f"goes by {choice.source.value}", f"proxy-{self.proxy.number}")
+        self.proxy.report_served_classes()
+
+    def apply_content(self, content: Content) -> None:
+        """Set tables, levels and ejected servers."""
+        state = self.proxy.state
+        for class_name, table in state.routes.items():
+            if class_name not in content.tables:
+                continue
+            table.lines = dict(content.tables[class_name])
+            level = content.levels.get(class_name)
+            table.level = (level.admit, level.policy) if level is not None else None
+        state.ejected = dict.fromkeys(content.withdrawn)
+        for table in state.routes.values():
+            state.refresh(table)
+
+    async def write_answer(self) -> None:
+        """Report the requests and the servers since the last answer."""
+        now = self.context.loop.now
+        window_ms = (now - self.reported_at) * 1000.0
+        self.reported_at = now
+        forwarder = self.proxy.forwarder
+        demand = [Came(one.class_name, one.requests, one.unserved) for one in forwarder.take_demand()]
+        met = [self.met(name, statistics) for name, statistics in forwarder.take_statistics().items()]
+        await self.reader.answer(self.proxy.rate(), window_ms, demand, met, self.proxy.is_new)
+
+    def met(self, name: str, statistics: ServerStatistics) -> Met:
+        """What one server did, as answers state it."""
+        in_flight = self.fleet.in_flight(name)
+        columns = {} if in_flight is None else {"outstanding": float(in_flight)}
+        return Met(name, int(statistics.attempts), int(statistics.failures), statistics.mean_ms(), columns)
--- /dev/null
+++ b/stackwheel/trials/load_faults.py
@@ -0,0 +1,66 @@
+"""Faults of demand, reports, pushed files and disks."""
+
+from __future__ import annotations
+
+from stackwheel.trials import faults
+from stackwheel.trials.disks import USUAL_DELAY_S, SimulatedDisk
+from stackwheel.trials.fault_targets import planners_of, proxies_of
+from stackwheel.trials.file_exchange import PushFault
+from stackwheel.trials.world import World
+
+RECOVERY_MS = 1000.0  # after a disk's fault during which no limit runs
+
+
+def change_demand(fault: faults.Demand, world: World) -> None:
+    """Change the demand of proxies by a factor."""
+    for proxy in proxies_of(world, fault.proxies):
+        proxy.demand_factor = fault.factor
+        world.context.later(fault.span, setattr, proxy, "demand_factor", 1.0)
+    world.clients.rates_changed()
+    world.context.later(fault.span, world.clients.rates_changed)
+
+
+def disturb_reports(fault: faults.Reports, world: World) -> None:
+    """Let reports be late or malformed, and reset the collectors' connections if so asked."""
+    world.reports.delay = fault.delay
+    world.reports.malformed_share = fault.malformed
+    world.context.later(fault.span, setattr, world.reports, "delay", 0.0)
+    world.context.later(fault.span, setattr, world.reports, "malformed_share", 0.0)
+    if fault.resets_connections:
+        for collector in world.collectors:
+            if collector.transport is not None:
+                collector.transport.reset()
+
+
+def disturb_pushes(fault: faults.Pushes, world: World) -> None:
+    """Let pushes of files go wrong."""
+    if world.files is not None:
+        push_fault = PushFault(fault.max_delay, fault.duplicated, fault.torn, fault.stale, fault.lost)
+        world.files.set_fault(push_fault, fault.span)
+
+
+def disturb_disks(fault: faults.Disks, world: World) -> None:
+    """Let disks be full, missing or slow; what can't be written reaches nobody, so no limit runs meanwhile."""
+    if world.files is None:
+        return
+    planners = planners_of(world, fault.machines)
+    proxies = proxies_of(world, fault.machines)
+    machines = [*(planner.machine for planner in planners), *(proxy.machine for proxy in proxies)]
+    for machine in machines:
+        disturb_disk(fault, world, world.files.disks[machine.name])
+    until_ms = world.context.now_ms() + fault.span * 1000.0 + RECOVERY_MS
+    for planner in planners:
+        world.checker.hold_off(planner.number, until_ms)
+    for proxy in proxies:
+        world.checker.hold_off_proxy(proxy.number, until_ms)
+
+
+def disturb_disk(fault: faults.Disks, world: World, disk: SimulatedDisk) -> None:
+    """Let one disk be full, missing or slow for the span of the fault."""
+    if fault.mode == "slow":
+        disk.delay = fault.delay
+        world.context.later(fault.span, setattr, disk, "delay", USUAL_DELAY_S)
+        return
+    attribute = "missing" if fault.mode == "gone" else "full"
+    setattr(disk, attribute, True)
+    world.context.later(fault.span, setattr, disk, attribute, False)
--- a/stackwheel/trials/measure.py
+++ b/stackwheel/trials/measure.py
@@ -5,15 +5,22 @@
 import resource
 import time
 from collections.abc import Callable, Iterator
-from dataclasses import asdict, dataclass
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from stackwheel.rules.checker import Checker
-from stackwheel.trials import script as s
+from stackwheel.trials.faults import Drain, Kill
+from stackwheel.trials.script import Script
+from stackwheel.trials.shape import Shape
+from stackwheel.trials.simulation import run_world
 from stackwheel.trials.world import World
 
-SIZES = ((2, 8, 8), (2, 20, 20), (2, 50, 30), (3, 100, 50), (4, 200, 100), (4, 500, 150))
-CHECKS = (
+SEED = 1
+MAX_ZONES = 4
+DRAINED_PART = 6  # one in so many servers drains
+DRAIN_AT = 0.4  # of the span
+KILL_AT = 0.6  # of the span
+CHECKER_METHODS = (
     "advance",
     "sent",
     "effect",
@@ -30,36 +37,67 @@
 )
 
 
+class Size(NamedTuple):
+    """The size of a deployment."""
+
+    planners: int
+    proxies: int
+    servers: int
+
+
+SIZES = (Size(2, 8, 8), Size(2, 20, 20), Size(2, 50, 30), Size(3, 100, 50), Size(4, 200, 100), Size(4, 500, 150))
+
+
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One size, measured."""
+    """One size, measured.
+
+    Attributes:
+        cpu_per_second: Seconds of a core for a virtual second.
+        checks_share: Of that time; taking the time itself makes it look larger.
+        memory_mb: The process at its largest so far.
+    """
 
     planners: int
     proxies: int
     servers: int
-    cpu_a_second: float  # s of a core for a virtual second
-    steps_a_second: float
-    requests_a_second: float
-    checks_share: float  # of that time; taking the time itself makes it look larger
+    cpu_per_second: float
+    callbacks_per_second: float
+    requests_per_second: float
+    checks_share: float
     verdicts: int
-    memory_mb: float  # the process at its largest so far
+    memory_mb: float
 
     def document(self) -> dict[str, float]:
-        return asdict(self)
-
-
-def script(planners: int, proxies: int, servers: int, span: float) -> s.Script:
-    shape = s.Shape(
-        planners=planners,
-        proxies=proxies,
-        servers=servers,
-        zones=min(4, planners),
-        cap=20,
+        """The row as `--json` prints it."""
+        return {
+            "planners": self.planners,
+            "proxies": self.proxies,
+            "servers": self.servers,
+            "cpu_a_second": self.cpu_per_second,
+            "steps_a_second": self.callbacks_per_second,
+            "requests_a_second": self.requests_per_second,
+            "checks_share": self.checks_share,
+            "verdicts": self.verdicts,
+            "memory_mb": self.memory_mb,
+        }
+
+
+def script_of(size: Size, span: float) -> Script:
+    """A script in which a part of the servers drains and a planner is killed."""
+    shape = Shape(
+        planners=size.planners,
+        proxies=size.proxies,
+        servers=size.servers,
+        zones=min(MAX_ZONES, size.planners),
+        message_cap=20,
         channel_rate=3000.0,
-        backlog=9000.0,
+        queue_limit=9000.0,
     )
-    third = tuple(f"server-{n}" for n in range(servers // 6))
-    return s.Script(1, span, shape, (s.Drain(span * 0.4, third, 3.0), s.Kill(span * 0.6, ("planner-0",), 0.5)))
+    drained = tuple(f"server-{number}" for number in range(size.servers // DRAINED_PART))
+    drain = Drain(span * DRAIN_AT, drained, 3.0)
+    kill = Kill(span * KILL_AT, ("planner-0",), 0.5)
+    return Script(SEED, span, shape, (drain, kill))
 
 
 class Stopwatch:
@@ -67,16 +105,17 @@
 
     def __init__(self, checker: Checker) -> None:
         self.spent = 0.0
-        for name in CHECKS:
+        for name in CHECKER_METHODS:
             setattr(checker, name, self.timed(getattr(checker, name)))
 
     def timed(self, method: Callable[..., Any]) -> Callable[..., Any]:
+        """The same method, timed."""
         clock = time.perf_counter
 
-        def call(*about: Any, **more: Any) -> Any:
+        def call(*args: Any, **keywords: Any) -> Any:
             began = clock()
             try:
-                return method(*about, **more)
+                return method(*args, **keywords)
             finally:
                 self.spent += clock() - began
 
@@ -84,23 +123,28 @@
 
 
 def measure(span: float) -> Iterator[Row]:
-    for planners, proxies, servers in SIZES:
+    """Measure each size over a span of virtual seconds."""
+    for size in SIZES:
         began = time.process_time()
-        found = World(script(planners, proxies, servers, span)).run()
-        cpu = time.process_time() - began
-        again = World(script(planners, proxies, servers, span))
-        watch, began = Stopwatch(again.checker), time.process_time()
-        again.run()
-        share = watch.spent / max(1e-9, time.process_time() - began)
-        memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
+        result = run_world(World(script_of(size, span)))
+        cpu_seconds = time.process_time() - began
         yield Row(
-            planners,
-            proxies,
-            servers,
-            cpu / span,
-            found.steps / span,
-            found.requests / span,
-            share,
-            len(found.verdicts),
-            memory,
+            size.planners,
+            size.proxies,
+            size.servers,
+            cpu_seconds / span,
+            result.callbacks_run / span,
+            result.requests / span,
+            checks_share(size, span),
+            len(result.verdicts),
+            resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
         )
+
+
+def checks_share(size: Size, span: float) -> float:
+    """Run a size again and return what the checks take of the time."""
+    world = World(script_of(size, span))
+    stopwatch = Stopwatch(world.checker)
+    began = time.process_time()
+    run_world(world)
+    return stopwatch.spent / max(1e-9, time.process_time() - began)
--- /dev/null
+++ b/stackwheel/trials/network_faults.py
@@ -0,0 +1,114 @@
+"""Faults of the network: cuts, broken and doubled streams, slow paths, lost datagrams, useless connections."""
+
+from __future__ import annotations
+
+from stackwheel.trials import faults
+from stackwheel.trials.fault_targets import planners_of, proxies_of
+from stackwheel.trials.line_protocol import LineProtocol
+from stackwheel.trials.network import Conditions
+from stackwheel.trials.shape import machine_names
+from stackwheel.trials.world import World
+
+USELESS_BYTES = {
+    "nothing": b"",
+    "half": b"SUBSCRIBE id=0 si",
+    "http": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+    "noise": bytes(range(128, 256)) * 40,
+    "ping": b"PING\r\n",
+    "false_join": b"SUBSCRIBE id=99999 site=z0 rps=1 new=1\r\n",
+}
+
+
+def cut(fault: faults.Cut, world: World) -> None:
+    """Cut the paths between two groups for the span of the fault."""
+    sources = machine_names(fault.source, world.shape)
+    targets = machine_names(fault.target, world.shape)
+    paths = [(source, target) for source in sources for target in targets if source != target]
+    if not fault.one_way:
+        paths += [(target, source) for source, target in paths]
+    paths = list(dict.fromkeys(paths))
+    for source, target in paths:
+        world.network.cut(source, target)
+    world.streams_cut()
+    world.context.later(fault.span, heal, world, paths)
+
+
+def heal(world: World, paths: list[tuple[str, str]]) -> None:
+    """Remove cuts; what they held back enters the channels at once."""
+    for source, target in paths:
+        world.network.heal(source, target)
+    touched = {name for path in paths for name in path}
+    for planner in world.planners:
+        if planner.machine.name not in touched:
+            continue
+        world.channels.allow_burst(planner.number)
+        if "discovery" in touched:
+            world.notifications.reachable_now(planner.number)
+
+
+def reset_streams(fault: faults.Reset, world: World) -> None:
+    """Reset the streams of proxies."""
+    for proxy in proxies_of(world, fault.proxies):
+        if proxy.stream is not None:
+            proxy.break_stream(proxy.stream)
+
+
+def make_half_open(fault: faults.HalfOpen, world: World) -> None:
+    """Let the streams of proxies become half open."""
+    for proxy in proxies_of(world, fault.proxies):
+        proxy.make_half_open(fault.noticed_after)
+
+
+def open_second_streams(fault: faults.SecondStream, world: World) -> None:
+    """Let proxies open a second stream."""
+    for proxy in proxies_of(world, fault.proxies):
+        proxy.open_second_stream(fault.delay)
+
+
+def reset_in_next_message(fault: faults.MidMessage, world: World) -> None:
+    """Let the streams of proxies break within their next message."""
+    for proxy in proxies_of(world, fault.proxies):
+        if proxy.stream is not None:
+            proxy.stream.reset_in_next_message = True
+
+
+def disturb_datagrams(fault: faults.Datagrams, world: World) -> None:
+    """Lose, duplicate and reorder datagrams."""
+    change_conditions(world, fault.span, lost=fault.lost, duplicated=fault.duplicated, reordered=fault.reordered)
+
+
+def change_path_conditions(fault: faults.PathConditions, world: World) -> None:
+    """Slow the network down, fragment writes, and let updates take longer."""
+    change_conditions(world, fault.span, latency_factor=fault.latency_factor, fragmented=fault.fragmented)
+    world.context.transit_factor = fault.transit_factor
+    world.context.later(fault.span, setattr, world.context, "transit_factor", 1.0)
+
+
+def change_conditions(world: World, span: float, **figures: float) -> None:
+    """Change some of the network's conditions; each is as usual again after `span` s."""
+    usual = Conditions()
+    for name, value in figures.items():
+        setattr(world.network.conditions, name, value)
+        world.context.later(span, setattr, world.network.conditions, name, getattr(usual, name))
+
+
+class UnidentifiedClient(LineProtocol):
+    """A client that sends what is of no use, and nothing more."""
+
+    def __init__(self, data: bytes) -> None:
+        super().__init__()
+        self.data = data
+
+    def opened(self) -> None:
+        """The connection is open."""
+        assert self.transport is not None
+        if self.data:
+            self.transport.write(self.data)
+
+
+def connect_unidentified_clients(fault: faults.UnidentifiedClients, world: World) -> None:
+    """Connect clients to a planner that say nothing of use."""
+    address = planners_of(world, (fault.planner,))[0].address
+    for _ in range(fault.count):
+        client = UnidentifiedClient(USELESS_BYTES[fault.payload])
+        world.network.dial(world.client_machine, address, client)
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -1,229 +1,228 @@
-"""A planner of a trial: the shipped service, from configuration to accept to write, on the virtual loop."""
+"""A simulated planner: the shipped service, from configuration to accept to write, on the virtual loop."""
 
 from __future__ import annotations
 
 import signal
 import socket
 from collections.abc import Iterator, Mapping
-from functools import partial
-from typing import TYPE_CHECKING, Any, cast
+from dataclasses import dataclass
+from typing import Any, NamedTuple, Protocol, cast
 
 from stackwheel.files.publisher import FilePublisher
-from stackwheel.service.app import ProcessEnvironment, Service, no_transports
+from stackwheel.rules.invariants import Level
+from stackwheel.service.app import ProcessEnvironment, Service
 from stackwheel.service.config import Config, ConfigError, read_config
-from stackwheel.trials.loop import Machine
-from stackwheel.trials.network import Address
+from stackwheel.service.ports import PlannerContext, ProxyTransport
+from stackwheel.state.streams import ProxyStream
+from stackwheel.trials.context import SimulationContext
+from stackwheel.trials.loop import Address, Machine
+from stackwheel.trials.planner_config import CONNECTION_LIMIT, EPOCH_S, LISTEN_PORT, planner_document, planner_host
 from stackwheel.wire.connection import Connection
 
-if TYPE_CHECKING:
-    from stackwheel.trials.world import World
-
-EPOCH = 1_800_000_000.0  # s: the wall clock at the start of every trial
-
-
-def settings_document(world: World, number: int) -> dict[str, Any]:
-    """The settings as the platform hands them to an instance."""
-    shape = world.shape
-    return {
-        "me": number,
-        "instances": shape.planners,
-        "zone": number % shape.zones,
-        "zones": list(world.zones),
-        "kinds": ["kind-0", "kind-1"],
-        "tick": 2.0,
-        "weight_kind": "off",
-        "discovery": "on_request" if shape.on_request else "pushed",
-        "load_report": {
-            "columns": ["inflight"] if shape.reports else [],
-            "source": "inline" if shape.reports else "off",
-        },
-        "bounds": {"peers": shape.peers, "probes": shape.probes},
-        "deductions": {"cross_zone": 0.1},
-        "services": [
-            {
-                "name": c.name,
-                "target": c.aim,
-                "deadline": c.deadline,
-                "worth": c.worth,
-                "effect": c.effect,
-                "group": c.group,
-                "key_ttl": c.key_window,
-            }
-            for c in shape.classes
-        ],
-        "family_info": {
-            "agents": shape.proxies,
-            "backlog": shape.backlog,
-            "channel_rate": shape.channel_rate,
-            "cycle": shape.cycle,
-            "exclusive": False,
-            "key_ranges": 0,
-            "lb_method": shape.pick,
-            "level_kind": shape.admission,
-            "messages_over": 10000.0,
-            "overhead": shape.overhead,
-            "strikes": shape.strikes,
-            "transit": shape.transit,
-            "try_factor": 0.8,
-            "unserved_max": shape.unserved_max,
-            "update_cap": shape.cap,
-            "usual_how": shape.usual_retry,
-            "zone_bound": [c.zone_bound for c in shape.classes],
-        },
-        "obligations": {
-            "ask_within": shape.ask_within,
-            "cold": shape.cold,
-            "cold_share": shape.cold_share,
-            "drain_grace": shape.drain_grace,
-            "fall_multiple": shape.fall_multiple,
-            "only_draining_binds": shape.only_draining_binds,
-            "overload_for": shape.overload_for,
-        },
-    }
+MAX_MAILBOX = 20_000  # messages
+MAX_TIMERS = 256
+MAX_LIST_CALLS = 16  # calls for the endpoint list at once
+MAX_PENDING_NONCES = 64  # of one stream
 
 
-class PlannerHost:
-    """The machine a planner runs on: start, kill, reload, and what can be seen of it from outside."""
+class PlannerEnvironment(Protocol):
+    """What a planner's machine needs of the rest of a simulation."""
+
+    def discovery_addresses(self, planner: int) -> str:
+        """Where a planner is told to call for the endpoint list."""
+
+    def known_list(self) -> dict[str, object]:
+        """The endpoint list as it is now, as a document."""
+
+    def transports_of(self, planner: PlannerHost, context: PlannerContext) -> list[ProxyTransport]:
+        """The planner's transports beside its sockets."""
+
+    def planner_started(self, planner: PlannerHost) -> None:
+        """A planner is ready to serve."""
+
+    def planner_stopped(self, planner: PlannerHost) -> None:
+        """A planner's process is about to end."""
+
+
+class BoundedSize(NamedTuple):
+    """How much of something a planner keeps, and the most that it may."""
+
+    name: str
+    size: float
+    limit: float
+
+
+@dataclass(frozen=True, slots=True)
+class BelievedState:
+    """What a planner believes a proxy to hold.
+
+    Attributes:
+        lines: By class: weights by server.
+        levels: By class: the admission level, as share or rate and retry mode.
+        ejected: By server: whether it is ejected there.
+    """
+
+    lines: Mapping[int, Mapping[str, float]]
+    levels: Mapping[int, Level | None]
+    ejected: Mapping[str, bool]
 
-    def __init__(self, world: World, number: int) -> None:
-        self.world, self.number = world, number
-        self.host = f"10.0.0.{number + 1}"
-        self.address: Address = (self.host, 8081)
+
+class PlannerHost:
+    """The machine a planner runs on: start, kill, reload, and what can be seen of it from outside.
+
+    Attributes:
+        service: The running service; None after a kill.
+        publisher: What writes files, where there are files.
+        incarnation: How often a process was started.
+        discovery: The addresses of discovery, as configured.
+    """
+
+    def __init__(self, context: SimulationContext, environment: PlannerEnvironment, number: int) -> None:
+        self.context = context
+        self.environment = environment
+        self.number = number
+        self.host = planner_host(number)
+        self.address: Address = (self.host, LISTEN_PORT)
         self.machine = Machine(f"planner-{number}")
         self.service: Service | None = None
-        self.desk: FilePublisher | None = None
-        self.lives = 0
-        self.discovery = world.discovery_of(number)
+        self.publisher: FilePublisher | None = None
+        self.incarnation = 0
+        self.discovery = environment.discovery_addresses(number)
 
     @property
     def running(self) -> bool:
+        """Whether a process lives."""
         return self.machine.alive and self.service is not None
 
     def document(self) -> dict[str, Any]:
-        world = self.world
-        peers = [f"10.0.0.{n + 1}:7946" for n in range(world.shape.planners)]
-        return {
-            "name": f"planner-{self.number}",
-            "listen": f"{self.host}:8081",
-            "discovery": self.discovery,
-            "seed": f"{self.world.script.seed * 1000 + self.lives * 16 + self.number:x}",
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
-            "peer_listen": f"{self.host}:7946",
-            "peers": peers,
-            "peers_all": "10.3.255.1:7946",
-            "known": world.discovery.document(tuple(world.records().values()), True, world.discovery.generation),
-            "settings": settings_document(world, self.number),
-        }
+        """The deploy file as it is now."""
+        return planner_document(
+            self.context.shape,
+            self.context.zones,
+            self.number,
+            self.context.script.seed,
+            self.incarnation,
+            self.discovery,
+            self.environment.known_list(),
+        )
 
-    def load(self) -> Config | ConfigError:
+    def load_config(self) -> Config | ConfigError:
+        """Read the configuration, as the service does at its start and at SIGHUP."""
         try:
             return read_config(self.document())
         except (ValueError, KeyError, TypeError) as error:
             return ConfigError(str(error))
 
     def start(self) -> None:
-        """A new process: it knows the list as it is now and nothing else."""
-        world, old = self.world, self.machine
-        if not old.alive:
-            self.machine = Machine(old.name)
-            world.graves.append(old)
-        world.network.settle(self.host, self.machine)
-        world.network.return_of(old)
-        self.lives += 1
-        self.discovery = world.discovery_of(self.number)
-        config = self.load()
+        """Start a process: it knows the list as it is now and nothing else."""
+        context = self.context
+        self.machine = context.successor(self.machine, self.host)
+        self.incarnation += 1
+        self.discovery = self.environment.discovery_addresses(self.number)
+        config = self.load_config()
         assert not isinstance(config, ConfigError), config.reason
-        loop = world.loop
-        exchange = world.exchange
-        around = ProcessEnvironment(
-            transports=partial(exchange.extras, self) if exchange is not None else no_transports,
-            wall_clock=lambda: EPOCH + loop.now,
+        loop = context.loop
+        environment = ProcessEnvironment(
+            transports=self.make_transports,
+            wall_clock=lambda: EPOCH_S + loop.now,
             steady_clock=lambda: loop.now,
-            load_config=self.load,
-            listen_at=lambda address: cast(socket.socket, world.network.listen(self.machine, self.address)),
-            unblock_signals=lambda: world.planner_up(self),
+            load_config=self.load_config,
+            listen_at=self.listen_at,
+            unblock_signals=self.ready,
         )
-        previous, loop.machine = loop.machine, self.machine
-        try:
-            self.service = Service(config, around)
-        finally:
-            loop.machine = previous
-        loop.start(self.machine, self.service.run())
+        with loop.running_as(self.machine):
+            self.service = Service(config, environment)
+        loop.start_process(self.machine, self.service.run())
+
+    def make_transports(self, context: PlannerContext) -> list[ProxyTransport]:
+        """The transports beside the sockets."""
+        return self.environment.transports_of(self, context)
+
+    def listen_at(self, _address: str) -> socket.socket:
+        """Listen on the simulated network."""
+        return cast(socket.socket, self.context.network.listen(self.machine, self.address))
 
-    def kill(self, sign: bool = True) -> None:
+    def ready(self) -> None:
+        """The service has begun to listen."""
+        self.environment.planner_started(self)
+
+    def kill(self, resets_connections: bool = True) -> None:
+        """End the process; without resets its machine vanishes."""
         if not self.machine.alive:
             return
-        self.world.planner_down(self)
-        self.world.network.kill(self.machine, sign)
+        self.environment.planner_stopped(self)
+        self.context.network.kill(self.machine, resets_connections)
         self.service = None
 
     def reload(self) -> None:
-        """The configuration names where discovery is now; SIGHUP says so."""
-        self.discovery = self.world.discovery_of(self.number)
-        self.world.loop.signal(self.machine, signal.SIGHUP)
+        """Let the configuration name where discovery is now, and send SIGHUP."""
+        self.discovery = self.environment.discovery_addresses(self.number)
+        self.context.loop.deliver_signal(self.machine, signal.SIGHUP)
+
+    # What can be seen.
 
-    # what can be seen
+    def stream_of(self, proxy: int) -> ProxyStream | None:
+        """The planner's stream of a proxy."""
+        assert self.service is not None
+        return self.service.planner.streams.by_proxy.get(proxy)
 
-    def believed(
-        self, proxy: int
-    ) -> tuple[Mapping[int, Mapping[str, float]], Mapping[int, tuple[float, int] | None], Mapping[str, bool]] | None:
-        """By class the lines and the level that it believes a proxy to hold, and what it has ejected there;
-        None while something it sent is unanswered, or there is no stream."""
+    def believed_state(self, proxy: int) -> BelievedState | None:
+        """What it believes a proxy to hold; None without a stream."""
         assert self.service is not None
-        module, ids = self.service.planner, self.service.endpoints.server_ids
-        stream = module.streams.by_proxy.get(proxy)
+        tables = self.service.planner.tables
+        name_of = self.service.endpoints.server_ids.name
+        stream = self.stream_of(proxy)
         if stream is None:
             return None
         lines: dict[int, dict[str, float]] = {}
-        levels: dict[int, tuple[float, int] | None] = {}
-        for place, table in stream.table_by_class.items():
-            lines[place] = {
-                name: weight
-                for server, weight in module.tables.tables.get(table, {}).items()
-                if (name := ids.name(server)) is not None
+        levels: dict[int, Level | None] = {}
+        for class_index, table in stream.table_by_class.items():
+            weights = tables.tables.get(table, {})
+            lines[class_index] = {
+                name: weight for server, weight in weights.items() if (name := name_of(server)) is not None
             }
-            level = module.tables.level(place, table)
-            levels[place] = None if level is None else (level[0], int(level[1]))
-        ejected = {name: out for server, out in stream.ejected.items() if (name := ids.name(server)) is not None}
-        return lines, levels, ejected
+            level = tables.level(class_index, table)
+            levels[class_index] = None if level is None else (level[0], int(level[1]))
+        ejected = {
+            name: is_ejected for server, is_ejected in stream.ejected.items() if (name := name_of(server)) is not None
+        }
+        return BelievedState(lines, levels, ejected)
 
-    def last_mark(self, proxy: int) -> int | None:
-        """The newest mark that it has sent a proxy and heard no answer to."""
-        assert self.service is not None
-        stream = self.service.planner.streams.by_proxy.get(proxy)
+    def last_pending_nonce(self, proxy: int) -> int | None:
+        """The newest nonce that it has sent a proxy and got no answer to."""
+        stream = self.stream_of(proxy)
         return next(reversed(stream.pending_nonces), None) if stream is not None else None
 
-    def unsent(self, proxy: int) -> int:
+    def unsent_bytes(self, proxy: int) -> int:
         """Bytes for a proxy that still wait in the planner."""
-        assert self.service is not None
-        stream = self.service.planner.streams.by_proxy.get(proxy)
+        stream = self.stream_of(proxy)
         return stream.connection.unsent if stream is not None and isinstance(stream.connection, Connection) else 0
 
-    def figures(self) -> Iterator[tuple[str, float, float]]:
-        """What it keeps for others, and the most there may be of it."""
+    def bounded_sizes(self) -> Iterator[BoundedSize]:
+        """What it keeps for others; the names are told in verdicts."""
         assert self.service is not None
-        links, module, roster = self.service.transport, self.service.planner, self.service.endpoints
-        proxies = self.world.shape.proxies
-        yield "streams", len(module.streams.by_proxy) + len(module.streams.silent), proxies
-        yield "limiters", len(links.limiters), proxies
-        yield "bytes that wait", links.buffer_budget.total, links.buffer_budget.most
-        yield (
-            "bytes that wait, beside their sum",
-            abs(links.buffer_budget.total - sum(links.buffer_budget.held.values())),
-            0,
+        shape = self.context.shape
+        transport = self.service.transport
+        planner = self.service.planner
+        endpoints = self.service.endpoints
+        budget = transport.buffer_budget
+        connections = transport.connections
+        yield BoundedSize("streams", len(planner.streams.by_proxy) + len(planner.streams.silent), shape.proxies)
+        yield BoundedSize("limiters", len(transport.limiters), shape.proxies)
+        yield BoundedSize("bytes that wait", budget.total, budget.most)
+        yield BoundedSize("bytes that wait, beside their sum", abs(budget.total - sum(budget.held.values())), 0)
+        yield BoundedSize(
+            "peers that hold bytes, not attended", sum(peer not in connections for peer in budget.held), 0
         )
-        yield (
-            "peers that hold bytes, not attended",
-            sum(p not in links.connections for p in links.buffer_budget.held),
-            0,
+        yield BoundedSize(
+            "unidentified not attended", sum(peer not in connections for peer in transport.unidentified), 0
         )
-        yield "unidentified not attended", sum(p not in links.connections for p in links.unidentified), 0
-        yield "connections", len(links.connections) + links.arriving, 1024
-        yield "tasks", len(links.tasks), 8 + 2 * len(links.connections) + 4 * self.world.shape.servers
-        yield "calls for the list", len(links.discovery.fetching), 16
-        yield "gone servers", len(roster.removed), 64 + 3 * len(roster.entries) + 8
-        yield "names", len(roster.server_ids.names), len(roster.entries) + len(roster.removed) + 8
-        yield "mailbox", len(module.mailbox), 20_000
-        yield "timers", len(module.timers), 256
-        for stream in module.streams.by_proxy.values():
-            yield f"marks of proxy {stream.proxy}", len(stream.pending_nonces), 64
+        yield BoundedSize("connections", len(connections) + transport.arriving, CONNECTION_LIMIT)
+        yield BoundedSize("tasks", len(transport.tasks), 8 + 2 * len(connections) + 4 * shape.servers)
+        yield BoundedSize("calls for the list", len(transport.discovery.fetching), MAX_LIST_CALLS)
+        yield BoundedSize("gone servers", len(endpoints.removed), 64 + 3 * len(endpoints.entries) + 8)
+        yield BoundedSize("names", len(endpoints.server_ids.names), len(endpoints.entries) + len(endpoints.removed) + 8)
+        yield BoundedSize("mailbox", len(planner.mailbox), MAX_MAILBOX)
+        yield BoundedSize("timers", len(planner.timers), MAX_TIMERS)
+        for stream in planner.streams.by_proxy.values():
+            yield BoundedSize(f"marks of proxy {stream.proxy}", len(stream.pending_nonces), MAX_PENDING_NONCES)
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -1,427 +1,345 @@
-"""Forwarders, collectors and clients as scripted peers: requests flow, have effects and are counted."""
+"""Proxies as scripted peers: they follow their tables, keep them without a planner, and judge no server."""
 
 from __future__ import annotations
 
 import random
-from collections import deque
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, field
 
-from stackwheel.forwarder.state import ForwarderState, choose
+from stackwheel.forwarder.state import ForwarderState
 from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdate
-from stackwheel.interface import Retry
 from stackwheel.rules.violations import Rule
-from stackwheel.trials.loop import Machine
-from stackwheel.trials.network import Transport
-from stackwheel.trials.servers import Outcome, Proof
-
-if TYPE_CHECKING:
-    from stackwheel.trials.world import World
-
-REDIAL = (0.1, 2.4)  # s after a break is noticed
-SILENT = 3.0  # s without PONG until a dial counts as failed
-KEEP_OFF = 5.0  # s that a server which failed too often in a row is kept off
-ATTEMPTS_KEPT = 4096  # requests under way at one proxy; more are turned away
-LOAD_LINES_MOST = 300  # lines of reports in one cycle, the oldest first
-
-
-class Lines:
-    """A protocol that cuts what it hears into lines."""
-
-    def __init__(self) -> None:
-        self.transport: Transport | None = None
-        self.held = b""
-
-    def connection_made(self, transport: Any) -> None:
-        self.transport = transport
-        self.opened()
-
-    def data_received(self, data: bytes) -> None:
-        *lines, self.held = (self.held + data).split(b"\r\n")
-        for line in lines:
-            self.line(line.decode())
-
-    def eof_received(self) -> bool | None:
-        return None
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.ended(exc)
-
-    def pause_writing(self) -> None:
-        pass
-
-    def resume_writing(self) -> None:
-        pass
-
-    def say(self, *lines: str) -> None:
-        if self.transport is not None and not self.transport.closing:
-            self.transport.write("".join(line + "\r\n" for line in lines).encode())
-
-    def opened(self) -> None:
-        pass
-
-    def line(self, line: str) -> None:
-        pass
-
-    def ended(self, exc: Exception | None) -> None:
-        pass
-
-
-class Stream(Lines):
-    """A proxy's stream to one planner."""
+from stackwheel.trials.channel import UpdateChannels
+from stackwheel.trials.context import SimulationContext
+from stackwheel.trials.fleet import ServerFleet
+from stackwheel.trials.line_protocol import LineProtocol
+from stackwheel.trials.loop import Address, Machine
+from stackwheel.trials.proxy_requests import RequestForwarder
+from stackwheel.trials.reports import ReportPath
+from stackwheel.trials.requests import Attempts, Clients, Request
+
+REDIAL_DELAY_S = (0.1, 2.4)  # after a break is noticed
+DIAL_TIMEOUT_S = 3.0  # without an open connection until a dial counts as failed
+NOTICE_SILENCE_S = (0.2, 2.7)  # until a proxy finds by itself that its stream is dead
+START_DELAY_S = (0.0, 0.3)  # from a proxy's start to its first dial
+FIRST_REPORT = (0.3, 1.0)  # of the report interval, from a proxy's start to its first report
+SAME_PLANNER_SHARE = 0.7  # of second streams that go to the planner of the first
+
+
+class PlannerStream(LineProtocol):
+    """A proxy's stream to one planner.
+
+    Attributes:
+        partial_received: Of a line that the planner has taken in part.
+        counts_as_joined: For the rules.
+        broken: By the network or its own proxy: it counts as left.
+        reset_in_next_message: It breaks in the middle of the next message.
+    """
 
     def __init__(self, proxy: Proxy, planner: int) -> None:
         super().__init__()
-        self.proxy, self.planner = proxy, planner
+        self.proxy = proxy
+        self.planner = planner
         self.reader = ConfigUpdateReader()
-        self.taken = b""  # of a line that the planner has taken in part
-        self.counted = False  # joined, as the rules see it
-        self.broken = False  # by the network or its own proxy: it counts as left
-        self.break_next = False  # in the middle of the next message
+        self.partial_received = b""
+        self.counts_as_joined = False
+        self.broken = False
+        self.reset_in_next_message = False
 
     def opened(self) -> None:
-        self.proxy.stream_up(self)
+        """The connection is open."""
+        self.proxy.stream_opened(self)
 
-    def line(self, line: str) -> None:
+    def line_received(self, line: str) -> None:
+        """Collect the lines of a message; a complete one enters the channel."""
         if line in ("PONG", "NACK"):
             return
-        if self.break_next and (" continued=1" in line or not self.reader.parts):
-            self.break_next = False
+        if self.reset_in_next_message and (" continued=1" in line or not self.reader.parts):
+            self.reset_in_next_message = False
             self.proxy.break_stream(self)
             return
         try:
-            order = self.reader.take(line)
+            update = self.reader.take(line)
         except InvalidUpdate as error:
-            self.proxy.refuse(self, str(error))
+            self.proxy.reject_update(self, str(error))
             return
-        if order is not None:
-            self.proxy.world.channel_takes(self, order)
+        if update is not None:
+            self.proxy.parts.channels.enter(self, update)
 
-    def ended(self, exc: Exception | None) -> None:
-        self.proxy.stream_ended(self)
+    def closed(self) -> None:
+        """The connection has ended."""
+        self.proxy.stream_closed(self)
 
 
-@dataclass(slots=True, eq=False)
-class Request:
-    """What a client asks; its repeats by the client are requests of their own."""
+@dataclass(slots=True)
+class ProxyParts:
+    """What proxies use of the rest of a simulation.
 
-    number: int
-    place: int
-    came: float
-    until: float
-    tries_left: int  # the client's
-    tried: tuple[str, ...] = ()
-    further: int = 0  # tries after the first, by the proxy
+    Attributes:
+        planner_addresses: By planner.
+        planner_machine: The machine that a planner runs on now.
+        start_reading_files: Starts a proxy that is sent files in place of streams, where there are files.
+    """
+
+    fleet: ServerFleet
+    channels: UpdateChannels
+    reports: ReportPath
+    clients: Clients
+    attempts: Attempts
+    planner_addresses: Sequence[Address]
+    planner_machine: Callable[[int], Machine]
+    start_reading_files: Callable[[Proxy], None] | None = field(default=None)
 
 
 class Proxy:
-    """A forwarder: follows its tables, keeps them without a planner, and judges no server by itself."""
-
-    def __init__(self, world: World, number: int, zone: int, machine: Machine) -> None:
-        self.world, self.number, self.zone, self.machine = world, number, zone, machine
-        self.mind = Machine(machine.name)  # what thinks: it may stand still while the kernel still takes bytes
-        self.chance = random.Random(f"proxy {number} {world.script.seed}")
-        shape = world.shape
-        self.routes = tuple(c.name for c in shape.classes)
-        self.holdings = ForwarderState(self.routes, world.ever_listed)
-        self.stream: Stream | None = None
-        self.dialling: Stream | None = None
-        self.fresh = True
-        self.factor = 1.0  # of its usual demand
-        self.usual = 1.0  # requests a second
-        self.next_planner = self.chance.randrange(shape.planners)
-        self.under_way: dict[str, int] = {}
-        self.strikes: dict[str, int] = {}
-        self.kept_off: dict[str, float] = {}
-        self.came = [0] * len(self.routes)  # since the last report
-        self.unserved = [0] * len(self.routes)
-        self.met: dict[str, list[float]] = {}  # server: tries, failures, time of the rest
-        self.reported = world.loop.now
-
-    # streams
+    """A proxy: its streams, updates and reports; its requests are the forwarder's.
+
+    Attributes:
+        machine: What its connections belong to: the kernel.
+        process: What applies and forwards: it may be stalled while the kernel still takes bytes.
+        state: Its tables, as the forwarder's law has them.
+        is_new: It has applied no update since its start.
+        demand_factor: Of its usual demand.
+        base_rate: Its usual requests a second.
+    """
+
+    def __init__(self, context: SimulationContext, parts: ProxyParts, number: int, zone: int) -> None:
+        self.context = context
+        self.parts = parts
+        self.number = number
+        self.zone = zone
+        self.machine = Machine(f"proxy-{number}")
+        self.process = Machine(f"proxy-{number}")
+        self.random = random.Random(f"proxy {number} {context.script.seed}")
+        self.class_names = tuple(request_class.name for request_class in context.shape.classes)
+        self.state = ForwarderState(self.class_names, parts.fleet.listed_names)
+        self.stream: PlannerStream | None = None
+        self.pending_stream: PlannerStream | None = None
+        self.is_new = True
+        self.demand_factor = 1.0
+        self.base_rate = 1.0
+        self.next_planner = self.random.randrange(context.shape.planners)
+        self.reported_at = context.loop.now
+        self.forwarder = RequestForwarder(context, parts.clients, parts.attempts, self)
+
+    def schedule(self, delay: float, callback: Callable[..., object], *args: object) -> None:
+        """Run something of its process after a delay in s."""
+        self.context.loop.schedule_at(self.context.loop.now + delay, self.process, callback, *args)
+
+    def rate(self) -> float:
+        """Requests a second that clients make."""
+        return self.base_rate * self.demand_factor
+
+    def receive_request(self, request: Request) -> None:
+        """A request arrives."""
+        self.forwarder.receive(request)
+
+    # Streams.
 
     def dial(self) -> None:
-        if not self.mind.alive or self.dialling is not None:
+        """Connect to the next planner in turn."""
+        if not self.process.alive or self.pending_stream is not None:
             return
         planner = self.next_planner
-        self.next_planner = (planner + 1) % self.world.shape.planners
-        self.dialling = stream = Stream(self, planner)
-        self.world.network.dial(self.machine, self.world.planner_address(planner), stream)
-        self.later(SILENT, self.dial_late, stream)
-
-    def dial_late(self, stream: Stream) -> None:
-        if self.dialling is stream:
-            self.dialling = None
+        self.next_planner = (planner + 1) % self.context.shape.planners
+        stream = PlannerStream(self, planner)
+        self.pending_stream = stream
+        self.context.network.dial(self.machine, self.parts.planner_addresses[planner], stream)
+        self.schedule(DIAL_TIMEOUT_S, self.dial_timed_out, stream)
+
+    def dial_timed_out(self, stream: PlannerStream) -> None:
+        """Give a dial up that has not come through."""
+        if self.pending_stream is stream:
+            self.pending_stream = None
             self.redial()
 
-    def stream_up(self, stream: Stream) -> None:
-        if self.dialling is stream:
-            self.dialling = None
+    def redial(self) -> None:
+        """Dial again after a while."""
+        self.schedule(self.random.uniform(*REDIAL_DELAY_S), self.dial_without_stream)
+
+    def dial_without_stream(self) -> None:
+        """Dial unless there is a stream."""
+        if self.stream is None:
+            self.dial()
+
+    def stream_opened(self, stream: PlannerStream) -> None:
+        """A dial has come through: the stream replaces the one before it."""
+        if self.pending_stream is stream:
+            self.pending_stream = None
         elif stream.transport is not None:  # given up meanwhile
             stream.broken = True
             stream.transport.abort()
             return
-        old, self.stream = self.stream, stream
-        if old is not None and old.transport is not None:
-            old.broken = True
-            old.transport.abort()
-        stream.say(
-            f"SUBSCRIBE id={self.number} site={self.world.zones[self.zone]} rps={self.rate():.1f} new={int(self.fresh)}"
-        )
-
-    def rate(self) -> float:
-        return self.usual * self.factor
-
-    def stream_ended(self, stream: Stream) -> None:
-        if self.dialling is stream:
-            self.dialling = None
+        former = self.stream
+        self.stream = stream
+        if former is not None and former.transport is not None:
+            former.broken = True
+            former.transport.abort()
+        zone = self.context.zones[self.zone]
+        stream.send(f"SUBSCRIBE id={self.number} site={zone} rps={self.rate():.1f} new={int(self.is_new)}")
+
+    def stream_closed(self, stream: PlannerStream) -> None:
+        """A stream has ended, by whomever."""
+        if self.pending_stream is stream:
+            self.pending_stream = None
             self.redial()
         elif self.stream is stream:
             self.stream = None
             if stream.broken:
-                self.world.counts_left(self, stream)
+                self.count_as_left(stream)
             self.redial()
 
-    def break_stream(self, stream: Stream) -> None:
-        """By the network, or by itself: at once it counts as left."""
+    def count_as_left(self, stream: PlannerStream) -> None:
+        """A stream is broken: for the rules the proxy has left, unless another stream has replaced it."""
+        stream.counts_as_joined = False
+        if self.stream is stream or self.stream is None:
+            self.context.checker.left(self.number, self.context.now_ms())
+
+    def break_stream(self, stream: PlannerStream) -> None:
+        """The stream is reset; at once the proxy counts as left."""
         stream.broken = True
-        self.world.counts_left(self, stream)
+        self.count_as_left(stream)
         if stream.transport is not None:
             stream.transport.reset()
 
-    def go_quiet(self, notice: float) -> None:
-        """The stream is half open from now on; both ends are told nothing."""
+    def make_half_open(self, noticed_after: float) -> None:
+        """The stream is half open from now on; neither end is notified."""
         stream = self.stream
         if stream is None or stream.transport is None:
             return
         stream.broken = True
-        stream.transport.swallow = stream.transport.far.swallow = True
-        self.world.counts_left(self, stream)
-        self.later(notice, self.notice_quiet, stream)
-
-    def notice_quiet(self, stream: Stream) -> None:
-        """It finds the stream dead by itself, and looks for another planner."""
+        stream.transport.half_open = True
+        stream.transport.peer.half_open = True
+        self.count_as_left(stream)
+        self.schedule(noticed_after, self.notice_dead_stream, stream)
+
+    def planner_vanished(self, planner: int) -> None:
+        """The planner's machine is gone without a sign: after a while the proxy notices."""
+        if self.stream is not None and self.stream.planner == planner:
+            self.schedule(self.random.uniform(*NOTICE_SILENCE_S), self.notice_dead_stream, self.stream)
+
+    def path_cut(self, stream: PlannerStream) -> None:
+        """A cut lies on the stream's path: the proxy counts as left, and notices after a while."""
+        self.count_as_left(stream)
+        self.schedule(self.random.uniform(*NOTICE_SILENCE_S), self.notice_cut, stream)
+
+    def notice_dead_stream(self, stream: PlannerStream) -> None:
+        """Find the stream dead, and look for another planner."""
         if self.stream is stream and stream.transport is not None:
             self.stream = None
-            stream.transport.drop()
+            stream.transport.abandon()
             self.redial()
 
-    def notice_cut(self, stream: Stream) -> None:
-        """It hears nothing; one that still hears its planner notices nothing."""
-        here, there = self.machine, self.world.hosts[stream.planner].machine
-        network = self.world.network
-        if self.stream is stream and network.is_cut(there, here) and network.is_cut(here, there):
+    def notice_cut(self, stream: PlannerStream) -> None:
+        """Find the stream dead where nothing is heard; who still hears its planner notices nothing."""
+        planner_machine = self.parts.planner_machine(stream.planner)
+        network = self.context.network
+        cut_both_ways = network.is_cut(planner_machine, self.machine) and network.is_cut(self.machine, planner_machine)
+        if self.stream is stream and cut_both_ways:
             stream.broken = True
-            self.notice_quiet(stream)
+            self.notice_dead_stream(stream)
 
-    def second_stream(self, late: float) -> None:
-        """Open a new stream while what was said on the old one is still on its way."""
-        old = self.stream
-        if old is None or old.transport is None:
+    def open_second_stream(self, delay: float) -> None:
+        """Open a new stream while what was sent on the old one is still on its way, for `delay` s."""
+        former = self.stream
+        if former is None or former.transport is None:
             return
-        old.transport.far.last = max(old.transport.far.last, self.world.loop.now + late)
-        old.say(*self.usage())
-        self.next_planner = old.planner if self.chance.random() < 0.7 else self.next_planner
+        planner_end = former.transport.peer
+        planner_end.last_arrival = max(planner_end.last_arrival, self.context.loop.now + delay)
+        former.send(*self.take_demand_reports())
+        if self.random.random() < SAME_PLANNER_SHARE:
+            self.next_planner = former.planner
         self.dial()
 
-    def redial(self) -> None:
-        self.later(self.chance.uniform(*REDIAL), self.dial_if_alone)
+    # Incarnations.
+
+    def stop(self) -> None:
+        """End the process; its connections are reset."""
+        self.stream = None
+        self.pending_stream = None
+        self.context.checker.left(self.number, self.context.now_ms())
+        self.context.network.kill(self.machine)
+        self.context.loop.kill(self.process)
+
+    def start_new_incarnation(self) -> None:
+        """Start again on new machines at the same address."""
+        host = self.context.network.host_of(self.machine)
+        self.context.retired_machines.append(self.machine)
+        name = self.machine.name
+        self.machine = Machine(name)
+        self.process = Machine(name)
+        self.context.network.place(host, self.machine)
+        self.context.loop.schedule_at(self.context.loop.now, self.process, self.start)
+
+    def start(self) -> None:
+        """Begin with only the standing table."""
+        self.stream = None
+        self.pending_stream = None
+        self.is_new = True
+        self.state = ForwarderState(self.class_names, self.parts.fleet.listed_names)
+        self.state.install_standing_table(self.parts.fleet.standing_table(self.zone, self.random))
+        self.forwarder.reset()
+        self.report_served_classes()
+        if self.parts.start_reading_files is not None:
+            self.parts.start_reading_files(self)
+            return
+        self.schedule(self.random.uniform(*START_DELAY_S), self.dial_without_stream)
+        first_report_ms = self.random.uniform(*FIRST_REPORT) * self.context.shape.report_interval
+        self.schedule(first_report_ms / 1000.0, self.send_demand_reports, self.process)
 
-    def dial_if_alone(self) -> None:
-        if self.stream is None:
-            self.dial()
+    # Updates.
 
-    def refuse(self, stream: Stream, why: str) -> None:
-        """An order that can't be used: the stream is reset, and the planner is to blame."""
-        self.world.checker.break_rule(self.world.ms(), Rule.USABLE, why, stream.planner, self.number)
+    def reject_update(self, stream: PlannerStream, reason: str) -> None:
+        """An update can't be used: the stream is reset, and the planner is to blame."""
+        self.context.checker.break_rule(self.context.now_ms(), Rule.USABLE, reason, stream.planner, self.number)
         if stream.transport is not None:
             stream.transport.abort()
-        self.stream_ended(stream)
-
-    def start_over(self) -> None:
-        """A new life of the process: only its standing table."""
-        self.stream = self.dialling = None
-        self.fresh = True
-        self.holdings = ForwarderState(self.routes, self.world.ever_listed)
-        self.holdings.install_standing_table(self.world.standing_table(self.zone, self.chance))
-        self.under_way, self.strikes, self.kept_off, self.met = {}, {}, {}, {}
-        self.came, self.unserved = [0] * len(self.routes), [0] * len(self.routes)
-        self.tell_lines()
-        if self.world.exchange is not None:
-            self.world.exchange.start(self)
-            return
-        self.later(self.chance.uniform(0.0, 0.3), self.dial_if_alone)
-        self.later(self.chance.uniform(0.3, 1.0) * self.world.shape.cycle / 1000.0, self.report, self.mind)
-
-    def later(self, delay: float, call: Callable[..., object], *args: object) -> None:
-        self.world.loop.at(self.world.loop.now + delay, self.mind, call, *args)
-
-    # orders
+        self.stream_closed(stream)
 
-    def apply(self, stream: Stream, order: ConfigUpdate, entered: float) -> None:
-        """A message has come out of the channel: it counts whole, or not at all."""
+    def apply(self, stream: PlannerStream, update: ConfigUpdate, entered_at: float) -> None:
+        """A message has come out of the channel: all of it is applied, or nothing."""
         if self.stream is not stream or stream.transport is None or stream.transport.closing:
             return
         try:
-            self.holdings.apply(order)
+            self.state.apply(update)
         except InvalidUpdate as error:
-            self.refuse(stream, str(error))
+            self.reject_update(stream, str(error))
             return
-        self.fresh = False
-        self.world.checker.note(
-            self.world.ms(), f"applied {order.cost()} lines", f"proxy-{self.number}", f"planner-{stream.planner}"
+        self.is_new = False
+        self.context.checker.note(
+            self.context.now_ms(),
+            f"applied {update.cost()} lines",
+            f"proxy-{self.number}",
+            f"planner-{stream.planner}",
         )
-        self.tell_lines()
-        took = (self.world.loop.now - entered) * 1000.0
-        for mark in order.nonces():
-            stream.say(f"ACK id={self.number} seq={mark} ms={took:.1f}")
-
-    def tell_lines(self) -> None:
-        now = self.world.ms()
-        for place, name in enumerate(self.routes):
-            self.world.checker.lines(self.number, place, not self.holdings.has_no_servers(name), now)
-
-    # reports
-
-    def usage(self) -> list[str]:
-        over = max(1.0, (self.world.loop.now - self.reported) * 1000.0)
-        lines = [
-            f"RATE id={self.number} lane={name} count={count} fail={fail} over={over:.1f}"
-            for name, count, fail in zip(self.routes, self.came, self.unserved, strict=True)
-            if count
+        self.report_served_classes()
+        took_ms = (self.context.loop.now - entered_at) * 1000.0
+        for nonce in update.nonces():
+            stream.send(f"ACK id={self.number} seq={nonce} ms={took_ms:.1f}")
+
+    def report_served_classes(self) -> None:
+        """Let the checker know for which classes there are servers."""
+        now = self.context.now_ms()
+        for class_index, name in enumerate(self.class_names):
+            self.context.checker.lines(self.number, class_index, not self.state.has_no_servers(name), now)
+
+    # Reports.
+
+    def take_demand_reports(self) -> list[str]:
+        """The lines that report the requests since the last report."""
+        now = self.context.loop.now
+        window_ms = max(1.0, (now - self.reported_at) * 1000.0)
+        self.reported_at = now
+        return [
+            f"RATE id={self.number} lane={demand.class_name} count={demand.requests} "
+            f"fail={demand.unserved} over={window_ms:.1f}"
+            for demand in self.forwarder.take_demand()
         ]
-        self.reported = self.world.loop.now
-        self.came, self.unserved = [0] * len(self.routes), [0] * len(self.routes)
-        return lines
 
-    def report(self, machine: Machine) -> None:
-        if machine is not self.mind:
+    def send_demand_reports(self, process: Machine) -> None:
+        """Report once an interval, as long as the process is the one that began to."""
+        if process is not self.process:
             return
         if self.stream is not None:
-            self.world.send_report(self.machine, self.stream, self.usage())
-        self.later(self.world.shape.cycle / 1000.0, self.report, machine)
-
-    # requests
-
-    def take(self, request: Request) -> None:
-        """A request arrives."""
-        world, place = self.world, request.place
-        self.came[place] += 1
-        if world.loop.now >= request.until:
-            world.finish(request, self, False, world.loop.now)  # its client has left
-            return
-        rate = self.rate() * world.shape.classes[place].share
-        if not self.holdings.admits(self.routes[place], world.shape.admission, self.chance, rate):
-            world.finish(request, self, False, world.loop.now)  # given up, and answered at once
-            return
-        self.attempt(request)
-
-    def attempt(self, request: Request) -> None:
-        world, place, now = self.world, request.place, self.world.loop.now
-        held = self.holdings.routes[self.routes[place]]
-        avoid = self.avoided(now) if self.kept_off else ()
-        name = choose(held, world.shape.pick, self.chance, self.under_way, avoid, request.tried)
-        if name is None or sum(self.under_way.values()) >= ATTEMPTS_KEPT:
-            self.unserved[place] += 1
-            world.finish(request, self, False, now)
-            return
-        self.under_way[name] = self.under_way.get(name, 0) + 1
-        world.checker.sent(self.number, name, now * 1000.0)
-        retry = self.holdings.retry_mode(self.routes[place], Retry(world.shape.usual_retry))
-        until = request.until
-        if retry >= Retry.ONCE and request.further < retry - Retry.ONCE_IF_NOT_EXECUTED:
-            until = min(until, now + 0.8 * world.shape.classes[place].aim / 1000.0)
-        outcome = world.try_server(request, self, name, until)
-        world.loop.at(outcome.at, self.mind, self.end_try, request, name, now, outcome, retry, self.mind)
-
-    def avoided(self, now: float) -> tuple[str, ...]:
-        self.kept_off = {name: until for name, until in self.kept_off.items() if until > now}
-        return tuple(self.kept_off)
-
-    def end_try(
-        self, request: Request, name: str, began: float, outcome: Outcome, retry: Retry, machine: Machine
-    ) -> None:
-        if machine is not self.mind:
-            return
-        world, now = self.world, self.world.loop.now
-        left = self.under_way[name] - 1
-        if left:
-            self.under_way[name] = left
-        else:
-            del self.under_way[name]
-        met = self.met.setdefault(name, [0.0, 0.0, 0.0])
-        met[0] += 1
-        met[1] += not outcome.ok
-        met[2] += outcome.ok * (now - began) * 1000.0
-        if outcome.ok:
-            self.strikes.pop(name, None)
-            world.finish(request, self, now <= request.until, outcome.at)
-            return
-        if world.shape.strikes:
-            self.strikes[name] = self.strikes.get(name, 0) + 1
-            if self.strikes[name] >= world.shape.strikes:
-                del self.strikes[name]
-                self.kept_off[name] = now + KEEP_OFF
-        if self.may_follow(request, outcome, retry) and now < request.until:
-            request.tried = (*request.tried, name)
-            request.further += 1
-            self.attempt(request)
-        else:
-            world.finish(request, self, False, outcome.at)
-
-    @staticmethod
-    def may_follow(request: Request, outcome: Outcome, retry: Retry) -> bool:
-        """Whether the orders let it try elsewhere, by how far the last try had come."""
-        if retry is Retry.NEVER:
-            return False
-        if retry is Retry.ONCE_IF_NOT_EXECUTED:
-            return outcome.proof is Proof.NOT_SENT and request.further < 1
-        return request.further < (1 if retry is Retry.ONCE else 2)
-
-
-class Collector(Lines):
-    """Passes on what the proxies of a zone that one planner has met at servers."""
-
-    def __init__(self, world: World, zone: int, planner: int, machine: Machine) -> None:
-        super().__init__()
-        self.world, self.zone, self.planner, self.machine = world, zone, planner, machine
-        self.waiting: deque[str] = deque(maxlen=20 * LOAD_LINES_MOST)
-        self.up = False
-
-    def opened(self) -> None:
-        self.up = True
-        self.held = b""
-        self.say(f"SOURCE site={self.world.zones[self.zone]}")
-
-    def ended(self, exc: Exception | None) -> None:
-        self.up, self.transport = False, None
-        self.world.loop.at(self.world.loop.now + 0.5 + self.world.chance.random(), self.machine, self.dial)
-
-    def dial(self) -> None:
-        self.world.network.dial(self.machine, self.world.planner_address(self.planner), self)
-
-    def report(self) -> None:
-        """Each cycle: sums of what the planner's proxies here met, at most so many lines, the oldest first."""
-        sums: dict[str, list[float]] = {}
-        for proxy in self.world.proxies:
-            if proxy.zone == self.zone and proxy.met and self.of_planner(proxy):
-                for name, met in proxy.met.items():
-                    total = sums.setdefault(name, [0.0, 0.0, 0.0])
-                    for place, value in enumerate(met):
-                        total[place] += value
-                proxy.met = {}
-        zone, over = self.world.zones[self.zone], self.world.shape.cycle
-        for name, (tries, fails, took) in sums.items():
-            mean = took / max(1.0, tries - fails)
-            self.waiting.append(
-                f"LOAD site={zone} target={name} count={int(tries)} fail={int(fails)} "
-                f"mean={mean:.1f} over={over:.1f}{self.world.load_report(name)}"
-            )
-        lines = [self.waiting.popleft() for _ in range(min(len(self.waiting), LOAD_LINES_MOST))]
-        if lines:
-            self.world.send_report(self.machine, self, lines)
-        self.world.loop.at(self.world.loop.now + over / 1000.0, self.machine, self.report)
-
-    def of_planner(self, proxy: Proxy) -> bool:
-        return proxy.stream is not None and proxy.stream.planner == self.planner
+            self.parts.reports.send(self.machine, self.stream, self.take_demand_reports())
+        self.schedule(self.context.shape.report_interval / 1000.0, self.send_demand_reports, process)
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -1,4 +1,4 @@
-"""Relays of a trial: the shipped service on the virtual loop, which ways lead through it, and who else it serves."""
+"""Simulated relays: the shipped service on the virtual loop, which paths lead through it, and whom else it serves."""
 
 from __future__ import annotations
 
@@ -6,247 +6,309 @@
 import random
 import signal
 import socket
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
 from pathlib import Path
-from typing import TYPE_CHECKING, Any, cast
+from typing import Any, NamedTuple, cast
 
 from stackwheel.cells.assignment import addresses, service_of
 from stackwheel.cells.plan import VERSION, Cell, Limits, Plan, Relay
 from stackwheel.interface import Availability
 from stackwheel.rules.violations import Rule
 from stackwheel.service.relay import RelayConfig, RelayEnvironment, RelayService, Serving, serving_of
-from stackwheel.trials.discovery import Call, Record
+from stackwheel.trials.context import SimulationContext
+from stackwheel.trials.discovery import Discovery, DiscoveryCall
+from stackwheel.trials.discovery_records import ServerRecord
 from stackwheel.trials.loop import Machine
-from stackwheel.trials.network import Conditions, Transport
-from stackwheel.trials.planners import EPOCH
-from stackwheel.trials.relay_views import RelayViews, ways_open_since
+from stackwheel.trials.network import Conditions
+from stackwheel.trials.planner_config import EPOCH_S
+from stackwheel.trials.planners import PlannerHost
+from stackwheel.trials.relay_checks import RelayChecks
+from stackwheel.trials.shape import zone_of
+from stackwheel.trials.transport import Transport
 from stackwheel.wire import timing
 from stackwheel.wire.http import split_address
 from stackwheel.wire.listing_watch import EMPTY_LINE
 
-if TYPE_CHECKING:
-    from stackwheel.trials.planners import PlannerHost
-    from stackwheel.trials.world import World
-
-CELL = "s"  # the planners' cell: all of `s-0` and so on
+PLANNERS_CELL = "s"  # all servers `s-0` and so on
 OTHER_CELL = "t"  # shares relays and registry with it, and nothing else
-PORTS = {CELL: 9001, OTHER_CELL: 19001}
+CELL_PORTS = {PLANNERS_CELL: 9001, OTHER_CELL: 19001}
 OTHER_SERVERS = 5
-OTHER_CHANGES = (0.5, 2.5)  # s between changes in the other cell
-CONNECTIONS = 1024
-FIRST_GENERATION = 10**15  # a numbering begins far below the one before, so that a trial never reaches its numbers:
-NEXT_NUMBERING = 100  # a registry that does so can't be told from one that goes on, by whoever was away meanwhile
-LOOK = 0.1  # s between looks at which ways are open
-SETTLING_LISTS = 2 * 6.0  # s: a list that a relay, and then a planner, holds for an older state
-SETTLES_WITHIN = 120.0  # s after a script's end within which its last fault must have ended
-VOUCHES_MOST = (timing.SILENCE + timing.BEAT) / 1000.0  # s after the registry was heard last
+OTHER_CHANGE_INTERVAL_S = (0.5, 2.5)  # between changes in the other cell
+CONNECTION_LIMIT = 1024
+# A restarted numbering begins far below the one before, so that a trial never reaches its numbers: a registry that
+# does so can't be told from one that goes on, by whoever was away meanwhile.
+FIRST_GENERATION = 10**15
+RESTART_DIVISOR = 100
+CHECK_INTERVAL_S = 0.1  # between checks of which paths are open
+STALE_LIST_S = 6.0  # that a relay, or a planner, holds a list for an older state
+SETTLE_LIMIT_S = 120.0  # after a script's end within which its last fault must have ended
+SETTLE_STEP_S = 1.0
+MAX_VOUCHING_S = (timing.SILENCE + timing.BEAT) / 1000.0  # after the registry was heard last
 
 
 class RelayHost:
-    """The machine a relay runs on."""
-
-    def __init__(self, group: RelayGroup, number: int) -> None:
-        self.group, self.number = group, number
-        self.host = f"10.5.0.{number + 1}"
+    """The machine a relay runs on.
+
+    Attributes:
+        registry_received_at: When the registry's answer last reached it, in s.
+    """
+
+    def __init__(self, context: SimulationContext, discovery: Discovery, plan: Callable[[], Plan], number: int) -> None:
+        self.context = context
+        self.discovery = discovery
+        self.plan = plan
+        self.number = number
+        self.host = relay_host(number)
         self.machine = Machine(f"relay-{number}")
         self.service: RelayService | None = None
-        self.lives = 0
-        self.heard_at = 0.0  # s: when the registry's answer last reached it
+        self.incarnation = 0
+        self.registry_received_at = 0.0
 
     @property
     def running(self) -> bool:
+        """Whether a process lives."""
         return self.machine.alive and self.service is not None
 
     def start(self) -> None:
-        """A new process, which knows nothing."""
-        world, old = self.group.world, self.machine
-        if not old.alive:
-            self.machine = Machine(old.name)
-            world.graves.append(old)
-        world.network.settle(self.host, self.machine)
-        world.network.return_of(old)
-        self.lives += 1
-        config = RelayConfig(self.machine.name, "{}:{}".format(*world.discovery.address), Path("plan"))
-        around = RelayEnvironment(self.listen_at, self.load, lambda: None)
-        previous, world.loop.machine = world.loop.machine, self.machine
-        try:
-            self.service = RelayService(config, self.load(config.name, config.plan), CONNECTIONS, around)
-        finally:
-            world.loop.machine = previous
-        world.loop.start(self.machine, self.service.run()).add_done_callback(self.ended)
+        """Start a process, which knows nothing."""
+        context = self.context
+        self.machine = context.successor(self.machine, self.host)
+        self.incarnation += 1
+        config = RelayConfig(self.machine.name, "{}:{}".format(*self.discovery.address), Path("plan"))
+        environment = RelayEnvironment(self.listen_at, self.load_plan, lambda: None)
+        with context.loop.running_as(self.machine):
+            serving = self.load_plan(config.name, config.plan)
+            self.service = RelayService(config, serving, CONNECTION_LIMIT, environment)
+        context.loop.start_process(self.machine, self.service.run()).add_done_callback(self.process_ended)
 
     def listen_at(self, address: str) -> socket.socket:
-        return cast(socket.socket, self.group.world.network.listen(self.machine, split_address(address)))
+        """Listen on the simulated network."""
+        return cast(socket.socket, self.context.network.listen(self.machine, split_address(address)))
 
-    def load(self, name: str, path: Path) -> Serving:
-        return serving_of(name, self.group.plan(), str(path))
+    def load_plan(self, name: str, path: Path) -> Serving:
+        """What the relay serves by the plan as it is now."""
+        return serving_of(name, self.plan(), str(path))
 
-    def ended(self, task: asyncio.Task[Any]) -> None:
-        world = self.group.world
-        why = "cancelled" if task.cancelled() else repr(task.exception())
-        world.checker.break_rule(world.ms(), Rule.UPRIGHT, f"{self.machine} ended: {why}")
+    def process_ended(self, task: asyncio.Task[Any]) -> None:
+        """The service has ended by itself, which it never should."""
+        reason = "cancelled" if task.cancelled() else repr(task.exception())
+        self.context.checker.break_rule(self.context.now_ms(), Rule.UPRIGHT, f"{self.machine} ended: {reason}")
 
-    def kill(self, sign: bool = True) -> None:
-        self.group.world.network.kill(self.machine, sign)
+    def kill(self, resets_connections: bool = True) -> None:
+        """End the process; without resets its machine vanishes."""
+        self.context.network.kill(self.machine, resets_connections)
         self.service = None
 
     def reload(self) -> None:
-        self.group.world.loop.signal(self.machine, signal.SIGHUP)
+        """Send SIGHUP."""
+        self.context.loop.deliver_signal(self.machine, signal.SIGHUP)
 
 
-class RelayGroup:
-    """All relays of a trial, between the scripted discovery and the planners."""
+class OpenPath(NamedTuple):
+    """Since when (s) a relay has led from the registry to a planner, and between which incarnations."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.chance = random.Random(f"relays {world.script.seed}")
-        self.moves = 0  # how often the plan has given the cells other ports
-        self.hosts = [RelayHost(self, number) for number in range(world.shape.relays)]
+    since: float
+    relay_incarnation: int
+    planner_incarnation: int
+
+
+class RelayGroup:
+    """All relays of a trial, between the simulated discovery (their registry) and the planners.
+
+    Attributes:
+        port_offset: How often the plan has given the cells other ports.
+        open_paths: By relay and planner.
+        settling: The script has ended: nothing new goes wrong.
+        last_change_at: When something last changed or went wrong, in s.
+    """
+
+    def __init__(self, context: SimulationContext, discovery: Discovery, planners: Sequence[PlannerHost]) -> None:
+        self.context = context
+        self.discovery = discovery
+        self.planners = planners
+        self.random = random.Random(f"relays {context.script.seed}")
+        self.port_offset = 0
+        self.hosts = [RelayHost(context, discovery, self.plan, number) for number in range(context.shape.relays)]
         for host in self.hosts:
-            world.zone_of_machine[host.machine.name] = host.number % world.shape.zones
-            world.network.settle(host.host, host.machine)
-        self.by_name = {host.machine.name: host for host in self.hosts}
-        self.open_since: dict[tuple[int, int], tuple[float, int, int]] = {}  # relay, planner: since when, their lives
-        self.views = RelayViews(world, CELL)
-        self.ends = False  # of the script: from here on nothing goes wrong any more
-        self.unquiet_at = 0.0  # s: when something last changed or went wrong
-        self.others = [self.other(number) for number in range(OTHER_SERVERS)]
-        world.discovery.in_order = True
-        world.discovery.generation = FIRST_GENERATION
-        world.discovery.records |= {record.name: record for record in self.others}
+            context.zone_of_machine[host.machine.name] = zone_of(host.number, context.shape)
+            context.network.place(host.host, host.machine)
+        self.hosts_by_name = {host.machine.name: host for host in self.hosts}
+        self.open_paths: dict[tuple[int, int], OpenPath] = {}
+        self.checks = RelayChecks(context, discovery, planners, PLANNERS_CELL)
+        self.settling = False
+        self.last_change_at = 0.0
+        self.other_records = [self.other_record(number) for number in range(OTHER_SERVERS)]
+        discovery.ordered_delays = True
+        discovery.generation = FIRST_GENERATION
+        discovery.records |= {record.name: record for record in self.other_records}
+
+    # The plan.
 
     def plan(self) -> Plan:
-        relays = tuple(Relay(f"relay-{n}", f"10.5.0.{n + 1}") for n in range(self.world.shape.relays))
-        cells = tuple(Cell(name, name, (), 0, 1, port + self.moves) for name, port in PORTS.items())
-        return Plan(VERSION, Limits(), dict.fromkeys(self.world.zones, "region-0"), relays, cells)
+        """The cell plan as it is now."""
+        relays = tuple(Relay(f"relay-{number}", relay_host(number)) for number in range(self.context.shape.relays))
+        cells = tuple(Cell(name, name, (), 0, 1, port + self.port_offset) for name, port in CELL_PORTS.items())
+        return Plan(VERSION, Limits(), dict.fromkeys(self.context.zones, "region-0"), relays, cells)
 
     def addresses_of(self, planner: int) -> str:
+        """Where a planner calls for its endpoint list, the preferred relay first."""
         plan = self.plan()
         return addresses(plan, plan.cells[0], f"planner-{planner}")
 
-    def part(self) -> Mapping[str, Record]:
-        """The cell's part of the registry's list."""
-        return {name: one for name, one in self.world.discovery.records.items() if self.concerns(name)}
-
-    @staticmethod
-    def concerns(server: str) -> bool:
-        """Whether a server is in the planners' cell."""
-        return service_of(server) == CELL
-
-    def move(self) -> None:
-        """Another plan: the cells are served at other ports."""
-        self.moves += 1
+    def change_ports(self) -> None:
+        """Serve the cells at other ports: relays read the plan again."""
+        self.port_offset += 1
         for host in self.hosts:
             if host.running:
                 host.reload()
 
-    def next_numbering(self) -> int:
-        """Where the registry begins when it counts anew."""
-        return max(1, self.world.discovery.generation // NEXT_NUMBERING)
+    def cell_records(self) -> Mapping[str, ServerRecord]:
+        """The planners' cell's part of the registry's list."""
+        return {name: record for name, record in self.discovery.records.items() if self.is_in_cell(name)}
+
+    @staticmethod
+    def is_in_cell(server: str) -> bool:
+        """Whether a server is in the planners' cell."""
+        return service_of(server) == PLANNERS_CELL
+
+    def first_generation_after_restart(self) -> int:
+        """Where the registry begins when it restarts its generations."""
+        return max(1, self.discovery.generation // RESTART_DIVISOR)
 
-    # the other cell
+    # The other cell.
 
-    def other(self, number: int, started: float = 0.0) -> Record:
-        zone = number % self.world.shape.zones
-        return Record(f"{OTHER_CELL}-{number}", f"10.8.1.{number}:80", zone, 0, Availability.READY, started, 0.0)
+    def other_record(self, number: int, started_at: float = 0.0) -> ServerRecord:
+        """A server of the other cell, ready."""
+        zone = zone_of(number, self.context.shape)
+        return ServerRecord(
+            f"{OTHER_CELL}-{number}", f"10.8.1.{number}:80", zone, 0, Availability.READY, started_at, 0.0
+        )
 
-    def change_other(self) -> None:
-        """One of its servers drains, leaves, or is back: a generation that says nothing to the planners."""
-        if self.ends:
+    def change_other_cell(self) -> None:
+        """One of its servers drains, leaves or returns: a generation that says nothing to the planners."""
+        if self.settling:
             return
-        number = self.chance.randrange(OTHER_SERVERS)
-        before = self.others[number]
-        if before.state is Availability.READY:
-            now = replace(before, state=Availability.DRAINING)
-        elif before.state is Availability.DRAINING:
-            now = replace(before, state=Availability.REMOVED)
+        number = self.random.randrange(OTHER_SERVERS)
+        before = self.other_records[number]
+        if before.availability is Availability.READY:
+            now = replace(before, availability=Availability.DRAINING)
+        elif before.availability is Availability.DRAINING:
+            now = replace(before, availability=Availability.REMOVED)
         else:
-            now = self.other(number, (EPOCH + self.world.loop.now) * 1000.0)
-        self.others[number] = now
-        self.world.discovery.change([now])
-        self.views.remember([now])
-        self.later(self.chance.uniform(*OTHER_CHANGES), self.change_other)
+            now = self.other_record(number, (EPOCH_S + self.context.loop.now) * 1000.0)
+        self.other_records[number] = now
+        self.discovery.change([now])
+        self.checks.remember([now])
+        self.context.later(self.random.uniform(*OTHER_CHANGE_INTERVAL_S), self.change_other_cell)
 
-    # the run
-
-    def later(self, delay: float, call: Any) -> None:
-        self.world.loop.at(self.world.loop.now + delay, None, call)
+    # The run.
 
     def begin(self) -> None:
+        """Start the relays and what happens beside them."""
         for host in self.hosts:
-            self.world.loop.at(0.0, None, host.start)
-        self.look()
-        self.change_other()
-
-    def look(self) -> None:
-        """Note which ways are open, and what counts as told by now."""
-        now = self.world.loop.now
-        planners = self.world.hosts
+            self.context.loop.schedule_at(0.0, None, host.start)
+        self.check_paths()
+        self.change_other_cell()
+
+    def check_paths(self) -> None:
+        """Note which paths are open, and what planners count as notified of by now."""
+        now = self.context.loop.now
         for relay in self.hosts:
-            for planner in planners:
-                key, lives = (relay.number, planner.number), (relay.lives, planner.lives)
-                if not self.way_open(relay, planner):
-                    self.open_since.pop(key, None)
-                elif self.open_since.get(key, (0.0, 0, 0))[1:] != lives:
-                    self.open_since[key] = now, *lives
-        discovery = self.world.discovery
-        troubled = discovery.trouble or discovery.late_for or discovery.unreadable
-        if troubled or self.world.network.now != Conditions() or len(self.open_since) < len(self.hosts) * len(planners):
-            self.unquiet_at = now
-        for planner in planners:
-            self.views.pass_time(planner.number, ways_open_since(self.open_since, planner.number))
-            self.views.look(planner)
-        self.later(LOOK, self.look)
-
-    def way_open(self, relay: RelayHost, planner: PlannerHost) -> bool:
-        """Whether what discovery writes can reach a planner through a relay."""
-        network, discovery = self.world.network, self.world.discovery
-        if discovery.trouble or not (relay.running and planner.running):
+            for planner in self.planners:
+                self.check_path(relay, planner, now)
+        if self.is_disturbed():
+            self.last_change_at = now
+        for planner in self.planners:
+            self.checks.pass_time(planner.number, self.open_since(planner.number))
+            self.checks.check_planner(planner)
+        self.context.later(CHECK_INTERVAL_S, self.check_paths)
+
+    def check_path(self, relay: RelayHost, planner: PlannerHost, now: float) -> None:
+        """Note whether a path is open, and since when between the present incarnations."""
+        key = relay.number, planner.number
+        if not self.is_path_open(relay, planner):
+            self.open_paths.pop(key, None)
+            return
+        present = OpenPath(now, relay.incarnation, planner.incarnation)
+        known = self.open_paths.get(key)
+        if known is None or known[1:] != present[1:]:
+            self.open_paths[key] = present
+
+    def is_path_open(self, relay: RelayHost, planner: PlannerHost) -> bool:
+        """Whether what the registry writes can reach a planner through a relay."""
+        if self.discovery.fault or not (relay.running and planner.running):
             return False
-        if relay.machine.still or planner.machine.still:
+        if relay.machine.stalled or planner.machine.stalled:
             return False
-        ways: Sequence[tuple[Machine, Machine]] = (
-            (discovery.machine, relay.machine),
-            (relay.machine, planner.machine),
+        network = self.context.network
+        return not (
+            network.is_cut_either_way(self.discovery.machine, relay.machine)
+            or network.is_cut_either_way(relay.machine, planner.machine)
         )
-        return not any(network.is_cut(a, b) or network.is_cut(b, a) for a, b in ways)
 
-    def changed(self, records: Sequence[Record]) -> None:
-        """The registry has written a change in the cell."""
-        self.unquiet_at = self.world.loop.now
-        self.views.changed(records)
+    def open_since(self, planner: int) -> float | None:
+        """Since when one and the same relay has led from the registry to a planner, in s; None where none does."""
+        paths = self.open_paths.items()
+        return min((path.since for (_, target), path in paths if target == planner), default=None)
+
+    def is_disturbed(self) -> bool:
+        """Whether something is wrong now."""
+        discovery = self.discovery
+        if discovery.fault or discovery.watch_delays or discovery.unreadable:
+            return True
+        path_count = len(self.hosts) * len(self.planners)
+        return self.context.network.conditions != Conditions() or len(self.open_paths) < path_count
 
-    def planner_up(self, planner: int) -> None:
-        self.views.planner_up(planner)
+    def records_changed(self, records: Sequence[ServerRecord]) -> None:
+        """The registry has written a change in the cell."""
+        self.last_change_at = self.context.loop.now
+        self.checks.records_changed(records)
 
-    def seen(self, end: Transport, data: bytes) -> None:
+    def bytes_received(self, end: Transport, data: bytes) -> None:
         """Bytes have been taken by one end of a connection."""
-        relay = self.by_name.get(end.machine.name)
+        relay = self.hosts_by_name.get(end.machine.name)
         if relay is not None:
-            speaker = end.far.protocol
-            if isinstance(speaker, Call) and speaker.followed:
-                relay.heard_at = self.world.loop.now
-        elif end.far.machine.name in self.by_name and end.machine.name in self.world.by_host:
-            self.views.taken(self.world.by_host[end.machine.name].number, end, data)
-
-    def wrote(self, end: Transport, data: bytes) -> None:
-        """A relay says that the list is the present one by answering a call, or by an empty line."""
-        relay = self.by_name.get(end.machine.name)
+            call = end.peer.protocol
+            if isinstance(call, DiscoveryCall) and call.was_watch:
+                relay.registry_received_at = self.context.loop.now
+        elif end.peer.machine.name in self.hosts_by_name:
+            planner = self.context.planner_of(end.machine)
+            if planner is not None:
+                self.checks.bytes_received(planner, end, data)
+
+    def bytes_written(self, end: Transport, data: bytes) -> None:
+        """A relay vouches for its list by answering a call, or by an empty line."""
+        relay = self.hosts_by_name.get(end.machine.name)
         if relay is None or not (data.startswith(b"HTTP/1.1 200") or EMPTY_LINE in data):
             return
-        quiet = self.world.loop.now - relay.heard_at
-        if quiet > VOUCHES_MOST:
-            detail = f"{relay.machine} vouches {quiet:.2f} s after it heard the registry last"
-            self.world.checker.break_rule(self.world.ms(), Rule.VOUCHED, detail)
+        silence = self.context.loop.now - relay.registry_received_at
+        if silence > MAX_VOUCHING_S:
+            detail = f"{relay.machine} vouches {silence:.2f} s after it heard the registry last"
+            self.context.checker.break_rule(self.context.now_ms(), Rule.VOUCHED, detail)
 
     def settle(self) -> None:
-        """Go on until all faults have ended for long enough; then everyone holds what the registry holds."""
-        self.ends, loop = True, self.world.loop
-        settles = self.world.shape.ask_within / 1000.0 + SETTLING_LISTS
-        latest = loop.now + SETTLES_WITHIN
-        while loop.now < self.unquiet_at + settles:
+        """Go on until all faults have ended for long enough; then everyone holds what the registry holds.
+
+        Raises:
+            RuntimeError: Faults or changes do not end.
+        """
+        self.settling = True
+        loop = self.context.loop
+        rest = self.context.shape.list_poll_deadline / 1000.0 + 2 * STALE_LIST_S
+        latest = loop.now + SETTLE_LIMIT_S
+        while loop.now < self.last_change_at + rest:
             if loop.now > latest:
-                raise RuntimeError(f"seed {self.world.script.seed} does not settle within {SETTLES_WITHIN:g} s")
-            loop.run_until(loop.now + 1.0)
-        self.views.compare_all(self.part(), [host for host in self.hosts if host.service is not None])
+                seed = self.context.script.seed
+                raise RuntimeError(f"seed {seed} does not settle within {SETTLE_LIMIT_S:g} s")
+            loop.run_until(loop.now + SETTLE_STEP_S)
+        self.checks.compare_planners(self.cell_records())
+        for host in self.hosts:
+            if host.service is not None:
+                known = host.service.cache.known.values()
+                self.checks.compare_relay(str(host.machine), known)
+
+
+def relay_host(number: int) -> str:
+    """The address of a relay's machine."""
+    return f"10.5.0.{number + 1}"
--- a/stackwheel/trials/runner.py
+++ b/stackwheel/trials/runner.py
@@ -14,99 +14,119 @@
 from stackwheel.rules.violations import Rule, Violation
 from stackwheel.trials.draw import draw
 from stackwheel.trials.script import Script
-from stackwheel.trials.world import run_script
+from stackwheel.trials.simulation import run_script
 
-CHUNK = 8  # seeds that a process takes at once
-AHEAD = 4  # chunks handed out for each process: what Ctrl-C has to wait for at most
+CHUNK_SEEDS = 8  # that a process takes at once
+CHUNKS_AHEAD = 4  # handed out for each process: what Ctrl-C has to wait for at most
+DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """One seed's verdicts, short enough to pass between processes."""
+    """One seed's verdicts, short enough to pass between processes.
+
+    Attributes:
+        virtual_seconds: How long the run was, on its own clock.
+        cpu_seconds: What it took.
+        service: Value answered over value requested.
+        error: The traceback where the trial itself failed.
+    """
 
     seed: int
     digest: str
     verdicts: tuple[Violation, ...]
     virtual_seconds: float
-    cpu: float  # s that it took
+    cpu_seconds: float
     service: float
     requests: int
-    steps: int
-    fault: str = ""  # the trial itself failed
+    callbacks_run: int
+    error: str = ""
 
 
 @dataclass(slots=True)
 class Summary:
-    """All that came of a run so far."""
+    """All that came of a run so far; `service` is a mean."""
 
     seeds: int = 0
     virtual_seconds: float = 0.0
-    cpu: float = 0.0
-    seconds: float = 0.0
+    cpu_seconds: float = 0.0
+    wall_seconds: float = 0.0
     requests: int = 0
-    steps: int = 0
-    service: float = 0.0  # mean
+    callbacks_run: int = 0
+    service: float = 0.0
     broken: list[SeedResult] = field(default_factory=list)
-    hasher: hashlib.blake2b = field(default_factory=lambda: hashlib.blake2b(digest_size=16))
+    hasher: hashlib.blake2b = field(default_factory=lambda: hashlib.blake2b(digest_size=DIGEST_BYTES))
 
     def add(self, result: SeedResult) -> None:
+        """Add the result of the next seed."""
         self.seeds += 1
         self.virtual_seconds += result.virtual_seconds
-        self.cpu += result.cpu
+        self.cpu_seconds += result.cpu_seconds
         self.requests += result.requests
-        self.steps += result.steps
+        self.callbacks_run += result.callbacks_run
         self.service += (result.service - self.service) / self.seeds
         self.hasher.update(f"{result.seed}:{result.digest}\n".encode())
-        if result.verdicts or result.fault:
+        if result.verdicts or result.error:
             self.broken.append(result)
 
     def document(self) -> dict[str, object]:
         """The object that `--json` ends with."""
+        broken: list[dict[str, object]] = [
+            {"seed": result.seed, "rule": verdict.rule.value, "at": round(verdict.at / 1000.0, 3)}
+            for result in self.broken
+            for verdict in result.verdicts
+        ]
+        broken += [
+            {"seed": result.seed, "rule": "the trial itself failed", "at": 0.0}
+            for result in self.broken
+            if result.error
+        ]
         return {
             "seeds": self.seeds,
-            "broken": [
-                {"seed": r.seed, "rule": v.rule.value, "at": round(v.at / 1000.0, 3)}
-                for r in self.broken
-                for v in r.verdicts
-            ]
-            + [{"seed": r.seed, "rule": "the trial itself failed", "at": 0.0} for r in self.broken if r.fault],
+            "broken": broken,
             "virtual_seconds": round(self.virtual_seconds, 3),
-            "seconds": round(self.seconds, 3),
+            "seconds": round(self.wall_seconds, 3),
             "digest": self.hasher.hexdigest(),
         }
 
 
 def run_seed(seed: int, files: bool = False, relays: bool = False) -> SeedResult:
+    """Run the script that is drawn from a seed."""
     return run_one(draw(seed, files, relays))
 
 
 def run_one(script: Script) -> SeedResult:
+    """Run a script; an exception of the trial itself is part of the result."""
     began = time.process_time()
     try:
-        found = run_script(script)
+        result = run_script(script)
     except Exception:
-        return SeedResult(script.seed, "", (), 0.0, time.process_time() - began, 0.0, 0, 0, traceback.format_exc())
+        took = time.process_time() - began
+        return SeedResult(script.seed, "", (), 0.0, took, 0.0, 0, 0, traceback.format_exc())
     return SeedResult(
         script.seed,
-        found.digest,
-        tuple(found.verdicts),
-        found.virtual_seconds,
+        result.digest,
+        tuple(result.verdicts),
+        result.virtual_seconds,
         time.process_time() - began,
-        found.service,
-        found.requests,
-        found.steps,
+        result.service,
+        result.requests,
+        result.callbacks_run,
     )
 
 
 def run_chunk(seeds: Sequence[int]) -> list[SeedResult]:
+    """Run seeds with the usual scripts."""
     return [run_seed(seed) for seed in seeds]
 
 
 def run_file_chunk(seeds: Sequence[int]) -> list[SeedResult]:
+    """Run seeds with the scripts for files."""
     return [run_seed(seed, files=True) for seed in seeds]
 
 
 def run_relay_chunk(seeds: Sequence[int]) -> list[SeedResult]:
+    """Run seeds with the scripts for relays."""
     return [run_seed(seed, relays=True) for seed in seeds]
 
 
@@ -120,37 +140,40 @@
     jobs: int,
     chunk: Callable[[Sequence[int]], list[SeedResult]] = run_chunk,
 ) -> Iterator[SeedResult]:
-    """Results as they come, in order; closing it early leaves no process behind."""
+    """Yield results as they come, in order; closing it early leaves no process behind."""
     if jobs <= 1 or len(seeds) <= 1:
         for seed in seeds:
             yield from chunk([seed])
         return
-    chunks = [seeds[at : at + CHUNK] for at in range(0, len(seeds), CHUNK)]
+    chunks = [seeds[at : at + CHUNK_SEEDS] for at in range(0, len(seeds), CHUNK_SEEDS)]
     pool = ProcessPoolExecutor(jobs, initializer=leave_interrupts)
-    under_way: dict[Future[list[SeedResult]], int] = {}
+    running: dict[Future[list[SeedResult]], int] = {}
     done: dict[int, list[SeedResult]] = {}
-    handed = given = 0
+    submitted = 0
+    yielded = 0
     try:
-        while given < len(chunks):
-            while handed < len(chunks) and len(under_way) < AHEAD * jobs:
-                under_way[pool.submit(chunk, chunks[handed])] = handed
-                handed += 1
-            for future in wait(under_way, return_when=FIRST_COMPLETED).done:
-                done[under_way.pop(future)] = future.result()
-            while given in done:
-                yield from done.pop(given)
-                given += 1
+        while yielded < len(chunks):
+            while submitted < len(chunks) and len(running) < CHUNKS_AHEAD * jobs:
+                running[pool.submit(chunk, chunks[submitted])] = submitted
+                submitted += 1
+            for future in wait(running, return_when=FIRST_COMPLETED).done:
+                done[running.pop(future)] = future.result()
+            while yielded in done:
+                yield from done.pop(yielded)
+                yielded += 1
     finally:
         pool.shutdown(wait=True, cancel_futures=True)
 
 
 def default_jobs() -> int:
+    """As many processes as cores."""
     return os.cpu_count() or 1
 
 
 def by_rule(results: Sequence[SeedResult]) -> dict[Rule, list[SeedResult]]:
-    found: dict[Rule, list[SeedResult]] = {}
+    """The results that broke each rule, in the order in which rules come up."""
+    groups: dict[Rule, list[SeedResult]] = {}
     for result in results:
-        for rule in dict.fromkeys(v.rule for v in result.verdicts):
-            found.setdefault(rule, []).append(result)
-    return found
+        for rule in dict.fromkeys(verdict.rule for verdict in result.verdicts):
+            groups.setdefault(rule, []).append(result)
+    return groups
--- a/stackwheel/trials/shrink.py
+++ b/stackwheel/trials/shrink.py
@@ -2,70 +2,90 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator, Sequence
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
 import msgspec
 
 from stackwheel.rules.violations import Rule
-from stackwheel.trials.script import Fault, Script, ScriptError, check, machines
-from stackwheel.trials.world import run_script
-
-RUNS_MOST = 400  # trials that one shrinking may take
-AFTER = 0.5  # s kept after the break
-FIELDS = ("planners", "proxies", "servers", "who", "source", "target")
-SMALLER: dict[str, tuple[int, ...]] = {
+from stackwheel.trials.faults import Fault, name_fields
+from stackwheel.trials.script import Script, ScriptError, check
+from stackwheel.trials.shape import machine_names
+from stackwheel.trials.simulation import run_script
+
+MAX_RUNS = 400  # trials that one shrinking may take
+KEPT_AFTER_BREAK_S = 0.5
+SMALLER_SIZES: dict[str, tuple[int, ...]] = {  # by field of the shape: what is tried, the smallest first
     "zones": (1, 2),
     "planners": (1, 2),
     "proxies": (1, 2, 4, 8),
     "servers": (2, 4, 6, 8),
 }
 
+BreakFinder = Callable[[Script, Rule], float | None]
+
 
 @dataclass(slots=True)
 class Shrunk:
+    """The smallest script found, the rule that it breaks, when (s), and how many trials that took."""
+
     script: Script
     rule: Rule
-    at: float  # s
+    at: float
     runs: int
 
 
 class Shrinker:
+    """Makes a script smaller as long as it breaks a rule.
+
+    Attributes:
+        best: The smallest script so far.
+        at: When it breaks the rule, in s.
+        runs: Trials so far.
+    """
+
     def __init__(
         self,
         script: Script,
         rule: Rule,
-        runs_most: int = RUNS_MOST,
-        breaks: Callable[[Script, Rule], float | None] | None = None,
+        max_runs: int = MAX_RUNS,
+        find_break: BreakFinder | None = None,
     ) -> None:
-        self.best, self.rule, self.left = script, rule, runs_most
-        self.breaks = breaks or when_broken
+        self.best = script
+        self.rule = rule
+        self.runs_left = max_runs
+        self.find_break = find_break or first_break
         self.at = 0.0
         self.runs = 0
 
-    def keeps(self, script: Script) -> bool:
+    def still_breaks(self, script: Script) -> bool:
         """Whether a smaller script still breaks the rule; it is the best from then on."""
-        if self.left <= 0:
+        if self.runs_left <= 0:
             return False
         try:
             check(script)
         except ScriptError:
             return False
-        self.left -= 1
+        self.runs_left -= 1
         self.runs += 1
-        at = self.breaks(script, self.rule)
+        at = self.find_break(script, self.rule)
         if at is None:
             return False
-        self.best, self.at = script, at
+        self.best = script
+        self.at = at
         return True
 
     def run(self) -> Shrunk:
-        """The script itself where nothing smaller does."""
-        if not self.keeps(self.best):
-            raise ScriptError(f"seed {self.best.seed} does not break the rule: {self.rule.value}")
+        """Shrink the script; the result is the script itself where nothing smaller breaks the rule.
+
+        Raises:
+            ScriptError: The script does not break the rule.
+        """
+        if not self.still_breaks(self.best):
+            raise ScriptError("", f"seed {self.best.seed} does not break the rule: {self.rule.value}")
         self.shorten()
         before = None
-        while before != self.best and self.left > 0:
+        while before != self.best and self.runs_left > 0:
             before = self.best
             self.drop_faults()
             self.drop_names()
@@ -74,73 +94,86 @@
         return Shrunk(self.best, self.rule, self.at, self.runs)
 
     def shorten(self) -> None:
-        span = round(min(self.best.span, self.at + AFTER), 1)
+        """End the script soon after the break."""
+        span = round(min(self.best.span, self.at + KEPT_AFTER_BREAK_S), 1)
         if span < self.best.span:
-            faults = tuple(f for f in self.best.faults if f.at <= span)
-            self.keeps(msgspec.structs.replace(self.best, span=span, faults=faults))
+            faults = tuple(fault for fault in self.best.faults if fault.at <= span)
+            self.still_breaks(msgspec.structs.replace(self.best, span=span, faults=faults))
 
     def drop_faults(self) -> None:
-        """Halves first, then smaller pieces, down to single faults."""
+        """Leave faults out: halves first, then smaller pieces, down to single faults."""
         size = max(1, len(self.best.faults) // 2)
         while size >= 1 and self.best.faults:
-            at = 0
-            while at < len(self.best.faults):
-                faults = self.best.faults[:at] + self.best.faults[at + size :]
-                if not self.keeps(msgspec.structs.replace(self.best, faults=faults)):
-                    at += size
+            start = 0
+            while start < len(self.best.faults):
+                faults = self.best.faults[:start] + self.best.faults[start + size :]
+                if not self.still_breaks(msgspec.structs.replace(self.best, faults=faults)):
+                    start += size
             size //= 2
 
     def drop_names(self) -> None:
-        for place in range(len(self.best.faults)):
-            for field in FIELDS:
-                self.drop_names_of(place, field)
-
-    def drop_names_of(self, place: int, field: str) -> None:
-        """Names of one field; a field of that name may also be a flag, as `proxies` of a lost zone is."""
-        at = 0
-        while isinstance(names := getattr(self.best.faults[place], field, None), tuple) and at < len(names) > 1:
-            fewer = names[:at] + names[at + 1 :]
-            fault = msgspec.structs.replace(self.best.faults[place], **{field: fewer})
-            if not self.keeps(self.with_fault(place, fault)):
-                at += 1
-
-    def with_fault(self, place: int, fault: Fault) -> Script:
-        faults = (*self.best.faults[:place], fault, *self.best.faults[place + 1 :])
+        """Leave machines out of faults."""
+        for index in range(len(self.best.faults)):
+            for field in name_fields(self.best.faults[index]):
+                self.drop_names_of(index, field)
+
+    def drop_names_of(self, index: int, field: str) -> None:
+        """Leave names out of one field of a fault, down to one."""
+        place = 0
+        names = name_fields(self.best.faults[index])[field]
+        while place < len(names) > 1:
+            fewer = names[:place] + names[place + 1 :]
+            fault = msgspec.structs.replace(self.best.faults[index], **{field: fewer})
+            if self.still_breaks(self.with_fault(index, fault)):
+                names = fewer
+            else:
+                place += 1
+
+    def with_fault(self, index: int, fault: Fault) -> Script:
+        """The best script with another fault in one place."""
+        faults = (*self.best.faults[:index], fault, *self.best.faults[index + 1 :])
         return msgspec.structs.replace(self.best, faults=faults)
 
     def reduce_shape(self) -> None:
-        for name, sizes in SMALLER.items():
+        """Make the deployment smaller, one figure after the other."""
+        for name, sizes in SMALLER_SIZES.items():
             for size in sizes:
-                if size < getattr(self.best.shape, name):
-                    shape = msgspec.structs.replace(self.best.shape, **{name: size})
-                    smaller = msgspec.structs.replace(self.best, shape=shape)
-                    if self.keeps(msgspec.structs.replace(smaller, faults=tuple(fitting(smaller)))):
-                        break
+                if size < getattr(self.best.shape, name) and self.still_breaks(self.with_size(name, size)):
+                    break
 
+    def with_size(self, name: str, size: int) -> Script:
+        """The best script with a smaller deployment, and the faults that fit it."""
+        shape = msgspec.structs.replace(self.best.shape, **{name: size})
+        smaller = msgspec.structs.replace(self.best, shape=shape)
+        return msgspec.structs.replace(smaller, faults=tuple(fitting_faults(smaller)))
 
-def fitting(script: Script) -> Iterator[Fault]:
-    """The faults, as far as the shape has whom they name."""
+
+def fitting_faults(script: Script) -> Iterator[Fault]:
+    """The faults of a script, without the machines that its shape does not have."""
     for fault in script.faults:
-        changed: dict[str, tuple[str, ...]] = {}
-        for field in FIELDS:
-            names = getattr(fault, field, None)
-            if isinstance(names, tuple):
-                changed[field] = tuple(name for name in names if machines((name,), script.shape))
-        if all(changed.values()):
-            yield msgspec.structs.replace(fault, **changed)
+        present = {
+            field: tuple(name for name in names if machine_names((name,), script.shape))
+            for field, names in name_fields(fault).items()
+        }
+        if all(present.values()):
+            yield msgspec.structs.replace(fault, **present)
 
 
-def when_broken(script: Script, rule: Rule) -> float | None:
+def first_break(script: Script, rule: Rule) -> float | None:
     """When a script breaks a rule first, in s; None where it keeps it."""
-    times: Sequence[float] = [v.at for v in run_script(script).verdicts if v.rule is rule]
+    times = [verdict.at for verdict in run_script(script).verdicts if verdict.rule is rule]
     return min(times) / 1000.0 if times else None
 
 
-def shrink(script: Script, rule: Rule | None = None, runs_most: int = RUNS_MOST) -> Shrunk:
-    """The rule that breaks first where none is named; ScriptError where none breaks."""
+def shrink(script: Script, rule: Rule | None = None, max_runs: int = MAX_RUNS) -> Shrunk:
+    """Shrink a script; where no rule is named, by the one that breaks first.
+
+    Raises:
+        ScriptError: The script breaks no rule, or not this one.
+    """
     if rule is None:
         verdicts = run_script(script).verdicts
         if not verdicts:
-            raise ScriptError(f"seed {script.seed} breaks no rule")
-        rule = min(verdicts, key=lambda v: v.at).rule
-    return Shrinker(script, rule, runs_most).run()
+            raise ScriptError("", f"seed {script.seed} breaks no rule")
+        rule = min(verdicts, key=lambda verdict: verdict.at).rule
+    return Shrinker(script, rule, max_runs).run()
--- /dev/null
+++ b/stackwheel/trials/warmup_monitor.py
@@ -0,0 +1,71 @@
+"""Checks what all joined proxies, as their tables say, send to servers that are warming up."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from stackwheel.trials.channel import UpdateChannels
+from stackwheel.trials.context import SimulationContext
+from stackwheel.trials.fleet import ServerFleet
+from stackwheel.trials.proxies import Proxy
+from stackwheel.trials.servers import Server
+
+CHECK_INTERVAL_S = 0.25
+UPDATE_ALLOWANCE_MS = 300.0  # the protocol's, before an update's transit
+
+
+class WarmupMonitor:
+    """Feeds the checker with the load on servers whose slow start is not over."""
+
+    def __init__(
+        self, context: SimulationContext, fleet: ServerFleet, channels: UpdateChannels, proxies: Sequence[Proxy]
+    ) -> None:
+        self.context = context
+        self.fleet = fleet
+        self.channels = channels
+        self.proxies = proxies
+
+    def check(self) -> None:
+        """Look at all servers that are warming up, again and again."""
+        checker = self.context.checker
+        now = self.context.loop.now
+        for name, server in list(self.fleet.warming_up.items()):
+            if now >= server.warm_at() or not server.alive or server.overloaded:
+                del self.fleet.warming_up[name]
+                checker.server_warm(name)
+                continue
+            load = sum(self.load_from(proxy, server, now) for proxy in self.proxies)
+            checker.cold_load(name, load, server.capacity(now), now * 1000.0)
+        self.context.later(CHECK_INTERVAL_S, self.check)
+
+    def load_from(self, proxy: Proxy, server: Server, now: float) -> float:
+        """Work a second (ms of a core) that a proxy sends to a server which its planner knows to be warming up."""
+        if not self.counts(proxy, server, now):
+            return 0.0
+        mode = self.context.shape.admission_mode
+        avoided = proxy.forwarder.avoided_servers(now) if proxy.forwarder.avoided_until else ()
+        work = 0.0
+        for class_name, request_class in zip(proxy.class_names, self.context.shape.classes, strict=True):
+            table = proxy.state.routes[class_name]
+            if server.name not in table.lines or server.name in proxy.state.ejected:
+                continue
+            share = proxy.state.shares(class_name, avoided).get(server.name, 0.0)
+            rate = proxy.rate() * request_class.share
+            if table.level is not None and mode != "off":
+                admitted, _ = table.level
+                rate = min(rate, admitted * (rate if mode == "share" else 1.0))
+            work += share * rate * request_class.work
+        return work
+
+    def counts(self, proxy: Proxy, server: Server, now: float) -> bool:
+        """Whether the proxy's planner has known of the server long enough for an update to have arrived."""
+        checker = self.context.checker
+        state = checker.proxies[proxy.number]
+        view = checker.planners.get(state.planner) if state.planner is not None else None
+        if view is None or not proxy.machine.alive:
+            return False
+        known = view.listed.get(server.name)
+        if known is None or known.warm_at != server.warm_at() * 1000.0:
+            return False
+        since = max(view.since[server.name], state.joined_at, view.holds_from, state.holds_from)
+        return now * 1000.0 >= since + UPDATE_ALLOWANCE_MS + self.channels.transit_allowance_ms()
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -13,8 +13,10 @@
 import pytest
 
 from stackwheel.cli import entry
-from stackwheel.trials import script as s
 from stackwheel.trials.defects.catalogue import ALL_DEFECTS
+from stackwheel.trials.faults import Drain
+from stackwheel.trials.script import Script, decode, encode, load
+from stackwheel.trials.shape import Shape
 
 ROOT = Path(__file__).parents[2]
 
@@ -47,7 +49,8 @@
 @pytest.fixture
 def drain(tmp_path: Path) -> str:
     path = tmp_path / "drain.json"
-    path.write_bytes(s.encode(s.Script(0, 20.0, s.Shape(proxies=4), (s.Drain(6.0, ("server-0",), 10.0),))))
+    script = Script(0, 20.0, Shape(proxies=4), (Drain(6.0, ("server-0",), 10.0),))
+    path.write_bytes(encode(script))
     return str(path)
 
 
@@ -67,7 +70,7 @@
     assert "breaks no rule" in call("trial", "shrink", drain, "--out", str(tmp_path / "out.json")).stderr
     shown = call("trial", "show", drain)
     assert shown.returncode == 0 and "drain: servers server-0; gone 10; back 0" in shown.stdout
-    assert s.decode(call("trial", "show", drain, "--json").stdout.encode()) == s.load(Path(drain))
+    assert decode(call("trial", "show", drain, "--json").stdout.encode()) == load(Path(drain))
 
 
 @pytest.mark.parametrize(
--- a/tests/trials/test_defects.py
+++ b/tests/trials/test_defects.py
@@ -1,4 +1,4 @@
-"""A checker that can't fail is no checker: each deliberate defect shows on its seed, which is sound without it."""
+"""The checks can fail: each deliberate defect shows on its seed, which is sound without it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stackwheel.trials.defects.search import rules_showing
 from stackwheel.trials.runner import run_seed
 
-SEEDS: dict[str, int] = {  # the first that shows it
+FIRST_SEEDS: dict[str, int] = {  # the first that shows each
     "drain-ignored": 4,
     "gone-kept": 6,
     "removals-late": 4,
@@ -44,19 +44,19 @@
 }
 
 
-FOUND = [defect for defect in ALL_DEFECTS if defect.name in SEEDS]
+SEARCHED = [defect for defect in ALL_DEFECTS if defect.name in FIRST_SEEDS]
 
 
-@pytest.mark.parametrize("defect", FOUND, ids=lambda defect: defect.name)
+@pytest.mark.parametrize("defect", SEARCHED, ids=lambda defect: defect.name)
 def test_each_defect_is_found(defect: Defect) -> None:
-    seed = SEEDS[defect.name]
+    seed = FIRST_SEEDS[defect.name]
     with planted(defect):
-        shown = rules_showing(defect, run_seed(seed, defect in FILE_DEFECTS))
-    assert shown, f"{defect.description}: not found on seed {seed}"
-    assert not shown <= {verdict.rule for verdict in run_seed(seed, defect in FILE_DEFECTS).verdicts}
+        showing = rules_showing(defect, run_seed(seed, defect in FILE_DEFECTS))
+    assert showing, f"{defect.description}: not found on seed {seed}"
+    assert not showing <= {verdict.rule for verdict in run_seed(seed, defect in FILE_DEFECTS).verdicts}
 
 
-def test_what_was_planted_is_taken_out_again() -> None:
+def test_planted_defects_are_removed_again() -> None:
     before = run_seed(1).digest
     for defect in ALL_DEFECTS:
         with planted(defect):
--- /dev/null
+++ b/tests/trials/test_relay_checks.py
@@ -0,0 +1,139 @@
+"""What relays may not tell planners, and what planners must hold of what they were told."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from stackwheel.interface import Availability
+from stackwheel.rules.violations import Rule
+from stackwheel.trials import faults
+from stackwheel.trials.discovery_records import ServerRecord
+from stackwheel.trials.relay_checks import StreamState
+from stackwheel.trials.script import Script
+from stackwheel.trials.shape import Shape
+from stackwheel.trials.simulation import run_world
+from stackwheel.trials.world import World
+
+SHAPE = Shape(planners=2, proxies=4, servers=6, relays=2, utilization=0.3)
+
+
+def make_world() -> World:
+    return World(Script(7, 5.0, SHAPE))
+
+
+@pytest.fixture
+def world() -> World:
+    """A world whose planners know the list, and that has not begun."""
+    world = make_world()
+    for planner in world.planners:
+        world.planner_started(planner)
+    return world
+
+
+def list_document(generation: int, *entries: tuple[str, str], complete: bool = False) -> dict[str, Any]:
+    instances = [{"instanceId": name, "lifecycle": lifecycle, "startedAtMs": 0} for name, lifecycle in entries]
+    return {"generation": generation, "reset": complete, "instances": instances}
+
+
+def change_in_registry(world: World, name: str, availability: Availability) -> ServerRecord:
+    """Let the registry say something else of a server."""
+    record = replace(world.discovery.records[name], availability=availability)
+    world.discovery.change([record])
+    return record
+
+
+@pytest.mark.parametrize(
+    ("documents", "reason"),
+    [
+        ([list_document(5, ("t-1", "in_service"))], "t-1 of another cell"),
+        ([list_document(5, ("s-1", "in_service"), ("s-1", "in_service"))], "s-1 stands twice"),
+        (
+            [list_document(5, ("s-1", "in_service")), list_document(4, ("s-2", "in_service"))],
+            "told changes of 4 after 5",
+        ),
+        ([list_document(5, ("s-1", "terminating")), list_document(6, ("s-1", "in_service"))], "s-1 goes back"),
+    ],
+)
+def test_relay_may_not_tell(world: World, documents: list[dict[str, Any]], reason: str) -> None:
+    assert world.relays is not None
+    draining = change_in_registry(world, "s-1", Availability.DRAINING)
+    world.relays.records_changed([draining])
+    state = StreamState()
+    for document in documents:
+        world.relays.checks.read_document(0, state, document)
+    (verdict,) = world.checker.verdicts
+    assert verdict.rule is Rule.PART
+    assert reason in verdict.detail
+
+
+def test_relay_may_tell_what_the_registry_itself_takes_back() -> None:
+    world = make_world()
+    assert world.relays is not None
+    checks = world.relays.checks
+    state = StreamState()
+    checks.remember([change_in_registry(world, "s-1", Availability.DRAINING)])
+    checks.remember([change_in_registry(world, "s-1", Availability.READY)])
+    checks.read_document(0, state, list_document(5, ("s-1", "terminating")))
+    checks.read_document(0, state, list_document(6, ("s-1", "in_service")))
+    assert world.checker.verdicts == []
+
+
+def test_older_state_obliges_a_planner_to_nothing(world: World) -> None:
+    assert world.relays is not None
+    checks = world.relays.checks
+    world.relays.records_changed([change_in_registry(world, "s-1", Availability.DRAINING)])
+    checks.read_document(0, StreamState(), list_document(5, ("s-1", "terminating")))
+    assert "s-1" in world.checker.planners[0].away
+    checks.read_document(0, StreamState(), list_document(4, ("s-1", "in_service")))
+    assert "s-1" in world.checker.planners[0].away
+
+
+@pytest.mark.parametrize("deviation", ["lost", "kept", "restored", "another process"])
+def test_planner_that_does_not_hold_its_part_breaks_the_rule(deviation: str) -> None:
+    drain = faults.Drain(1.0, ("server-1",), 60.0)
+    crash = faults.Crash(1.0, ("server-2",), 0.0)
+    world = World(Script(7, 5.0, SHAPE, (drain, crash)))
+
+    def spoil() -> None:
+        service = world.planners[0].service
+        assert service is not None
+        entries: dict[Any, Any] = service.endpoints.entries
+        by_name = {service.endpoints.server_ids.name(server): server for server in entries}
+        ready = by_name["s-0"]
+        draining = by_name["s-1"]
+        if deviation == "lost":
+            del entries[ready]
+        elif deviation == "restored":
+            entries[draining] = replace(entries[draining], availability=Availability.READY)
+        elif deviation == "another process":
+            entries[ready] = replace(entries[ready], started_at=1.0)
+        else:
+            entries[99] = entries[ready]
+
+    world.loop.schedule_at(4.0, None, spoil)
+    found = run_world(world).verdicts
+    assert found
+    assert {verdict.rule for verdict in found} <= {Rule.PART, Rule.UPRIGHT}
+    assert any(verdict.rule is Rule.PART and verdict.planner == 0 for verdict in found)
+
+
+def test_change_counts_as_notified_after_six_seconds_where_a_path_was_open_for_long(world: World) -> None:
+    assert world.relays is not None
+    checks = world.relays.checks
+    world.loop.now = 100.0
+    world.relays.records_changed([change_in_registry(world, "s-1", Availability.DRAINING)])
+    away = world.checker.planners[0].away
+    for now, open_since, notified in (
+        (105.9, 0.0, False),  # not yet
+        (106.1, None, False),  # no path
+        (106.1, 95.0, False),  # open for 11.1 s: a planner may have had no reason to poll
+        (111.1, 95.0, True),
+    ):
+        world.loop.now = now
+        checks.pass_time(0, open_since)
+        assert ("s-1" in away) is notified
+    checks.pass_time(1, 0.0)
+    assert "s-1" in world.checker.planners[1].away
