--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from stackwheel.endpoints import EndpointList
 from stackwheel.interface import Settings
 from stackwheel.settings import Names, SettingsError, build_all, flatten
-from stackwheel.state.endpoint_cache import EndpointList
 from stackwheel.wire.discovery_client import read_listing, replicas
 from stackwheel.wire.http import split_address
 from stackwheel.wire.transport import Addresses
@@ -29,8 +29,8 @@
     seed: int
     settings: Settings
     names: Names
-    known: EndpointList
-    absent: tuple[str, ...] = ()  # settings that have their default
+    cached_endpoints: EndpointList
+    defaulted_settings: tuple[str, ...] = ()  # settings that have their default
 
 
 @dataclass(frozen=True, slots=True)
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -15,13 +15,14 @@
 
 from loguru import logger
 
-from stackwheel.cells.assignment import CellIndex, replicas
-from stackwheel.cells.plan import CellPlanError, Plan, load_plan
+from stackwheel.cells.assignment import CellIndex, relays_for_cell
+from stackwheel.cells.plan import CellPlanError, Plan
+from stackwheel.cells.plan_file import load_plan
 from stackwheel.config_language.load import OperatorsError, load
+from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
 from stackwheel.relay.cache import ListingCache
 from stackwheel.service.config import replicated
 from stackwheel.service.logging_setup import start_logging
-from stackwheel.state.endpoint_cache import MAX_LIST_AGE, EndpointList
 from stackwheel.state.planner_actor import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import DiscoveryClient
@@ -91,7 +92,7 @@
         cell = index.cell_of(instance, zone)
         return None if cell is None else cell.name
 
-    served = [cell for cell in plan.cells if relay in replicas(cell.name, plan.relays)]
+    served = [cell for cell in plan.cells if relay in relays_for_cell(cell.name, plan.relays)]
     return Serving(plan, locate, {f"{relay.host}:{cell.port}": cell.name for cell in served})
 
 
@@ -122,7 +123,9 @@
         around: RelayEnvironment = PROCESS,
     ) -> None:
         self.config, self.serving, self.around = config, serving, around
-        self.cache = ListingCache(serving.locate, serving.cells, timing.SILENCE, timing.BEAT)
+        self.cache = ListingCache(
+            serving.locate, serving.cells, timing.WATCH_SILENCE_TIMEOUT_MS, timing.HEARTBEAT_INTERVAL_MS
+        )
         self.server = ListingServer(self.cache, connections, listen_at=around.listen_at)
         self.upstream = DiscoveryClient(
             config.upstream,
@@ -131,7 +134,7 @@
             self.take,
             Random(config.name),
             MAX_LIST_AGE,  # asked again at the latest after a part of the time that any list may be old
-            timing.renewal(len(serving.plan.relays)),
+            timing.watch_renewal_interval(len(serving.plan.relays)),
             self.heard,
         )
         self.reload_asked = asyncio.Event()
@@ -176,7 +179,7 @@
 def connections_most(listeners: int) -> int:
     """Connections that may be open at once, with what the process holds beside them."""
     descriptors = min(resource.getrlimit(resource.RLIMIT_NOFILE)[0], CONNECTIONS_MOST)
-    return max(1, descriptors - listeners - timing.KEPT_SOCKETS)
+    return max(1, descriptors - listeners - timing.RESERVED_DESCRIPTORS)
 
 
 async def serve(config: RelayConfig, serving: Serving) -> None:
--- a/stackwheel/trials/defects/policy.py
+++ b/stackwheel/trials/defects/policy.py
@@ -13,7 +13,7 @@
 from stackwheel.interface import Availability, Retry
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.defects.planting import Defect, Patch, returns
-from stackwheel.wire.connection import RateLimiter
+from stackwheel.wire.connection_limits import RateLimiter
 from stackwheel.wire.transport import SocketTransport
 
 UNLIMITED_STEP = 1e9  # share of a server's load that may move in one slot
@@ -131,7 +131,7 @@
     """Neither the policy nor the connections limit the messages to one proxy."""
     return [
         Patch(Outbox, "may_write", returns(True)),
-        Patch(RateLimiter, "wait", returns(0.0)),
+        Patch(RateLimiter, "delay", returns(0.0)),
     ]
 
 
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 from stackwheel import interface as face
+from stackwheel.endpoints import EndpointList
 from stackwheel.rules.violations import Rule
-from stackwheel.state.endpoint_cache import EndpointCache, EndpointList
+from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
 from stackwheel.state.streams import ProxyStreams, carried
 from stackwheel.trials.defects.planting import Defect, Patch
@@ -52,10 +53,10 @@
 def older_generation_believed() -> Sequence[Patch]:
     """Generations are not compared: an older state brings back what drains."""
 
-    def newer(_self: EndpointCache, listing: EndpointList, _now: float) -> EndpointList:
+    def discard_stale(_self: EndpointCache, listing: EndpointList, _now: float) -> EndpointList:
         return listing
 
-    return [Patch(EndpointCache, "newer", newer)]
+    return [Patch(EndpointCache, "discard_stale", discard_stale)]
 
 
 def batch_truncated() -> Sequence[Patch]:
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -196,7 +196,7 @@
     def unsent_bytes(self, proxy: int) -> int:
         """Bytes for a proxy that still wait in the planner."""
         stream = self.stream_of(proxy)
-        return stream.connection.unsent if stream is not None and isinstance(stream.connection, Connection) else 0
+        return stream.connection.unsent_bytes if stream is not None and isinstance(stream.connection, Connection) else 0
 
     def bounded_sizes(self) -> Iterator[BoundedSize]:
         """What it keeps for others; the names are told in verdicts."""
@@ -206,19 +206,22 @@
         planner = self.service.planner
         endpoints = self.service.endpoints
         budget = transport.buffer_budget
-        connections = transport.connections
+        table = transport.connection_table
+        connections = table.connections
         yield BoundedSize("streams", len(planner.streams.by_proxy) + len(planner.streams.silent), shape.proxies)
         yield BoundedSize("limiters", len(transport.limiters), shape.proxies)
-        yield BoundedSize("bytes that wait", budget.total, budget.most)
-        yield BoundedSize("bytes that wait, beside their sum", abs(budget.total - sum(budget.held.values())), 0)
+        yield BoundedSize("bytes that wait", budget.total_bytes, budget.max_bytes)
         yield BoundedSize(
-            "peers that hold bytes, not attended", sum(peer not in connections for peer in budget.held), 0
+            "bytes that wait, beside their sum", abs(budget.total_bytes - sum(budget.bytes_by_connection.values())), 0
         )
         yield BoundedSize(
-            "unidentified not attended", sum(peer not in connections for peer in transport.unidentified), 0
+            "peers that hold bytes, not attended",
+            sum(peer not in connections for peer in budget.bytes_by_connection),
+            0,
         )
-        yield BoundedSize("connections", len(connections) + transport.arriving, CONNECTION_LIMIT)
-        yield BoundedSize("tasks", len(transport.tasks), 8 + 2 * len(connections) + 4 * shape.servers)
+        yield BoundedSize("unidentified not attended", sum(peer not in connections for peer in table.unidentified), 0)
+        yield BoundedSize("connections", len(connections) + table.arriving, CONNECTION_LIMIT)
+        yield BoundedSize("tasks", len(transport.supervisor.tasks), 8 + 2 * len(connections) + 4 * shape.servers)
         yield BoundedSize("calls for the list", len(transport.discovery.fetching), MAX_LIST_CALLS)
         yield BoundedSize("gone servers", len(endpoints.removed), 64 + 3 * len(endpoints.entries) + 8)
         yield BoundedSize("names", len(endpoints.server_ids.names), len(endpoints.entries) + len(endpoints.removed) + 8)
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple, cast
 
-from stackwheel.cells.assignment import addresses, service_of
-from stackwheel.cells.plan import VERSION, Cell, Limits, Plan, Relay
+from stackwheel.cells.assignment import discovery_addresses, service_of
+from stackwheel.cells.plan import FORMAT_VERSION, Cell, Limits, Plan, Relay
 from stackwheel.interface import Availability
 from stackwheel.rules.violations import Rule
 from stackwheel.service.relay import RelayConfig, RelayEnvironment, RelayService, Serving, serving_of
@@ -44,7 +44,9 @@
 STALE_LIST_S = 6.0  # that a relay, or a planner, holds a list for an older state
 SETTLE_LIMIT_S = 120.0  # after a script's end within which its last fault must have ended
 SETTLE_STEP_S = 1.0
-MAX_VOUCHING_S = (timing.SILENCE + timing.BEAT) / 1000.0  # after the registry was heard last
+MAX_VOUCHING_S = (
+    timing.WATCH_SILENCE_TIMEOUT_MS + timing.HEARTBEAT_INTERVAL_MS
+) / 1000.0  # after the registry was heard last
 
 
 class RelayHost:
@@ -149,12 +151,12 @@
         """The cell plan as it is now."""
         relays = tuple(Relay(f"relay-{number}", relay_host(number)) for number in range(self.context.shape.relays))
         cells = tuple(Cell(name, name, (), 0, 1, port + self.port_offset) for name, port in CELL_PORTS.items())
-        return Plan(VERSION, Limits(), dict.fromkeys(self.context.zones, "region-0"), relays, cells)
+        return Plan(FORMAT_VERSION, Limits(), dict.fromkeys(self.context.zones, "region-0"), relays, cells)
 
     def addresses_of(self, planner: int) -> str:
         """Where a planner calls for its endpoint list, the preferred relay first."""
         plan = self.plan()
-        return addresses(plan, plan.cells[0], f"planner-{planner}")
+        return discovery_addresses(plan, plan.cells[0], f"planner-{planner}")
 
     def change_ports(self) -> None:
         """Serve the cells at other ports: relays read the plan again."""
--- a/tests/relay/test_listing_server.py
+++ b/tests/relay/test_listing_server.py
@@ -11,8 +11,8 @@
 import pytest
 from lists import DRAINING, GONE, READY, cache, changes, part, read, server, states, whole
 
+from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.relay.cache import ListingCache
-from stackwheel.state.endpoint_cache import EndpointList, Instance
 from stackwheel.wire import listing_requests, timing
 from stackwheel.wire.byte_budget import ByteBudget
 from stackwheel.wire.listing_server import TURNS, ListingServer
@@ -181,7 +181,8 @@
     async def work() -> None:
         served = await serving(server("a-1"), server("b-1"))
         head, _, body = (await (await Caller.open(served.address, f"GET {LIST}")).all()).partition(b"\r\n\r\n")
-        assert b"200 OK" in head and read(body) == whole(5, server("a-1"))
+        assert b"200 OK" in head
+        assert read(body) == whole(5, server("a-1"))
         first, second = await served.watch(), await served.watch(since=5)
         assert await first.listing() == whole(5, server("a-1"))
         assert await second.listing() == changes(5)
@@ -217,7 +218,7 @@
         for request in (f"GET {LIST}", f"GET {LIST}?follow=1"):
             assert await (await Caller.open(served.address, request)).status() == 503
         served.take(whole(5, server("a-1")))
-        served.cache.contact.heard_at = served.server.now() - timing.SILENCE
+        served.cache.contact.heard_at = served.server.now() - timing.WATCH_SILENCE_TIMEOUT_MS
         for request in (f"GET {LIST}", f"GET {LIST}?follow=1&since=5"):
             assert await (await Caller.open(served.address, request)).status() == 503
 
@@ -267,7 +268,9 @@
         await blocked(watch)
         served.take(changes(31, server("a-1", DRAINING)))
         first = await watcher.listing()
-        assert not first.complete and first.generation == 30 and "a-1" not in states(first)
+        assert not first.complete
+        assert first.generation == 30
+        assert "a-1" not in states(first)
         assert await watcher.listing() == changes(31, server("a-1", DRAINING))
 
     run(work)
@@ -306,7 +309,7 @@
         served.beat()
         assert await watcher.line() == b""
         await idle(watch)
-        served.cache.contact.heard_at = served.server.now() - timing.SILENCE
+        served.cache.contact.heard_at = served.server.now() - timing.WATCH_SILENCE_TIMEOUT_MS
         served.beat()
         assert not watch.pending  # nothing was said
         served.server.perform(served.cache.tick(served.server.now()))
@@ -318,7 +321,7 @@
 
 
 def test_time_is_kept_without_help(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(timing, "BEAT", 80.0)
+    monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 80.0)
 
     async def work() -> None:
         served = await serving(server("a-1"))
@@ -326,7 +329,7 @@
         await watcher.listing()
         keeping = asyncio.create_task(served.server.keep_time())
         assert await watcher.line() == await watcher.line() == b""
-        served.cache.contact.heard_at = served.server.now() - timing.SILENCE
+        served.cache.contact.heard_at = served.server.now() - timing.WATCH_SILENCE_TIMEOUT_MS
         with pytest.raises(EOFError):
             while True:
                 await watcher.line()
@@ -361,7 +364,8 @@
         while not watch.whole_due:
             generation += 1
             served.take(large(generation))
-            assert watch.pending_bytes <= UNREAD_MOST and generation < 10_000
+            assert watch.pending_bytes <= UNREAD_MOST
+            assert generation < 10_000
             await asyncio.sleep(0)
         last = generation + 50
         for later in range(generation + 1, last):
@@ -374,9 +378,11 @@
         while told[-1].generation < last:
             told.append(await watcher.listing())
             assert told[-1].generation > told[-2].generation
-        assert any(found.complete for found in told) and len(told) < last - 5
+        assert any(found.complete for found in told)
+        assert len(told) < last - 5
         found = part(served.cache)
-        assert states(found)["a-1"] is DRAINING and len(found.instances) == 81
+        assert states(found)["a-1"] is DRAINING
+        assert len(found.instances) == 81
         assert all(one.weight == last - 1 for one in found.instances if one.name != "a-1")
         held = merged(told)
         assert held == {one.name: one for one in found.instances}
@@ -385,7 +391,7 @@
 
 
 def test_who_does_not_read_at_all_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(timing, "SILENCE", 100.0)
+    monkeypatch.setattr(timing, "WATCH_SILENCE_TIMEOUT_MS", 100.0)
 
     async def work() -> None:
         served = await Served(ListingCache(lambda *_: "a", ["a"], 60_000.0, 2000.0)).start()
@@ -439,7 +445,8 @@
             waiting = [asyncio.create_task(hold(name, size, done)) for name, size in (("a", 9), ("b", 4), ("c", 5))]
             while len(budget.waiting) < 3:
                 await asyncio.sleep(0)
-            assert not budget.room(1) and order == []  # room for one, but others have asked before
+            assert not budget.room(1)
+            assert order == []
             waiting[0].cancel()
             await asyncio.wait(waiting[:1])
             assert budget.held == 8
@@ -450,7 +457,9 @@
             await asyncio.sleep(0)
         done.set()
         await asyncio.wait([late, *waiting])
-        assert order == ["b", "c", "d"] and budget.held == 0 and budget.room(1000)  # alone, even a larger one
+        assert order == ["b", "c", "d"]
+        assert budget.held == 0
+        assert budget.room(1000)
 
     run(work)
 
@@ -469,7 +478,8 @@
                 await asyncio.sleep(0)
         waiting.cancel()  # its turn has come, but it has not run since
         await asyncio.wait([waiting])
-        assert waiting.cancelled() and budget.held == 0
+        assert waiting.cancelled()
+        assert budget.held == 0
 
     run(work)
 
--- a/tests/trials/test_failure_scenarios.py
+++ b/tests/trials/test_failure_scenarios.py
@@ -111,7 +111,7 @@
 def test_watch_sends_a_drain_six_seconds_late(monkeypatch: pytest.MonkeyPatch, renewed: bool) -> None:
     """The rule holds either way; a watch that is renewed, as it sends heartbeats and no change, learns it sooner."""
     if not renewed:
-        monkeypatch.setattr("stackwheel.wire.timing.renewal", lambda _planners: 1e9)
+        monkeypatch.setattr("stackwheel.wire.timing.watch_renewal_interval", lambda _planners: 1e9)
     late = faults.DiscoveryFault(5.0, 12.0, "late", 6.0)
     world = ObservedWorld(late, faults.Drain(6.0, ("server-0",), 12.0))
     world.run_without_verdicts()
