--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -230,14 +230,14 @@
                 "defect": defect.name,
                 "where": defect.layer,
                 "what": defect.description,
-                "seeds": found.seeds_tried,
+                "seeds": found.seeds_run,
                 "seed": found.seed,
                 "rule": found.rule.value if found.rule is not None else None,
             }
         )
         if not as_json:
             told = found.rule.value if found.rule is not None else "NOT FOUND"
-            click.echo(f"{defect.name:26} {defect.layer:16} {found.seeds_tried:>5} {found.seed:>6}  {told}")
+            click.echo(f"{defect.name:26} {defect.layer:16} {found.seeds_run:>5} {found.seed:>6}  {told}")
     if as_json:
         print(json.dumps(rows))
     return 0 if all(row["rule"] for row in rows) else 1
--- a/stackwheel/trials/collectors.py
+++ b/stackwheel/trials/collectors.py
@@ -8,7 +8,8 @@
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.fleet import ServerFleet
 from stackwheel.trials.line_protocol import LineProtocol
-from stackwheel.trials.loop import Address, Machine
+from stackwheel.trials.loop import Machine
+from stackwheel.trials.planners import PlannerHost
 from stackwheel.trials.proxies import Proxy
 from stackwheel.trials.proxy_requests import ServerStatistics
 from stackwheel.trials.reports import ReportPath
@@ -30,8 +31,7 @@
         proxies: Sequence[Proxy],
         machine: Machine,
         zone: int,
-        planner: int,
-        planner_address: Address,
+        planner: PlannerHost,
     ) -> None:
         super().__init__()
         self.context = context
@@ -41,12 +41,11 @@
         self.machine = machine
         self.zone = zone
         self.planner = planner
-        self.planner_address = planner_address
         self.pending_lines: deque[str] = deque(maxlen=MAX_PENDING_LINES)
 
     def dial(self) -> None:
         """Connect to the planner."""
-        self.context.network.dial(self.machine, self.planner_address, self)
+        self.context.network.dial(self.machine, self.planner.address, self)
 
     def opened(self) -> None:
         """The connection is open."""
@@ -87,7 +86,7 @@
 
     def is_joined_to_planner(self, proxy: Proxy) -> bool:
         """Whether a proxy has its stream to this collector's planner."""
-        return proxy.stream is not None and proxy.stream.planner == self.planner
+        return proxy.stream is not None and proxy.stream.planner == self.planner.number
 
     def report_line(self, name: str, statistics: ServerStatistics, interval_ms: float) -> str:
         """The line that reports one server."""
--- a/stackwheel/trials/defects/policy.py
+++ b/stackwheel/trials/defects/policy.py
@@ -48,11 +48,11 @@
 def removals_never_sent() -> Sequence[Patch]:
     """Changes to weight 0 are left out, and the others are never urgent."""
     original = Planner.moves
-    least_urgent = 3
+    lowest_urgency = 3
 
     def moves(self: Planner, place: Any, table: Any) -> Any:
         return [
-            (least_urgent, gain, at, server, weight)
+            (lowest_urgency, gain, at, server, weight)
             for _, gain, at, server, weight in original(self, place, table)
             if weight > 0
         ]
--- a/stackwheel/trials/defects/search.py
+++ b/stackwheel/trials/defects/search.py
@@ -22,13 +22,13 @@
 
     Attributes:
         defect: The defect's name.
-        seeds_tried: Seeds run with the defect, the one that showed it included.
+        seeds_run: Seeds run with the defect, the one that showed it included.
         seed: The seed that showed it, or `NO_SEED`.
         rule: The rule that broke, or None where no seed showed the defect.
     """
 
     defect: str
-    seeds_tried: int
+    seeds_run: int
     seed: int
     rule: Rule | None
 
@@ -44,7 +44,7 @@
     assert defect is not None, name
     files = defect in FILE_DEFECTS
     relays = defect in RELAY_DEFECTS
-    for tried, seed in enumerate(seeds, 1):
+    for count, seed in enumerate(seeds, 1):
         with planted(defect):
             showing = rules_showing(defect, run_seed(seed, files, relays))
         if not showing:
@@ -52,7 +52,7 @@
         broken_anyway = {verdict.rule for verdict in run_seed(seed, files, relays).verdicts}
         broken_by_defect = showing - broken_anyway
         if broken_by_defect:
-            return SearchResult(name, tried, seed, min(broken_by_defect))
+            return SearchResult(name, count, seed, min(broken_by_defect))
     return SearchResult(name, len(seeds), NO_SEED, None)
 
 
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -40,12 +40,12 @@
     return [Patch(ProxyStreams, "heard", heard)]
 
 
-def full_list_taken_as_delta() -> Sequence[Patch]:
+def complete_list_taken_as_delta() -> Sequence[Patch]:
     """What a complete endpoint list lacks stays listed."""
     original = EndpointCache.apply
 
-    def apply(self: EndpointCache, listing: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
-        return original(self, replace(listing, complete=False), now)
+    def apply(self: EndpointCache, endpoint_list: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
+        return original(self, replace(endpoint_list, complete=False), now)
 
     return [Patch(EndpointCache, "apply", apply)]
 
@@ -53,8 +53,8 @@
 def older_generation_believed() -> Sequence[Patch]:
     """Generations are not compared: an older state brings back what drains."""
 
-    def discard_stale(_self: EndpointCache, listing: EndpointList, _now: float) -> EndpointList:
-        return listing
+    def discard_stale(_self: EndpointCache, endpoint_list: EndpointList, _now: float) -> EndpointList:
+        return endpoint_list
 
     return [Patch(EndpointCache, "discard_stale", discard_stale)]
 
@@ -89,7 +89,7 @@
         "whole-list-as-changes",
         "state",
         (Rule.DRAINS,),
-        full_list_taken_as_delta,
+        complete_list_taken_as_delta,
         "what a whole list lacks stays listed",
     ),
     Defect(
--- a/stackwheel/trials/discovery.py
+++ b/stackwheel/trials/discovery.py
@@ -207,8 +207,8 @@
             if record.availability is Availability.REMOVED:
                 del self.records[record.name]
         delay = self.fault_delay if self.fault == "late" else 0.0
-        held_up = self.ordered_delays and self.delayed_until > self.loop.now
-        if not delay and not held_up:
+        must_wait = self.ordered_delays and self.delayed_until > self.loop.now
+        if not delay and not must_wait:
             self.notify_watches(tuple(records), self.generation)
             return
         at = self.loop.now + delay
--- a/stackwheel/trials/disks.py
+++ b/stackwheel/trials/disks.py
@@ -9,7 +9,7 @@
 from stackwheel.files.disk import PART
 from stackwheel.trials.loop import do_nothing
 
-USUAL_DELAY_S = 0.002  # that an operation takes
+DEFAULT_DELAY_S = 0.002  # that an operation takes
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
         self.handle_count = 0
         self.full = False
         self.missing = False
-        self.delay = USUAL_DELAY_S
+        self.delay = DEFAULT_DELAY_S
         self.on_renamed: Callable[[str, bytes], None] = do_nothing
         self.on_written_in_place: Callable[[str], None] = do_nothing
 
--- a/stackwheel/trials/draw.py
+++ b/stackwheel/trials/draw.py
@@ -62,11 +62,11 @@
     "load_columns_enabled": weighted((True, 2), (False, 1)),
     "client_retries": weighted((0, 1), (2, 2)),
 }
-READ_AND_WRITE = (
+TWO_CLASSES = (
     ScriptClass("read", 0.7, 120.0),
     ScriptClass("write", 0.3, 240.0, 1000.0, 3000.0, 5.0, "once"),
 )
-LOOK_SAVE_AND_BOOK = (
+THREE_CLASSES = (
     ScriptClass("look", 0.5, 120.0),
     ScriptClass("save", 0.3, 200.0, 1000.0, 3000.0, 3.0, "by_key", "zone"),
     ScriptClass("book", 0.2, 240.0, 1000.0, 3000.0, 5.0, "once"),
@@ -76,7 +76,7 @@
     ScriptClass("any", 0.6, 160.0),
 )
 ONE_CLASS = (ScriptClass("only", 1.0, 160.0, 400.0, 1500.0, 1.0, "once"),)
-CLASSES = weighted((READ_AND_WRITE, 4), (LOOK_SAVE_AND_BOOK, 3), (ZONE_LOCAL_AND_ANY, 1), (ONE_CLASS, 1))
+CLASSES = weighted((TWO_CLASSES, 4), (THREE_CLASSES, 3), (ZONE_LOCAL_AND_ANY, 1), (ONE_CLASS, 1))
 
 
 def draw_value(generator: random.Random, choices: Sequence[WeightedValue]) -> Any:
--- a/stackwheel/trials/draw_faults.py
+++ b/stackwheel/trials/draw_faults.py
@@ -68,9 +68,14 @@
 
 def finish_cut(drawing: Drawing, source: NameList, target: NameList) -> Fault:
     """Draw the direction, the time and the span of a cut."""
-    if drawing.chance(0.5):
-        source, target = target, source
-    return faults.Cut(drawing.time_of_fault(), source, target, drawing.number(1.0, 17.0), one_way=drawing.chance(0.3))
+    is_reversed = drawing.chance(0.5)
+    return faults.Cut(
+        drawing.time_of_fault(),
+        target if is_reversed else source,
+        source if is_reversed else target,
+        drawing.number(1.0, 17.0),
+        unidirectional=drawing.chance(0.3),
+    )
 
 
 def draw_reset(drawing: Drawing) -> Fault:
--- a/stackwheel/trials/drawing.py
+++ b/stackwheel/trials/drawing.py
@@ -8,7 +8,7 @@
 
 QUIET_AT_START_S = 3.0  # without a fault
 QUIET_AT_END_S = 6.0  # without a new fault
-WHOLE_ZONE_SHARE = 0.2  # of draws of proxies or servers
+ZONE_DRAW_SHARE = 0.2  # of draws of proxies or servers
 ALL_PLANNERS_SHARE = 0.15  # of draws of planners
 BOTH_RELAYS_SHARE = 0.2  # of draws of relays
 
@@ -40,7 +40,7 @@
 
     def some_machines(self, kind: str, count: int, share: float) -> NameList:
         """Draw between one and a share of the machines of a kind; at times a whole zone."""
-        if kind != "planner" and self.chance(WHOLE_ZONE_SHARE):
+        if kind != "planner" and self.chance(ZONE_DRAW_SHARE):
             return (self.zone(),)
         size = self.random.randint(1, max(1, round(share * count)))
         return tuple(f"{kind}-{number}" for number in sorted(self.random.sample(range(count), size)))
--- a/stackwheel/trials/faults.py
+++ b/stackwheel/trials/faults.py
@@ -47,13 +47,13 @@
     stops_reading: bool = False  # proxies do not even read what arrives
 
 
-class Cut(BaseFault, frozen=True):
-    """Nothing passes from sources to targets; nor back, unless it is `one_way`."""
+class Cut(BaseFault, frozen=True, rename={"unidirectional": "one_way"}):
+    """Nothing passes from sources to targets; nor back, unless it is `unidirectional`."""
 
     source: NameList
     target: NameList
     span: Time
-    one_way: bool = False
+    unidirectional: bool = False
 
 
 class Reset(BaseFault, frozen=True):
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -82,7 +82,7 @@
         published: All that planners published.
         used: By proxy and target: the newest file used.
         booking_effects: By proxy and booking order: how often it took effect.
-        pushes_sound_from: Pushes have been sound since then, in s.
+        pushes_healthy_from: Pushes have been sound since then, in s.
         joined: By proxy: the planner that knows it.
     """
 
@@ -107,7 +107,7 @@
         self.used: dict[tuple[int, str], tuple[Incarnation, int]] = {}
         self.booking_effects: dict[tuple[int, str], int] = {}
         self.bookings_made = 0
-        self.pushes_sound_from = 0.0
+        self.pushes_healthy_from = 0.0
         self.joined: dict[int, int] = {}
         for planner in planners:
             self.disks[planner.machine.name].on_renamed = partial(self.file_published, planner)
@@ -214,7 +214,7 @@
         disk = self.disks[proxy.machine.name]
         if generator.random() < fault.torn:
             first = generator.randrange(1, len(data))
-            context.later(delay, self.copy_part, disk, path, data, first)
+            context.later(delay, self.copy_beginning, disk, path, data, first)
             delay += TORN_SECOND_STEP_S * generator.random()
         context.later(delay, disk.files.__setitem__, path, data)
         if generator.random() < fault.duplicated:
@@ -228,7 +228,7 @@
             context.loop.schedule_at(at, None, disk.files.__setitem__, stale_path, stale.data)
 
     @staticmethod
-    def copy_part(disk: SimulatedDisk, path: str, data: bytes, end: int) -> None:
+    def copy_beginning(disk: SimulatedDisk, path: str, data: bytes, end: int) -> None:
         """Copied in place: the file's start over what lies there."""
         disk.files[path] = data[:end] + disk.files.get(path, b"")[end:]
 
@@ -243,7 +243,7 @@
         """A fault ends, unless another has replaced it."""
         if self.fault is fault:
             self.fault = PushFault()
-            self.pushes_sound_from = self.context.loop.now + fault.max_delay + REST_AFTER_FAULT_S
+            self.pushes_healthy_from = self.context.loop.now + fault.max_delay + REST_AFTER_FAULT_S
 
     def count_as_joined(self, proxy: int, planner: int) -> None:
         """A proxy counts as joined for the rules."""
@@ -258,7 +258,7 @@
 
     def is_cut_off(self, proxy: Proxy, planner: int) -> bool:
         """Whether something does not pass between a proxy and a planner."""
-        return self.context.network.is_cut_either_way(proxy.machine, self.planners[planner].machine)
+        return self.context.network.is_cut_between(proxy.machine, self.planners[planner].machine)
 
     def cut_began(self) -> None:
         """Proxies across a cut count as left until an answer has passed again."""
@@ -289,14 +289,14 @@
         """A proxy's answer lies in its planner's folder: the proxy counts as joined again, if all is sound."""
         disk.files[path] = data
         known = planner.publisher is not None and proxy.number in planner.publisher.ledger.forwarders
-        if known and planner.running and proxy.number not in self.joined and self.is_sound(proxy, planner.number):
+        if known and planner.running and proxy.number not in self.joined and self.is_healthy(proxy, planner.number):
             self.count_as_joined(proxy.number, planner.number)
 
-    def is_sound(self, proxy: Proxy, planner: int) -> bool:
+    def is_healthy(self, proxy: Proxy, planner: int) -> bool:
         """Whether pushes are in order, and the path between a proxy and a planner is open."""
         return (
             self.fault == PushFault()
-            and self.context.loop.now >= self.pushes_sound_from
+            and self.context.loop.now >= self.pushes_healthy_from
             and not self.is_cut_off(proxy, planner)
         )
 
--- a/stackwheel/trials/file_proxies.py
+++ b/stackwheel/trials/file_proxies.py
@@ -18,7 +18,7 @@
 from stackwheel.trials.proxy_requests import ServerStatistics
 
 KEYS = KeyRing({"k1": b"trial key, thirty-two bytes long"}, "k1")
-LOOK_INTERVAL_S = 0.1  # between looks at the folders
+POLL_INTERVAL_S = 0.1  # between looks at the folders
 KEEP_MS = 5_000.0  # that a source's content is kept after its time; short, so that much comes after it
 
 
@@ -84,7 +84,7 @@
             self.apply_choice()
             if loop.now - self.reported_at >= self.context.shape.report_interval / 1000.0:
                 await self.write_answer()
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def apply_choice(self) -> None:
         """Set the tables by the sources that prevail; with nothing received yet, the standing ones stay."""
--- a/stackwheel/trials/fleet.py
+++ b/stackwheel/trials/fleet.py
@@ -13,7 +13,7 @@
 from stackwheel.trials.servers import Server
 from stackwheel.trials.shape import zone_of
 
-LISTING_DELAY_S = (0.2, 1.0)  # until discovery knows of a change
+LIST_CHANGE_DELAY_S = (0.2, 1.0)  # until discovery knows of a change
 REPLACEMENT_DRAIN_S = 3.0  # from the drain of a replaced server to its end
 SERVERS_PER_SUBNET = 250
 
@@ -27,7 +27,7 @@
         warming_up: By name: servers whose slow start is not over.
         listed_names: Names that discovery has ever listed.
         cell_records: What discovery lists of the planners' servers.
-        on_listed: Called with what discovery has just listed.
+        on_list_changed: Called with what discovery has just listed.
     """
 
     def __init__(
@@ -35,12 +35,12 @@
         context: SimulationContext,
         discovery: Discovery,
         cell_records: Callable[[], Mapping[str, ServerRecord]],
-        on_listed: Callable[[Sequence[ServerRecord]], None],
+        on_list_changed: Callable[[Sequence[ServerRecord]], None],
     ) -> None:
         self.context = context
         self.discovery = discovery
         self.cell_records = cell_records
-        self.on_listed = on_listed
+        self.on_list_changed = on_list_changed
         shape = context.shape
         self.servers: dict[str, Server] = {}
         for number in range(shape.servers):
@@ -71,11 +71,11 @@
             server.warm_at(),
         )
 
-    def schedule_listing(self, *servers: Server) -> None:
+    def schedule_list_change(self, *servers: Server) -> None:
         """Let discovery learn of changes, a moment late."""
         records = tuple(self.record_of(server) for server in servers)
         self.listed_names.update(dict.fromkeys(record.name for record in records))
-        self.context.later(self.context.random.uniform(*LISTING_DELAY_S), self.change_list, records)
+        self.context.later(self.context.random.uniform(*LIST_CHANGE_DELAY_S), self.change_list, records)
 
     def change_list(self, records: tuple[ServerRecord, ...]) -> None:
         """Discovery has learnt of changes."""
@@ -86,7 +86,7 @@
         ]
         if known:
             self.discovery.change(known)
-            self.on_listed(known)
+            self.on_list_changed(known)
 
     def standing_table(self, zone: int, generator: random.Random) -> Sequence[str]:
         """Draw the table that a proxy of a zone starts with: ready servers of the zone, of all where it has none."""
@@ -101,13 +101,13 @@
         """Start a server anew, cold."""
         server.start(self.context.loop.now)
         self.warming_up[server.name] = server
-        self.schedule_listing(server)
+        self.schedule_list_change(server)
 
     def crash(self, server: Server, restart_after: float) -> None:
         """End a server at once; it starts again after `restart_after` s unless that is 0."""
         server.stop()
         server.availability = Availability.REMOVED
-        self.schedule_listing(server)
+        self.schedule_list_change(server)
         if restart_after:
             self.context.later(restart_after, self.restart, server, server.incarnation)
 
@@ -121,7 +121,7 @@
         if not server.alive:
             return
         server.availability = Availability.DRAINING
-        self.schedule_listing(server)
+        self.schedule_list_change(server)
         self.context.later(removed_after, self.end_drained, server, server.incarnation, restart_after)
 
     def end_drained(self, server: Server, incarnation: int, restart_after: float) -> None:
--- a/stackwheel/trials/load_faults.py
+++ b/stackwheel/trials/load_faults.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stackwheel.trials import faults
-from stackwheel.trials.disks import USUAL_DELAY_S, SimulatedDisk
+from stackwheel.trials.disks import DEFAULT_DELAY_S, SimulatedDisk
 from stackwheel.trials.fault_targets import planners_of, proxies_of
 from stackwheel.trials.file_exchange import PushFault
 from stackwheel.trials.world import World
@@ -59,7 +59,7 @@
     """Let one disk be full, missing or slow for the span of the fault."""
     if fault.mode == "slow":
         disk.delay = fault.delay
-        world.context.later(fault.span, setattr, disk, "delay", USUAL_DELAY_S)
+        world.context.later(fault.span, setattr, disk, "delay", DEFAULT_DELAY_S)
         return
     attribute = "missing" if fault.mode == "gone" else "full"
     setattr(disk, attribute, True)
--- a/stackwheel/trials/measure.py
+++ b/stackwheel/trials/measure.py
@@ -17,7 +17,7 @@
 
 SEED = 1
 MAX_ZONES = 4
-DRAINED_PART = 6  # one in so many servers drains
+DRAINED_DIVISOR = 6  # one in so many servers drains
 DRAIN_AT = 0.4  # of the span
 KILL_AT = 0.6  # of the span
 CHECKER_METHODS = (
@@ -94,7 +94,7 @@
         channel_rate=3000.0,
         queue_limit=9000.0,
     )
-    drained = tuple(f"server-{number}" for number in range(size.servers // DRAINED_PART))
+    drained = tuple(f"server-{number}" for number in range(size.servers // DRAINED_DIVISOR))
     drain = Drain(span * DRAIN_AT, drained, 3.0)
     kill = Kill(span * KILL_AT, ("planner-0",), 0.5)
     return Script(SEED, span, shape, (drain, kill))
--- a/stackwheel/trials/monitor.py
+++ b/stackwheel/trials/monitor.py
@@ -78,7 +78,7 @@
         return (
             not stream.broken
             and stream.proxy.stream is stream
-            and not self.context.network.is_cut_either_way(stream.proxy.machine, planner.machine)
+            and not self.context.network.is_cut_between(stream.proxy.machine, planner.machine)
         )
 
     def is_all_applied(self, planner: PlannerHost, stream: PlannerStream, nonce: int) -> bool:
--- a/stackwheel/trials/network.py
+++ b/stackwheel/trials/network.py
@@ -138,7 +138,7 @@
         """Whether nothing passes from one machine to another."""
         return bool(self.cuts) and (source.name, target.name) in self.cuts
 
-    def is_cut_either_way(self, one: Machine, other: Machine) -> bool:
+    def is_cut_between(self, one: Machine, other: Machine) -> bool:
         """Whether something does not pass between two machines."""
         return self.is_cut(one, other) or self.is_cut(other, one)
 
@@ -159,9 +159,9 @@
             if transport.machine.name == target and transport.peer.machine.name == source
         ]
         for transport in on_path:
-            held = list(transport.held_pieces)
-            transport.held_pieces = deque()
-            for piece in held:
+            blocked = list(transport.blocked_pieces)
+            transport.blocked_pieces = deque()
+            for piece in blocked:
                 self.deliver(transport, piece)
 
     # Connections.
@@ -197,7 +197,7 @@
         if dial.cancelled:
             return
         target = self.machines.get(dial.address[0])
-        if target is None or target in self.vanished or self.is_cut_either_way(dial.machine, target):
+        if target is None or target in self.vanished or self.is_cut_between(dial.machine, target):
             self.retry_connect(dial, retries)
             return
         delay = self.delay(dial.machine, target)
@@ -298,7 +298,7 @@
             and not receiver.peer.closing
             and not receiver.half_open
             and not isinstance(piece, ConnectionEnd)
-            and not self.is_cut_either_way(receiver.machine, receiver.peer.machine)
+            and not self.is_cut_between(receiver.machine, receiver.peer.machine)
         )
 
     # Datagrams.
--- a/stackwheel/trials/network_faults.py
+++ b/stackwheel/trials/network_faults.py
@@ -24,7 +24,7 @@
     sources = machine_names(fault.source, world.shape)
     targets = machine_names(fault.target, world.shape)
     paths = [(source, target) for source in sources for target in targets if source != target]
-    if not fault.one_way:
+    if not fault.unidirectional:
         paths += [(target, source) for source, target in paths]
     paths = list(dict.fromkeys(paths))
     for source, target in paths:
@@ -85,11 +85,11 @@
 
 
 def change_conditions(world: World, span: float, **figures: float) -> None:
-    """Change some of the network's conditions; each is as usual again after `span` s."""
-    usual = Conditions()
+    """Change some of the network's conditions; each has its default again after `span` s."""
+    defaults = Conditions()
     for name, value in figures.items():
         setattr(world.network.conditions, name, value)
-        world.context.later(span, setattr, world.network.conditions, name, getattr(usual, name))
+        world.context.later(span, setattr, world.network.conditions, name, getattr(defaults, name))
 
 
 class UnidentifiedClient(LineProtocol):
--- a/stackwheel/trials/notifications.py
+++ b/stackwheel/trials/notifications.py
@@ -56,20 +56,25 @@
         checker = self.context.checker
         if planner is None or planner not in checker.planners:
             return
-        now = self.context.now_ms()
-        view = checker.planners[planner]
         notified = self.notified_generation.get(planner, 0)
         overtaken = not update.complete and update.generation < notified
+        view = checker.planners[planner]
         for record in update.records:
             listed = listed_endpoint(record)
             if not (overtaken and view.superseded(record.name, listed)):
-                checker.tell(planner, now, record.name, listed)
+                checker.tell(planner, self.context.now_ms(), record.name, listed)
         if update.complete:
-            names = {record.name for record in update.records}
-            for name, entry in [item for item in view.listed.items() if item[0] not in names]:
-                checker.tell(planner, now, name, replace(entry, availability=Availability.REMOVED))
+            self.remove_unnamed(planner, {record.name for record in update.records})
         self.notified_generation[planner] = max(update.generation, notified)
 
+    def remove_unnamed(self, planner: int, named: set[str]) -> None:
+        """A complete list does not name some servers that a planner knows: they are removed."""
+        checker = self.context.checker
+        known = checker.planners[planner].listed
+        for name, entry in [item for item in known.items() if item[0] not in named]:
+            removed = replace(entry, availability=Availability.REMOVED)
+            checker.tell(planner, self.context.now_ms(), name, removed)
+
     def update_sent(self, call: DiscoveryCall, update: SentUpdate) -> None:
         """What was written counts as received after a while, where the path is open, whether it arrived or not."""
         self.context.later(TOLD_AT_LAST / 1000.0, self.count_as_received, call, update)
@@ -89,7 +94,7 @@
             and not host.machine.stalled
             and not self.discovery.fault
             and self.reachable_since.get(planner, 0.0) <= since
-            and not self.context.network.is_cut_either_way(host.machine, self.discovery.machine)
+            and not self.context.network.is_cut_between(host.machine, self.discovery.machine)
         )
 
     def expect_polls(self) -> None:
--- a/stackwheel/trials/planner_config.py
+++ b/stackwheel/trials/planner_config.py
@@ -36,6 +36,42 @@
     }
 
 
+def family_document(shape: Shape) -> dict[str, Any]:
+    """The settings of the channel and of how proxies forward."""
+    return {
+        "agents": shape.proxies,
+        "backlog": shape.queue_limit,
+        "channel_rate": shape.channel_rate,
+        "cycle": shape.report_interval,
+        "exclusive": False,
+        "key_ranges": 0,
+        "lb_method": shape.load_balancing_policy,
+        "level_kind": shape.admission_mode,
+        "messages_over": 10000.0,
+        "overhead": shape.message_overhead,
+        "strikes": shape.consecutive_failure_limit,
+        "transit": shape.transit_time,
+        "try_factor": 0.8,
+        "unserved_max": shape.max_unserved_time,
+        "update_cap": shape.message_cap,
+        "usual_how": shape.default_retry,
+        "zone_bound": [request_class.zone_local for request_class in shape.classes],
+    }
+
+
+def obligations_document(shape: Shape) -> dict[str, Any]:
+    """The settings of what obliges planners."""
+    return {
+        "ask_within": shape.list_poll_deadline,
+        "cold": shape.slow_start_duration,
+        "cold_share": shape.slow_start_min_share,
+        "drain_grace": shape.drain_grace,
+        "fall_multiple": shape.overload_multiple,
+        "only_draining_binds": shape.removal_is_advisory,
+        "overload_for": shape.overload_duration,
+    }
+
+
 def settings_document(shape: Shape, zones: Sequence[str], number: int) -> dict[str, Any]:
     """The settings of one planner, by the names of the platform."""
     return {
@@ -54,34 +90,8 @@
         "bounds": {"peers": shape.gossip_enabled, "probes": shape.health_checks_enabled},
         "deductions": {"cross_zone": 0.1},
         "services": [class_document(request_class) for request_class in shape.classes],
-        "family_info": {
-            "agents": shape.proxies,
-            "backlog": shape.queue_limit,
-            "channel_rate": shape.channel_rate,
-            "cycle": shape.report_interval,
-            "exclusive": False,
-            "key_ranges": 0,
-            "lb_method": shape.load_balancing_policy,
-            "level_kind": shape.admission_mode,
-            "messages_over": 10000.0,
-            "overhead": shape.message_overhead,
-            "strikes": shape.consecutive_failure_limit,
-            "transit": shape.transit_time,
-            "try_factor": 0.8,
-            "unserved_max": shape.max_unserved_time,
-            "update_cap": shape.message_cap,
-            "usual_how": shape.default_retry,
-            "zone_bound": [request_class.zone_local for request_class in shape.classes],
-        },
-        "obligations": {
-            "ask_within": shape.list_poll_deadline,
-            "cold": shape.slow_start_duration,
-            "cold_share": shape.slow_start_min_share,
-            "drain_grace": shape.drain_grace,
-            "fall_multiple": shape.overload_multiple,
-            "only_draining_binds": shape.removal_is_advisory,
-            "overload_for": shape.overload_duration,
-        },
+        "family_info": family_document(shape),
+        "obligations": obligations_document(shape),
     }
 
 
--- a/stackwheel/trials/process_faults.py
+++ b/stackwheel/trials/process_faults.py
@@ -44,25 +44,36 @@
 
 def stall_once(world: World, fault: faults.Stall) -> None:
     """Stall planners, proxies and relays for the span of the fault."""
-    loop = world.loop
-    checker = world.checker
-    until_ms = world.context.now_ms() + fault.span * 1000.0
     for planner in planners_of(world, fault.machines):
         if planner.machine.alive and not planner.machine.stalled:
-            loop.set_stalled(planner.machine, True)
-            if fault.span > STALL_ALLOWED_S:
-                checker.hold_off(planner.number, until_ms)
-            world.context.later(fault.span, loop.set_stalled, planner.machine, False)
+            stall_planner(world, planner, fault.span)
     for proxy in proxies_of(world, fault.machines):
         if proxy.process.alive and not proxy.process.stalled:
-            loop.set_stalled(proxy.process, True)
-            loop.set_stalled(proxy.machine, fault.stops_reading)
-            checker.hold_off_proxy(proxy.number, until_ms)
-            world.context.later(fault.span, wake_proxy, world, proxy, proxy.machine, proxy.process)
+            stall_proxy(world, proxy, fault.span, fault.stops_reading)
     for relay in relays_of(world, fault.machines):
         if relay.running and not relay.machine.stalled:
-            loop.set_stalled(relay.machine, True)
-            world.context.later(fault.span, loop.set_stalled, relay.machine, False)
+            stall_machine(world, relay.machine, fault.span)
+
+
+def stall_machine(world: World, machine: Machine, span: float) -> None:
+    """Stall a machine for a span (s)."""
+    world.loop.set_stalled(machine, True)
+    world.context.later(span, world.loop.set_stalled, machine, False)
+
+
+def stall_planner(world: World, planner: PlannerHost, span: float) -> None:
+    """Stall a planner; after a long stall its limits run from its waking."""
+    if span > STALL_ALLOWED_S:
+        world.checker.hold_off(planner.number, world.context.now_ms() + span * 1000.0)
+    stall_machine(world, planner.machine, span)
+
+
+def stall_proxy(world: World, proxy: Proxy, span: float, stops_reading: bool) -> None:
+    """Stall a proxy's process, and with `stops_reading` its kernel as well; it breaks no limit meanwhile."""
+    world.loop.set_stalled(proxy.process, True)
+    world.loop.set_stalled(proxy.machine, stops_reading)
+    world.checker.hold_off_proxy(proxy.number, world.context.now_ms() + span * 1000.0)
+    world.context.later(span, wake_proxy, world, proxy, proxy.machine, proxy.process)
 
 
 def wake_proxy(world: World, proxy: Proxy, machine: Machine, process: Machine) -> None:
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -234,8 +234,8 @@
         """Find the stream dead where nothing is heard; who still hears its planner notices nothing."""
         planner_machine = self.parts.planner_machine(stream.planner)
         network = self.context.network
-        cut_both_ways = network.is_cut(planner_machine, self.machine) and network.is_cut(self.machine, planner_machine)
-        if self.stream is stream and cut_both_ways:
+        hears_nothing = network.is_cut(planner_machine, self.machine)
+        if self.stream is stream and hears_nothing and network.is_cut(self.machine, planner_machine):
             stream.broken = True
             self.notice_dead_stream(stream)
 
--- a/stackwheel/trials/proxy_requests.py
+++ b/stackwheel/trials/proxy_requests.py
@@ -141,7 +141,7 @@
         table = proxy.state.routes[class_name]
         avoided = self.avoided_servers(now) if self.avoided_until else ()
         policy = shape.load_balancing_policy
-        name = choose(table, policy, proxy.random, self.in_flight, avoided, request.tried_servers)
+        name = choose(table, policy, proxy.random, self.in_flight, avoided, request.attempted_servers)
         if name is None or sum(self.in_flight.values()) >= MAX_IN_FLIGHT:
             self.unserved_counts[request.class_index] += 1
             self.clients.finish(request, proxy, False, now)
@@ -180,7 +180,7 @@
             return
         self.count_failure(attempt.server, now)
         if self.may_retry(request, outcome, attempt.retry) and now < request.deadline:
-            request.tried_servers = (*request.tried_servers, attempt.server)
+            request.attempted_servers = (*request.attempted_servers, attempt.server)
             request.retries += 1
             self.attempt(request)
         else:
--- a/stackwheel/trials/relay_checks.py
+++ b/stackwheel/trials/relay_checks.py
@@ -8,7 +8,8 @@
 from typing import Any, NamedTuple, Protocol
 
 from stackwheel.cells.assignment import service_of
-from stackwheel.interface import Availability
+from stackwheel.interface import Availability, EndpointEntry
+from stackwheel.rules.checker import ListedEndpoint
 from stackwheel.rules.violations import TOLD_AT_LAST, Rule
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.discovery import Discovery
@@ -18,7 +19,7 @@
 from stackwheel.trials.transport import Transport
 
 LIFECYCLE_ORDER = {Availability.READY: 0, Availability.DRAINING: 1, Availability.REMOVED: 2}
-HELD_WITHIN_S = 1.0  # from being notified until a planner holds it: several of its batches
+CACHED_WITHIN_S = 1.0  # from being notified until a planner holds it: several of its batches
 DOCUMENT_START = b'{"generation"'
 MAX_STREAM_STATES = 256  # before those of closed connections are forgotten
 ENTRY_WEIGHT = 1.0  # of every server
@@ -59,6 +60,18 @@
     return LifecycleStep(record.started_at, LIFECYCLE_ORDER[record.availability])
 
 
+def find_deviation(listed: ListedEndpoint, present: ServerRecord, entry: EndpointEntry | None) -> str | None:
+    """In what a planner's entry differs from what it was notified of and the registry still says, if it does."""
+    if entry is None:
+        return "was told and is not held"
+    if entry.started_at != present.started_at:
+        return "was told as another process than is held"
+    draining = listed.availability is present.availability is Availability.DRAINING
+    if draining and entry.availability is not Availability.DRAINING:
+        return "was told to drain and is held as ready"
+    return None
+
+
 class StreamState:
     """What has been received on one connection from a relay to a planner."""
 
@@ -179,18 +192,23 @@
         if not complete and generation < state.generation:
             self.report(f"told changes of {generation} after {state.generation}", planner)
         state.generation = generation
+        named = self.read_entries(planner, state, document["instances"])
+        view = self.context.checker.planners.get(planner)
+        if complete and "" not in named and view is not None:
+            for name in [name for name in view.listed if name not in named]:
+                self.notify_removed(planner, name)
+
+    def read_entries(self, planner: int, state: StreamState, entries: Sequence[dict[str, Any]]) -> dict[str, None]:
+        """Check the entries of a list or a change; return the servers named, "" for one that can't be read."""
         named: dict[str, None] = {}
-        for entry in document["instances"]:
+        for entry in entries:
             name = entry.get("instanceId", "")
             if name and name in named:
-                self.report(f"{name} stands twice in list {generation}", planner, name)
+                self.report(f"{name} stands twice in list {state.generation}", planner, name)
             named[name] = None
             if "lifecycle" in entry:
                 self.read_entry(planner, state, entry)
-        view = self.context.checker.planners.get(planner)
-        if complete and "" not in named and view is not None:
-            for name in [name for name in view.listed if name not in named]:
-                self.notify_removed(planner, name)
+        return named
 
     def read_entry(self, planner: int, state: StreamState, entry: dict[str, Any]) -> None:
         """Check one entry of a list, and note what it notifies the planner of."""
@@ -228,7 +246,7 @@
         for name, reason in self.find_deviations(planner).items():
             since = before.get(name, now)
             present[name] = since
-            if now - since >= HELD_WITHIN_S:
+            if now - since >= CACHED_WITHIN_S:
                 self.report(f"{name} {reason} for {now - since:.1f} s", planner.number, name)
         self.deviations[key] = present
 
@@ -244,13 +262,9 @@
             present = registry.get(name)
             if present is None or present.warm_at * 1000.0 != listed.warm_at:
                 continue  # the planner has not been notified of what the registry says of it now
-            draining = listed.availability is present.availability is Availability.DRAINING
-            if name not in cached:
-                deviations[name] = "was told and is not held"
-            elif cached[name].started_at != present.started_at:
-                deviations[name] = "was told as another process than is held"
-            elif draining and cached[name].availability is not Availability.DRAINING:
-                deviations[name] = "was told to drain and is held as ready"
+            reason = find_deviation(listed, present, cached.get(name))
+            if reason is not None:
+                deviations[name] = reason
         for name in cached:
             if name not in notified and name not in registry:
                 deviations[name] = "was told to have left and is held"
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -245,8 +245,8 @@
             return False
         network = self.context.network
         return not (
-            network.is_cut_either_way(self.discovery.machine, relay.machine)
-            or network.is_cut_either_way(relay.machine, planner.machine)
+            network.is_cut_between(self.discovery.machine, relay.machine)
+            or network.is_cut_between(relay.machine, planner.machine)
         )
 
     def open_since(self, planner: int) -> float | None:
--- a/stackwheel/trials/requests.py
+++ b/stackwheel/trials/requests.py
@@ -31,7 +31,7 @@
         arrived_at: When the client asked first, in s.
         deadline: When the client gives up, in s.
         client_retries_left: How often the client asks again.
-        tried_servers: Where the proxy has tried.
+        attempted_servers: Where the proxy has tried.
         retries: Attempts of the proxy after the first.
     """
 
@@ -40,7 +40,7 @@
     arrived_at: float
     deadline: float
     client_retries_left: int
-    tried_servers: tuple[str, ...] = ()
+    attempted_servers: tuple[str, ...] = ()
     retries: int = 0
 
 
--- a/stackwheel/trials/script.py
+++ b/stackwheel/trials/script.py
@@ -67,10 +67,7 @@
     place = f"faults[{index}]"
     if fault.at > script.span:
         raise ScriptError(f"{place}.at", f"{fault.at:g} s is beyond the end at {script.span:g} s")
-    for field, names in name_fields(fault).items():
-        for name in names:
-            if not machine_names((name,), shape):
-                raise ScriptError(f"{place}.{stored_name(fault, field)}", f"the shape has no {name!r}")
+    check_names(shape, place, fault)
     if isinstance(fault, Unreadable) and not shape.relays:
         raise ScriptError(place, "unreadable entries are for a shape with relays")
     if isinstance(fault, LoseZone) and fault.zone >= shape.zones:
@@ -79,6 +76,14 @@
         raise ScriptError(f"{place}.planner", f"the shape has no {fault.planner!r}")
 
 
+def check_names(shape: Shape, place: str, fault: Fault) -> None:
+    """Raise `ScriptError` where a fault names a machine that the shape does not have."""
+    for field, names in name_fields(fault).items():
+        for name in names:
+            if not machine_names((name,), shape):
+                raise ScriptError(f"{place}.{stored_name(fault, field)}", f"the shape has no {name!r}")
+
+
 def load(path: Path) -> Script:
     """Read a script from a file.
 
--- a/stackwheel/trials/transport.py
+++ b/stackwheel/trials/transport.py
@@ -74,7 +74,7 @@
     Attributes:
         peer: The other end.
         pieces: What has arrived and was not taken: the reader pauses.
-        held_pieces: What is on the way to this end, behind a cut.
+        blocked_pieces: What is on the way to this end, behind a cut.
         last_arrival: When the last byte so far arrives here, in s.
         unread_bytes: Bytes written to this end that it has not taken.
         peer_paused: The peer's writing is paused for this end's sake.
@@ -94,7 +94,7 @@
         self.lost = False
         self.paused = False
         self.pieces: deque[Piece] = deque()
-        self.held_pieces: deque[Piece] = deque()
+        self.blocked_pieces: deque[Piece] = deque()
         self.last_arrival = 0.0
         self.unread_bytes = 0
         self.peer_paused = False
@@ -208,7 +208,7 @@
         self.lost = True
         self.wire.forget(self)
         self.pieces.clear()
-        self.held_pieces.clear()
+        self.blocked_pieces.clear()
         if self.protocol is not None:
             self.protocol.connection_lost(error)
 
@@ -216,8 +216,8 @@
         """Something has reached this end's machine."""
         if self.lost or self.half_open:
             return
-        if self.held_pieces or self.wire.is_cut(self.peer.machine, self.machine):
-            self.held_pieces.append(piece)
+        if self.blocked_pieces or self.wire.is_cut(self.peer.machine, self.machine):
+            self.blocked_pieces.append(piece)
         elif self.paused or self.protocol is None or self.pieces:
             self.pieces.append(piece)
         else:
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -63,10 +63,7 @@
 
         self.discovery = self.make_discovery()
         self.notifications = Notifications(self.context, self.discovery, self.planners)
-        self.discovery.planner_of = self.context.planner_of
-        self.discovery.on_sent = self.notifications.update_sent
-        self.discovery.on_received = self.notifications.update_received
-        self.fleet = ServerFleet(self.context, self.discovery, self.cell_records, self.records_listed)
+        self.fleet = ServerFleet(self.context, self.discovery, self.cell_records, self.list_changed)
         has_relays = bool(self.shape.relays)
         self.relays = RelayGroup(self.context, self.discovery, self.planners) if has_relays else None
 
@@ -75,15 +72,7 @@
         self.reports = ReportPath(self.context)
         self.clients = Clients(self.context, self.proxies)
         self.attempts = Attempts(self.context, self.fleet)
-        self.proxy_parts = ProxyParts(
-            self.fleet,
-            self.channels,
-            self.reports,
-            self.clients,
-            self.attempts,
-            [planner.address for planner in self.planners],
-            self.planner_machine,
-        )
+        self.proxy_parts = self.make_proxy_parts()
         self.add_proxies()
         self.collectors: list[Collector] = []
         self.add_collectors()
@@ -95,12 +84,19 @@
 
         self.monitor = Monitor(self.context, self.channels, self.planners, self.relays)
         self.warmup_monitor = WarmupMonitor(self.context, self.fleet, self.channels, self.proxies)
+        self.connect_observers()
+
+    # Building.
+
+    def connect_observers(self) -> None:
+        """Let the lower parts notify those that observe them."""
+        self.discovery.planner_of = self.context.planner_of
+        self.discovery.on_sent = self.notifications.update_sent
+        self.discovery.on_received = self.notifications.update_received
         self.network.on_received = self.monitor.bytes_received
         self.network.on_written = self.monitor.bytes_written
         self.loop.after_callback = self.monitor.after_callback
 
-    # Building.
-
     def make_discovery(self) -> Discovery:
         """Make the discovery service on its machine."""
         machine = Machine("discovery")
@@ -118,6 +114,18 @@
         gossip_addresses = tuple((planner.host, GOSSIP_PORT) for planner in self.planners)
         self.network.multicast_groups[(MULTICAST_HOST, GOSSIP_PORT)] = gossip_addresses
 
+    def make_proxy_parts(self) -> ProxyParts:
+        """Gather what proxies use of the other parts."""
+        return ProxyParts(
+            self.fleet,
+            self.channels,
+            self.reports,
+            self.clients,
+            self.attempts,
+            [planner.address for planner in self.planners],
+            self.planner_machine,
+        )
+
     def add_proxies(self) -> None:
         """Make the proxies."""
         for number in range(self.shape.proxies):
@@ -144,8 +152,7 @@
                         self.proxies,
                         machine,
                         zone,
-                        planner.number,
-                        planner.address,
+                        planner,
                     )
                 )
 
@@ -159,7 +166,7 @@
             at = PROXY_START_S + PROXY_START_SPREAD_S * proxy.random.random()
             self.loop.schedule_at(at, proxy.process, proxy.start)
         for collector in self.collectors:
-            first_report = FIRST_REPORT_S + REPORT_STAGGER_S * collector.planner
+            first_report = FIRST_REPORT_S + REPORT_STAGGER_S * collector.planner.number
             self.loop.schedule_at(COLLECTOR_START_S, collector.machine, collector.dial)
             self.loop.schedule_at(first_report, collector.machine, collector.send_load_reports)
         self.context.later(FIRST_REQUEST_S, self.clients.make_next_request)
@@ -216,7 +223,7 @@
         """What discovery lists of the planners' servers."""
         return self.discovery.records if self.relays is None else self.relays.cell_records()
 
-    def records_listed(self, records: Sequence[ServerRecord]) -> None:
+    def list_changed(self, records: Sequence[ServerRecord]) -> None:
         """Discovery has listed changes of the planners' servers."""
         if self.relays is None:
             self.notifications.expect_polls()
@@ -233,7 +240,7 @@
             stream = proxy.stream
             if stream is None:
                 continue
-            if self.network.is_cut_either_way(proxy.machine, self.planner_machine(stream.planner)):
+            if self.network.is_cut_between(proxy.machine, self.planner_machine(stream.planner)):
                 proxy.path_cut(stream)
 
     def machines(self) -> list[Machine]:
