--- a/tests/trials/test_failure_scenarios.py
+++ b/tests/trials/test_failure_scenarios.py
@@ -151,7 +151,7 @@
         assert len(streams.by_proxy) + len(streams.silent) > 0
 
 
-def test_zone_is_lost_and_returns_cold_while_both_planners_restart() -> None:
+def test_zone_is_lost_and_warms_up_while_both_planners_restart() -> None:
     world = ObservedWorld(faults.LoseZone(8.0, 0, 4.0, proxies=True), faults.Kill(8.1, ("planners",), 3.0))
     world.run_without_verdicts()
     assert [planner.incarnation for planner in world.planners] == [2, 2]
@@ -190,12 +190,12 @@
     largest = 0
     planner = world.planners[0]
 
-    def look() -> None:
+    def observe() -> None:
         nonlocal largest
         largest = max(largest, len(planner.machine.parked_callbacks))
-        world.context.later(0.1, look)
+        world.context.later(0.1, observe)
 
-    world.context.later(6.0, look)
+    world.context.later(6.0, observe)
     world.run_without_verdicts()
     assert largest > 20
 
@@ -221,7 +221,7 @@
     assert not world.joined_attempts_after("s-0", 14.0)
 
 
-def test_cold_servers_are_used_by_proxies_of_three_planners_that_do_not_hear_each_other() -> None:
+def test_servers_warm_up_under_three_planners_that_do_not_hear_each_other() -> None:
     shape = Shape(
         planners=3, zones=1, proxies=12, servers=6, utilization=0.6, slow_start_duration=17000.0, overload_multiple=2.5
     )
--- a/tests/trials/test_network.py
+++ b/tests/trials/test_network.py
@@ -100,7 +100,7 @@
     assert isinstance(pair.client.lost[0], ConnectionRefusedError)
 
 
-def test_one_way_cut_holds_only_what_goes_that_way() -> None:
+def test_unidirectional_cut_blocks_only_one_direction() -> None:
     pair = Pair()
     pair.network.cut("a", "b")
     pair.send(b"one")
@@ -251,13 +251,13 @@
         await writer.drain()
         return line
 
-    async def ask() -> bytes:
+    async def call() -> bytes:
         reader, writer = await asyncio.open_connection(*ADDRESS)
         writer.write(b"hello\n")
         return await reader.readline()
 
     pair.loop.start_process(pair.b, serve())
-    task = pair.loop.start_process(pair.a, ask())
+    task = pair.loop.start_process(pair.a, call())
     pair.run(1.0)
     assert task.result() == b"HELLO\n"
 
--- a/tests/trials/test_relay_checks.py
+++ b/tests/trials/test_relay_checks.py
@@ -57,7 +57,7 @@
         ([list_document(5, ("s-1", "terminating")), list_document(6, ("s-1", "in_service"))], "s-1 goes back"),
     ],
 )
-def test_relay_may_not_tell(world: World, documents: list[dict[str, Any]], reason: str) -> None:
+def test_relay_may_not_send(world: World, documents: list[dict[str, Any]], reason: str) -> None:
     assert world.relays is not None
     draining = change_in_registry(world, "s-1", Availability.DRAINING)
     world.relays.records_changed([draining])
@@ -69,7 +69,7 @@
     assert reason in verdict.detail
 
 
-def test_relay_may_tell_what_the_registry_itself_takes_back() -> None:
+def test_relay_may_send_what_the_registry_itself_takes_back() -> None:
     world = make_world()
     assert world.relays is not None
     checks = world.relays.checks
--- a/tests/trials/test_shrink.py
+++ b/tests/trials/test_shrink.py
@@ -44,13 +44,13 @@
 
 
 def test_shrinking_stops_at_its_bound_and_rejects_what_breaks_nothing() -> None:
-    tried: list[Script] = []
+    candidates: list[Script] = []
 
     def always_breaks(script: Script, _rule: Rule) -> float:
-        tried.append(script)
+        candidates.append(script)
         return 5.0
 
-    assert Shrinker(draw(1), Rule.DRAINS, 7, always_breaks).run().runs == len(tried) == 7
+    assert Shrinker(draw(1), Rule.DRAINS, 7, always_breaks).run().runs == len(candidates) == 7
     with pytest.raises(ScriptError, match="does not break the rule"):
         Shrinker(draw(1), Rule.DRAINS, 7, lambda _script, _rule: None).run()
 
@@ -60,8 +60,8 @@
     lose_zone = faults.LoseZone(5.0, 0, 4.0, True)
     script = Script(1, 20.0, Shape(), (lose_zone, faults.Reset(6.0, ("proxy-0", "proxy-1"))))
 
-    def find_break(tried: Script, _rule: Rule) -> float | None:
-        return 8.0 if lose_zone in tried.faults and len(tried.faults) == 2 else None
+    def find_break(candidate: Script, _rule: Rule) -> float | None:
+        return 8.0 if lose_zone in candidate.faults and len(candidate.faults) == 2 else None
 
     shrunk = Shrinker(script, Rule.DRAINS, 100, find_break).run().script
     assert shrunk.faults == (lose_zone, faults.Reset(6.0, ("proxy-1",)))
