--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -10,14 +10,14 @@
 import h11
 import msgspec
 
-from stackwheel import peers
+from stackwheel.policy import gossip
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING, Entry
 from stackwheel.scale.ports import HOST
 from stackwheel.scale.registry_list import RegistryList
 from stackwheel.state.server_ids import server_id
 from stackwheel.wire import timing
-from stackwheel.wire.datagrams import MOST_BYTES
+from stackwheel.wire.datagrams import MAX_DATAGRAM_BYTES
 
 LIST_PATH = "/registry/instances"
 READ_BYTES = 64 * 1024
@@ -172,7 +172,7 @@
     def send(self, payload: bytes, address: tuple[str, int]) -> None:
         """Send one datagram to the planner under test."""
         assert self.transport is not None
-        assert len(payload) <= MOST_BYTES
+        assert len(payload) <= MAX_DATAGRAM_BYTES
         self.transport.sendto(payload, address)
         self.traffic.received(len(payload))
 
@@ -181,7 +181,7 @@
     """The other planners of a tier: each tells its load once a cycle, as long as the policy would send so much."""
 
     def __init__(self, servers: Sequence[str], datagrams_most: int, traffic: Traffic) -> None:
-        self.payloads = peers.pack(PEER_PROXIES, {server_id(name): RATE_OF_A_PEER for name in servers})
+        self.payloads = gossip.encode(PEER_PROXIES, {server_id(name): RATE_OF_A_PEER for name in servers})
         self.max_datagrams = datagrams_most
         self.traffic = traffic
         self.broadcast_end = FakePeerSocket(traffic)
--- a/stackwheel/trials/defects/policy.py
+++ b/stackwheel/trials/defects/policy.py
@@ -5,12 +5,17 @@
 import math
 from collections.abc import Sequence
 from dataclasses import replace
-from typing import Any
 
-from stackwheel import balance
 from stackwheel import interface as face
-from stackwheel.balance import Outbox, Planner
 from stackwheel.interface import Availability, Retry
+from stackwheel.policy import load_shedding, table_groups, tables
+from stackwheel.policy.channel import Outbox
+from stackwheel.policy.endpoints import EndpointTracker
+from stackwheel.policy.joins import Joins
+from stackwheel.policy.servers import Rates, ServerPool
+from stackwheel.policy.slow_start import SlowStart
+from stackwheel.policy.tables import Table
+from stackwheel.policy.updates import UpdateScheduler, Urgency, WeightChange
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.defects.planting import Defect, Patch, returns
 from stackwheel.wire.connection_limits import RateLimiter
@@ -24,107 +29,100 @@
 
 def draining_taken_as_ready() -> Sequence[Patch]:
     """Each endpoint entry is believed to be ready."""
-    original = Planner.take_entry
+    original = EndpointTracker.apply_entry
 
-    def take_entry(self: Planner, entry: face.EndpointEntry) -> None:
-        original(self, replace(entry, availability=Availability.READY))
+    def apply_entry(self: EndpointTracker, entry: face.EndpointEntry) -> bool:
+        return original(self, replace(entry, availability=Availability.READY))
 
-    return [Patch(Planner, "take_entry", take_entry)]
+    return [Patch(EndpointTracker, "apply_entry", apply_entry)]
 
 
 def removed_servers_kept() -> Sequence[Patch]:
     """An endpoint update is extended by the servers that it lacks or removes."""
-    original = Planner.take_list
+    original = EndpointTracker.apply
 
-    def take_list(self: Planner, update: face.EndpointUpdate) -> None:
+    def apply(self: EndpointTracker, update: face.EndpointUpdate) -> bool:
         listed = tuple(entry for entry in update.entries if entry.availability is not Availability.REMOVED)
         listed_servers = {entry.server for entry in listed}
-        missing = tuple(view.entry for server, view in self.servers.items() if server not in listed_servers)
-        original(self, replace(update, entries=(*listed, *missing)))
+        missing = tuple(view.entry for server, view in self.pool.views.items() if server not in listed_servers)
+        return original(self, replace(update, entries=(*listed, *missing)))
 
-    return [Patch(Planner, "take_list", take_list)]
+    return [Patch(EndpointTracker, "apply", apply)]
 
 
 def removals_never_sent() -> Sequence[Patch]:
     """Changes to weight 0 are left out, and the others are never urgent."""
-    original = Planner.moves
-    lowest_urgency = 3
-
-    def moves(self: Planner, place: Any, table: Any) -> Any:
-        return [
-            (lowest_urgency, gain, at, server, weight)
-            for _, gain, at, server, weight in original(self, place, table)
-            if weight > 0
-        ]
+    original = UpdateScheduler.table_changes
+
+    def table_changes(self: UpdateScheduler, position: int, table: Table, now: float) -> list[WeightChange]:
+        changes = original(self, position, table, now)
+        return [change._replace(urgency=Urgency.NEW) for change in changes if change.weight > 0]
 
-    return [Patch(Planner, "moves", moves)]
+    return [Patch(UpdateScheduler, "table_changes", table_changes)]
 
 
 def no_slow_start() -> Sequence[Patch]:
     """A server that has just started counts as warm, and any load may move to it at once."""
-    return [Patch(Planner, "warmth", returns(1.0)), Patch(balance, "STEP", UNLIMITED_STEP)]
+    return [Patch(SlowStart, "available_share", returns(1.0)), Patch(tables, "MAX_STEP", UNLIMITED_STEP)]
 
 
 def slow_start_share_exceeded() -> Sequence[Patch]:
     """Servers that warm up get a multiple of the share that was worked out for them."""
-    original = Planner.as_shares
+    original = tables.shares_of
 
-    def as_shares(self: Planner, placed: dict[face.Server, float]) -> dict[face.Server, float]:
-        warming_up = {server for server in placed if self.warmth(self.servers[server]) < 1.0}
+    def shares_of(placed: Rates, pool: ServerPool, now: float) -> Rates:
+        warming_up = {server for server in placed if pool.available_share(pool.views[server], now) < 1.0}
         exceeded = {
             server: rate * (OVERLOAD_FACTOR if server in warming_up else 1.0) for server, rate in placed.items()
         }
-        return original(self, exceeded)
+        return original(exceeded, pool, now)
 
-    return [Patch(Planner, "as_shares", as_shares)]
+    return [Patch(table_groups, "shares_of", shares_of)]
 
 
 def retries_without_condition() -> Sequence[Patch]:
     """Proxies are told to retry whatever failed."""
-    return [Patch(balance, "FURTHER_TRY", Retry.TWICE)]
+    return [Patch(load_shedding, "RETRY", Retry.TWICE)]
 
 
 def joined_proxies_ignored() -> Sequence[Patch]:
     """Proxies that joined are assigned no table."""
-    return [Patch(Planner, "bind_joined", returns(None))]
+    return [Patch(Joins, "bind_waiting", returns(None))]
 
 
 def one_class_assigned() -> Sequence[Patch]:
     """Tables of all classes but the first are never assigned."""
-    original = Planner.bind_joined
+    original = Joins.bind_waiting
 
-    def bind_joined(self: Planner) -> None:
-        original(self)
-        self.actions = [
+    def bind_waiting(self: Joins, now: float) -> None:
+        original(self, now)
+        self.actions[:] = [
             action
             for action in self.actions
             if not (isinstance(action, face.AssignTable) and action.classes and action.classes[0] > 0)
         ]
 
-    return [Patch(Planner, "bind_joined", bind_joined)]
+    return [Patch(Joins, "bind_waiting", bind_waiting)]
 
 
 def tables_emptied() -> Sequence[Patch]:
     """In every third slot all weights of a table that is written become 0."""
-    original = Planner.write
+    original = UpdateScheduler.write
 
     def write(
-        self: Planner,
-        table: Any,
-        users: list[int],
-        changes: dict[face.Server, float],
-        levels: dict[int, face.AdmissionLevel],
+        self: UpdateScheduler, table: Table, users: list[int], weights: Rates, levels: dict[int, face.AdmissionLevel]
     ) -> None:
-        if self.slot >= FIRST_EMPTIED_SLOT and self.slot % EMPTIED_EVERY_SLOTS == 0:
-            changes = dict.fromkeys((*changes, *table.sent), 0.0)
-        original(self, table, users, changes, levels)
+        slot = self.slot.number
+        if slot >= FIRST_EMPTIED_SLOT and slot % EMPTIED_EVERY_SLOTS == 0:
+            weights = dict.fromkeys((*weights, *table.sent), 0.0)
+        original(self, table, users, weights, levels)
 
-    return [Patch(Planner, "write", write)]
+    return [Patch(UpdateScheduler, "write", write)]
 
 
 def queue_unbounded() -> Sequence[Patch]:
     """The outbox always has capacity left."""
-    return [Patch(Outbox, "room", returns(math.inf))]
+    return [Patch(Outbox, "free_lines", returns(math.inf))]
 
 
 def message_cap_ignored() -> Sequence[Patch]:
--- a/stackwheel/trials/defects/wire.py
+++ b/stackwheel/trials/defects/wire.py
@@ -22,7 +22,7 @@
 
 def watch_never_resumed() -> Sequence[Patch]:
     """A discovery call that failed is not repeated."""
-    return [Patch(DiscoveryClient, "failed", returns(None))]
+    return [Patch(DiscoveryClient, "report_failure", returns(None))]
 
 
 def complete_flag_omitted() -> Sequence[Patch]:
--- a/stackwheel/trials/disks.py
+++ b/stackwheel/trials/disks.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from stackwheel.files.disk import PART
+from stackwheel.files.disk import PART_SUFFIX
 from stackwheel.trials.loop import do_nothing
 
 DEFAULT_DELAY_S = 0.002  # that an operation takes
@@ -50,7 +50,7 @@
     def create(self, path: str) -> int:
         """Open a file for writing; return its handle."""
         self.check_present()
-        if not path.endswith(PART):
+        if not path.endswith(PART_SUFFIX):
             self.on_written_in_place(path)
             self.files[path] = b""
         self.handle_count += 1
@@ -75,7 +75,7 @@
     def close(self, handle: int) -> None:
         """Close an open file."""
         file = self.open_files.pop(handle)
-        if not file.path.endswith(PART):
+        if not file.path.endswith(PART_SUFFIX):
             self.on_renamed(file.path, bytes(file.data))
         else:
             self.files[file.path] = bytes(file.data)
@@ -104,9 +104,9 @@
         inside = [name[len(start) :] for name in self.files if name.startswith(start)]
         return sorted(dict.fromkeys(name.partition("/")[0] for name in inside))
 
-    def read(self, path: str, most: int) -> bytes:
-        """The first bytes of a file, one more than `most` where it is longer."""
+    def read(self, path: str, limit: int) -> bytes:
+        """The first bytes of a file, one more than `limit` where it is longer."""
         self.check_present()
         if path not in self.files:
             raise OSError(errno.ENOENT, "No such file or directory")
-        return self.files[path][: most + 1]
+        return self.files[path][: limit + 1]
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -1,6 +1,6 @@
 """Trials with files: planners publish them, something pushes them to proxies, and all that goes wrong between.
 
-The shipped publisher, ledger, pusher, reader and precedence run here as they are. The push between two machines is
+The shipped publisher, scheduler, reader and precedence run here as they are. The push between two machines is
 the model's: late, duplicated, torn (copied in place), out of order, or of an old file again.
 """
 
@@ -12,13 +12,15 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from stackwheel.files.accept import target
+from stackwheel.files.acceptor import target_key
 from stackwheel.files.codec import encode
-from stackwheel.files.ledger import Ledger, Terms
+from stackwheel.files.environment import FileEnvironment
+from stackwheel.files.file_builder import PublisherSettings
 from stackwheel.files.publisher import FilePublisher, Folders
-from stackwheel.files.push import Pace, Pusher
-from stackwheel.files.reader import Taken
-from stackwheel.files.records import Booking, Incarnation
+from stackwheel.files.publisher_state import PublisherState
+from stackwheel.files.push_scheduler import PushLimits, PushScheduler
+from stackwheel.files.reader import FileApplied
+from stackwheel.files.records import FileVersion, Reservation
 from stackwheel.rules.violations import Rule
 from stackwheel.service.ports import PlannerContext
 from stackwheel.state.planner_actor import Item
@@ -38,12 +40,12 @@
 STALE_DELAY_S = 1.0  # at most
 LARGE_DELAY_S = 0.5  # of pushes, from which on proxies count as left
 REST_AFTER_FAULT_S = 1.0  # beyond its delay, until pushes count as sound again
-BOOKING_INTERVAL_S = 2.0  # between orders for bookings
-BOOKING_LIFETIME_MS = 15_000.0
+RESERVATION_INTERVAL_S = 2.0  # between reservations
+RESERVATION_LIFETIME_MS = 15_000.0
 MAX_RECENT_FILES = 40  # old files that may be pushed again
 FILE_LIFETIME_MS = 8_000.0  # short, so that much comes after its time
-FILE_CYCLES = 10  # see Terms
-PUSH_SPACING_MS = 50.0  # see Pace
+FILE_CYCLES = 10  # see PublisherSettings
+PUSH_SPACING_MS = 50.0  # see PushLimits
 PUBLISHER_INTERVAL_S = 0.1  # see FilePublisher
 
 
@@ -81,7 +83,7 @@
         home_planners: By proxy: whose folder takes its answers.
         published: All that planners published.
         used: By proxy and target: the newest file used.
-        booking_effects: By proxy and booking order: how often it took effect.
+        reservation_effects: By proxy and reservation: how often it took effect.
         pushes_healthy_from: Pushes have been sound since then, in s.
         joined: By proxy: the planner that knows it.
     """
@@ -104,16 +106,16 @@
         self.file_proxies: dict[int, FileProxy] = {}
         self.published: set[bytes] = set()
         self.recent_files: list[PublishedFile] = []
-        self.used: dict[tuple[int, str], tuple[Incarnation, int]] = {}
-        self.booking_effects: dict[tuple[int, str], int] = {}
-        self.bookings_made = 0
+        self.used: dict[tuple[int, str], FileVersion] = {}
+        self.reservation_effects: dict[tuple[int, str], int] = {}
+        self.reservations_made = 0
         self.pushes_healthy_from = 0.0
         self.joined: dict[int, int] = {}
         for planner in planners:
             self.disks[planner.machine.name].on_renamed = partial(self.file_published, planner)
         for disk in self.disks.values():
             disk.on_written_in_place = partial(self.written_in_place, disk.owner)
-        context.later(BOOKING_INTERVAL_S, self.make_bookings)
+        context.later(RESERVATION_INTERVAL_S, self.make_reservations)
 
     def report(self, detail: str, proxy: int | None = None) -> None:
         """Report that a file was used that may not be."""
@@ -143,25 +145,25 @@
         """Make the publisher of a planner's new process."""
         config = context.config
         settings = config.settings
-        ledger = Ledger(
+        state = PublisherState(
             config.name,
             config.names,
             settings.proxy_count,
-            Terms(FILE_LIFETIME_MS, FILE_CYCLES, settings.report_interval),
+            PublisherSettings(FILE_LIFETIME_MS, FILE_CYCLES, settings.report_interval),
             context.endpoints.server_ids.name,
             config.seed & 0xFFFF,
         )
-        pusher = Pusher(Pace(settings.message_cap, settings.message_window, PUSH_SPACING_MS), config.seed)
+        scheduler = PushScheduler(
+            PushLimits(settings.message_cap, settings.message_window, PUSH_SPACING_MS), config.seed
+        )
         disk = self.disks[planner.machine.name]
         publisher = FilePublisher(
-            ledger,
-            pusher,
+            state,
+            scheduler,
             Folders("/out", "/answers"),
-            disk,
-            context.clock.now,
+            FileEnvironment(disk, context.clock.now, self.disk_runner(disk)),
             partial(self.publisher_posted, planner, context),
             KEYS,
-            self.disk_runner(disk),
             PUBLISHER_INTERVAL_S,
         )
         planner.publisher = publisher
@@ -177,17 +179,17 @@
         """A planner's process is about to end."""
         self.joined = {proxy: known_by for proxy, known_by in self.joined.items() if known_by != planner}
 
-    def make_bookings(self) -> None:
-        """Let each planner order what must take effect once, at whoever reads it."""
+    def make_reservations(self) -> None:
+        """Let each planner reserve what must take effect once, at whoever reads it."""
         for planner in self.planners:
-            if not planner.running or planner.publisher is None or planner.publisher.ledger.incarnation is None:
+            if not planner.running or planner.publisher is None or planner.publisher.state.incarnation is None:
                 continue
-            self.bookings_made += 1
+            self.reservations_made += 1
             now = self.wall_clock_ms()
             class_name = self.context.shape.classes[-1].name
-            booking = Booking(f"b{self.bookings_made}", class_name, 1, now + BOOKING_LIFETIME_MS, now)
-            planner.publisher.ledger.book(booking, now)
-        self.context.later(BOOKING_INTERVAL_S, self.make_bookings)
+            reservation = Reservation(f"b{self.reservations_made}", class_name, 1, now + RESERVATION_LIFETIME_MS, now)
+            planner.publisher.state.reserve(reservation, now)
+        self.context.later(RESERVATION_INTERVAL_S, self.make_reservations)
 
     # Pushes.
 
@@ -288,7 +290,7 @@
     def answer_arrived(self, proxy: Proxy, planner: PlannerHost, disk: SimulatedDisk, path: str, data: bytes) -> None:
         """A proxy's answer lies in its planner's folder: the proxy counts as joined again, if all is sound."""
         disk.files[path] = data
-        known = planner.publisher is not None and proxy.number in planner.publisher.ledger.forwarders
+        known = planner.publisher is not None and proxy.number in planner.publisher.state.proxies
         if known and planner.running and proxy.number not in self.joined and self.is_healthy(proxy, planner.number):
             self.count_as_joined(proxy.number, planner.number)
 
@@ -300,32 +302,32 @@
             and not self.is_cut_off(proxy, planner)
         )
 
-    def file_used(self, proxy: Proxy, taken: Taken, remembered: bool) -> None:
-        """A reader uses a file: it has to be genuine, newer than the last, and its bookings new.
+    def file_used(self, proxy: Proxy, applied: FileApplied, remembered: bool) -> None:
+        """A reader uses a file: it has to be genuine, newer than the last, and its reservations new.
 
         Args:
             proxy: Whose reader it is.
-            taken: The file.
+            applied: The file.
             remembered: Whether the reader could keep that it used it; else it is not held to it after a restart.
         """
-        orders = taken.held.orders
-        key = proxy.number, target(orders)
+        update = applied.current.update
+        key = proxy.number, target_key(update)
         last = self.used.get(key)
-        if last is not None and orders.mark < last:
-            self.report(f"{key[1]}: number {orders.sequence} applied after {last[1]}", proxy.number)
+        if last is not None and update.version < last:
+            self.report(f"{key[1]}: number {update.sequence} applied after {last.sequence}", proxy.number)
         if remembered:
-            self.used[key] = max(orders.mark, last) if last is not None else orders.mark
-        if encode(orders, KEYS) not in self.published:
-            self.report(f"{taken.name}: used, and no planner wrote it", proxy.number)
-        if orders.until <= self.wall_clock_ms():
-            self.report(f"{taken.name}: used after its time", proxy.number)
-        for booking in taken.bookings:
-            self.booking_took_effect(proxy.number, booking.id)
-
-    def booking_took_effect(self, proxy: int, booking: str) -> None:
-        """A booking order has run at a proxy; it may only once."""
-        times = self.booking_effects.get((proxy, booking), 0) + 1
-        self.booking_effects[proxy, booking] = times
+            self.used[key] = max(update.version, last) if last is not None else update.version
+        if encode(update, KEYS) not in self.published:
+            self.report(f"{applied.name}: used, and no planner wrote it", proxy.number)
+        if update.expires_at <= self.wall_clock_ms():
+            self.report(f"{applied.name}: used after its time", proxy.number)
+        for reservation in applied.reservations:
+            self.reservation_took_effect(proxy.number, reservation.id)
+
+    def reservation_took_effect(self, proxy: int, reservation: str) -> None:
+        """A reservation has run at a proxy; it may only once."""
+        times = self.reservation_effects.get((proxy, reservation), 0) + 1
+        self.reservation_effects[proxy, reservation] = times
         if times > 1:
-            detail = f"booking order {booking} took effect {times} times"
+            detail = f"booking order {reservation} took effect {times} times"
             self.context.checker.break_rule(self.context.now_ms(), Rule.ONCE, detail, None, proxy)
--- a/stackwheel/trials/file_proxies.py
+++ b/stackwheel/trials/file_proxies.py
@@ -3,14 +3,18 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
-from stackwheel.files.accept import Content, target
+from stackwheel.files.acceptor import target_key
 from stackwheel.files.codec import KeyRing
-from stackwheel.files.precedence import Source, SourcePrecedence, Terms
-from stackwheel.files.reader import Place, Reader, Taken
-from stackwheel.files.records import Came, Met
+from stackwheel.files.content import TableContent
+from stackwheel.files.environment import FileEnvironment
+from stackwheel.files.errors import ReplaceError
+from stackwheel.files.precedence import PrecedenceSettings, Source, SourcePrecedence
+from stackwheel.files.reader import FileApplied, FileReader, ReaderConfig, StatusReport
+from stackwheel.files.records import ClassDemand, ServerObservation
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.disks import SimulatedDisk
 from stackwheel.trials.fleet import ServerFleet
@@ -31,7 +35,7 @@
     def answer_written(self, proxy: Proxy, path: str, data: bytes) -> None:
         """A proxy's file has got its final name."""
 
-    def file_used(self, proxy: Proxy, taken: Taken, remembered: bool) -> None:
+    def file_used(self, proxy: Proxy, applied: FileApplied, remembered: bool) -> None:
         """A reader uses a file."""
 
 
@@ -39,7 +43,7 @@
     """The source that a proxy goes by, and its content."""
 
     source: Source
-    content: Content
+    content: TableContent
 
 
 class FileProxy:
@@ -60,15 +64,13 @@
         self.proxy = proxy
         disk.on_renamed = lambda path, data: observer.answer_written(proxy, path, data)
         zone = context.zones[proxy.zone]
-        self.reader = Reader(
-            Place(zone, proxy.number, ("/zone", "/proxy"), "/answers", "/state"),
-            disk,
-            observer.wall_clock_ms,
+        self.reader = FileReader(
+            ReaderConfig(zone, proxy.number, ("/zone", "/proxy"), "/answers", "/state"),
+            FileEnvironment(disk, observer.wall_clock_ms, run_on_disk),
             lambda: KEYS,
-            run_on_disk,
             int(context.loop.now * 1000) & 0xFFFF,
         )
-        self.precedence = SourcePrecedence(Terms(keep=KEEP_MS))
+        self.precedence = SourcePrecedence(PrecedenceSettings(expired_grace=KEEP_MS))
         self.applied_choice: AppliedChoice | None = None
         self.reported_at = context.loop.now
 
@@ -77,20 +79,25 @@
         loop = self.context.loop
         await self.reader.start()
         while True:
-            for event in await self.reader.look():
-                if isinstance(event, Taken):
-                    self.observer.file_used(self.proxy, event, self.reader.kept)
-                    self.precedence.file(target(event.held.orders), event.held, self.observer.wall_clock_ms())
+            for event in await self.reader.poll():
+                if isinstance(event, FileApplied):
+                    self.observer.file_used(self.proxy, event, self.reader.memory_saved)
+                    self.apply_file(event)
             self.apply_choice()
             if loop.now - self.reported_at >= self.context.shape.report_interval / 1000.0:
                 await self.write_answer()
             await asyncio.sleep(POLL_INTERVAL_S)
 
+    def apply_file(self, applied: FileApplied) -> None:
+        """A file is in force: it may prevail over the other sources."""
+        current = applied.current
+        self.precedence.file_applied(target_key(current.update), current, self.observer.wall_clock_ms())
+
     def apply_choice(self) -> None:
         """Set the tables by the sources that prevail; with nothing received yet, the standing ones stay."""
-        choice = self.precedence.choose(self.observer.wall_clock_ms())
+        choice = self.precedence.select(self.observer.wall_clock_ms())
         applied = AppliedChoice(choice.source, choice.content)
-        if choice.source is Source.NOTHING or self.applied_choice == applied:
+        if choice.source is Source.NONE or self.applied_choice == applied:
             return
         self.applied_choice = applied
         self.apply_content(choice.content)
@@ -98,7 +105,7 @@
         self.context.checker.note(self.context.now_ms(), f"goes by {choice.source.value}", f"proxy-{self.proxy.number}")
         self.proxy.report_served_classes()
 
-    def apply_content(self, content: Content) -> None:
+    def apply_content(self, content: TableContent) -> None:
         """Set tables, levels and ejected servers."""
         state = self.proxy.state
         for class_name, table in state.routes.items():
@@ -106,8 +113,8 @@
                 continue
             table.lines = dict(content.tables[class_name])
             level = content.levels.get(class_name)
-            table.level = (level.admit, level.policy) if level is not None else None
-        state.ejected = dict.fromkeys(content.withdrawn)
+            table.level = (level.admitted, level.retry) if level is not None else None
+        state.ejected = dict.fromkeys(content.ejected)
         for table in state.routes.values():
             state.refresh(table)
 
@@ -117,12 +124,18 @@
         window_ms = (now - self.reported_at) * 1000.0
         self.reported_at = now
         forwarder = self.proxy.forwarder
-        demand = [Came(one.class_name, one.requests, one.unserved) for one in forwarder.take_demand()]
-        met = [self.met(name, statistics) for name, statistics in forwarder.take_statistics().items()]
-        await self.reader.answer(self.proxy.rate(), window_ms, demand, met, self.proxy.is_new)
-
-    def met(self, name: str, statistics: ServerStatistics) -> Met:
-        """What one server did, as answers state it."""
+        demand = [
+            ClassDemand(counted.class_name, counted.requests, counted.unserved) for counted in forwarder.take_demand()
+        ]
+        observations = [self.observation(name, statistics) for name, statistics in forwarder.take_statistics().items()]
+        report = StatusReport(self.proxy.rate(), window_ms, demand, observations, self.proxy.is_new)
+        with contextlib.suppress(ReplaceError):  # a disk that is full or missing: the next report says it all
+            await self.reader.write_status(report)
+
+    def observation(self, name: str, statistics: ServerStatistics) -> ServerObservation:
+        """What one server did, as status reports state it."""
         in_flight = self.fleet.in_flight(name)
         columns = {} if in_flight is None else {"outstanding": float(in_flight)}
-        return Met(name, int(statistics.attempts), int(statistics.failures), statistics.mean_ms(), columns)
+        return ServerObservation(
+            name, int(statistics.attempts), int(statistics.failures), statistics.mean_ms(), columns
+        )
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -222,7 +222,7 @@
         yield BoundedSize("unidentified not attended", sum(peer not in connections for peer in table.unidentified), 0)
         yield BoundedSize("connections", len(connections) + table.arriving, CONNECTION_LIMIT)
         yield BoundedSize("tasks", len(transport.supervisor.tasks), 8 + 2 * len(connections) + 4 * shape.servers)
-        yield BoundedSize("calls for the list", len(transport.discovery.fetching), MAX_LIST_CALLS)
+        yield BoundedSize("calls for the list", len(transport.discovery.fetch_tasks), MAX_LIST_CALLS)
         yield BoundedSize("gone servers", len(endpoints.removed), 64 + 3 * len(endpoints.entries) + 8)
         yield BoundedSize("names", len(endpoints.server_ids.names), len(endpoints.entries) + len(endpoints.removed) + 8)
         yield BoundedSize("mailbox", len(planner.mailbox), MAX_MAILBOX)
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -15,7 +15,8 @@
 from stackwheel.cells.plan import FORMAT_VERSION, Cell, Limits, Plan, Relay
 from stackwheel.interface import Availability
 from stackwheel.rules.violations import Rule
-from stackwheel.service.relay import RelayConfig, RelayEnvironment, RelayService, Serving, serving_of
+from stackwheel.service.relay import RelayEnvironment, RelayService
+from stackwheel.service.relay_config import RelayAssignment, RelayConfig, assignment_for_relay
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.discovery import Discovery, DiscoveryCall
 from stackwheel.trials.discovery_records import ServerRecord
@@ -27,8 +28,8 @@
 from stackwheel.trials.shape import zone_of
 from stackwheel.trials.transport import Transport
 from stackwheel.wire import timing
+from stackwheel.wire.endpoint_watch import HEARTBEAT_CHUNK
 from stackwheel.wire.http import split_address
-from stackwheel.wire.listing_watch import EMPTY_LINE
 
 PLANNERS_CELL = "s"  # all servers `s-0` and so on
 OTHER_CELL = "t"  # shares relays and registry with it, and nothing else
@@ -78,19 +79,19 @@
         self.machine = context.successor(self.machine, self.host)
         self.incarnation += 1
         config = RelayConfig(self.machine.name, "{}:{}".format(*self.discovery.address), Path("plan"))
-        environment = RelayEnvironment(self.listen_at, self.load_plan, lambda: None)
+        environment = RelayEnvironment(self.open_listener, self.load_assignment, lambda: None)
         with context.loop.running_as(self.machine):
-            serving = self.load_plan(config.name, config.plan)
-            self.service = RelayService(config, serving, CONNECTION_LIMIT, environment)
+            assignment = self.load_assignment(config.name, config.plan)
+            self.service = RelayService(config, assignment, CONNECTION_LIMIT, environment)
         context.loop.start_process(self.machine, self.service.run()).add_done_callback(self.process_ended)
 
-    def listen_at(self, address: str) -> socket.socket:
+    def open_listener(self, address: str) -> socket.socket:
         """Listen on the simulated network."""
         return cast(socket.socket, self.context.network.listen(self.machine, split_address(address)))
 
-    def load_plan(self, name: str, path: Path) -> Serving:
+    def load_assignment(self, name: str, path: Path) -> RelayAssignment:
         """What the relay serves by the plan as it is now."""
-        return serving_of(name, self.plan(), str(path))
+        return assignment_for_relay(name, self.plan(), str(path))
 
     def process_ended(self, task: asyncio.Task[Any]) -> None:
         """The service has ended by itself, which it never should."""
@@ -282,7 +283,7 @@
     def bytes_written(self, end: Transport, data: bytes) -> None:
         """A relay vouches for its list by answering a call, or by an empty line."""
         relay = self.hosts_by_name.get(end.machine.name)
-        if relay is None or not (data.startswith(b"HTTP/1.1 200") or EMPTY_LINE in data):
+        if relay is None or not (data.startswith(b"HTTP/1.1 200") or HEARTBEAT_CHUNK in data):
             return
         silence = self.context.loop.now - relay.registry_received_at
         if silence > MAX_VOUCHING_S:
@@ -307,7 +308,7 @@
         self.checks.compare_planners(self.cell_records())
         for host in self.hosts:
             if host.service is not None:
-                known = host.service.cache.known.values()
+                known = host.service.cache.instances.values()
                 self.checks.compare_relay(str(host.machine), known)
 
 
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -21,8 +21,8 @@
 from stackwheel.wire.connection import Connection, ConnectionContext
 from stackwheel.wire.connection_limits import BufferBudget, RateLimiter
 from stackwheel.wire.connection_table import ConnectionTable
-from stackwheel.wire.datagrams import Datagrams
-from stackwheel.wire.discovery_client import DiscoveryClient, Move
+from stackwheel.wire.datagrams import GossipProtocol
+from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient
 from stackwheel.wire.health_check_runner import HealthCheckRunner
 from stackwheel.wire.http import socket_closed, split_address
 from stackwheel.wire.line_codec import Encoder
@@ -100,7 +100,7 @@
             settings.list_poll_deadline,
             timing.watch_renewal_interval(settings.planner_count),
         )
-        self.datagrams = Datagrams(addresses.peers, addresses.peers_all, settings.planner_index, self._post_item)
+        self.datagrams = GossipProtocol(addresses.peers, addresses.peers_all, settings.planner_index, self._post_item)
         self.supervisor = TaskSupervisor()
         self.connection_table = ConnectionTable(addresses.sockets)
         self.health_checks = HealthCheckRunner(names, clock, self.connection_table, self.supervisor, self._post_item)
@@ -137,8 +137,8 @@
         self.addresses = addresses
         self.connection_table.max_descriptors = addresses.sockets
         self.buffer_budget.max_bytes = timing.buffer_limit_bytes(addresses.memory_mb)
-        self.datagrams.readdress(addresses.peers, addresses.peers_all)
-        self.discovery.mailbox.put_nowait(Move(addresses.discovery))
+        self.datagrams.update_peers(addresses.peers, addresses.peers_all)
+        self.discovery.send(ChangeAddress(addresses.discovery))
 
     async def listen(self, listener: socket.socket) -> None:
         """Accept all pending connections in one go, so that proxies that come together join in one batch.
@@ -204,11 +204,11 @@
 
     def watch_endpoints(self, on: bool) -> None:
         """Open a watch of the endpoint list, or end it."""
-        self.discovery.mailbox.put_nowait("watch" if on else "stop")
+        self.discovery.send(Command.WATCH if on else Command.STOP)
 
     def fetch_endpoints(self) -> None:
         """Fetch the complete endpoint list once."""
-        self.discovery.mailbox.put_nowait("fetch")
+        self.discovery.send(Command.FETCH)
 
     def start_health_check(self, server: Server, target: HealthCheckTarget) -> None:
         """Check a server; dropped where no descriptor is free."""
--- a/tests/trials/test_relay_scenarios.py
+++ b/tests/trials/test_relay_scenarios.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from stackwheel.relay.messages import Unavailable
+from stackwheel.relay.messages import UnavailableError
 from stackwheel.trials.defects.planting import Defect, planted
 from stackwheel.trials.defects.relay import RELAY_DEFECTS
 from stackwheel.trials.defects.search import rules_showing
@@ -20,7 +20,7 @@
 from stackwheel.trials.simulation import run_script, run_world
 from stackwheel.trials.world import World
 from stackwheel.wire.backoff import Backoff
-from stackwheel.wire.listing_watch import ListingWatch
+from stackwheel.wire.endpoint_watch import EndpointWatch
 
 SCRIPTS = Path(__file__).parent / "scripts"
 BOTH_RELAYS_BACK_AT = 14.0  # s, of the script `relays-lost-and-back`: they are lost for 8 s
@@ -66,19 +66,20 @@
 
     def watch_relays() -> None:
         for relay in world.relays.hosts if world.relays is not None else ():
-            if relay.service is not None and not hasattr(relay.service.cache.ask, "watched"):
-                relay.service.cache.ask = watched(relay.service.cache.ask)  # type: ignore[method-assign]
+            if relay.service is not None and not hasattr(relay.service.cache.answer, "watched"):
+                relay.service.cache.answer = watched(relay.service.cache.answer)  # type: ignore[method-assign]
         world.context.later(0.05, watch_relays)
 
     def watched(original: Any) -> Any:
-        def ask(*args: Any) -> Any:
-            answer = original(*args)
-            if isinstance(answer, Unavailable):
-                reasons.append(answer.reason)
-            return answer
+        def answer(*args: Any) -> Any:
+            try:
+                return original(*args)
+            except UnavailableError as error:
+                reasons.append(str(error))
+                raise
 
-        ask.watched = True  # type: ignore[attr-defined]
-        return ask
+        answer.watched = True  # type: ignore[attr-defined]
+        return answer
 
     world.context.later(0.01, watch_relays)
     assert verdicts(world) == []
@@ -89,20 +90,20 @@
     lines: list[str] = []
     world = World(stored_script("relay-cut-off-and-healed"), trace=lines.append)
     assert verdicts(world) == []
-    assert any("relay-1: watch ended: the registry is lost" in line for line in lines)
-    assert not any("relay-0: watch ended: the registry is lost" in line for line in lines)
+    assert any("relay-1: watch ended: reason=upstream lost" in line for line in lines)
+    assert not any("relay-0: watch ended: reason=upstream lost" in line for line in lines)
 
 
-def test_slow_reader_is_sent_the_complete_part(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_reader_is_sent_a_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
     pending_bytes: list[int] = []
-    original = ListingWatch.owe_whole
+    original = EndpointWatch.request_snapshot
 
-    def owe_whole(self: ListingWatch) -> None:
+    def request_snapshot(self: EndpointWatch) -> None:
         if self.writing:
             pending_bytes.append(self.pending_bytes)
         original(self)
 
-    monkeypatch.setattr(ListingWatch, "owe_whole", owe_whole)
+    monkeypatch.setattr(EndpointWatch, "request_snapshot", request_snapshot)
     assert verdicts(World(stored_script("slow-planner-reader"))) == []
     assert pending_bytes
     assert min(pending_bytes) > 32 << 10
@@ -163,7 +164,7 @@
 
 
 def test_callers_without_backoff_are_a_herd(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Backoff, "next", lambda _self: 50.0)
+    monkeypatch.setattr(Backoff, "next_delay_ms", lambda _self: 50.0)
     script = stored_script("relays-lost-and-back", planners=PLANNERS, endpoint_list_on_request=False)
     world = CallCountingWorld(script)
     run_world(world)
