--- a/stackwheel/trials/channel.py
+++ b/stackwheel/trials/channel.py
@@ -11,7 +11,7 @@
 from stackwheel.trials.loop import Machine
 
 TRANSIT_SPREAD = (0.6, 1.4)  # of the mean, for a message that has left the channel
-BURST_S = 2.0  # after a cut or a stalled reader within which what was held back comes in
+BURST_S = 2.0  # after a cut or a stalled reader within which what was blocked arrives
 
 
 class UpdateReceiver(Protocol):
@@ -85,7 +85,7 @@
 
     Attributes:
         burst_until: By planner: until when the length of its queue is not its doing, in s, because what the network
-            or a process that did not read held back enters the channel at once.
+            or a process that did not read delayed enters the channel at once.
     """
 
     def __init__(self, context: SimulationContext) -> None:
@@ -98,7 +98,7 @@
         self.channels[planner] = Channel()
 
     def allow_burst(self, planner: int) -> None:
-        """What was held back is about to come in."""
+        """What was blocked or unread is about to arrive at once."""
         self.burst_until[planner] = self.context.loop.now + BURST_S
 
     def last_arrival(self, planner: int, proxy: int) -> float:
--- a/stackwheel/trials/collectors.py
+++ b/stackwheel/trials/collectors.py
@@ -59,7 +59,7 @@
         loop.schedule_at(loop.now + REDIAL_BASE_S + self.context.random.random(), self.machine, self.dial)
 
     def send_load_reports(self) -> None:
-        """Once an interval report the sums of what the planner's proxies here met, at most so many lines."""
+        """Report, once an interval, what the planner's proxies of this zone saw of servers, at most so many lines."""
         interval_ms = self.context.shape.report_interval
         self.pending_lines.extend(
             self.report_line(name, statistics, interval_ms) for name, statistics in self.take_sums().items()
--- a/stackwheel/trials/discovery.py
+++ b/stackwheel/trials/discovery.py
@@ -119,7 +119,7 @@
         free_at: When the call that is handled now is done, in s.
         fault: `refuse`, `503`, `silence`, `late`, or empty.
         fault_delay: By how much changes are late, in s.
-        ordered_delays: What is sent late holds up what is sent after it.
+        ordered_delays: What is sent late delays what is sent after it.
         delayed_until: When the last change that was sent late has been sent, in s.
         watch_delays: By machine: changes are sent to it so late, in s; empty lines come in time.
         unreadable: Servers whose entries nobody can read.
@@ -196,7 +196,7 @@
         else:
             self.listen()
 
-    # What the list says.
+    # The endpoint list and its changes.
 
     def change(self, records: Sequence[ServerRecord]) -> None:
         """Change the list; watches are notified, late if that is the fault."""
@@ -228,7 +228,7 @@
 
     @staticmethod
     def send_delayed(call: DiscoveryCall, records: tuple[ServerRecord, ...], generation: int) -> None:
-        """Send a change that was held back, if the watch is still open."""
+        """Send a delayed change, if the watch is still open."""
         if call.watching:
             call.send_update(records, False, generation)
 
--- a/stackwheel/trials/drawing.py
+++ b/stackwheel/trials/drawing.py
@@ -31,7 +31,7 @@
         return round(self.random.uniform(low, high), 2)
 
     def chance(self, probability: float) -> bool:
-        """Draw whether something holds."""
+        """Draw a boolean that is true with a probability."""
         return self.random.random() < probability
 
     def zone(self) -> str:
@@ -39,7 +39,7 @@
         return f"zone-{self.random.randrange(self.shape.zones)}"
 
     def some_machines(self, kind: str, count: int, share: float) -> NameList:
-        """Draw between one and a share of the machines of a kind; at times a whole zone."""
+        """Draw between one and a share of the machines of a kind; at times a complete zone."""
         if kind != "planner" and self.chance(ZONE_DRAW_SHARE):
             return (self.zone(),)
         size = self.random.randint(1, max(1, round(share * count)))
--- a/stackwheel/trials/faults.py
+++ b/stackwheel/trials/faults.py
@@ -128,7 +128,7 @@
 
 
 class LoseZone(BaseFault, frozen=True, tag="lose_zone", rename={"restart_after": "back"}):
-    """All servers of a zone crash and start cold; with them its proxies or planners, if so asked."""
+    """All servers of a zone crash and start cold; with them its proxies or planners, if the flags are set."""
 
     zone: Count
     restart_after: Time = 6.0
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -16,10 +16,10 @@
 from stackwheel.files.codec import encode
 from stackwheel.files.environment import FileEnvironment
 from stackwheel.files.file_builder import PublisherSettings
+from stackwheel.files.outcomes import FileApplied
 from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
-from stackwheel.files.reader import FileApplied
 from stackwheel.files.records import FileVersion, Reservation
 from stackwheel.rules.violations import Rule
 from stackwheel.service.ports import PlannerContext
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class PushFault:
-    """What holds between planners' folders and proxies' for now.
+    """The present condition of pushes between planners' folders and proxies'.
 
     Attributes:
         max_delay: Seconds, drawn up to it: so files overtake each other.
@@ -271,7 +271,7 @@
     # Proxies.
 
     def start_proxy(self, proxy: Proxy) -> None:
-        """Start the file reader of a proxy's new process: it reads what lies there."""
+        """Start the file reader of a proxy's new process: it reads the files that are there."""
         self.joined.pop(proxy.number, None)
         disk = self.disks[proxy.machine.name]
         file_proxy = FileProxy(self.context, self.fleet, self, proxy, disk, self.disk_runner(disk))
@@ -308,7 +308,7 @@
         Args:
             proxy: Whose reader it is.
             applied: The file.
-            remembered: Whether the reader could keep that it used it; else it is not held to it after a restart.
+            remembered: Whether the reader could store that; if not, it may use an older file after a restart.
         """
         update = applied.current.update
         key = proxy.number, target_key(update)
--- a/stackwheel/trials/file_proxies.py
+++ b/stackwheel/trials/file_proxies.py
@@ -12,8 +12,9 @@
 from stackwheel.files.content import TableContent
 from stackwheel.files.environment import FileEnvironment
 from stackwheel.files.errors import ReplaceError
+from stackwheel.files.outcomes import FileApplied
 from stackwheel.files.precedence import PrecedenceSettings, Source, SourcePrecedence
-from stackwheel.files.reader import FileApplied, FileReader, ReaderConfig, StatusReport
+from stackwheel.files.reader import FileReader, ReaderConfig, StatusReport
 from stackwheel.files.records import ClassDemand, ServerObservation
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.disks import SimulatedDisk
@@ -27,7 +28,7 @@
 
 
 class FileObserver(Protocol):
-    """What a proxy's file reader tells the rest of a simulation."""
+    """What a proxy's file reader notifies the rest of a simulation of."""
 
     def wall_clock_ms(self) -> float:
         """Unix time in ms."""
@@ -129,7 +130,7 @@
         ]
         observations = [self.observation(name, statistics) for name, statistics in forwarder.take_statistics().items()]
         report = StatusReport(self.proxy.rate(), window_ms, demand, observations, self.proxy.is_new)
-        with contextlib.suppress(ReplaceError):  # a disk that is full or missing: the next report says it all
+        with contextlib.suppress(ReplaceError):  # a disk that is full or missing: the next report makes up for it
             await self.reader.write_status(report)
 
     def observation(self, name: str, statistics: ServerStatistics) -> ServerObservation:
--- a/stackwheel/trials/load_faults.py
+++ b/stackwheel/trials/load_faults.py
@@ -21,7 +21,7 @@
 
 
 def disturb_reports(fault: faults.Reports, world: World) -> None:
-    """Let reports be late or malformed, and reset the collectors' connections if so asked."""
+    """Let reports be late or malformed, and reset the collectors' connections if the flag is set."""
     world.reports.delay = fault.delay
     world.reports.malformed_share = fault.malformed
     world.context.later(fault.span, setattr, world.reports, "delay", 0.0)
--- a/stackwheel/trials/loop.py
+++ b/stackwheel/trials/loop.py
@@ -24,7 +24,7 @@
 
 
 def do_nothing(*_: object) -> None:
-    """Stands in for a callback that nobody has asked for."""
+    """The default of optional callbacks."""
 
 
 class LoopNetwork(Protocol):
@@ -118,7 +118,7 @@
         self.network: LoopNetwork | None = None
         self.after_callback: Callable[[float], None] = do_nothing
 
-    # What the simulation uses.
+    # For the simulation.
 
     def schedule_at(self, when: float, machine: Machine | None, callback: Callback, *args: object) -> Handle:
         """Run a callback of a machine at a time, outside of any task."""
@@ -203,7 +203,7 @@
             handler = machine.signal_handlers[signal_number]
             self.schedule_at(self.now, machine, handler.callback, *handler.args)
 
-    # What asyncio asks of a loop.
+    # The part of asyncio.AbstractEventLoop that the service uses.
 
     def time(self) -> float:
         """The virtual time in s."""
--- a/stackwheel/trials/monitor.py
+++ b/stackwheel/trials/monitor.py
@@ -63,7 +63,7 @@
             self.context.checker.wrote(planner, receiver.proxy.number, self.context.now_ms())
 
     def planner_received(self, planner: PlannerHost, stream: PlannerStream, data: bytes) -> None:
-        """A planner has taken bytes of a proxy: the proxy counts as joined; an acknowledgement asks for a look."""
+        """A planner has taken bytes of a proxy: the proxy counts as joined; at an acknowledgement both are compared."""
         proxy = stream.proxy
         if not stream.counts_as_joined and self.may_count_as_joined(planner, stream):
             stream.counts_as_joined = True
--- a/stackwheel/trials/network.py
+++ b/stackwheel/trials/network.py
@@ -1,6 +1,6 @@
 """A network between machines: connections, datagrams, and what goes wrong with them.
 
-A connection's bytes arrive in order, late, in pieces or run together, are held while the path is cut, and wait
+A connection's bytes arrive in order, late, in pieces or run together, are blocked while the path is cut, and wait
 where the reader does not read. All random numbers come from the generator handed in.
 """
 
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Conditions:
-    """What holds on the network for now; a script changes it."""
+    """The present conditions on the network; a script changes them."""
 
     latency_factor: float = 1.0
     fragmented: float = 0.0  # share of writes that arrive in pieces
@@ -77,7 +77,7 @@
     Attributes:
         machines: By host: which incarnation has the address now, or had it last.
         cuts: From one machine's name to another's: how many cuts lie there.
-        vanished: Machines that are gone without a sign.
+        vanished: Machines that ended without resetting their connections.
         on_received: Called with an end and the bytes that its protocol takes.
         on_written: Called with an end and the bytes that were written at it.
     """
--- a/stackwheel/trials/network_faults.py
+++ b/stackwheel/trials/network_faults.py
@@ -34,7 +34,7 @@
 
 
 def heal(world: World, paths: list[tuple[str, str]]) -> None:
-    """Remove cuts; what they held back enters the channels at once."""
+    """Remove cuts; what they blocked enters the channels at once."""
     for source, target in paths:
         world.network.heal(source, target)
     touched = {name for path in paths for name in path}
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -29,7 +29,7 @@
     """What a planner's machine needs of the rest of a simulation."""
 
     def discovery_addresses(self, planner: int) -> str:
-        """Where a planner is told to call for the endpoint list."""
+        """Where a planner is configured to call for the endpoint list."""
 
     def known_list(self) -> dict[str, object]:
         """The endpoint list as it is now, as a document."""
@@ -199,7 +199,7 @@
         return stream.connection.unsent_bytes if stream is not None and isinstance(stream.connection, Connection) else 0
 
     def bounded_sizes(self) -> Iterator[BoundedSize]:
-        """What it keeps for others; the names are told in verdicts."""
+        """What it keeps for others; the names appear in verdicts."""
         assert self.service is not None
         shape = self.context.shape
         transport = self.service.transport
--- a/stackwheel/trials/process_faults.py
+++ b/stackwheel/trials/process_faults.py
@@ -36,7 +36,7 @@
 
 
 def stall(fault: faults.Stall, world: World) -> None:
-    """Stall processes, as often as the fault says."""
+    """Stall processes, as often as the fault demands."""
     period = max(fault.period, fault.span + STALL_PAUSE_S)
     for repetition in range(fault.repetitions):
         world.context.later(repetition * period, stall_once, world, fault)
@@ -99,7 +99,7 @@
 
 
 def lose_zone(fault: faults.LoseZone, world: World) -> None:
-    """Crash all servers of a zone, and its proxies and planners if so asked."""
+    """Crash all servers of a zone, and its proxies and planners if the flags are set."""
     zone = (f"zone-{fault.zone}",)
     for server in servers_of(world, zone):
         world.fleet.crash(server, fault.restart_after)
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -214,7 +214,7 @@
         self.schedule(noticed_after, self.notice_dead_stream, stream)
 
     def planner_vanished(self, planner: int) -> None:
-        """The planner's machine is gone without a sign: after a while the proxy notices."""
+        """The planner's machine vanished without resets: after a while the proxy notices."""
         if self.stream is not None and self.stream.planner == planner:
             self.schedule(self.random.uniform(*NOTICE_SILENCE_S), self.notice_dead_stream, self.stream)
 
@@ -231,7 +231,7 @@
             self.redial()
 
     def notice_cut(self, stream: PlannerStream) -> None:
-        """Find the stream dead where nothing is heard; who still hears its planner notices nothing."""
+        """Find the stream dead where nothing arrives; a proxy that still hears its planner notices nothing."""
         planner_machine = self.parts.planner_machine(stream.planner)
         network = self.context.network
         hears_nothing = network.is_cut(planner_machine, self.machine)
--- a/stackwheel/trials/relay_checks.py
+++ b/stackwheel/trials/relay_checks.py
@@ -19,7 +19,7 @@
 from stackwheel.trials.transport import Transport
 
 LIFECYCLE_ORDER = {Availability.READY: 0, Availability.DRAINING: 1, Availability.REMOVED: 2}
-CACHED_WITHIN_S = 1.0  # from being notified until a planner holds it: several of its batches
+CACHED_WITHIN_S = 1.0  # from being notified until a planner has applied it: several of its batches
 DOCUMENT_START = b'{"generation"'
 MAX_STREAM_STATES = 256  # before those of closed connections are forgotten
 ENTRY_WEIGHT = 1.0  # of every server
@@ -87,7 +87,7 @@
 
 
 class RelayChecks:
-    """Feeds the checker with what relays told planners, and reports what may not be told at all.
+    """Feeds the checker with what relays sent planners, and reports what relays may not send.
 
     Attributes:
         unnotified: By planner: changes that it may not have been notified of.
@@ -165,7 +165,7 @@
                 self.notify(planner, record)
 
     def notify(self, planner: int, record: ServerRecord) -> None:
-        """A planner is notified of what the registry says; older news than it has of a server obliges to nothing."""
+        """A planner is notified of a statement of the registry; an older one than it has obliges it to nothing."""
         positions = self.last_notified.setdefault(planner, {})
         records = self.history[record.name]
         position = next(at for at in reversed(range(len(records))) if records[at] is record)
--- a/stackwheel/trials/simulation.py
+++ b/stackwheel/trials/simulation.py
@@ -15,7 +15,7 @@
 from stackwheel.trials.script import Script
 from stackwheel.trials.world import World
 
-MAX_UNCAUGHT_ERRORS = 3  # told of one run
+MAX_UNCAUGHT_ERRORS = 3  # of one run that become verdicts
 
 
 @dataclass(slots=True)
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -176,7 +176,7 @@
     # What planners' machines need (`PlannerEnvironment`).
 
     def discovery_addresses(self, planner: int) -> str:
-        """Where a planner is told to call for the endpoint list."""
+        """Where a planner is configured to call for the endpoint list."""
         if self.relays is not None:
             return self.relays.addresses_of(planner)
         return "{}:{}".format(*self.discovery.address)
