--- a/stackwheel/cli/trial_output.py
+++ b/stackwheel/cli/trial_output.py
@@ -12,7 +12,7 @@
 from stackwheel.trials.defects.search import SearchResult
 from stackwheel.trials.measure import Row
 from stackwheel.trials.runner import Summary, by_rule
-from stackwheel.trials.world import Result
+from stackwheel.trials.simulation import Result
 
 MAX_BROKEN_SEEDS = 20  # shown one by one
 MAX_VIOLATIONS = 2  # shown of one seed
@@ -46,8 +46,8 @@
     table = Table("seed", "at", "rule", "who and what")
     for result in summary.broken[:MAX_BROKEN_SEEDS]:
         seed = str(result.seed)
-        if result.fault:
-            table.add_row(seed, "", "the trial itself failed", result.fault.strip().splitlines()[-1])
+        if result.error:
+            table.add_row(seed, "", "the trial itself failed", result.error.strip().splitlines()[-1])
         for violation in result.verdicts[:MAX_VIOLATIONS]:
             table.add_row(seed, f"{violation.at / 1000.0:.2f}", violation.rule.value, str(violation))
     return table
@@ -55,11 +55,11 @@
 
 def summary_line(summary: Summary, jobs: int, stopped: bool) -> str:
     """Seeds, times and the digest of a run."""
-    seeds_per_s = summary.seeds / max(MIN_SECONDS, summary.seconds)
-    virtual_s_per_core_s = summary.virtual_seconds / max(MIN_SECONDS, summary.cpu)
+    seeds_per_s = summary.seeds / max(MIN_SECONDS, summary.wall_seconds)
+    virtual_s_per_core_s = summary.virtual_seconds / max(MIN_SECONDS, summary.cpu_seconds)
     return (
         f"{'stopped after ' if stopped else ''}{summary.seeds} seeds, {len(summary.broken)} broken; "
-        f"{summary.virtual_seconds:.0f} virtual s in {summary.seconds:.1f} s on {jobs} processes: "
+        f"{summary.virtual_seconds:.0f} virtual s in {summary.wall_seconds:.1f} s on {jobs} processes: "
         f"{seeds_per_s:.1f} seeds/s, {virtual_s_per_core_s:.0f} virtual s a core "
         f"second; mean service {summary.service:.3f}; digest {summary.hasher.hexdigest()}"
     )
@@ -88,7 +88,7 @@
     figures = ", ".join(f"{name.replace('_', ' ')} {value:g}" for name, value in result.figures.items())
     yield (
         f"{len(result.verdicts)} verdicts; {result.requests} requests, service {result.service:.3f}, "
-        f"{result.steps} steps; {figures}; digest {result.digest}"
+        f"{result.callbacks_run} steps; {figures}; digest {result.digest}"
     )
 
 
@@ -98,7 +98,7 @@
         "defect": defect.name,
         "where": defect.layer,
         "what": defect.description,
-        "seeds": result.seeds_tried,
+        "seeds": result.seeds_run,
         "seed": result.seed,
         "rule": None if result.rule is None else result.rule.value,
     }
@@ -107,14 +107,14 @@
 def defect_line(defect: Defect, result: SearchResult) -> str:
     """How a planted defect was found, in one line."""
     rule = "NOT FOUND" if result.rule is None else result.rule.value
-    return f"{defect.name:26} {defect.layer:16} {result.seeds_tried:>5} {result.seed:>6}  {rule}"
+    return f"{defect.name:26} {defect.layer:16} {result.seeds_run:>5} {result.seed:>6}  {rule}"
 
 
 def measurement_line(row: Row) -> str:
     """What a virtual second costs at one size."""
     return (
         f"{row.proxies:4} proxies {row.servers:4} servers {row.planners} planners: "
-        f"{row.cpu_a_second * 1000:8.1f} ms a virtual second, {row.steps_a_second:8.0f} steps, "
-        f"{row.requests_a_second:6.0f} requests, checks {row.checks_share:.1%}, "
+        f"{row.cpu_per_second * 1000:8.1f} ms a virtual second, {row.callbacks_per_second:8.0f} steps, "
+        f"{row.requests_per_second:6.0f} requests, checks {row.checks_share:.1%}, "
         f"{row.verdicts} verdicts, {row.memory_mb:.0f} MB"
     )
