--- a/stackwheel/trials/planner_config.py
+++ b/stackwheel/trials/planner_config.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stackwheel.interface import Settings
-from stackwheel.settings import build_settings, flatten
+from stackwheel.settings import load_settings
 from stackwheel.trials.shape import ScriptClass, Shape
 
 EPOCH_S = 1_800_000_000.0  # the wall clock at the start of every trial
@@ -97,7 +97,7 @@
 
 def simulated_settings(shape: Shape, zones: Sequence[str]) -> Settings:
     """The settings as the planners of a shape read them."""
-    return build_settings(dict(flatten(settings_document(shape, zones, 0))))
+    return load_settings(settings_document(shape, zones, 0)).settings
 
 
 def planner_document(
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -12,7 +12,7 @@
 from stackwheel.interface import AdmissionLevel
 from stackwheel.rules.invariants import BoundedCount
 from stackwheel.service.app import ProcessEnvironment, Service
-from stackwheel.service.config import Config, ConfigError, read_config
+from stackwheel.service.config import Config, read_config
 from stackwheel.service.ports import PlannerContext, ProxyTransport
 from stackwheel.state.streams import ProxyStream
 from stackwheel.trials.context import SimulationContext
@@ -99,12 +99,9 @@
             self.environment.known_list(),
         )
 
-    def load_config(self) -> Config | ConfigError:
+    def load_config(self) -> Config:
         """Read the configuration, as the service does at its start and at SIGHUP."""
-        try:
-            return read_config(self.document())
-        except (ValueError, KeyError, TypeError) as error:
-            return ConfigError(str(error))
+        return read_config(self.document())
 
     def start(self) -> None:
         """Start a process: it knows the list as it is now and nothing else."""
@@ -113,7 +110,6 @@
         self.incarnation += 1
         self.discovery = self.environment.discovery_addresses(self.number)
         config = self.load_config()
-        assert not isinstance(config, ConfigError), config.reason
         loop = context.loop
         environment = ProcessEnvironment(
             transports=self.make_transports,
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -13,7 +13,7 @@
 
 import pytest
 from fake_services import ROOT, Discovery, config, free_port
-from planner_process import MOST, PlannerProcess, full, run, send, started
+from planner_process import MAX_WAIT_S, PlannerProcess, run_async, send_signal, serves_exactly, started_planner
 from scripted_discovery import ScriptedDiscovery
 
 from stackwheel.cells.plan import Cell, Limits, Plan, Relay
@@ -24,7 +24,7 @@
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH
 from stackwheel.wire.http import Call, CallError, get
 
-MOST_MS = MOST * 1000.0
+MOST_MS = MAX_WAIT_S * 1000.0
 HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
 
 
@@ -54,7 +54,7 @@
 
     async def until_status(self, port: int, status: int) -> None:
         """Wait until a call for the list gets this status."""
-        async with asyncio.timeout(MOST):
+        async with asyncio.timeout(MAX_WAIT_S):
             while True:
                 try:
                     await get(self.address(port), INSTANCES_PATH, 1000.0, 1000.0)
@@ -68,16 +68,16 @@
 
     async def until_logged(self, text: str) -> None:
         assert self.process.stderr is not None
-        while text not in (line := (await asyncio.wait_for(self.process.stderr.readline(), MOST)).decode()):
+        while text not in (line := (await asyncio.wait_for(self.process.stderr.readline(), MAX_WAIT_S)).decode()):
             assert line, f"the log ended before {text!r}"
 
     async def log(self) -> str:
         assert self.process.stderr is not None
-        return (await asyncio.wait_for(self.process.stderr.read(), MOST)).decode()
+        return (await asyncio.wait_for(self.process.stderr.read(), MAX_WAIT_S)).decode()
 
     async def stop(self, number: int = signal.SIGTERM) -> int:
-        send(self.process, number)
-        return await asyncio.wait_for(self.process.wait(), MOST)
+        send_signal(self.process, number)
+        return await asyncio.wait_for(self.process.wait(), MAX_WAIT_S)
 
 
 @contextlib.asynccontextmanager
@@ -121,28 +121,28 @@
                 await relay.until_status(port, 200)
             settings = config(f"{first.address(port)},{second.address(port)}")
             command = (sys.executable, "-m", "stackwheel")
-            async with started(settings, tmp_path, discovery, command) as planner:
+            async with started_planner(settings, tmp_path, discovery, command) as planner:
                 await follow_through_restarts(planner, discovery, first, second, port)
 
-    run(scenario())
+    run_async(scenario())
 
 
 async def follow_through_restarts(
     planner: PlannerProcess, discovery: Discovery, first: RelayProcess, second: RelayProcess, port: int
 ) -> None:
-    proxy = await planner.join(0)
-    await proxy.until(full({"s-0", "s-1", "s-2", "s-3"}))  # of its cell alone
+    proxy = await planner.join_proxy(0)
+    await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))  # of its cell alone
     await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)  # a watch that lasted so long is resumed at once
     await first.stop(signal.SIGKILL)
     await discovery.update("s-0", lifecycle="terminating")
-    await proxy.until(full({"s-1", "s-2", "s-3"}))
+    await proxy.wait_until(serves_exactly({"s-1", "s-2", "s-3"}))
     await first.start()
     await first.until_status(port, 200)
     await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)
     await discovery.update("s-0", lifecycle="terminated")
     await second.stop(signal.SIGKILL)
     await discovery.update("s-1", lifecycle="terminated")
-    await proxy.until(full({"s-2", "s-3"}))
+    await proxy.wait_until(serves_exactly({"s-2", "s-3"}))
     code, log = await planner.stop()
     failures = [line for line in log.splitlines() if "discovery call failed" in line]
     assert code == 0, log
@@ -175,7 +175,7 @@
             assert await first.stop() == 0
             assert "Traceback" not in await first.log()
 
-    run(scenario())
+    run_async(scenario())
 
 
 def test_a_plan_is_reloaded_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
@@ -192,13 +192,13 @@
             assert isinstance(first_answer, bytes)
             assert b"s-1" in first_answer
             (tmp_path / "cells.json").write_bytes(encode_plan(cell_plan)[:200])
-            send(first.process, signal.SIGHUP)
+            send_signal(first.process, signal.SIGHUP)
             await first.until_logged("cell plan not reloaded, the one in force stays")
             await first.until_status(port, 200)
             other = free_port()
             moved = (Cell("t", "t", (), 0, 1, port), Cell("s", "s", (), 0, 1, other))
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, moved)))
-            send(first.process, signal.SIGHUP)
+            send_signal(first.process, signal.SIGHUP)
             await first.until_logged("cell plan reloaded: count=2")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
                 body = await get(first.address(served), INSTANCES_PATH, MOST_MS, MOST_MS)
@@ -207,13 +207,13 @@
                 assert body.count(b"instanceId") == (2 if served == other else 1)
             elsewhere = (Cell("u", "u", (), 0, 1, port),)
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, elsewhere)))
-            send(first.process, signal.SIGHUP)
+            send_signal(first.process, signal.SIGHUP)
             await read_to_end(watch)
             watch.close()
             assert await first.stop() == 0
             assert await second.stop() == 0
 
-    run(scenario())
+    run_async(scenario())
 
 
 def test_a_heartbeat_of_the_upstream_keeps_the_relay_available(tmp_path: Path) -> None:
@@ -233,7 +233,7 @@
             await asyncio.sleep(0)
         following.cancel()
 
-    run(asyncio.wait_for(scenario(), 15))
+    run_async(asyncio.wait_for(scenario(), 15))
 
 
 @pytest.mark.parametrize(
@@ -241,7 +241,7 @@
     [
         ("relay: on: false", "relay.on is false"),
         ('relay: {on: true, name: "other", upstream: "127.0.0.1:1"}', "none is named 'other'"),
-        ('relay: {on: true, name: "relay-0", upstream: "nowhere"}', "relay.upstream is no address"),
+        ('relay: {on: true, name: "relay-0", upstream: "nowhere"}', "relay.upstream: not host:port"),
         ('relay: {on: true, name: "relay-0", upstream: "127.0.0.1:1", plan: "none.json"}', "none.json"),
         ('relay: {on: true, name: "relay-0", upstream: "127.0.0.1:1", plan: "cut.json"}', "cut.json"),
         ("relay: {on: 7}", "bad.cue"),
@@ -256,7 +256,7 @@
     (tmp_path / "cut.json").write_bytes(encode_plan(cell_plan)[:200])
     (tmp_path / "bad.cue").write_text(record + "\n")
     command = [sys.executable, "-m", "stackwheel", "relay", "--operators", str(tmp_path / "bad.cue")]
-    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=MOST, check=False)
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=MAX_WAIT_S, check=False)
     assert completed.returncode == 2, completed.stderr
     assert expected in completed.stderr, completed.stderr
     assert len(completed.stderr.splitlines()) == 1, completed.stderr
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -95,7 +95,7 @@
         (simulator_frames.batch(1.0, 1, simulator_frames.timer_fired(1)), b"unknown instance 0"),
         (
             simulator_frames.batch(1.0, 1, simulator_frames.create_planner(settings="instances=many")),
-            b"instances is no number",
+            b"instances: not a number: 'many'",
         ),
     ],
 )
--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -207,5 +207,5 @@
     document_read = config("127.0.0.1:1,127.0.0.2:2")
     assert read_config(document_read).addresses.discovery == "127.0.0.1:1,127.0.0.2:2"
     for wrong in ("127.0.0.1:1,", ",127.0.0.1:1", "127.0.0.1:1,nowhere"):
-        with pytest.raises(ValueError, match="discovery is no address"):
+        with pytest.raises(ValueError, match="discovery: not host:port"):
             read_config(config(wrong))
