--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -29,6 +29,7 @@
 from stackwheel.scale.report import Report
 from stackwheel.scale.report import encode as encode_report
 from stackwheel.scale.slopes import read_result, write_result
+from stackwheel.trials import faults
 from stackwheel.trials import script as trial_script
 from stackwheel.trials.draw import draw
 
@@ -177,16 +178,21 @@
     script = trial_script.load(DATA / "script-every-fault.json")
     assert as_json(script) == json.loads(data)
     assert trial_script.encode(script) == data
-    assert {type(fault) for fault in script.faults} >= set(typing.get_args(trial_script.Fault))
+    assert {type(fault) for fault in script.faults} >= set(typing.get_args(faults.Fault))
     assert len(script.faults) == 27
     assert (script.seed, script.span, script.note) == (11, 30.5, "every kind of fault")
-    assert (script.shape.relays, script.shape.planners, script.shape.only_draining_binds) == (2, 2, True)
+    assert (script.shape.relays, script.shape.planners, script.shape.removal_is_advisory) == (2, 2, True)
     first = script.faults[0]
-    assert isinstance(first, trial_script.Kill)
-    assert (first.at, first.planners, first.back, first.sign) == (1.0, ("planner-0",), 2.0, False)
+    assert isinstance(first, faults.Kill)
+    assert (first.at, first.planners, first.restart_after, first.resets_connections) == (
+        1.0,
+        ("planner-0",),
+        2.0,
+        False,
+    )
     last = script.faults[-1]
-    assert isinstance(last, trial_script.Disks)
-    assert (last.at, last.who, last.span, last.how, last.slow) == (14.0, ("planners",), 2.0, "slow", 0.75)
+    assert isinstance(last, faults.Disks)
+    assert (last.at, last.machines, last.span, last.mode, last.delay) == (14.0, ("planners",), 2.0, "slow", 0.75)
 
 
 def test_scale_run_result() -> None:
