--- /dev/null
+++ b/stackwheel/trials/process_faults.py
@@ -0,0 +1,111 @@
+"""Faults of processes: killed, restarted or stalled planners, proxies and relays; lost zones."""
+
+from __future__ import annotations
+
+from stackwheel.trials import faults
+from stackwheel.trials.fault_targets import planners_of, proxies_of, relays_of, servers_of
+from stackwheel.trials.loop import Machine
+from stackwheel.trials.planners import PlannerHost
+from stackwheel.trials.proxies import Proxy
+from stackwheel.trials.world import World
+
+MIN_RESTART_S = 0.01  # from a process's end to the start of the next one
+STALL_ALLOWED_S = 1.0  # that a planner may stand still within its limits
+STALL_PAUSE_S = 0.1  # at least, between two stalls of one fault
+
+
+def kill(fault: faults.Kill, world: World) -> None:
+    """Kill planners and relays; they start again after a while."""
+    for planner in planners_of(world, fault.planners):
+        kill_planner(world, planner, fault.restart_after, fault.resets_connections)
+    for relay in relays_of(world, fault.planners):
+        if relay.running:
+            relay.kill(fault.resets_connections)
+            world.context.later(max(MIN_RESTART_S, fault.restart_after), relay.start)
+
+
+def kill_planner(world: World, planner: PlannerHost, restart_after: float, resets_connections: bool = True) -> None:
+    """Kill a planner that runs; without resets its proxies find that out by themselves."""
+    if not planner.machine.alive:
+        return
+    planner.kill(resets_connections)
+    if not resets_connections:
+        for proxy in world.proxies:
+            proxy.planner_vanished(planner.number)
+    world.context.later(max(MIN_RESTART_S, restart_after), planner.start)
+
+
+def stall(fault: faults.Stall, world: World) -> None:
+    """Stall processes, as often as the fault demands."""
+    period = max(fault.period, fault.span + STALL_PAUSE_S)
+    for repetition in range(fault.repetitions):
+        world.context.later(repetition * period, stall_once, world, fault)
+
+
+def stall_once(world: World, fault: faults.Stall) -> None:
+    """Stall planners, proxies and relays for the span of the fault."""
+    for planner in planners_of(world, fault.machines):
+        if planner.machine.alive and not planner.machine.stalled:
+            stall_planner(world, planner, fault.span)
+    for proxy in proxies_of(world, fault.machines):
+        if proxy.process.alive and not proxy.process.stalled:
+            stall_proxy(world, proxy, fault.span, fault.stops_reading)
+    for relay in relays_of(world, fault.machines):
+        if relay.running and not relay.machine.stalled:
+            stall_machine(world, relay.machine, fault.span)
+
+
+def stall_machine(world: World, machine: Machine, span: float) -> None:
+    """Stall a machine for a span (s)."""
+    world.loop.set_stalled(machine, True)
+    world.context.later(span, world.loop.set_stalled, machine, False)
+
+
+def stall_planner(world: World, planner: PlannerHost, span: float) -> None:
+    """Stall a planner; after a long stall its limits run from its waking."""
+    if span > STALL_ALLOWED_S:
+        world.checker.suspend_limits(planner.number, world.context.now_ms() + span * 1000.0)
+    stall_machine(world, planner.machine, span)
+
+
+def stall_proxy(world: World, proxy: Proxy, span: float, stops_reading: bool) -> None:
+    """Stall a proxy's process, and with `stops_reading` its kernel as well; it breaks no limit meanwhile."""
+    world.loop.set_stalled(proxy.process, True)
+    world.loop.set_stalled(proxy.machine, stops_reading)
+    world.checker.suspend_proxy_limits(proxy.number, world.context.now_ms() + span * 1000.0)
+    world.context.later(span, wake_proxy, world, proxy, proxy.machine, proxy.process)
+
+
+def wake_proxy(world: World, proxy: Proxy, machine: Machine, process: Machine) -> None:
+    """Wake a proxy; what it did not read enters the channel at once."""
+    if machine.stalled and proxy.stream is not None:
+        world.channels.allow_burst(proxy.stream.planner)
+    world.loop.set_stalled(machine, False)
+    world.loop.set_stalled(process, False)
+
+
+def restart(fault: faults.Restart, world: World) -> None:
+    """Restart proxies."""
+    for proxy in proxies_of(world, fault.proxies):
+        restart_proxy(world, proxy, fault.restart_after)
+
+
+def restart_proxy(world: World, proxy: Proxy, restart_after: float) -> None:
+    """End a proxy that runs; it starts again after a while."""
+    if not proxy.machine.alive:
+        return
+    proxy.stop()
+    world.context.later(max(MIN_RESTART_S, restart_after), proxy.start_new_incarnation)
+
+
+def lose_zone(fault: faults.LoseZone, world: World) -> None:
+    """Crash all servers of a zone, and its proxies and planners if the flags are set."""
+    zone = (f"zone-{fault.zone}",)
+    for server in servers_of(world, zone):
+        world.fleet.crash(server, fault.restart_after)
+    if fault.proxies:
+        for proxy in proxies_of(world, zone):
+            restart_proxy(world, proxy, fault.restart_after)
+    if fault.planners:
+        for planner in planners_of(world, zone):
+            kill_planner(world, planner, fault.restart_after)
