--- a/stackwheel/forwarder/state.py
+++ b/stackwheel/forwarder/state.py
@@ -6,16 +6,9 @@
 from bisect import bisect
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
-from typing import Literal, TypeAlias
 
 from stackwheel.forwarder.updates import MAX_VALUE_SHOWN, ConfigUpdate, ConfigUpdatePart, InvalidUpdateError
-from stackwheel.interface import AdmissionLevel, Retry
-
-LoadBalancingPolicy: TypeAlias = Literal["weighted", "round", "two"]
-"""At random by weight, round robin by weight, or the less loaded of two drawn by weight."""
-
-AdmissionMode: TypeAlias = Literal["share", "rate", "off"]
-"""What an admission level states: a share of requests, requests per second, or nothing."""
+from stackwheel.interface import AdmissionLevel, AdmissionMode, LoadBalancingPolicy, Retry
 
 
 @dataclass(slots=True)
--- a/stackwheel/interface.py
+++ b/stackwheel/interface.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import NamedTuple, NewType, TypeAlias
+from typing import Literal, NamedTuple, NewType, TypeAlias
 
 Server = NewType("Server", bytes)
 """An opaque id of a server: compare it, sort it, give it back unchanged."""
@@ -69,6 +69,19 @@
     """The connection was reset."""
 
 
+Idempotency: TypeAlias = Literal["repeatable", "by_key", "once"]
+"""Of a request class: idempotent, idempotent with a key, or not idempotent."""
+
+DeduplicationScope: TypeAlias = Literal["all", "zone", "cell"]
+"""Which servers drop a repeated key among themselves: all, those of a zone, or those of a cell."""
+
+AdmissionMode: TypeAlias = Literal["share", "rate", "off"]
+"""What an admission level states: a share of requests, requests per second and proxy, or nothing."""
+
+LoadBalancingPolicy: TypeAlias = Literal["weighted", "round", "two"]
+"""How a proxy chooses a server: at random by weight, round robin by weight, or the less loaded of two drawn so."""
+
+
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     """What a class of requests needs, and which servers may serve it.
@@ -78,8 +91,8 @@
         latency_objective: ms within which an answer has its full value.
         deadline: ms after which an answer has no value.
         priority_weight: value of one request; the lowest is shed first.
-        idempotency: "repeatable" (idempotent), "by_key" (idempotent with a key) or "once" (not idempotent).
-        deduplication_scope: the servers that drop a repeated key among themselves: "all", "zone" or "cell".
+        idempotency: whether an attempt may run twice.
+        deduplication_scope: the servers that drop a repeated key among themselves.
         idempotency_key_ttl: ms for which a server remembers a key.
         allowed_zones: zones whose servers may serve it; empty: every zone.
         allowed_kinds: kinds of server that may serve it; empty: every kind.
@@ -90,8 +103,8 @@
     latency_objective: float = 1000.0
     deadline: float = 3000.0
     priority_weight: float = 1.0
-    idempotency: str = "once"
-    deduplication_scope: str = "all"
+    idempotency: Idempotency = "once"
+    deduplication_scope: DeduplicationScope = "all"
     idempotency_key_ttl: float = 0.0
     allowed_zones: tuple[int, ...] = ()
     allowed_kinds: tuple[int, ...] = ()
@@ -121,12 +134,11 @@
 
         proxy_count: proxies of the deployment.
         report_interval: ms between two reports of a proxy, and the length of a slot.
-        load_balancing_policy: how proxies choose among weighted lines: "weighted" (at random), "round" (weighted
-            round robin) or "two" (the less loaded of two).
+        load_balancing_policy: how proxies choose among the lines of a table.
         default_retry: the retry mode where a table says nothing.
         retry_factor: time of one attempt as a multiple of the latency objective; the policy does not use it.
         consecutive_failure_limit: failures in a row after which a proxy avoids a server for a while; 0: never.
-        admission_mode: what an admission level states: "share" of requests, "rate" per second and proxy, or "off".
+        admission_mode: what an admission level states.
         key_range_count: slices of the key space that have a table each; 0: tables are assigned to proxies.
         exclusive_key_ranges: whether one planner at a time owns a slice.
 
@@ -166,11 +178,11 @@
     # The proxies.
     proxy_count: int = 1
     report_interval: float = 1000.0
-    load_balancing_policy: str = "weighted"
+    load_balancing_policy: LoadBalancingPolicy = "weighted"
     default_retry: Retry = Retry.ONCE_IF_NOT_EXECUTED
     retry_factor: float = 1.0
     consecutive_failure_limit: int = 0
-    admission_mode: str = "off"
+    admission_mode: AdmissionMode = "off"
     key_range_count: int = 0
     exclusive_key_ranges: bool = False
 
--- a/stackwheel/scale/choice_timing.py
+++ b/stackwheel/scale/choice_timing.py
@@ -6,8 +6,9 @@
 import time
 from random import Random
 
-from stackwheel.forwarder.state import ForwarderState, LoadBalancingPolicy, choose
+from stackwheel.forwarder.state import ForwarderState, choose
 from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdatePart
+from stackwheel.interface import LoadBalancingPolicy
 from stackwheel.scale.slopes import Choice
 
 ROUTE = "read"
--- a/stackwheel/settings.py
+++ b/stackwheel/settings.py
@@ -10,11 +10,13 @@
 import math
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
-from typing import Final, NamedTuple
+from typing import Final, NamedTuple, TypeVar
 
 from stackwheel.errors import InvalidInputError
 from stackwheel.interface import RequestClass, Retry, Settings
 
+ChoiceT = TypeVar("ChoiceT", bound=str)
+
 
 class SettingsError(InvalidInputError):
     """The settings can't be used; `place` is the path of the setting."""
@@ -163,13 +165,15 @@
             raise invalid(path, "neither true nor false", text)
         return text.lower() == "true"
 
-    def choice(self, path: str, default: str, allowed: tuple[str, ...]) -> str:
+    def choice(self, path: str, default: ChoiceT, allowed: tuple[ChoiceT, ...]) -> ChoiceT:
         """One of the values allowed."""
         given = self.text(path)
-        value = default if given is None else given
-        if value not in allowed:
-            raise invalid(path, f"none of {', '.join(allowed)}", value)
-        return value
+        if given is None:
+            return default
+        for value in allowed:
+            if value == given:
+                return value
+        raise invalid(path, f"none of {', '.join(allowed)}", given)
 
     def texts(self, path: str) -> tuple[str, ...]:
         """A list of values; empty if it is absent."""
--- a/stackwheel/trials/shape.py
+++ b/stackwheel/trials/shape.py
@@ -5,10 +5,12 @@
 
 from __future__ import annotations
 
-from typing import Annotated, Literal
+from typing import Annotated
 
 from msgspec import Meta, Struct
 
+from stackwheel.interface import AdmissionMode, DeduplicationScope, Idempotency, LoadBalancingPolicy
+
 NameList = tuple[str, ...]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=0, le=100000)]
@@ -63,8 +65,8 @@
     latency_objective: Positive = 500.0
     deadline: Positive = 1200.0
     priority_weight: Positive = 1.0
-    idempotency: Literal["repeatable", "by_key", "once"] = "repeatable"
-    deduplication_scope: Literal["all", "zone", "cell"] = "all"
+    idempotency: Idempotency = "repeatable"
+    deduplication_scope: DeduplicationScope = "all"
     idempotency_key_ttl: float = 3000.0
     zone_local: bool = False
 
@@ -97,8 +99,8 @@
     overload_multiple: Positive = 3.0
     overload_duration: Positive = 3000.0
     list_poll_deadline: Positive = 10000.0
-    load_balancing_policy: Literal["two", "weighted", "round"] = "two"
-    admission_mode: Literal["share", "rate", "off"] = "share"
+    load_balancing_policy: LoadBalancingPolicy = "two"
+    admission_mode: AdmissionMode = "share"
     consecutive_failure_limit: Count = 0
     default_retry: Annotated[int, Meta(ge=0, le=3)] = 1
     endpoint_list_on_request: bool = True
--- a/tests/forwarder/test_forwarder.py
+++ b/tests/forwarder/test_forwarder.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from stackwheel.errors import InvalidInputError
-from stackwheel.forwarder.state import ForwarderState, LoadBalancingPolicy, choose
+from stackwheel.forwarder.state import ForwarderState, choose
 from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdatePart, ConfigUpdateReader, InvalidUpdateError
-from stackwheel.interface import Retry
+from stackwheel.interface import LoadBalancingPolicy, Retry
 
 KNOWN_SERVERS = {"a": None, "b": None, "c": None}
 DRAWS = 4000
