--- a/stackwheel/cli/scale_slopes.py
+++ b/stackwheel/cli/scale_slopes.py
@@ -42,14 +42,14 @@
     former = checked_result(out) if replace else None
     work = sweep.run_all(plans, direct, sweep.Timing(span), repeats, seed, lambda text: click.echo(text, err=True))
     try:
-        measured, points = asyncio.run(until_told_to_stop(work))
+        measured = asyncio.run(until_told_to_stop(work))
     except asyncio.CancelledError:
         raise click.Abort from None
     except BenchError as error:
         click.echo(f"stackwheel: {error}", err=True)
         return 1
     arguments = {"repeats": float(repeats), "span": span, "seed": float(seed)}
-    found = Result(VERSION, arguments, sweep.this_machine(), measured, points, time_choices())
+    found = Result(VERSION, arguments, sweep.this_machine(), measured.sweeps, measured.direct, time_choices())
     write_result(out, found if former is None else merged(former, found))
     click.echo(f"written: {out}")
     return 0
--- a/stackwheel/scale/accounting.py
+++ b/stackwheel/scale/accounting.py
@@ -1,4 +1,4 @@
-"""What a process costs, read from the kernel: processor time, resident memory; and bytes counted at sockets' ends."""
+"""What a process costs: processor time and memory as the kernel counts them, and traffic counted by the stand-ins."""
 
 from __future__ import annotations
 
@@ -8,52 +8,55 @@
 from enum import StrEnum
 from pathlib import Path
 
+from stackwheel.errors import StackwheelError
+
 PROC = Path("/proc")
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 MEBIBYTE = 1 << 20
-STAT_AFTER_NAME = 11  # fields of /proc/PID/stat between the closing bracket of the name and utime (proc(5))
+UTIME_FIELD = 11  # of /proc/PID/stat, counted from 0 after the closing bracket of the name; stime follows (proc(5))
+NANOSECONDS = 1e9  # in a second
 
 
-class AccountingError(OSError):
-    """A process's figures cannot be read: it has ended, or the kernel tells none."""
+class AccountingError(StackwheelError):
+    """A process's figures can't be read: it has ended, or the kernel does not report them."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """One reading of a process: processor time so far in seconds, resident memory in MiB."""
+    """One reading of a process."""
 
-    cpu_seconds: float
-    rss_mb: float
+    cpu_seconds: float  # processor time since the process started
+    rss_mb: float  # resident memory in MiB
 
 
 def read_usage(pid: int, proc: Path = PROC) -> ProcessUsage:
-    """Read a process's figures; AccountingError if it has ended."""
+    """Read a process's figures; AccountingError if it has ended. `proc`: where the kernel's files are."""
     folder = proc / str(pid)
     try:
         return ProcessUsage(_cpu_seconds(folder), _rss_mb(folder))
     except (OSError, ValueError, IndexError) as error:
-        raise AccountingError(f"process {pid}: {error}") from None
+        raise AccountingError(f"process {pid}: {error}") from error
 
 
 def _cpu_seconds(folder: Path) -> float:
-    """Nanoseconds on a processor from schedstat where the kernel keeps it, else utime + stime in ticks.
+    """Processor time by schedstat, in nanoseconds, where the kernel has it; else utime + stime, in ticks.
 
-    /proc/PID/stat counts in ticks of 10 ms, a third of what an idle planner takes within a span of some seconds.
-    schedstat is kept for each thread, so threads are added up; a thread that has ended is in stat alone, so the
-    larger of both counts.
+    /proc/PID/stat counts in ticks of 10 ms, a third of what an idle planner takes in a span of some seconds, so it
+    is too coarse. schedstat is kept for each thread, so threads are added up. A thread that has ended counts in
+    stat alone, so the larger of both is taken.
     """
     fields = (folder / "stat").read_text().rpartition(")")[2].split()
-    ticked = (int(fields[STAT_AFTER_NAME]) + int(fields[STAT_AFTER_NAME + 1])) / TICKS_PER_SECOND
+    by_ticks = (int(fields[UTIME_FIELD]) + int(fields[UTIME_FIELD + 1])) / TICKS_PER_SECOND
     threads = list((folder / "task").iterdir())
     if len(threads) > 1 or not (folder / "schedstat").exists():
-        return max(ticked, sum(_on_processor(thread) for thread in threads))
-    return _on_processor(threads[0])
+        return max(by_ticks, sum(_thread_seconds(thread) for thread in threads))
+    return _thread_seconds(threads[0])
 
 
-def _on_processor(thread: Path) -> float:
+def _thread_seconds(thread: Path) -> float:
     path = thread / "schedstat"
-    return int(path.read_text().split()[0]) / 1e9 if path.exists() else 0.0
+    return int(path.read_text().split()[0]) / NANOSECONDS if path.exists() else 0.0
 
 
 def _rss_mb(folder: Path) -> float:
@@ -61,7 +64,7 @@
 
 
 class Channel(StrEnum):
-    """What a planner or a relay speaks, by who is at the other end."""
+    """The kinds of connections that a planner or a relay has, by what is at the other end."""
 
     LIST = "list"
     PEERS = "peers"
@@ -71,16 +74,13 @@
     WATCHES = "watches"  # of planners at a relay
 
 
-CONTROL = (
-    Channel.LIST,
-    Channel.PEERS,
-    Channel.WATCHES,
-)  # what counts against a planner's budget; the rest is the data path
+# The channels that count against a planner's budget for control; the others are the data path.
+CONTROL = (Channel.LIST, Channel.PEERS, Channel.WATCHES)
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Payload bytes and messages of one channel, as the process under test sends (out) and receives (in) them."""
+    """Payload bytes and messages of one channel, as the process under test receives (in) and sends (out) them."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -88,17 +88,17 @@
     messages_out: int = 0
 
     def received(self, size: int, messages: int = 1) -> None:
-        """The process under test was sent so much."""
+        """Count bytes and messages that the process under test was sent."""
         self.bytes_in += size
         self.messages_in += messages
 
     def sent(self, size: int, messages: int = 1) -> None:
-        """The process under test has sent so much."""
+        """Count bytes and messages that the process under test has sent."""
         self.bytes_out += size
         self.messages_out += messages
 
     def since(self, earlier: Traffic) -> Traffic:
-        """What came between two readings."""
+        """The traffic between an earlier reading and this one."""
         return Traffic(
             self.bytes_in - earlier.bytes_in,
             self.bytes_out - earlier.bytes_out,
@@ -107,15 +107,15 @@
         )
 
     def copy(self) -> Traffic:
-        """A reading that no longer changes."""
+        """A copy, which later traffic does not change."""
         return Traffic(self.bytes_in, self.bytes_out, self.messages_in, self.messages_out)
 
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """Counters of all channels of one process under test, kept by the stand-ins at the other ends.
+    """Counters of all channels of one process under test, written by the stand-ins at the other ends.
 
-    Bytes are payload: neither TCP, UDP nor IP headers are in them.
+    Bytes are payload, without headers of TCP, UDP and IP.
     """
 
     channels: dict[Channel, Traffic] = field(default_factory=lambda: {channel: Traffic() for channel in Channel})
@@ -124,11 +124,11 @@
         return self.channels[channel]
 
     def reading(self) -> TrafficCounters:
-        """The present state, as a copy."""
+        """A copy of the present counts."""
         return TrafficCounters({channel: traffic.copy() for channel, traffic in self.channels.items()})
 
     def since(self, earlier: TrafficCounters) -> TrafficCounters:
-        """What came between two readings."""
+        """The traffic between an earlier reading and this one."""
         return TrafficCounters({channel: self[channel].since(earlier[channel]) for channel in self.channels})
 
     def control(self) -> Iterator[Traffic]:
@@ -136,5 +136,5 @@
         return (self[channel] for channel in CONTROL)
 
     def data_path(self) -> Iterator[Traffic]:
-        """Orders, reports and probes."""
+        """The channels of updates to proxies, reports and health checks."""
         return (traffic for channel, traffic in self.channels.items() if channel not in CONTROL)
--- a/stackwheel/scale/bench.py
+++ b/stackwheel/scale/bench.py
@@ -1,4 +1,4 @@
-"""What every bench of one process shares: its start and end, its list's changes, the tasks of its stand-ins."""
+"""What the benches of a planner and of a relay share: start and end of the process, and the stand-ins' tasks."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Any
 
+from stackwheel.errors import StackwheelError
 from stackwheel.scale.accounting import TrafficCounters
 from stackwheel.scale.fake_environment import FakeDiscovery
 
-READY_SECONDS = 20.0  # from the process's start until it serves; 0.8 s is usual with 48,000 servers
+READY_SECONDS = 20.0  # from the process's start until it serves; 0.8 s is typical with 48,000 servers
 READY_POLL_SECONDS = 0.02
 OPERATORS_VARIABLE = "STACKWHEEL_OPERATORS"
 
 
-class BenchError(RuntimeError):
-    """A process that did not start, or ended while it was measured."""
+class BenchError(StackwheelError):
+    """A process under test did not start, ended while it was measured, or took too long."""
 
 
 class Bench(ABC):
-    """One process under test with everything it speaks to."""
+    """One process under test with stand-ins for everything that it connects to or that connects to it."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -34,18 +35,18 @@
 
     @abstractmethod
     def running(self) -> AbstractAsyncContextManager[asyncio.subprocess.Process]:
-        """The process, ready; ended with all that was started, whatever happens."""
+        """The process, ready; on exit it is ended together with all stand-ins."""
 
     @abstractmethod
     def all_served(self) -> bool:
-        """Whether everything it is to tell at its start has come."""
+        """Whether the process has sent everything that it has to send at its start."""
 
     @abstractmethod
     def start_disturbances(self) -> None:
-        """Begin what happens during the span."""
+        """Begin what is to happen while the process is measured."""
 
     def updates_received(self) -> int:
-        """Messages that came to proxies so far."""
+        """Updates that proxies have received so far."""
         return 0
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> None:
@@ -55,12 +56,12 @@
         task.add_done_callback(self.tasks.discard)
 
     def cancel(self) -> None:
-        """End all stand-ins' tasks."""
+        """End the tasks of all stand-ins."""
         for task in list(self.tasks):
             task.cancel()
 
     async def change(self, changes_per_second: float) -> None:
-        """Changes of the list at an even rate, until cancelled."""
+        """Change the list at an even rate until cancelled."""
         assert self.feed is not None
         while True:
             await asyncio.sleep(1.0 / changes_per_second)
@@ -68,18 +69,20 @@
 
 
 def address_of(server: asyncio.Server) -> str:
-    """Where a server listens."""
+    """The address, HOST:PORT, at which a server listens."""
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
 
 @contextlib.asynccontextmanager
-async def started(words: Sequence[str], environment: Mapping[str, str]) -> AsyncIterator[asyncio.subprocess.Process]:
-    """`python -m stackwheel` with those words; killed and waited for at the end."""
-    found = {**os.environ, "STACKWHEEL_LOG": "ERROR", **environment}
-    found.pop(OPERATORS_VARIABLE, None)
+async def started(
+    arguments: Sequence[str], environment: Mapping[str, str]
+) -> AsyncIterator[asyncio.subprocess.Process]:
+    """A process of `python -m stackwheel` with these arguments; killed and waited for at the end."""
+    variables = {**os.environ, "STACKWHEEL_LOG": "ERROR", **environment}
+    variables.pop(OPERATORS_VARIABLE, None)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "stackwheel", *words, env=found, stderr=asyncio.subprocess.DEVNULL
+        sys.executable, "-m", "stackwheel", *arguments, env=variables, stderr=asyncio.subprocess.DEVNULL
     )
     try:
         yield process
--- a/stackwheel/scale/capacity_edge.py
+++ b/stackwheel/scale/capacity_edge.py
@@ -8,15 +8,15 @@
 from stackwheel.scale import target_size as design
 from stackwheel.scale.capacity import (
     CHOICE,
+    COMPUTED,
     MISSING,
-    NOT_MEASURED,
     ORDERS,
     PEERS,
     PLANNER_BUDGET,
     PROBE,
     PROXY_BUDGET,
     SCOPE,
-    SHOWN,
+    SHOWN_METRICS,
     WATCH,
     Cost,
     Model,
@@ -25,7 +25,7 @@
 from stackwheel.scale.points import MEAN_CELL
 from stackwheel.scale.slopes import Choice
 
-CELLS = {
+CELLS = {  # the state of a cell by its name, which single points and the page have
     "mean cell": "23 servers, 7 planners, 5 proxies",
     "part of the largest service": "51 servers, 16 planners, 5 proxies",
     "largest cell": "512 servers, 16 planners, 44 proxies",
@@ -33,110 +33,112 @@
 
 
 def planner_rows(model: Model) -> Iterator[Row]:
-    """Without cells, then with them; the mean, the largest, the worst second."""
-    full_list_state = "48,000 servers, 85 zones, 5 proxies"
-    found = model.result.sweep("planner", "list")
-    fits = [found.fits[name] for name in SHOWN]
+    """Rows of a planner: with the full list, then in cells of several sizes."""
+    yield from full_list_rows(model)
+    for name, state in CELLS.items():
+        yield from cell_rows(model, name, state)
+
+
+def full_list_rows(model: Model) -> Iterator[Row]:
+    """Rows of a planner that has the full list: mean, zone lost, region lost, start."""
+    state = "48,000 servers, 85 zones, 5 proxies"
+    sweep = model.result.sweep("planner", "list")
+    fits = [sweep.fits[name] for name in SHOWN_METRICS]
     extrapolated = Cost(*(fit.at(design.SERVERS) if fit.holds() else None for fit in fits))
-    factor = found.fits["core"].factor(design.SERVERS)
-    carried = f"{MISSING} while a planner is given the whole list; {SCOPE}"
-    yield Row(
-        "planner",
-        "whole list, mean",
-        full_list_state,
-        model.mean_cost("whole list"),
-        "measured",
-        carried,
-        PLANNER_BUDGET,
-    )
-    yield Row(
-        "planner", "whole list, mean, by slope", full_list_state, extrapolated, "list sweep", carried, factor=factor
-    )
+    factor = sweep.fits["core"].factor(design.SERVERS)
+    mechanism = f"{MISSING} while a planner is given the whole list; {SCOPE}"
+    yield measured_row("whole list, mean", state, model.mean_cost("whole list"), mechanism)
+    yield Row("planner", "whole list, mean, by slope", state, extrapolated, "list sweep", mechanism, factor=factor)
     lost = model.highest_second("whole list, zone lost")
-    yield Row(
-        "planner",
-        "whole list, zone lost",
-        f"{design.ZONE_SERVERS} entries at once",
-        lost,
-        "measured, highest second",
-        carried,
-        PLANNER_BUDGET,
-    )
+    yield highest_second_row("whole list, zone lost", f"{design.ZONE_SERVERS} entries at once", lost, mechanism)
     region = design.REGION_SERVERS * model.entry_bytes()
-    yield bytes_row("whole list, region lost", f"{design.REGION_SERVERS:,} entries at once", region, carried)
-    yield bytes_row(
-        "whole list, start or region healed", "the whole list anew", model.start_bytes("whole list"), carried
-    )
-    for name, state in CELLS.items():
-        yield from cell_rows(model, name, state)
+    yield bytes_row("whole list, region lost", f"{design.REGION_SERVERS:,} entries at once", region, mechanism)
+    start = model.start_bytes("whole list")
+    yield bytes_row("whole list, start or region healed", "the whole list anew", start, mechanism)
 
 
 def cell_rows(model: Model, name: str, state: str) -> Iterator[Row]:
-    """One kind of cell: usual, zone lost, region lost or start."""
-    carried = f"{WATCH}, {PEERS}, {ORDERS}"
-    yield Row("planner", f"{name}, mean", state, model.mean_cost(name), "measured", carried, PLANNER_BUDGET)
+    """Rows of a planner in one kind of cell: mean, zone lost, region lost or start."""
+    mechanism = f"{WATCH}, {PEERS}, {ORDERS}"
+    yield measured_row(f"{name}, mean", state, model.mean_cost(name), mechanism)
     if name == "mean cell":
         with_66_proxies = model.mean_cost("mean cell, one request a proxy")
-        state_66_proxies = "23 servers, 7 planners, 66 proxies"
-        yield Row(
-            "planner", f"{name}, 66 proxies", state_66_proxies, with_66_proxies, "measured", carried, PLANNER_BUDGET
-        )
+        yield measured_row(f"{name}, 66 proxies", "23 servers, 7 planners, 66 proxies", with_66_proxies, mechanism)
     lost = model.highest_second(f"{name}, zone lost")
-    half = "half of its servers at once"
-    yield Row("planner", f"{name}, zone lost", half, lost, "measured, highest second", carried, PLANNER_BUDGET)
-    part = model.start_bytes(name)
-    yield bytes_row(f"{name}, region lost, healed, or start", "all of its entries at once", part, WATCH)
+    yield highest_second_row(f"{name}, zone lost", "half of its servers at once", lost, mechanism)
+    start = model.start_bytes(name)
+    yield bytes_row(f"{name}, region lost, healed, or start", "all of its entries at once", start, WATCH)
+
+
+def measured_row(case: str, state: str, cost: Cost, mechanism: str) -> Row:
+    """One row of a planner: the mean cost as measured."""
+    return Row("planner", case, state, cost, "measured", mechanism, PLANNER_BUDGET)
+
 
+def highest_second_row(case: str, state: str, cost: Cost, mechanism: str) -> Row:
+    """One row of a planner: the highest second as measured."""
+    return Row("planner", case, state, cost, "measured, highest second", mechanism, PLANNER_BUDGET)
 
-def bytes_row(case: str, state: str, size: float, carried: str) -> Row:
-    """A second in which so many bytes of the list come."""
+
+def bytes_row(case: str, state: str, size: float, mechanism: str) -> Row:
+    """One row of a planner: a second in which it receives so many bytes of the list."""
     cost = Cost(control_in=size, control_out=0.0, messages_in=1.0)
-    return Row("planner", case, state, cost, f"{NOT_MEASURED}: entries' bytes", carried, PLANNER_BUDGET)
+    return Row("planner", case, state, cost, f"{COMPUTED}: entries' bytes", mechanism, PLANNER_BUDGET)
 
 
 def proxy_rows(model: Model) -> Iterator[Row]:
-    """From the streams of the mean cell, as the other end of what a planner sends and is sent."""
+    """Rows of a proxy: its stream to a planner of the mean cell, choices of a server, routes, tenants."""
     proxies = MEAN_CELL.proxies
-    streams = [one.channels["streams"] for one in model.direct("mean cell")]
+    streams = [repeat.channels["streams"] for repeat in model.direct("mean cell")]
     cost = Cost(
-        data_in=fmean(one.bytes_out for one in streams) / proxies,
-        data_out=fmean(one.bytes_in for one in streams) / proxies,
-        messages_in=fmean(one.messages_out for one in streams) / proxies,
-        messages_out=fmean(one.messages_in for one in streams) / proxies,
+        data_in=fmean(stream.bytes_out for stream in streams) / proxies,
+        data_out=fmean(stream.bytes_in for stream in streams) / proxies,
+        messages_in=fmean(stream.messages_out for stream in streams) / proxies,
+        messages_out=fmean(stream.messages_in for stream in streams) / proxies,
     )
     yield Row("proxy", "mean", "tables of 23 lines", cost, "measured at the planner", ORDERS)
     for choice in model.result.choices:
         yield choice_row(choice)
+    yield routes_row()
+    yield tenants_row()
+
+
+def routes_row() -> Row:
+    """The row of a proxy's routes; nothing carries them yet."""
     routes = design.ROUTES / design.SERVICES
     lines = routes * design.SERVERS / design.SERVICES
     unscoped = design.ROUTES * design.SERVERS / design.SERVICES
-    yield Row(
+    return Row(
         "proxy",
         "40,000 routes",
         f"{routes:.0f} routes, {lines:,.0f} lines of its service; {unscoped:,.0f} of all",
         Cost(),
-        NOT_MEASURED,
+        COMPUTED,
         f"routes are classes read at a start, `settings.py`; tables by route: {MISSING}",
     )
+
+
+def tenants_row() -> Row:
+    """The row of what a proxy has to know about tenants; nothing carries it yet."""
     tenants = design.TENANTS / design.SERVICES
     tenant_bytes = tenants * design.TENANT_BYTES
-    everyone = design.TENANTS * design.TENANT_BYTES
-    yield Row(
+    all_tenants_bytes = design.TENANTS * design.TENANT_BYTES
+    return Row(
         "proxy",
         "500,000 tenants",
-        f"{tenants:.0f} tenants, {tenant_bytes / 1e3:.0f} KB of its service; {everyone / 1e6:.0f} MB of all",
+        f"{tenants:.0f} tenants, {tenant_bytes / 1e3:.0f} KB of its service; {all_tenants_bytes / 1e6:.0f} MB of all",
         Cost(),
-        NOT_MEASURED,
+        COMPUTED,
         f"{MISSING}: no message names a tenant",
     )
 
 
 def choice_row(choice: Choice) -> Row:
-    """The time that a choice adds to a request."""
-    which = "first try" if choice.without == 0 else f"try {choice.without + 1}"
+    """The row of the time that choosing a server adds to a request."""
+    attempt = "first try" if choice.without == 0 else f"try {choice.without + 1}"
     return Row(
         "proxy",
-        f"choice, {which}",
+        f"choice, {attempt}",
         f"a table of {choice.lines} lines",
         Cost(added_ms=choice.median_us / 1000.0),
         "measured, median of repeats",
@@ -146,13 +148,13 @@
 
 
 def collector_rows(model: Model) -> Iterator[Row]:
-    """One a zone; it passes each planner what its service's requests met."""
-    reports = [one.channels["collectors"] for one in model.direct("mean cell")]
-    zones = MEAN_CELL.zones  # so many collectors report to its planner
+    """The row of a collector; each zone has one, which sends load reports to the planners of its services."""
+    reports = [repeat.channels["collectors"] for repeat in model.direct("mean cell")]
+    zones = MEAN_CELL.zones  # the number of collectors that report to one planner
     planners = zones * design.PLANNERS / design.ZONES
     cost = Cost(
-        data_out=fmean(one.bytes_in for one in reports) / zones * planners,
-        messages_out=fmean(one.messages_in for one in reports) / zones * planners,
+        data_out=fmean(report.bytes_in for report in reports) / zones * planners,
+        messages_out=fmean(report.messages_in for report in reports) / zones * planners,
     )
     yield Row(
         "collector",
@@ -166,7 +168,7 @@
 
 
 def configuration_rows() -> Iterator[Row]:
-    """A change of configuration at a planner: of its own service alone, or of all."""
+    """Rows of a planner that gets changes of configuration: those of all services, or of its own one."""
     mechanism = f"{MISSING}: a file read again on SIGHUP, `service/reload.py` `Reload.run`"
     rate = design.CONFIGURATION_CHANGES / design.IN_FORCE_SECONDS * design.CONFIGURATION_BYTES
     for case, size in (("all of them", rate), ("its service's alone", rate / design.SERVICES)):
@@ -175,14 +177,14 @@
             f"12,000 changes of configuration in 5 s, {case}",
             f"{size / design.CONFIGURATION_BYTES:,.1f} changes a second",
             Cost(control_in=size, control_out=0.0),
-            f"{NOT_MEASURED}: {design.CONFIGURATION_BYTES} bytes a change",
+            f"{COMPUTED}: {design.CONFIGURATION_BYTES} bytes a change",
             mechanism,
             PLANNER_BUDGET,
         )
 
 
 def server_rows() -> Iterator[Row]:
-    """Probes at most; the measured planners sent none, as reports came each cycle."""
-    probes = design.PROBES_A_REQUEST * design.REQUESTS / design.SERVERS
-    cost = Cost(messages_in=probes, messages_out=probes)
-    yield Row("server", "mean, at most", "no state for control", cost, f"{NOT_MEASURED}: docs/fleet.md", PROBE)
+    """The row of a server's health checks, at most; measured planners sent none, as load reports came each cycle."""
+    health_checks = design.HEALTH_CHECKS_PER_REQUEST * design.REQUESTS / design.SERVERS
+    cost = Cost(messages_in=health_checks, messages_out=health_checks)
+    yield Row("server", "mean, at most", "no state for control", cost, f"{COMPUTED}: docs/fleet.md", PROBE)
--- a/stackwheel/scale/children.py
+++ b/stackwheel/scale/children.py
@@ -1,4 +1,4 @@
-"""The processes of a run: started with their control connections, measured, and ended whatever happens."""
+"""The processes of a run: starts them with their control connections, and ends them, whatever happens."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 from stackwheel.scale.control import MAX_LINE_BYTES, Answer, ControlError, Lines, Message, Stop
 
-END_WITHIN = 3.0  # s from the request to end to SIGKILL
+END_TIMEOUT = 3.0  # s from the request to end until SIGKILL
 
-M = TypeVar("M", bound=Message)
+Answered = TypeVar("Answered", bound=Message)
 
 
 class Role(StrEnum):
-    """What a process stands for in the report."""
+    """The roles that the report has figures of; the values are field names there."""
 
     REGISTRY = "registry"
     RELAY = "relay"
     REAL_PLANNER = "real_planner"
-    FULL_LIST_PLANNER = "whole_list_planner"  # a real one that follows the registry itself beside relays
+    FULL_LIST_PLANNER = "whole_list_planner"  # a real planner that follows the registry itself, beside relays
     HOLLOW_PLANNER = "hollow_planner"
 
 
 @dataclass(slots=True)
 class Child:
-    """One process; `lines` is its control connection, which real programs have none of."""
+    """One process of a run."""
 
     role: Role
     name: str
     process: asyncio.subprocess.Process
-    lines: Lines[Answer] | None = None
+    lines: Lines[Answer] | None = None  # its control connection; real programs have none
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)  # one request at a time
-    ending: bool = False  # the run itself ends it
+    ending: bool = False  # the run itself has ended it
 
     @property
     def pid(self) -> int:
@@ -52,54 +52,67 @@
         async with self.lock:
             await self.lines.send(message)
 
-    async def request(self, message: Message, kind: type[M]) -> M:
-        """Send a message and read its answer; ControlError if the process has ended or says another thing.
+    async def request(self, message: Message, kind: type[Answered]) -> Answered:
+        """Send a message and receive its answer; ControlError if the process has ended or answers otherwise.
 
-        Where nobody waits for the answer any more, it is read all the same: it must not be taken for the next one's.
+        If the caller is cancelled, the answer is read all the same: it must not be taken for that of the next request.
         """
         return await asyncio.shield(self.request_in_turn(message, kind))
 
-    async def request_in_turn(self, message: Message, kind: type[M]) -> M:
-        """One question and its answer, one after another."""
+    async def request_in_turn(self, message: Message, kind: type[Answered]) -> Answered:
+        """Wait for earlier requests to be answered, then send this one and receive its answer."""
         assert self.lines is not None
         async with self.lock:
             await self.lines.send(message)
             return await self.receive_answer(kind)
 
-    async def receive_answer(self, kind: type[M]) -> M:
-        """The next answer, of that kind."""
+    async def receive_answer(self, kind: type[Answered]) -> Answered:
+        """The next answer; ControlError if it is of another kind, or the process has ended."""
         assert self.lines is not None
-        found = await self.lines.receive()
-        if not isinstance(found, kind):
-            raise ControlError(f"{self.name} said {type(found).__name__}, not {kind.__name__}; see its log")
-        return found
+        answer = await self.lines.receive()
+        if not isinstance(answer, kind):
+            raise ControlError(f"{self.name} said {type(answer).__name__}, not {kind.__name__}; see its log")
+        return answer
 
 
 class Children:
-    """Owns all processes of a run; no more than `most` at a time."""
+    """Owns all processes of a run."""
 
-    def __init__(self, logs: Path, most: int) -> None:
-        self.logs = logs
-        self.max_processes = most
+    def __init__(self, logs: Path, max_processes: int) -> None:
+        self.logs = logs  # the folder that has a log file for each process
+        self.max_processes = max_processes  # at a time
         self.running: list[Child] = []
 
     async def start_module(self, role: Role, name: str, module: str) -> Child:
-        """A process of the run's own, with a control connection."""
+        """Start a module of this package as a process with a control connection."""
         child = await self.spawn(role, name, (sys.executable, "-m", module), {}, asyncio.subprocess.PIPE)
         assert child.process.stdout is not None
         assert child.process.stdin is not None
         child.lines = Lines(child.process.stdout, child.process.stdin, Answer)
         return child
 
-    async def start_program(self, role: Role, name: str, words: Sequence[str], environment: Mapping[str, str]) -> Child:
-        """A real program, unchanged: `python -m stackwheel` with these words."""
-        command = (sys.executable, "-m", "stackwheel", *words)
+    async def start_program(
+        self, role: Role, name: str, arguments: Sequence[str], environment: Mapping[str, str]
+    ) -> Child:
+        """Start the real program, unchanged: `python -m stackwheel` with these arguments."""
+        command = (sys.executable, "-m", "stackwheel", *arguments)
         return await self.spawn(role, name, command, environment, asyncio.subprocess.DEVNULL)
 
     async def spawn(
-        self, role: Role, name: str, command: Sequence[str], environment: Mapping[str, str], standard: int
+        self, role: Role, name: str, command: Sequence[str], environment: Mapping[str, str], standard_streams: int
     ) -> Child:
-        """Start a command under the launcher, which the kernel ends with this process; its stderr goes to its log."""
+        """Start a command under the launcher, so that the kernel ends it with this process.
+
+        Args:
+            role: whose figures it counts for.
+            name: of the process, and of its log file, which gets its standard error.
+            command: the program and its arguments.
+            environment: variables beside those of this process.
+            standard_streams: `asyncio.subprocess.PIPE` or `DEVNULL`, for standard input and output.
+
+        Raises:
+            ControlError: as many processes are running as allowed.
+        """
         if len(self.running) >= self.max_processes:
             raise ControlError(f"over {self.max_processes} processes")
         with (self.logs / f"{name}.log").open("ab") as log:
@@ -109,8 +122,8 @@
                 "stackwheel.scale.launch",
                 str(os.getpid()),
                 *command,
-                stdin=standard,
-                stdout=standard,
+                stdin=standard_streams,
+                stdout=standard_streams,
                 stderr=log,
                 env={**os.environ, **environment},
                 limit=MAX_LINE_BYTES,
@@ -125,39 +138,39 @@
         return [child for child in self.running if child.role is role]
 
     def ended(self) -> list[Child]:
-        """Processes that have ended though nobody asked them to."""
+        """Processes that have ended, but not by the run."""
         return [child for child in self.running if child.process.returncode is not None and not child.ending]
 
     async def end(self, child: Child) -> None:
-        """End one process: asked first, then killed."""
+        """End one process: request it, and kill the process if it takes too long."""
         child.ending = True
         if child.process.returncode is None:
             if child.lines is not None:
                 with contextlib.suppress(ControlError, RuntimeError):
                     await child.lines.send(Stop())
             else:
-                send(child, signal.SIGTERM)
+                send_signal(child, signal.SIGTERM)
             try:
-                await asyncio.wait_for(child.process.wait(), END_WITHIN)
+                await asyncio.wait_for(child.process.wait(), END_TIMEOUT)
             except TimeoutError:
-                send(child, signal.SIGKILL)
+                send_signal(child, signal.SIGKILL)
                 await child.process.wait()
         if child in self.running:
             self.running.remove(child)
 
     async def kill(self, child: Child) -> None:
-        """End one process as a crash does."""
+        """End one process without warning, as a crash does."""
         child.ending = True
-        send(child, signal.SIGKILL)
+        send_signal(child, signal.SIGKILL)
         await child.process.wait()
         self.running.remove(child)
 
     async def end_all(self) -> None:
-        """End every process that is left."""
+        """End all running processes."""
         await asyncio.gather(*(self.end(child) for child in list(self.running)))
 
 
-def send(child: Child, number: int) -> None:
-    """Send a signal to a child that may have ended."""
+def send_signal(child: Child, signal_number: int) -> None:
+    """Send a signal to a process that may have ended."""
     with contextlib.suppress(ProcessLookupError):
-        os.kill(child.pid, number)
+        os.kill(child.pid, signal_number)
--- a/stackwheel/scale/choice_timing.py
+++ b/stackwheel/scale/choice_timing.py
@@ -1,4 +1,4 @@
-"""Times a forwarder's choice of a server, as `forwarder/` makes it, in microseconds."""
+"""Measures how long a forwarder's choice of a server takes, as `forwarder/` makes it, in microseconds."""
 
 from __future__ import annotations
 
@@ -11,27 +11,33 @@
 from stackwheel.scale.slopes import Choice
 
 ROUTE = "read"
-TABLE_LINES = (23, 200, 512)  # a mean service; the most that a table usually has (docs/fleet.md); the largest cell
-ATTEMPTS_MADE = (0, 2)  # a first try, and the third
-LOAD_BALANCING_POLICY = "two"  # two drawn by weight, the one with less under way: the dearest that holds no state
-CALLS = 2_000  # timed together, as one is near the clock's own cost
+TABLE_LINES = (23, 200, 512)  # a mean service; the largest usual table (docs/fleet.md); the largest cell
+ATTEMPTS_MADE = (0, 2)  # before the choice: a first attempt, and a third one
+LOAD_BALANCING_POLICY = "two"  # two drawn by weight, the one with fewer in flight: the slowest that keeps no state
+CALLS = 2_000  # timed together, as a single call takes about as long as reading the clock
 REPEATS = 15
 
 
-def table(lines: int) -> ForwarderState:
-    """A forwarder that holds one table of so many lines."""
+def forwarder_with_table(lines: int) -> ForwarderState:
+    """A forwarder with one table of so many lines, with drawn weights."""
     names = [f"svc-0001-{number:08x}" for number in range(lines)]
-    holdings = ForwarderState((ROUTE,), frozenset(names))
+    forwarder = ForwarderState((ROUTE,), frozenset(names))
     weights = Random(lines)
-    holdings.apply(
-        ConfigUpdate((ConfigUpdatePart((ROUTE,), True, tuple((name, weights.uniform(0.5, 1.5)) for name in names)),))
-    )
-    return holdings
+    table = tuple((name, weights.uniform(0.5, 1.5)) for name in names)
+    forwarder.apply(ConfigUpdate((ConfigUpdatePart((ROUTE,), True, table),)))
+    return forwarder
 
 
 def time_choice(lines: int, without: int, repeats: int = REPEATS, calls: int = CALLS) -> Choice:
-    """Time choices from a table, some servers tried already; means of each repeat."""
-    class_table = table(lines).routes[ROUTE]
+    """Time choices from a table.
+
+    Args:
+        lines: of the table.
+        without: servers that earlier attempts were sent to, which are avoided.
+        repeats: means that are measured.
+        calls: that each mean is taken over.
+    """
+    class_table = forwarder_with_table(lines).routes[ROUTE]
     attempted = class_table.open[:without]
     random = Random(1)
     in_flight = {name: number % 3 for number, name in enumerate(class_table.open)}
@@ -45,5 +51,5 @@
 
 
 def time_choices() -> list[Choice]:
-    """All sizes and tries."""
+    """Time choices for all sizes of a table and all numbers of attempts."""
     return [time_choice(lines, without) for lines in TABLE_LINES for without in ATTEMPTS_MADE]
--- a/stackwheel/scale/comparison.py
+++ b/stackwheel/scale/comparison.py
@@ -1,4 +1,4 @@
-"""Compares what every planner of a run holds, hollow or real, with what the registry lists for it."""
+"""Compares the entries of every planner of a run, hollow or real, with what the registry lists for it."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 @dataclass(slots=True)
 class ListComparison:
-    """What a comparison found: entries compared, planners that are right, wrong entries with some in words."""
+    """The result of one comparison, over all planners."""
 
-    full_list: FullList
-    compared: int = 0
-    right: int = 0
-    wrong: int = 0
-    examples: list[str] = field(default_factory=list)
-    digests: dict[str, set[str]] = field(default_factory=dict)  # of each cell, those of what its planners hold
+    full_list: FullList  # what was compared with
+    compared: int = 0  # entries
+    right: int = 0  # planners
+    wrong: int = 0  # entries wrong or missing
+    examples: list[str] = field(default_factory=list)  # one line for each wrong planner
+    digests: dict[str, set[str]] = field(default_factory=dict)  # the different digests of each cell's planners
 
     def add_hollow(self, result: Compared, layout: Layout) -> None:
-        """What one hollow process found."""
+        """Add the result of one hollow process."""
         self.compared += result.entries
         self.right += result.right
-        self.wrong += sum(one.wrong for one in result.wrong)
-        for one in result.wrong:
-            name = layout.placed[one.planner].planner.name
-            self.examples.append(f"{name}: {one.wrong} wrong, {one.example}")
+        self.wrong += sum(planner.wrong for planner in result.wrong)
+        for planner in result.wrong:
+            name = layout.placed[planner.planner].planner.name
+            self.examples.append(f"{name}: {planner.wrong} wrong, {planner.example}")
         for cell, digests in result.digests.items():
             self.digests.setdefault(cell, set()).update(digests)
 
-    def add_real(self, planner: RealPlanner, due: list[Entry]) -> None:
-        """What a real planner's tables say."""
-        difference = compare_tables(planner.lines(), due)
-        self.compared += len(due)
+    def add_real(self, planner: RealPlanner, expected: list[Entry]) -> None:
+        """Compare a real planner's tables with the entries expected of it, and add the result."""
+        difference = compare_tables(planner.lines(), expected)
+        self.compared += len(expected)
         self.wrong += difference.count()
         self.right += difference.count() == 0
         if difference.count():
@@ -49,22 +49,23 @@
 async def compare_all(
     registry: Child, layout: Layout, hollow: Mapping[int, Child], real: Collection[RealPlanner]
 ) -> ListComparison:
-    """Ask the registry for its list now, and everybody for what differs from it."""
-    listed = await registry.request(GetFullList(), FullList)
-    by_cell = layout.entries_by_cell(listed.entries)
-    found = ListComparison(listed)
-    cells: dict[int, set[str]] = {}  # of each hollow process, by its id
+    """Get the registry's list of this moment, and compare every planner with it."""
+    full_list = await registry.request(GetFullList(), FullList)
+    by_cell = layout.entries_by_cell(full_list.entries)
+    comparison = ListComparison(full_list)
+    cells: dict[int, set[str]] = {}  # of each hollow process, by process id
     processes = {child.pid: child for child in hollow.values()}
     for number, child in hollow.items():
         cells.setdefault(child.pid, set()).add(layout.placed[number].cell)
     results = await asyncio.gather(
         *(
-            child.request(Compare(listed.generation, {cell: by_cell[cell] for cell in cells[pid]}), Compared)
+            child.request(Compare(full_list.generation, {cell: by_cell[cell] for cell in cells[pid]}), Compared)
             for pid, child in processes.items()
         )
     )
     for result in results:
-        found.add_hollow(result, layout)
+        comparison.add_hollow(result, layout)
     for planner in real:
-        found.add_real(planner, by_cell[planner.placed.cell] if planner.placed.cell else listed.entries)
-    return found
+        cell = planner.placed.cell
+        comparison.add_real(planner, by_cell[cell] if cell else full_list.entries)
+    return comparison
--- a/stackwheel/scale/control.py
+++ b/stackwheel/scale/control.py
@@ -1,4 +1,4 @@
-"""How the run speaks with its processes: one typed JSON message a line, over standard input and output."""
+"""The messages between a run and its processes: one JSON object a line, over standard input and output."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 import msgspec
 
+from stackwheel.errors import StackwheelError
 from stackwheel.scale.entries import Entry
 
-# Of one message: a full list of 48,000 entries is 8 MB, propagation records up to 10 times that.
-MAX_LINE_BYTES = 512 << 20
+MAX_LINE_BYTES = 512 << 20  # of one message: a list of 48,000 entries has 8 MB, propagation records 10 times that
 
 
-class ControlError(RuntimeError):
-    """A process of the run ended, or said what can't be read."""
+class ControlError(StackwheelError):
+    """A process of the run has ended, sent an unreadable message, or can't be started."""
 
 
 class Message(msgspec.Struct, frozen=True, tag=True):
-    """Anything said on a control connection."""
+    """Any message on a control connection; its tag is the name of the class."""
 
 
 class Ready(Message, frozen=True):
-    """A process has started; `address` is where its service answers, if it has one."""
+    """A process is ready; `address` is where it serves, if it does."""
 
     address: str = ""
 
@@ -34,20 +34,20 @@
 
     bytes_in: int = 0
     bytes_out: int = 0
-    peer_bytes_in: int = 0  # of which in datagrams
+    peer_bytes_in: int = 0  # of these, in datagrams
     peer_bytes_out: int = 0
     datagrams_in: int = 0
     datagrams_out: int = 0
-    datagrams_computed: int = 0  # that the planners' peers would send, whether sent for real or not
+    datagrams_computed: int = 0  # that the planners would send by their formula, whether they were sent or not
     failures: int = 0  # calls and watches that failed
 
 
 class GetTraffic(Message, frozen=True):
-    """Answered with `Traffic`."""
+    """To any process: the traffic so far; answered with `Traffic`."""
 
 
 class Load(Message, frozen=True):
-    """To the registry: list these entries and begin to serve; answered with `Ready`."""
+    """To the registry: list these entries and begin to serve at `host`; answered with `Ready`."""
 
     host: str
     entries: list[Entry]
@@ -60,21 +60,21 @@
 
 
 class GetFullList(Message, frozen=True):
-    """To the registry: answered with `WholeList`."""
+    """To the registry: its list and its changes; answered with `FullList`."""
 
 
 class MadeChange(msgspec.Struct, frozen=True):
-    """One change at the registry, stamped with the monotonic clock, which all processes of a machine share."""
+    """One change made at the registry."""
 
-    name: str
+    name: str  # of the server
     lifecycle: str
-    started_at_ms: int
+    started_at_ms: int  # Unix ms
     generation: int
-    made_at: float  # s
+    made_at: float  # s on the monotonic clock, which all processes of a machine share
 
 
 class FullList(Message, frozen=True):
-    """All that the registry holds, and the changes made so far in their order."""
+    """All entries of the registry, and the changes made so far in their order."""
 
     generation: int
     entries: list[Entry]
@@ -82,105 +82,105 @@
 
 
 class HollowPlanner(msgspec.Struct, frozen=True):
-    """One hollow planner of a process: whom it follows and what it should hold."""
+    """One hollow planner of a process: what it follows, and its peers."""
 
     number: int
-    cell: str  # "" for the whole list
-    discovery: str  # one address, or several replicas with commas
+    cell: str  # "" for the full list
+    discovery: str  # one address, or those of several replicas separated by commas
     seed: int
     listen: str = ""  # its own datagram address
-    peers: tuple[str, ...] = ()  # datagram addresses of the others of its cell
+    peers: tuple[str, ...] = ()  # datagram addresses of the other hollow planners of its cell
 
 
 class Follow(Message, frozen=True):
-    """To a hollow process: begin to follow with these planners; answered with `Ready` once all have begun."""
+    """To a hollow process: follow the list with these planners; answered with `Ready` once all have begun."""
 
     zones: list[str]
     planners: list[HollowPlanner]
 
 
 class CountPlannersWithList(Message, frozen=True):
-    """To a hollow process: answered with `Held`."""
+    """To a hollow process: how many of its planners have a list; answered with `PlannersWithList`."""
 
 
 class PlannersWithList(Message, frozen=True):
-    """How many of the planners of a process hold a list yet."""
+    """How many planners of a process have received a list."""
 
     planners: int
 
 
 class Record(Message, frozen=True):
-    """To a hollow process: from now on, remember when each entry came into force at each planner."""
+    """To a hollow process: from now on, record when each entry comes into force at each planner."""
 
 
 class Restart(Message, frozen=True):
-    """To a hollow process: these planners end, with their connections, and start anew."""
+    """To a hollow process: restart these planners, with new connections and without a list."""
 
     planners: list[int]
 
 
 class DropEntry(Message, frozen=True):
-    """To a hollow process: lose one entry of this planner, to prove that the comparison finds it."""
+    """To a hollow process: drop one entry of this planner, to prove that the comparison notices it."""
 
     planner: int
 
 
 class Compare(Message, frozen=True):
-    """To a hollow process: compare what each planner holds with what the registry lists for its cell."""
+    """To a hollow process: compare each planner's entries with those listed for its cell; answered with `Compared`."""
 
     generation: int
     cells: dict[str, list[Entry]]
 
 
 class WrongPlanner(msgspec.Struct, frozen=True):
-    """A planner that does not hold what it should, with one of its wrong entries."""
+    """A planner that does not have the entries that it should have."""
 
     planner: int
-    wrong: int
-    example: str
+    wrong: int  # entries, missing ones included
+    example: str  # one of them in words
 
 
 class Compared(Message, frozen=True):
-    """What a comparison found: entries compared, planners that are right, and those that are not."""
+    """The result of a comparison at one process."""
 
-    entries: int
-    right: int
+    entries: int  # that were compared
+    right: int  # planners
     wrong: list[WrongPlanner]
-    digests: dict[str, list[str]]  # of each cell, the different digests of what its planners hold
+    digests: dict[str, list[str]]  # of each cell, the different digests of its planners' entries
 
 
 class GetRecords(Message, frozen=True):
-    """To a hollow process: answered with `Records`."""
+    """To a hollow process: all that was recorded; answered with `Records`."""
 
 
 class EntryRecord(msgspec.Struct, frozen=True, array_like=True):
-    """When an entry came into force: at which planners, and when, on the monotonic clock in seconds."""
+    """At which planners an entry came into force, and when."""
 
-    name: str
+    name: str  # of the server
     availability: int
-    started: float
-    planners: list[int]
-    times: list[float]
+    started: float  # Unix ms
+    planners: list[int]  # numbers
+    times: list[float]  # s on the monotonic clock, one for each of `planners`
 
 
 class RestartRecord(msgspec.Struct, frozen=True, array_like=True):
-    """When a planner ended to start anew, and when it held a list again."""
+    """When a planner ended in order to restart, and when it had a list again."""
 
     planner: int
-    ended: float
-    ready_at: float
+    ended: float  # s on the monotonic clock
+    ready_at: float  # s on the monotonic clock
 
 
 class Records(Message, frozen=True):
-    """All that was recorded; `dropped`: records beyond the bound, which were not kept."""
+    """All that a hollow process has recorded."""
 
     entries: list[EntryRecord]
     restarts: list[RestartRecord]
-    dropped: int = 0
+    dropped: int = 0  # records over the bound, which were not stored
 
 
 class Stop(Message, frozen=True):
-    """End the process; so does the end of its standard input."""
+    """To any process: end; the end of its standard input has the same effect."""
 
 
 Request = (
@@ -199,42 +199,42 @@
 )
 Answer = Ready | Traffic | FullList | PlannersWithList | Compared | Records
 
-T = TypeVar("T")
+Received = TypeVar("Received")
 
 
-class Lines(Generic[T]):
-    """Messages of one kind of union, a JSON object a line."""
+class Lines(Generic[Received]):
+    """One end of a control connection; `Received` is the union of the messages that come in."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, kind: object) -> None:
         self.reader = reader
         self.writer = writer
-        self.decoder: msgspec.json.Decoder[T] = msgspec.json.Decoder(kind)
+        self.decoder: msgspec.json.Decoder[Received] = msgspec.json.Decoder(kind)
         self.encoder = msgspec.json.Encoder()
 
-    async def receive(self) -> T | None:
-        """The next message; None at the end of the connection."""
+    async def receive(self) -> Received | None:
+        """The next message, or None at the end of the connection; ControlError if it can't be read."""
         try:
             line = await self.reader.readline()
         except (ValueError, ConnectionError) as error:
-            raise ControlError(f"control connection: {error}") from None
+            raise ControlError(f"control connection: {error}") from error
         if not line.endswith(b"\n"):
             return None
         try:
             return self.decoder.decode(line)
         except msgspec.DecodeError as error:
-            raise ControlError(f"control message: {error}") from None
+            raise ControlError(f"control message: {error}") from error
 
     async def send(self, message: Message) -> None:
-        """Write one message; ControlError where nobody reads any more."""
+        """Write one message; ControlError if the other end is closed."""
         try:
             self.writer.write(self.encoder.encode(message) + b"\n")
             await self.writer.drain()
         except ConnectionError as error:
-            raise ControlError(f"control connection: {error}") from None
+            raise ControlError(f"control connection: {error}") from error
 
 
 async def standard_lines() -> Lines[Request]:
-    """The control connection of a process of the run, on its standard input and output."""
+    """A child process's end of its control connection, on standard input and output."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin.buffer)
--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -1,4 +1,4 @@
-"""All that one planner under test speaks with: discovery, servers that answer probes, other planners."""
+"""Stand-ins around one process under test: discovery, servers that answer health checks, peer planners."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 from stackwheel import peers
 from stackwheel.scale.accounting import Traffic
+from stackwheel.scale.discovery_http import CHUNKED_JSON_HEADERS, read_request
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING, Entry
 from stackwheel.scale.ports import HOST
 from stackwheel.scale.registry_list import RegistryList
@@ -19,56 +20,47 @@
 from stackwheel.wire import timing
 from stackwheel.wire.datagrams import MAX_DATAGRAM_BYTES
 
-LIST_PATH = "/registry/instances"
 READ_BYTES = 64 * 1024
-RATE_OF_A_PEER = 1.0  # requests a second that a peer says it sends to each server: any figure costs the same
-PEER_PROXIES = 4
+PEER_RATE = 1.0  # requests a second that a peer reports for each server: any figure costs the same
+PEER_PROXIES = 4  # proxies that a peer reports: any number costs the same
 
 
 class FakeDiscovery:
-    """Discovery for one planner: the whole list, and a watch that is told changes one by one.
+    """Discovery for one process under test: the full list, and watches.
 
-    Changes take a server through the three steps of a restart (drains, has left, is back as a new process), one
-    step a change, servers in turn.
+    Each change takes a server one step of a restart further (draining, removed, in service as a new process), one
+    server after another.
     """
 
     def __init__(self, entries: Sequence[Entry], traffic: Traffic) -> None:
-        # with those that have left, each at its place
-        self.entries = list(entries)
+        self.entries = list(entries)  # removed servers keep their index
         self.traffic = traffic
         self.list = RegistryList(entries)
         self.watches: dict[asyncio.StreamWriter, h11.Connection] = {}
-        self.place = 0  # of the server that is being restarted
+        self.restarting = 0  # index of the server that is being restarted
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection: a fetch, or a watch until it ends."""
+        """Serve one connection: a fetch, or a watch until the connection ends."""
         http = h11.Connection(h11.SERVER)
         with contextlib.suppress(OSError, h11.ProtocolError), contextlib.closing(writer):
-            target = await self.read_request(http, reader)
+            request = await read_request(http, reader, READ_BYTES, self.count_in)
+            self.traffic.sent(0)
+            target = request.target.decode()
             if "follow=1" in target:
-                await self.watch(http, reader, writer, since(target))
+                await self.watch(http, reader, writer, known_generation(target))
             else:
                 self.write(http, writer, self.list.full_list())
                 writer.write(http.send(h11.EndOfMessage()))
                 await writer.drain()
 
-    async def read_request(self, http: h11.Connection, reader: asyncio.StreamReader) -> str:
-        """The target of the request that a connection begins with."""
-        while True:
-            event = http.next_event()
-            if isinstance(event, h11.Request):
-                self.traffic.sent(0)
-                return event.target.decode()
-            if event is not h11.NEED_DATA:
-                raise ConnectionError("no request")
-            data = await reader.read(READ_BYTES)
-            self.traffic.sent(len(data), 0)
-            http.receive_data(data)
+    def count_in(self, size: int) -> None:
+        """Count bytes that the process under test has sent; its request counts as one message once it is complete."""
+        self.traffic.sent(size, 0)
 
     async def watch(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, known: int | None
     ) -> None:
-        """Answer a watch: first what is new after `known`, then every change, and a heartbeat in between."""
+        """Serve a watch: first the changes after generation `known`, then every change, and heartbeats in between."""
         self.write(http, writer, self.list.since(known))
         self.watches[writer] = http
         last_generation = self.list.generation
@@ -84,14 +76,14 @@
             del self.watches[writer]
 
     def change(self, count: int = 1) -> None:
-        """Tell so many changes as one generation."""
+        """Make so many changes as one generation."""
         self.broadcast([self.next_step() for _ in range(count)])
 
     def remove_zone(self, zone: str) -> None:
-        """All servers of a zone have left, told as one generation."""
-        for place, entry in enumerate(self.entries):
+        """Remove all servers of a zone as one generation."""
+        for index, entry in enumerate(self.entries):
             if entry.zone == zone:
-                self.entries[place] = msgspec.structs.replace(entry, lifecycle=TERMINATED)
+                self.entries[index] = msgspec.structs.replace(entry, lifecycle=TERMINATED)
         self.broadcast([entry for entry in self.entries if entry.zone == zone])
 
     def broadcast(self, changed: Sequence[Entry]) -> None:
@@ -101,43 +93,42 @@
             self.write(http, writer, line)
 
     def next_step(self) -> Entry:
-        """The next change: the server in turn drains, is removed, or is back as a new process."""
-        entry = self.entries[self.place]
+        """The next change: the present server drains, is removed, or is in service as a new process."""
+        entry = self.entries[self.restarting]
         if entry.lifecycle == TERMINATED:
             changed = msgspec.structs.replace(entry, lifecycle=IN_SERVICE, started_at_ms=self.list.generation + 1)
         else:
-            after = TERMINATING if entry.lifecycle == IN_SERVICE else TERMINATED
-            changed = msgspec.structs.replace(entry, lifecycle=after)
-        self.entries[self.place] = changed
+            next_lifecycle = TERMINATING if entry.lifecycle == IN_SERVICE else TERMINATED
+            changed = msgspec.structs.replace(entry, lifecycle=next_lifecycle)
+        self.entries[self.restarting] = changed
         if changed.lifecycle == IN_SERVICE:
-            self.place = (self.place + 1) % len(self.entries)
+            self.restarting = (self.restarting + 1) % len(self.entries)
         return changed
 
     def write(self, http: h11.Connection, writer: asyncio.StreamWriter, body: bytes) -> None:
-        """Write one chunk of a body, with the response's head before the first."""
+        """Write one chunk of a body, the first one after the head of the response."""
         data = b""
         if http.our_state is h11.SEND_RESPONSE:
-            headers = [("Content-Type", "application/json"), ("Transfer-Encoding", "chunked")]
-            data = http.send(h11.Response(status_code=200, headers=headers))
+            data = http.send(h11.Response(status_code=200, headers=list(CHUNKED_JSON_HEADERS)))
         data += http.send(h11.Data(body))
         writer.write(data)
         self.traffic.received(len(data))
 
 
-def since(target: str) -> int | None:
-    """The generation that a watch names, if any."""
-    words = dict(word.partition("=")[::2] for word in target.partition("?")[2].split("&"))
-    return int(words["since"]) if words.get("since", "").isdecimal() else None
+def known_generation(target: str) -> int | None:
+    """The generation that a watch's target names, if any."""
+    query = dict(field.partition("=")[::2] for field in target.partition("?")[2].split("&"))
+    return int(query["since"]) if query.get("since", "").isdecimal() else None
 
 
 class FakeServers:
-    """One address at which all servers answer probes: alive, with a load report."""
+    """One address at which all servers answer health checks, with a load report."""
 
     def __init__(self, traffic: Traffic) -> None:
         self.traffic = traffic
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One probe."""
+        """Answer one health check."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError), contextlib.closing(writer):
             request = await reader.readuntil(b"\r\n\r\n")
             self.traffic.sent(len(request))
@@ -149,14 +140,14 @@
 
 
 class FakePeerSocket(asyncio.DatagramProtocol):
-    """One end at which a planner's datagrams are counted, and from which a peer's are sent."""
+    """A socket that counts the datagrams of the planner under test, and sends those of a peer."""
 
     def __init__(self, traffic: Traffic) -> None:
         self.traffic = traffic
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
-        """Keep the transport to send with."""
+        """Store the transport to send with."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
@@ -164,7 +155,7 @@
         self.traffic.sent(len(data))
 
     def address(self) -> str:
-        """Where it receives."""
+        """The address, HOST:PORT, at which it receives."""
         assert self.transport is not None
         host, port = self.transport.get_extra_info("sockname")[:2]
         return f"{host}:{port}"
@@ -178,35 +169,35 @@
 
 
 class FakePeerPlanners:
-    """The other planners of a tier: each tells its load once a cycle, as long as the policy would send so much."""
+    """The other planners of a tier: each sends its load once a cycle, unless that exceeds the policy's limit."""
 
-    def __init__(self, servers: Sequence[str], datagrams_most: int, traffic: Traffic) -> None:
-        self.payloads = peers.pack(PEER_PROXIES, {server_id(name): RATE_OF_A_PEER for name in servers})
-        self.max_datagrams = datagrams_most
+    def __init__(self, servers: Sequence[str], max_datagrams: int, traffic: Traffic) -> None:
+        self.payloads = peers.pack(PEER_PROXIES, {server_id(name): PEER_RATE for name in servers})
+        self.max_datagrams = max_datagrams  # that a planner reads in a cycle
         self.traffic = traffic
-        self.broadcast_end = FakePeerSocket(traffic)
-        self.ends: list[FakePeerSocket] = []
+        self.broadcast_socket = FakePeerSocket(traffic)
+        self.sockets: list[FakePeerSocket] = []  # of each peer
 
-    async def open(self, others: int) -> None:
-        """Stand up so many peers, and the address of all."""
+    async def open(self, count: int) -> None:
+        """Open the sockets of so many peers, and the one of their broadcast address."""
         loop = asyncio.get_running_loop()
-        await loop.create_datagram_endpoint(lambda: self.broadcast_end, local_addr=(HOST, 0))
-        for _ in range(others):
-            _, end = await loop.create_datagram_endpoint(lambda: FakePeerSocket(self.traffic), local_addr=(HOST, 0))
-            self.ends.append(end)
+        await loop.create_datagram_endpoint(lambda: self.broadcast_socket, local_addr=(HOST, 0))
+        for _ in range(count):
+            _, peer = await loop.create_datagram_endpoint(lambda: FakePeerSocket(self.traffic), local_addr=(HOST, 0))
+            self.sockets.append(peer)
 
     async def run(self, planner: tuple[str, int]) -> None:
-        """Send until cancelled; nothing where the planner would have to read over `datagrams_most` a cycle."""
-        if not 0 < len(self.ends) * len(self.payloads) <= self.max_datagrams:
+        """Send until cancelled; send nothing if the planner had to read more than `max_datagrams` in a cycle."""
+        if not 0 < len(self.sockets) * len(self.payloads) <= self.max_datagrams:
             return
         while True:
-            for end in self.ends:
+            for peer in self.sockets:
                 for payload in self.payloads:
-                    end.send(payload, planner)
-                await asyncio.sleep(1.0 / len(self.ends))
+                    peer.send(payload, planner)
+                await asyncio.sleep(1.0 / len(self.sockets))
 
     def close(self) -> None:
         """Close all sockets."""
-        for end in (self.broadcast_end, *self.ends):
-            if end.transport is not None:
-                end.transport.close()
+        for peer in (self.broadcast_socket, *self.sockets):
+            if peer.transport is not None:
+                peer.transport.close()
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -1,7 +1,7 @@
-"""A process of hollow planners: each follows the list as a planner does and holds it; nothing is decided.
+"""A process of hollow planners: each follows the list and caches it as a planner does, but decides nothing.
 
-Their watches are the planner's own client (`wire.discovery`), what they hold is its own roster, and their datagrams
-are of its own format. `python -m stackwheel.scale.hollow` speaks with the run over standard input and output.
+They use the planner's own client (`wire.discovery_client`), its endpoint cache and the format of its datagrams.
+`python -m stackwheel.scale.hollow` is started by a run and takes its requests over standard input and output.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     GetRecords,
     GetTraffic,
     HollowPlanner,
-    Lines,
+    Message,
     PlannersWithList,
     Ready,
     Record,
@@ -46,78 +46,82 @@
 from stackwheel.wire.discovery_client import DiscoveryClient, WatchEnd
 from stackwheel.wire.discovery_protocol import LIFECYCLES
 
-LIST_POLL_DEADLINE = 10_000.0  # ms: `obligations.ask_within` of the example configuration; it bounds the back-off
-START_STEP = 0.002  # s between the planners of a process that begin to follow, so that a start is no herd
-MIN_SWEEP_ENTRIES = 10_000  # entries of a process below which none are forgotten
-SETTLE_EVERY = 0.5  # s between looks for lists that are held as doubtful, see `Roster.settled`
+LIST_POLL_DEADLINE = 10_000.0  # ms: `obligations.ask_within` of the example configuration; it bounds the backoff
+START_INTERVAL = 0.002  # s between the starts of two planners of a process, so that they don't all call at once
+MIN_SWEEP_ENTRIES = 10_000  # shared entries below which no sweep is worth its time
+STALE_SNAPSHOT_INTERVAL = 0.5  # s between two checks for stale snapshots, see `EndpointCache.confirmed_snapshot`
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
-    """The usual loop, which counts the bytes of all the connections that it opens."""
+    """The default event loop, which counts the bytes of all connections that it opens."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.bytes_in = self.bytes_out = 0
+        self.bytes_in = 0
+        self.bytes_out = 0
 
     async def create_connection(self, protocol_factory: Any, *args: Any, **options: Any) -> Any:
-        """As usual; bytes received and written are counted."""
+        """Connect as the default event loop does, and count what is received and written."""
 
-        def counted() -> Any:
+        def counting_protocol() -> Any:
+            """The protocol, which counts what it receives."""
             return self.count_received(protocol_factory())
 
-        transport, protocol = await super().create_connection(counted, *args, **options)
+        transport, protocol = await super().create_connection(counting_protocol, *args, **options)
         self.count_written(transport)
         return transport, protocol
 
     def count_received(self, protocol: Any) -> Any:
-        """Count the bytes that a protocol is handed."""
-        received = protocol.data_received
+        """Have a protocol count the bytes that it receives."""
+        data_received = protocol.data_received
 
-        def data_received(data: bytes) -> None:
+        def counting_data_received(data: bytes) -> None:
+            """Count the bytes, then pass them on."""
             self.bytes_in += len(data)
-            received(data)
+            data_received(data)
 
-        protocol.data_received = data_received
+        protocol.data_received = counting_data_received
         return protocol
 
     def count_written(self, transport: Any) -> None:
-        """Count the bytes that a transport is handed."""
+        """Have a transport count the bytes that are written to it."""
         write = transport.write
 
-        def counted_write(data: bytes) -> None:
+        def counting_write(data: bytes) -> None:
+            """Count the bytes, then write them."""
             self.bytes_out += len(data)
             write(data)
 
-        transport.write = counted_write
+        transport.write = counting_write
 
 
 class CountedDiscovery(DiscoveryClient):
-    """The planner's own client, which counts the calls and watches that ended: each of them is a failure."""
+    """The planner's own client, which counts watches that ended: in a run each of them is a failure."""
 
     failures = 0
 
     async def watch_replica(self, address: str, replica: str) -> WatchEnd:
-        """One watch at one replica until its end."""
-        ended = await super().watch_replica(address, replica)
+        """Watch one replica until the watch ends."""
+        end = await super().watch_replica(address, replica)
         self.failures += 1
-        return ended
+        return end
 
 
 class Follower:
-    """One hollow planner: its watch, and what it holds."""
+    """One hollow planner: its client and its endpoint cache, over all its incarnations."""
 
     def __init__(self, planner: HollowPlanner, shared: SharedEntries, records: PropagationRecords) -> None:
         self.planner = planner
         self.shared = shared
         self.records = records
-        self.former_failures = 0
+        self.earlier_failures = 0  # of earlier incarnations
         self.incarnation = 0
-        self.ended = 0.0  # s, when it ended to start anew
+        self.ended = 0.0  # s on the monotonic clock: when the last incarnation ended
         self.task: asyncio.Task[None] | None = None
         self.begin()
 
     def begin(self) -> None:
-        """Start from nothing, as a new process does."""
+        """Start a new incarnation with an empty cache, as a new process does."""
         self.incarnation += 1
         self.endpoints = HollowEndpointCache(self.shared)
         self.has_list = False
@@ -132,25 +136,25 @@
         self.task = asyncio.create_task(self.discovery.run())
 
     def end(self) -> None:
-        """As a process that dies: its connection is reset."""
+        """End as a process does that is killed: the connections are reset."""
         if self.task is not None:
             self.task.cancel()
         self.discovery.post = lambda _item: None
         self.discovery.cancel_watches()
 
     def restart(self) -> None:
-        """End as a process does that dies, and start from nothing at once."""
+        """End, and start a new incarnation at once."""
         self.ended = time.monotonic()
-        self.former_failures = self.failures()
+        self.earlier_failures = self.failures()
         self.end()
         self.begin()
 
     def failures(self) -> int:
-        """Calls and watches that ended, in all its lives; not those that it ended itself."""
-        return self.former_failures + self.discovery.failures
+        """Watches that ended, over all incarnations; not those that this planner ended itself."""
+        return self.earlier_failures + self.discovery.failures
 
     def on_endpoint_list(self, item: EndpointList | EndpointListFailed) -> None:
-        """Take in what discovery sent, and record when each changed entry came into force."""
+        """Apply a list from discovery, and record when each changed entry came into force."""
         if isinstance(item, EndpointListFailed):
             return
         changed = self.endpoints.apply_list(item, 1000.0 * time.monotonic())
@@ -161,18 +165,18 @@
         self.has_list = True
 
     def accept_stale_snapshot(self, now: float) -> None:
-        """Take in a list that was held for an older state, once nothing newer can be on its way."""
+        """Apply a stale snapshot once nothing newer can follow it. `now`: s on the monotonic clock."""
         if (endpoint_list := self.endpoints.confirmed_snapshot(1000.0 * now)) is not None:
             self.records.add(self.planner.number, self.endpoints.apply_list(endpoint_list, 1000.0 * now), now)
 
     def drop_entry(self) -> None:
-        """Lose an entry, the last one listed."""
+        """Drop the entry that was added last."""
         if self.endpoints.entries:
             self.endpoints.entries.popitem()
 
 
 class HollowProcess:
-    """All hollow planners of a process, and what they are asked."""
+    """All hollow planners of a process, and the answers to the run's requests."""
 
     def __init__(self, loop: CountingLoop) -> None:
         self.loop = loop
@@ -183,21 +187,21 @@
         self.sweep_at = MIN_SWEEP_ENTRIES
 
     async def follow(self, message: Follow) -> None:
-        """Begin to follow, spread over a short time."""
+        """Start the planners, spread over a short time."""
         self.shared = SharedEntries(tuple(message.zones), (MACHINE_TYPE,))
         for planner in message.planners:
             self.followers[planner.number] = Follower(planner, self.shared, self.records)
-            await asyncio.sleep(START_STEP)
+            await asyncio.sleep(START_INTERVAL)
         await self.peers.start(message.planners, self.endpoints_of)
 
     def endpoints_of(self, planner: int) -> HollowEndpointCache:
-        """What one planner of the process holds."""
+        """The endpoint cache of one planner of the process."""
         return self.followers[planner].endpoints
 
     async def accept_stale_snapshots(self) -> None:
-        """From time to time, accept stale snapshots that nothing newer has followed, and drop unused shared entries."""
+        """Periodically accept stale snapshots that nothing newer has followed, and drop unused shared entries."""
         while True:
-            await asyncio.sleep(SETTLE_EVERY)
+            await asyncio.sleep(STALE_SNAPSHOT_INTERVAL)
             for follower in self.followers.values():
                 if follower.endpoints.stale_snapshot is not None:
                     follower.accept_stale_snapshot(time.monotonic())
@@ -208,103 +212,115 @@
     def traffic(self) -> Traffic:
         """Bytes, datagrams and failures so far, of all planners of the process."""
         return Traffic(
-            self.loop.bytes_in + self.peers.bytes_in,
-            self.loop.bytes_out + self.peers.bytes_out,
-            self.peers.bytes_in,
-            self.peers.bytes_out,
-            self.peers.datagrams_in,
-            self.peers.datagrams_out,
-            self.peers.datagrams_computed,
-            sum(follower.failures() for follower in self.followers.values()),
+            bytes_in=self.loop.bytes_in + self.peers.bytes_in,
+            bytes_out=self.loop.bytes_out + self.peers.bytes_out,
+            peer_bytes_in=self.peers.bytes_in,
+            peer_bytes_out=self.peers.bytes_out,
+            datagrams_in=self.peers.datagrams_in,
+            datagrams_out=self.peers.datagrams_out,
+            datagrams_computed=self.peers.datagrams_computed,
+            failures=sum(follower.failures() for follower in self.followers.values()),
         )
 
     def planners_with_list(self) -> PlannersWithList:
-        """How many planners of the process hold a list."""
+        """How many planners of the process have a list."""
         return PlannersWithList(sum(follower.has_list for follower in self.followers.values()))
 
     async def compare(self, message: Compare) -> Compared:
-        """Each planner's entries against those listed for its cell."""
-        listed = {cell: self.listed(entries) for cell, entries in message.cells.items()}
+        """Compare each planner's entries with those listed for its cell."""
+        listed = {cell: self.expected_entries(entries) for cell, entries in message.cells.items()}
         compared = 0
         right = 0
         wrong = []
         digests = {cell: set[str]() for cell in listed}
         for number, follower in self.followers.items():
             actual = follower.endpoints.listed()
-            due = listed[follower.planner.cell]
-            difference = compare(actual, due)
-            compared += len(due)
+            expected = listed[follower.planner.cell]
+            difference = compare(actual, expected)
+            compared += len(expected)
             if difference.count() or not follower.has_list:
                 wrong.append(WrongPlanner(number, max(1, difference.count()), difference.example() or "holds no list"))
             else:
                 right += 1
             digests[follower.planner.cell].add(digest_of(actual))
-            await asyncio.sleep(0)  # watches go on meanwhile
-        return Compared(compared, right, wrong, {cell: sorted(found) for cell, found in digests.items()})
+            await asyncio.sleep(0)  # so that watches are read meanwhile
+        return Compared(compared, right, wrong, {cell: sorted(of_cell) for cell, of_cell in digests.items()})
 
-    def listed(self, entries: list[Entry]) -> dict[str, ListedEntry]:
-        """What a planner that was told these entries holds, read apart from the planner's own reader."""
-        zones = {zone: place for place, zone in enumerate(self.shared.zones)}
+    def expected_entries(self, entries: list[Entry]) -> dict[str, ListedEntry]:
+        """The entries that a planner should have, by name, converted without the planner's own reader."""
+        zones = {zone: index for index, zone in enumerate(self.shared.zones)}
         return {entry.instance_id: listed_entry(entry, zones, self.shared) for entry in entries}
 
+    def restart(self, planners: list[int]) -> None:
+        """Restart these planners, all at once."""
+        for planner in planners:
+            self.followers[planner].restart()
+
+    async def handle(self, message: Request) -> Message | None:
+        """Carry out a request of the run; the answer, if the request has one."""
+        match message:
+            case Follow():
+                await self.follow(message)
+                return Ready()
+            case Compare():
+                return await self.compare(message)
+            case _:
+                return self.handle_at_once(message)
+
+    def handle_at_once(self, message: Request) -> Message | None:
+        """Carry out a request that needs no waiting; the answer, if the request has one."""
+        match message:
+            case CountPlannersWithList():
+                return self.planners_with_list()
+            case GetTraffic():
+                return self.traffic()
+            case GetRecords():
+                return self.records.message(self.shared.ids.name)
+            case Record():
+                self.records.begin()
+            case Restart(planners):
+                self.restart(planners)
+            case DropEntry(planner):
+                self.followers[planner].drop_entry()
+            case other:
+                raise TypeError(f"hollow planners can't do {other}")
+        return None
+
 
 def listed_entry(entry: Entry, zones: dict[str, int], shared: SharedEntries) -> ListedEntry:
-    """One entry in a planner's terms."""
-    read = EndpointEntry(
-        server_id(entry.instance_id),
-        zones[entry.zone],
-        shared.kinds.index(entry.machine_type),
-        entry.cell,
-        LIFECYCLES[entry.lifecycle],
-        entry.weight,
-        float(entry.started_at_ms),
+    """A listed entry as a planner stores it. `zones`: the index of each zone."""
+    endpoint = EndpointEntry(
+        server=server_id(entry.instance_id),
+        zone=zones[entry.zone],
+        kind=shared.kinds.index(entry.machine_type),
+        cell=entry.cell,
+        availability=LIFECYCLES[entry.lifecycle],
+        weight=entry.weight,
+        started_at=float(entry.started_at_ms),
     )
-    return ListedEntry(read, entry.host_port)
+    return ListedEntry(endpoint, entry.host_port)
 
 
 async def main(loop: CountingLoop) -> None:
-    """Do as the run says until told to stop, or until its end of the control connection is gone."""
-    logger.remove()  # a thousand planners' logs tell nothing that the counters don't
+    """Carry out the run's requests until it sends `Stop` or closes the control connection."""
+    logger.remove()  # the counters say all that the logs of a thousand planners would
     lines = await standard_lines()
     process = HollowProcess(loop)
-    settling = asyncio.create_task(process.accept_stale_snapshots())
+    accepting = asyncio.create_task(process.accept_stale_snapshots())
     await lines.send(Ready())
     gc.freeze()
     while (message := await lines.receive()) is not None and not isinstance(message, Stop):
-        await carry_out(process, lines, message)
-    settling.cancel()
+        answer = await process.handle(message)
+        if answer is not None:
+            await lines.send(answer)
+    accepting.cancel()
     process.peers.close()
     for follower in process.followers.values():
         follower.end()
 
 
-async def carry_out(process: HollowProcess, lines: Lines[Request], message: Request) -> None:
-    """One request of the run, answered where it has an answer."""
-    match message:
-        case Follow():
-            await process.follow(message)
-            await lines.send(Ready())
-        case CountPlannersWithList():
-            await lines.send(process.planners_with_list())
-        case GetTraffic():
-            await lines.send(process.traffic())
-        case Record():
-            process.records.begin()
-        case Restart(planners):
-            for planner in planners:
-                process.followers[planner].restart()
-        case DropEntry(planner):
-            process.followers[planner].drop_entry()
-        case Compare():
-            await lines.send(await process.compare(message))
-        case GetRecords():
-            await lines.send(process.records.message(process.shared.ids.name))
-        case other:
-            raise TypeError(f"hollow planners can't do {other}")
-
-
 def run(work: Callable[[CountingLoop], Any]) -> None:
-    """Run on a loop that counts."""
+    """Run a coroutine function on a `CountingLoop`."""
     loop = CountingLoop()
     asyncio.set_event_loop(loop)
     try:
--- a/stackwheel/scale/hollow_endpoints.py
+++ b/stackwheel/scale/hollow_endpoints.py
@@ -1,4 +1,4 @@
-"""What a hollow planner holds of the list: the planner's own roster, its entries shared within the process."""
+"""The endpoint cache of a hollow planner: the planner's own, with entries shared within the process."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds, server_id
 
+DIGEST_BYTES = 16
+
 
 class SharedEntries:
     """What all hollow planners of a process share: zones, kinds, ids and equal entries.
 
-    It grows with the distinct entries the process was ever told, one for each change; `sweep` drops the old ones.
+    It grows with each change of an entry; `sweep` drops the entries that are no longer used.
     """
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
@@ -33,66 +35,74 @@
         """The one object for all addresses equal to this one."""
         return self.addresses.setdefault(address, address)
 
-    def sweep(self, holdings: Iterable[HollowEndpointCache]) -> None:
-        """Forget entries and addresses that nobody holds."""
-        actual = list(holdings)
-        self.entries = {entry: entry for holding in actual for entry in holding.entries.values()}
-        self.addresses = {address: address for holding in actual for address in holding.addresses.values()}
+    def sweep(self, caches: Iterable[HollowEndpointCache]) -> None:
+        """Drop entries and addresses that are in none of the process's caches."""
+        used = list(caches)
+        self.entries = {entry: entry for cache in used for entry in cache.entries.values()}
+        self.addresses = {address: address for cache in used for address in cache.addresses.values()}
 
 
 class HollowEndpointCache(EndpointCache):
-    """A planner's roster whose entries are shared; ids stay known, as others of the process hold them."""
+    """A planner's endpoint cache whose entries are shared; ids are never dropped, as other planners use them."""
 
     def __init__(self, shared: SharedEntries) -> None:
         super().__init__(shared.zones, shared.kinds, shared.ids)
         self.shared = shared
 
     def entry(self, instance: Instance) -> EndpointEntry | None:
-        """As the roster reads it, but one object for all who hold the same."""
-        read = super().entry(instance)
-        if read is None:
+        """The entry of an instance, one object for all planners of the process; None if it is unreadable."""
+        entry = super().entry(instance)
+        if entry is None:
             return None
-        self.addresses[read.server] = self.shared.address(instance.address)
-        return self.shared.entry(read)
+        self.addresses[entry.server] = self.shared.address(instance.address)
+        return self.shared.entry(entry)
 
     def forget(self, server: Server) -> None:
-        """Drop a server that has gone here; its id may be another planner's."""
+        """Drop a removed server from this cache; its id may still be used by another planner."""
         self.removed.pop(server, None)
 
     def apply_list(self, endpoint_list: EndpointList, now: float) -> list[EndpointEntry]:
-        """Take a listing in; what it changed here. A server that a whole list leaves out is told as gone."""
-        former = self.entries_that_may_change(endpoint_list)
+        """Apply a list.
+
+        Args:
+            endpoint_list: a full list or a delta.
+            now: ms on the monotonic clock.
+
+        Returns:
+            The entries that it changed; a server that a full list leaves out is among them as removed.
+        """
+        before = self.entries_that_may_change(endpoint_list)
         update = self.apply(endpoint_list, now)
         for server in self.excess_removed():
             self.forget(server)
         if update.kind is not UpdateKind.FULL:
-            return [entry for entry in update.entries if former.get(entry.server) != entry]
-        changed = [entry for server, entry in self.entries.items() if former.get(server) != entry]
-        return changed + [departed_entry(entry) for server, entry in former.items() if server not in self.entries]
+            return [entry for entry in update.entries if before.get(entry.server) != entry]
+        changed = [entry for server, entry in self.entries.items() if before.get(server) != entry]
+        return changed + [removed_entry(entry) for server, entry in before.items() if server not in self.entries]
 
     def entries_that_may_change(self, endpoint_list: EndpointList) -> dict[Server, EndpointEntry]:
-        """The present entries that a listing may change; the roster changes its own in place."""
+        """A copy of the entries that a list may change: the cache changes them in place."""
         if endpoint_list.complete:
             return dict(self.entries)
-        named = [server_id(one.name) for one in endpoint_list.instances]
+        named = [server_id(instance.name) for instance in endpoint_list.instances]
         return {server: self.entries[server] for server in named if server in self.entries}
 
     def listed(self) -> dict[str, ListedEntry]:
-        """All that is held, by the servers' names."""
+        """All entries, by the servers' names."""
         return {
             self.server_ids.names[server]: ListedEntry(entry, self.addresses.get(server, ""))
             for server, entry in self.entries.items()
         }
 
 
-def departed_entry(entry: EndpointEntry) -> EndpointEntry:
-    """The same process, as having left."""
+def removed_entry(entry: EndpointEntry) -> EndpointEntry:
+    """The entry of the same process once it is removed."""
     return replace(entry, availability=Availability.REMOVED)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEntry:
-    """Every field of an entry, as held: with the address beside what the policy is told."""
+    """Every field of an entry: what the policy gets, and the address."""
 
     entry: EndpointEntry
     address: str
@@ -100,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Where what is held is not what is listed: names missing, left over, or with another entry."""
+    """The names of the servers at which two sets of entries differ."""
 
     missing: tuple[str, ...] = ()
     extra: tuple[str, ...] = ()
@@ -111,25 +121,25 @@
         return len(self.missing) + len(self.extra) + len(self.different)
 
     def example(self) -> str:
-        """One of them in words; nothing where all is right."""
+        """One of them in words; "" if there is none."""
         for kind, names in (("missing", self.missing), ("left over", self.extra), ("different", self.different)):
             if names:
                 return f"{names[0]} is {kind}"
         return ""
 
 
-def compare(actual: Mapping[str, ListedEntry], listed: Mapping[str, ListedEntry]) -> Difference:
-    """Entry by entry, every field of each."""
+def compare(actual: Mapping[str, ListedEntry], expected: Mapping[str, ListedEntry]) -> Difference:
+    """Compare every field of every entry."""
     return Difference(
-        tuple(name for name in listed if name not in actual),
-        tuple(name for name in actual if name not in listed),
-        tuple(name for name, one in listed.items() if name in actual and actual[name] != one),
+        missing=tuple(name for name in expected if name not in actual),
+        extra=tuple(name for name in actual if name not in expected),
+        different=tuple(name for name, entry in expected.items() if name in actual and actual[name] != entry),
     )
 
 
-def digest_of(actual: Mapping[str, ListedEntry]) -> str:
-    """A digest of all entries in the order of their names; only beside the comparison, never in its place."""
-    found = hashlib.blake2b(digest_size=16)
-    for name in sorted(actual):
-        found.update(repr((name, actual[name])).encode())
-    return found.hexdigest()
+def digest_of(entries: Mapping[str, ListedEntry]) -> str:
+    """A digest of all entries in the order of their names; it is reported, but does not replace the comparison."""
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    for name in sorted(entries):
+        digest.update(repr((name, entries[name])).encode())
+    return digest.hexdigest()
--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -1,4 +1,4 @@
-"""The datagrams that hollow planners of a cell send each other, in the planner's own format and number."""
+"""The datagrams that hollow planners of a cell send each other, in a planner's format and number."""
 
 from __future__ import annotations
 
@@ -12,22 +12,20 @@
 from stackwheel.wire.http import split_address
 
 CYCLE = 1.0  # s: `family_info.cycle` of the example configuration
-MAX_DATAGRAMS_PER_CYCLE = 128  # datagrams that a planner reads a cycle; over that none are sent, see docs/fleet.md
-MAX_DATAGRAMS_SENT = (
-    1_000  # a second from one process: some 0.03 of a core there; what is over it is computed, not sent
-)
-PROXIES = 66  # of a planner, as 990,000 requests a second over 15,000 planners come from at 1 a second each
-RATE = 1.0  # requests a second to each server: the payload's size does not depend on it
+MAX_DATAGRAMS_PER_CYCLE = 128  # that a planner reads; if more were needed none are sent, see docs/fleet.md
+MAX_DATAGRAMS_SENT = 1_000  # a second from one process, some 0.03 of its core; those over it are computed, not sent
+PROXIES = 66  # of a planner: 990,000 requests a second over 15,000 planners, at 1 a second of each proxy
+RATE = 1.0  # requests a second to each server: the size of a datagram does not depend on it
 
 
 def datagrams_per_cycle(planners: int, servers: int) -> int:
-    """What one planner of a cell sends in a cycle; the others' datagrams that it reads are as many."""
+    """The datagrams that one planner of a cell sends in a cycle; it reads as many."""
     needed = (planners - 1) * math.ceil(servers / peers.LINES)
     return needed if needed <= MAX_DATAGRAMS_PER_CYCLE else 0
 
 
 def bytes_per_cycle(planners: int, servers: int) -> int:
-    """The bytes of those datagrams that one planner of a cell reads in a cycle."""
+    """The bytes of the datagrams that one planner of a cell reads in a cycle."""
     if not datagrams_per_cycle(planners, servers):
         return 0
     payloads = math.ceil(servers / peers.LINES)
@@ -35,29 +33,40 @@
 
 
 class Receiver(asyncio.DatagramProtocol):
-    """Counts what comes in."""
+    """Counts the datagrams that a hollow planner receives."""
 
     def __init__(self, traffic: PeerTraffic) -> None:
         self.traffic = traffic
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """One datagram of a peer, read as a planner reads it."""
+        """Count a datagram of a peer if a planner could read it."""
         if peers.unpack(data) is not None:
             self.traffic.datagrams_in += 1
             self.traffic.bytes_in += len(data)
 
 
 class PeerTraffic:
-    """Sends for all hollow planners of a process: the first of them for real, up to the bound."""
+    """The datagrams of all hollow planners of a process: sent up to a bound, beyond it only counted."""
 
     def __init__(self) -> None:
-        self.datagrams_in = self.datagrams_out = self.datagrams_computed = 0
-        self.bytes_in = self.bytes_out = self.granted = 0
+        self.datagrams_in = 0
+        self.datagrams_out = 0
+        self.datagrams_computed = 0  # that the planners would send by their formula, sent or not
+        self.bytes_in = 0
+        self.bytes_out = 0
+        self.granted = 0  # datagrams a cycle of the planners that send
         self.tasks: list[asyncio.Task[None]] = []
         self.transports: list[asyncio.DatagramTransport] = []
 
-    async def start(self, planners: Iterable[HollowPlanner], holding: Callable[[int], HollowEndpointCache]) -> None:
-        """Stand open for each planner that has peers, then send once a cycle."""
+    async def start(
+        self, planners: Iterable[HollowPlanner], endpoints_of: Callable[[int], HollowEndpointCache]
+    ) -> None:
+        """Open a socket for each planner that has peers, and begin its cycles.
+
+        Args:
+            planners: of the process.
+            endpoints_of: the endpoint cache of a planner by its number.
+        """
         loop = asyncio.get_running_loop()
         for planner in planners:
             if not planner.peers:
@@ -66,10 +75,10 @@
                 lambda: Receiver(self), local_addr=split_address(planner.listen)
             )
             self.transports.append(transport)
-            self.tasks.append(asyncio.create_task(self.send_cycles(transport, planner, holding)))
+            self.tasks.append(asyncio.create_task(self.send_cycles(transport, planner, endpoints_of)))
 
     def close(self) -> None:
-        """Send no more, and close all sockets."""
+        """End all cycles, and close all sockets."""
         for task in self.tasks:
             task.cancel()
         for transport in self.transports:
@@ -79,31 +88,31 @@
         self,
         transport: asyncio.DatagramTransport,
         planner: HollowPlanner,
-        holding: Callable[[int], HollowEndpointCache],
+        endpoints_of: Callable[[int], HollowEndpointCache],
     ) -> None:
-        """Once a cycle, send one planner's load to the others of its cell, or only count what it would send."""
+        """Once a cycle, send one planner's load to its peers, or only count the datagrams."""
         others = [split_address(peer) for peer in planner.peers]
-        await asyncio.sleep(CYCLE * (planner.number % 100) / 100.0)  # as planners' cycles are not in step
+        await asyncio.sleep(CYCLE * (planner.number % 100) / 100.0)  # real planners' cycles are not in phase either
         granted: bool | None = None
         while True:
-            servers = list(holding(planner.number).entries)
-            due = datagrams_per_cycle(len(others) + 1, len(servers))
-            self.datagrams_computed += due
-            if due and granted is None:
-                granted = self.grant(due)
-            if due and granted:
+            servers = list(endpoints_of(planner.number).entries)
+            count = datagrams_per_cycle(len(others) + 1, len(servers))
+            self.datagrams_computed += count
+            if count and granted is None:
+                granted = self.grant(count)
+            if count and granted:
                 self.send(transport, peers.pack(PROXIES, dict.fromkeys(servers, RATE)), others)
             await asyncio.sleep(CYCLE)
 
-    def grant(self, due: int) -> bool:
-        """Whether a planner with so many datagrams a cycle sends them for real, from now on."""
-        if self.granted + due > MAX_DATAGRAMS_SENT:
+    def grant(self, count: int) -> bool:
+        """Whether a planner with so many datagrams a cycle may send them; the bound is shared by the process."""
+        if self.granted + count > MAX_DATAGRAMS_SENT:
             return False
-        self.granted += due
+        self.granted += count
         return True
 
     def send(self, transport: asyncio.DatagramTransport, payloads: list[bytes], others: list[tuple[str, int]]) -> None:
-        """Send every payload to every other planner of the cell."""
+        """Send every payload to every peer."""
         for payload in payloads:
             for other in others:
                 transport.sendto(payload, other)
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -1,4 +1,4 @@
-"""One real planner's process between stand-ins: its configuration, its start, all that speaks with it, its end."""
+"""The bench of a planner: one real planner's process between stand-ins for all that it is connected with."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from stackwheel.scale.accounting import Channel
 from stackwheel.scale.bench import READY_POLL_SECONDS, READY_SECONDS, Bench, BenchError, address_of, started
 from stackwheel.scale.fake_environment import FakeDiscovery, FakePeerPlanners, FakeServers
+from stackwheel.scale.ping import answers_ping
 from stackwheel.scale.planner_settings import PlannerSettings, RequestClassSettings
 from stackwheel.scale.points import Point
 from stackwheel.scale.ports import HOST, free_port
@@ -25,13 +26,13 @@
 from stackwheel.wire.http import split_address
 
 ROUTES = ("read", "write")
-ZONE_LOST_AFTER = 1.5  # s from the span's start
-SPARE_SOCKETS = 256
-MAX_SOCKETS = 15_000  # of 20,000 descriptors a process
+ZONE_LOST_AFTER = 1.5  # s from the start of the measured span
+SPARE_SOCKETS = 256  # beside those of the proxies
+MAX_SOCKETS = 15_000  # of the 20,000 descriptors of a process
 
 
 def bench_settings(point: Point) -> PlannerSettings:
-    """The planner's tier, at a point of a sweep."""
+    """The settings of the planner's tier, at a point of a sweep."""
     return PlannerSettings(
         zones=[f"zone-{number:02d}" for number in range(point.zones)],
         kinds=["m1"],
@@ -47,23 +48,23 @@
 
 
 def planner_config(point: Point, listen: str, discovery: str, peers: FakePeerPlanners, seed: int) -> dict[str, object]:
-    """ROUTER_CONFIG of the planner under test: number 0 of its tier."""
-    own = f"{HOST}:{free_port(socket.SOCK_DGRAM)}"
+    """The configuration of the planner under test, which is number 0 of its tier."""
+    peer_listen = f"{HOST}:{free_port(socket.SOCK_DGRAM)}"
     return {
         "name": "planner-0",
         "listen": listen,
         "discovery": discovery,
         "seed": f"{seed:x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": min(MAX_SOCKETS, point.proxies + SPARE_SOCKETS)},
-        "peer_listen": own,
-        "peers": [own, *(end.address() for end in peers.ends)],
-        "peers_all": peers.broadcast_end.address(),
+        "peer_listen": peer_listen,
+        "peers": [peer_listen, *(peer.address() for peer in peers.sockets)],
+        "peers_all": peers.broadcast_socket.address(),
         "settings": bench_settings(point).document(),
     }
 
 
 class PlannerBench(Bench):
-    """One planner's process, with discovery, proxies, collectors, peers and servers that answer probes."""
+    """One planner's process, with discovery, proxies, collectors, peers and servers that answer health checks."""
 
     def __init__(self, point: Point, seed: int) -> None:
         super().__init__(seed)
@@ -72,12 +73,12 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[asyncio.subprocess.Process]:
-        """The process, ready, with its proxies joined; ended with all that was started, whatever happens."""
+        """The process, ready, with its proxies started; on exit it is ended together with all stand-ins."""
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self.cancel)
-            probed = await asyncio.start_server(FakeServers(self.counters[Channel.PROBES]).serve, HOST, 0)
-            stack.callback(probed.close)
-            entries = self.point.entries(address_of(probed))
+            servers = await asyncio.start_server(FakeServers(self.counters[Channel.PROBES]).serve, HOST, 0)
+            stack.callback(servers.close)
+            entries = self.point.entries(address_of(servers))
             self.feed = FakeDiscovery(entries, self.counters[Channel.LIST])
             discovery = await asyncio.start_server(self.feed.serve, HOST, 0)
             stack.callback(discovery.close)
@@ -90,12 +91,12 @@
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(config))
             process = await stack.enter_async_context(started((), {VARIABLE: str(path)}))
-            await ready(str(config["listen"]), process)
-            self.join(str(config["listen"]), names)
+            await wait_until_ready(str(config["listen"]), process)
+            self.start_proxies(str(config["listen"]), names)
             self.start_task(peers.run(split_address(str(config["peer_listen"]))))
             yield process
 
-    def join(self, address: str, names: Sequence[str]) -> None:
+    def start_proxies(self, address: str, names: Sequence[str]) -> None:
         """Start the proxies and the collectors of the planner under test."""
         settings = ProxySettings(address, ROUTES, frozenset(names), REQUESTS_PER_PROXY)
         random = Random(self.seed)
@@ -106,21 +107,22 @@
             proxy = HollowProxy(number, zone, settings, streams, Random(random.getrandbits(64)))
             self.proxies.append(proxy)
             self.start_task(proxy.run())
-        met = names[: self.point.requests]
-        for place in range(self.point.zones):
-            own = met[place :: self.point.zones]
-            collector = HollowCollector(self.point.zone(place), address, own, reports, Random(random.getrandbits(64)))
+        requested = names[: self.point.requests]  # a server that has had no request has no report
+        for index in range(self.point.zones):
+            zone = self.point.zone(index)
+            servers = requested[index :: self.point.zones]
+            collector = HollowCollector(zone, address, servers, reports, Random(random.getrandbits(64)))
             self.start_task(collector.run())
 
     def cancel(self) -> None:
-        """End all stand-ins, and reset the proxies' streams."""
+        """End the tasks of all stand-ins, and reset the proxies' streams."""
         super().cancel()
         for proxy in self.proxies:
             proxy.close()
 
     def all_served(self) -> bool:
-        """Whether every proxy holds a server for every class."""
-        return all(proxy.holds_table() for proxy in self.proxies)
+        """Whether every proxy has a server for every request class."""
+        return all(proxy.has_tables() for proxy in self.proxies)
 
     def start_disturbances(self) -> None:
         """Begin the changes of the list, and the loss of a zone, that the point asks for."""
@@ -130,28 +132,21 @@
             self.start_task(self.lose_zone())
 
     def updates_received(self) -> int:
-        """Messages that came to all proxies so far."""
+        """Updates that all proxies together have received so far."""
         return sum(proxy.state.updates for proxy in self.proxies)
 
     async def lose_zone(self) -> None:
-        """The first zone's servers leave at once, some time into the span."""
+        """Remove all servers of the first zone at once, some time into the span."""
         assert self.feed is not None
         await asyncio.sleep(ZONE_LOST_AFTER)
         self.feed.remove_zone(self.point.zone(0))
 
 
-async def ready(address: str, process: asyncio.subprocess.Process) -> None:
-    """Wait for the first PONG; BenchError if it does not come."""
-    host, port = split_address(address)
+async def wait_until_ready(address: str, process: asyncio.subprocess.Process) -> None:
+    """Wait until the planner answers a PING; BenchError if it does not in time, or ends."""
     end = time.monotonic() + READY_SECONDS
     while time.monotonic() < end and process.returncode is None:
-        with contextlib.suppress(OSError):
-            reader, writer = await asyncio.open_connection(host, port)
-            try:
-                writer.write(b"PING\r\n")
-                if await asyncio.wait_for(reader.readline(), READY_SECONDS) == b"PONG\r\n":
-                    return
-            finally:
-                writer.transport.abort()
+        if await answers_ping(address, READY_SECONDS):
+            return
         await asyncio.sleep(READY_POLL_SECONDS)
     raise BenchError(f"planner at {address} was not ready within {READY_SECONDS:g} s")
--- a/stackwheel/scale/planner_settings.py
+++ b/stackwheel/scale/planner_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a real planner of a scale run or sweep is given, as the platform would hand them over."""
+"""The settings of a real planner in a run or sweep, in the form in which the platform provides them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSettings:
-    """A class of requests; worth in any unit, the rest as in `examples/config.json`."""
+    """A request class; what has no field here is as in `examples/config.json`."""
 
     name: str
     priority_weight: float = 1.0
-    idempotency: str = "repeatable"
+    idempotency: str = "repeatable"  # in the words of the settings page
 
     def document(self) -> dict[str, object]:
-        """As an entry of `settings.services`."""
+        """The class as an entry of `settings.services`."""
         return {
             "name": self.name,
             "target": 500.0,
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """What differs between the planners that are run; all else is as in `examples/config.json`. Times are ms."""
+    """The settings that differ between runs and sweeps; all others are as in `examples/config.json`. Times are ms."""
 
     zones: Sequence[str]
     kinds: Sequence[str]
@@ -61,7 +61,7 @@
             "load_report": {"columns": ["outstanding"], "source": self.load_source},
             "bounds": {"peers": self.gossip, "probes": self.health_checks},
             "deductions": {"cross_zone": self.cross_zone_cost},
-            "services": [one.document() for one in self.classes],
+            "services": [request_class.document() for request_class in self.classes],
             "family_info": self._family(),
             "obligations": self._obligations(),
         }
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -1,4 +1,4 @@
-"""The sizes that a planner is measured at: sweeps of one size each, and whole points as the design has them."""
+"""The sizes at which a planner and a relay are measured: sweeps of one variable, and single points of the design."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 SERVICE_SERVERS = round(design.SERVERS / design.SERVICES)  # of a mean service
 ZONES = design.ZONES
-MEAN_REQUESTS = round(design.REQUESTS / design.SERVICES)  # a second; each is met by one server, and reported there
+MEAN_REQUESTS = round(design.REQUESTS / design.SERVICES)  # of a mean service, a second
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """The sizes that one planner is measured at."""
+    """The sizes at which one planner is measured."""
 
     servers: int = 128
     zones: int = 1
@@ -23,10 +23,10 @@
     planners: int = 1
     changes: float = 0.0  # of the list, a second
     zone_lost: bool = False  # all servers of the first zone leave during the span
-    requests: int = MEAN_REQUESTS  # a second that collectors report on: no more servers a cycle can have met one
+    requests: int = MEAN_REQUESTS  # a second: at most so many servers have a report in each cycle
 
     def entries(self, probe_address: str) -> list[Entry]:
-        """The list: names as in the fleet, zones in turn."""
+        """The list: names as in the fleet, zones in turn; all servers at one address for health checks."""
         return [Entry(f"svc-0001-{number:08x}", probe_address, self.zone(number)) for number in range(self.servers)]
 
     def zone(self, number: int) -> str:
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPoint:
-    """The sizes that one relay is measured at: it holds all servers, its watchers are spread over the cells."""
+    """The sizes at which one relay is measured: it has all servers, its watchers are spread over the cells."""
 
     servers: int = 2_000
     watchers: int = 200
     changes: float = 0.0  # of the list, a second
 
     def cells(self) -> int:
-        """Mean services, a cell each."""
+        """The number of cells, one for each service of mean size."""
         return max(1, round(self.servers / SERVICE_SERVERS))
 
     def entries(self) -> list[Entry]:
@@ -56,42 +56,46 @@
 
 
 def cell_name(number: int) -> str:
-    """Of a cell, and of the one service in it."""
+    """The name of a cell, and of the one service in it."""
     return f"svc-{number:04d}"
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One sweep: which size, which values, the one held out, and what stands meanwhile."""
+    """One sweep of a variable."""
 
     variable: str
-    sizes: tuple[int, ...]
-    held_out: int
-    base: Point | RelayPoint
-    jobs: int  # points measured side by side: few, as they share the machine
+    sizes: tuple[int, ...]  # that the fits are made from
+    held_out: int  # the size that is predicted by the fits, and then measured
+    base: Point | RelayPoint  # the other sizes
+    jobs: int  # points measured concurrently: few, as they share the machine
 
     @property
     def role(self) -> str:
-        """Whose process is measured."""
+        """The role whose process is measured."""
         return "planner" if isinstance(self.base, Point) else "relay"
 
     @property
     def name(self) -> str:
-        """As the command line has it."""
+        """The sweep's name on the command line."""
         return self.variable if isinstance(self.base, Point) else f"relay-{self.variable}"
 
     def point(self, size: int) -> Point | RelayPoint:
         """The point at a size of the swept variable."""
-        changed: dict[str, Any] = {FIELDS.get(self.variable, self.variable): size}
+        changed: dict[str, Any] = {self.swept_field(): size}
         return replace(self.base, **changed)
 
     def fixed(self) -> dict[str, float]:
-        """What stands while the variable is swept."""
-        swept = FIELDS.get(self.variable, self.variable)
+        """The sizes that are the same at all points of the sweep."""
+        swept = self.swept_field()
         return {name: float(value) for name, value in asdict(self.base).items() if name != swept}
 
+    def swept_field(self) -> str:
+        """The field of a point that the sweep changes."""
+        return FIELDS.get(self.variable, self.variable)
 
-FIELDS = {"list": "servers"}  # sweeps that are named otherwise than the field they change
+
+FIELDS = {"list": "servers"}  # the changed field of sweeps that have another name
 
 PLANS = (
     Plan("servers", (32, 64, 128, 256), 512, Point(), 3),
@@ -105,9 +109,13 @@
     Plan("changes", (5, 10, 20, 40), 80, RelayPoint(), 2),
 )
 MEAN_CELL = Point(servers=23, zones=2, proxies=5, planners=7)
-SERVICE_PART = Point(servers=51, zones=2, proxies=5, planners=16, requests=1056)  # 16 planners' part of a large one
-LARGEST_CELL = Point(servers=512, zones=2, proxies=44, planners=16, requests=512)  # both limits of the plan file
-FULL_LIST = Point(servers=48_000, zones=85, proxies=5)  # a mean service's planner, without cells
+SERVICE_PART = Point(
+    servers=51, zones=2, proxies=5, planners=16, requests=1056
+)  # of a large service: 16 planners' cell
+LARGEST_CELL = Point(servers=512, zones=2, proxies=44, planners=16, requests=512)  # at both limits of the plan file
+FULL_LIST = Point(servers=48_000, zones=85, proxies=5)  # a planner of a mean service, without cells
+
+# Points that are measured as they are; result files and docs/CAPACITY.md use these names.
 DIRECT = {
     "mean cell": MEAN_CELL,
     "mean cell, one request a proxy": replace(MEAN_CELL, proxies=66),
@@ -119,4 +127,4 @@
     "whole list": FULL_LIST,
     "whole list, zone lost": replace(FULL_LIST, zone_lost=True),
 }
-DIRECT_JOBS = 2
+DIRECT_JOBS = 2  # of `DIRECT`, measured concurrently
--- a/stackwheel/scale/propagation.py
+++ b/stackwheel/scale/propagation.py
@@ -1,46 +1,54 @@
-"""From the change made at the registry to held by each planner that should hold it, as a histogram."""
+"""How long it takes from a change at the registry until it is in force at each planner concerned, as a histogram."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
 from stackwheel.scale.control import EntryRecord, MadeChange, RestartRecord
 from stackwheel.wire.discovery_protocol import LIFECYCLES
 
-MAX_MICROSECONDS = 600_000_000  # ten minutes: longer than a run's settling
+MAX_MICROSECONDS = 600_000_000  # ten minutes: longer than a run takes to settle
 DIGITS = 3  # significant figures of a recorded value
 
-ChangeKey = tuple[str, int, float]  # a server's name, its availability, and its start: what a record names
+
+class RecordKey(NamedTuple):
+    """What identifies an entry at a planner."""
+
+    planner: int  # number
+    name: str  # of the server
+    availability: int
+    started: float  # Unix ms
 
 
 @dataclass(slots=True)
 class PropagationTimes:
-    """Times until in force, in ms, and how many changes a planner was never seen to hold."""
+    """Times from changes to their being in force at planners, and the number of those never seen in force."""
 
     histogram: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_MICROSECONDS, DIGITS))
     missing: int = 0
 
     def add(self, seconds: float) -> None:
-        """One change at one planner."""
+        """Add the time of one change at one planner."""
         self.histogram.record_value(max(1, round(1e6 * seconds)))
 
     def percentile(self, percent: float) -> float | None:
-        """ms; None without any."""
+        """A percentile in ms; None without any times."""
         if not self.histogram.get_total_count():
             return None
         return float(self.histogram.get_value_at_percentile(percent)) / 1000.0
 
     def count(self) -> int:
-        """Times recorded."""
+        """The number of times added."""
         return int(self.histogram.get_total_count())
 
 
-def key_of(change: MadeChange) -> ChangeKey:
-    """How a planner's record names this change."""
-    return change.name, int(LIFECYCLES[change.lifecycle]), float(change.started_at_ms)
+def key_of(planner: int, change: MadeChange) -> RecordKey:
+    """The key of a change at a planner."""
+    return RecordKey(planner, change.name, int(LIFECYCLES[change.lifecycle]), float(change.started_at_ms))
 
 
 def measure(
@@ -49,65 +57,75 @@
     planners_of: Mapping[str, Sequence[int]],
     restarts: Iterable[RestartRecord] = (),
 ) -> PropagationTimes:
-    """Match each change with the first time at which each planner held it, or a later word of the same server.
+    """Measure how long each change took at each planner, by the planners' records.
+
+    A change is in force at a planner from the first record of it, or of a later change of the same server. For a
+    planner that was restarting when a change was made, the restart counts in place of the change.
 
-    `planners_of`: the planners that should hold a server, by its name. A planner that was starting anew when a
-    change was made has it in force once it holds a list again, which is counted as a restart.
+    Args:
+        changes: made at the registry, in their order.
+        records: of hollow planners.
+        planners_of: the planners that should have a server, by its name.
+        restarts: of hollow planners.
     """
-    found = PropagationTimes()
-    first_held_at = times_of(records)
-    pauses = pauses_of(restarts)
-    for name, history in by_server(changes).items():
+    times = PropagationTimes()
+    first_at = first_times(records)
+    restarts_of = restarts_by_planner(restarts)
+    for name, history in changes_by_server(changes).items():
         for planner in planners_of.get(name, ()):
-            measure_one(found, planner, history, first_held_at, pauses.get(planner, []))
-    for pause in (pause for of_planner in pauses.values() for pause in of_planner):
-        found.add(pause.ready_at - pause.ended)
-    return found
+            measure_one(times, planner, history, first_at, restarts_of.get(planner, []))
+    for restart in (restart for of_planner in restarts_of.values() for restart in of_planner):
+        times.add(restart.ready_at - restart.ended)
+    return times
 
 
 def measure_one(
-    found: PropagationTimes,
+    times: PropagationTimes,
     planner: int,
     history: Sequence[MadeChange],
-    first_held_at: Mapping[tuple[int, str, int, float], float],
-    pauses: Sequence[RestartRecord],
+    first_at: Mapping[RecordKey, float],
+    restarts: Sequence[RestartRecord],
 ) -> None:
-    """The changes of one server at one planner: who holds a later one, or began anew since, holds the earlier too."""
-    later: list[float] = []
+    """Add the times of one server's changes at one planner.
+
+    A planner that has a later change, or has restarted since, has the earlier changes, too.
+    """
+    recorded_at: list[float] = []  # of this change and of later ones
     for change in reversed(history):
-        at = first_held_at.get((planner, *key_of(change)))
-        later += [at] if at is not None else []
-        if any(pause.ended <= change.made_at <= pause.ready_at for pause in pauses):
+        at = first_at.get(key_of(planner, change))
+        if at is not None:
+            recorded_at.append(at)
+        if any(restart.ended <= change.made_at <= restart.ready_at for restart in restarts):
             continue
-        restarted_at = [pause.ready_at for pause in pauses if pause.ready_at >= change.made_at]
-        seen = [at for at in (*later, *restarted_at) if at >= change.made_at]
-        if seen:
-            found.add(min(seen) - change.made_at)
+        restarted_at = [restart.ready_at for restart in restarts if restart.ready_at >= change.made_at]
+        in_force_at = [at for at in (*recorded_at, *restarted_at) if at >= change.made_at]
+        if in_force_at:
+            times.add(min(in_force_at) - change.made_at)
         else:
-            found.missing += 1
+            times.missing += 1
 
 
-def times_of(records: Iterable[EntryRecord]) -> dict[tuple[int, str, int, float], float]:
-    """When each planner first held each entry."""
-    found: dict[tuple[int, str, int, float], float] = {}
+def first_times(records: Iterable[EntryRecord]) -> dict[RecordKey, float]:
+    """When each entry first came into force at each planner, in s on the monotonic clock."""
+    first_at: dict[RecordKey, float] = {}
     for record in records:
         for planner, at in zip(record.planners, record.times, strict=True):
-            key = planner, record.name, record.availability, record.started
-            found[key] = min(at, found.get(key, at))
-    return found
+            key = RecordKey(planner, record.name, record.availability, record.started)
+            first_at[key] = min(at, first_at.get(key, at))
+    return first_at
 
 
-def by_server(changes: Iterable[MadeChange]) -> dict[str, list[MadeChange]]:
-    """The changes of each server in their order."""
-    found: dict[str, list[MadeChange]] = {}
+def changes_by_server(changes: Iterable[MadeChange]) -> dict[str, list[MadeChange]]:
+    """The changes of each server in their order, by its name."""
+    by_server: dict[str, list[MadeChange]] = {}
     for change in changes:
-        found.setdefault(change.name, []).append(change)
-    return found
+        by_server.setdefault(change.name, []).append(change)
+    return by_server
 
 
-def pauses_of(restarts: Iterable[RestartRecord]) -> dict[int, list[RestartRecord]]:
-    """Each planner's restarts."""
-    found: dict[int, list[RestartRecord]] = {}
+def restarts_by_planner(restarts: Iterable[RestartRecord]) -> dict[int, list[RestartRecord]]:
+    """The restarts of each planner, by its number."""
+    by_planner: dict[int, list[RestartRecord]] = {}
     for restart in restarts:
-        found.setdefault(restart.planner, []).append(restart)
-    return found
+        by_planner.setdefault(restart.planner, []).append(restart)
+    return by_planner
--- a/stackwheel/scale/propagation_records.py
+++ b/stackwheel/scale/propagation_records.py
@@ -1,50 +1,69 @@
-"""When entries came into force at a process's planners, kept compactly: one list of times for each entry."""
+"""Records of when entries came into force at the planners of a process, stored compactly: one array for each entry."""
 
 from __future__ import annotations
 
 from array import array
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
 
 from stackwheel.interface import EndpointEntry, Server
 from stackwheel.scale.control import EntryRecord, Records, RestartRecord
 
-MAX_RECORDS = 4_000_000  # of a process: 12 bytes each, 48 MB; 1,000 planners see 4,000 changes each
+MAX_RECORDS = 4_000_000  # of a process: 12 bytes each, 48 MB; 1,000 planners with 4,000 changes each
+
+
+@dataclass(frozen=True, slots=True)
+class EntryTimes:
+    """At which planners an entry came into force, and when."""
+
+    planners: array[int] = field(default_factory=lambda: array("I"))  # numbers
+    times: array[float] = field(default_factory=lambda: array("d"))  # s on the monotonic clock, one for each planner
+
+    def add(self, planner: int, at: float) -> None:
+        """Add one planner."""
+        self.planners.append(planner)
+        self.times.append(at)
 
 
 class PropagationRecords:
-    """Remembers, from `begin` on, each planner's time of each entry that changed there."""
+    """Records, from `begin` on, when each changed entry came into force at each planner."""
 
     def __init__(self) -> None:
-        self.on = False
-        self.count = self.dropped = 0
-        self.times: dict[EndpointEntry, tuple[array[int], array[float]]] = {}
+        self.recording = False
+        self.count = 0
+        self.dropped = 0  # records over `MAX_RECORDS`
+        self.times: dict[EndpointEntry, EntryTimes] = {}
         self.restarts: list[RestartRecord] = []
 
     def begin(self) -> None:
-        """What came before was the start, which no change caused."""
-        self.on = True
+        """Record from now on; entries of the planners' start are not due to changes."""
+        self.recording = True
 
     def add(self, planner: int, changed: Iterable[EndpointEntry], now: float) -> None:
-        """Those entries came into force at a planner. `now`: s on the monotonic clock."""
-        if not self.on:
+        """Record that entries came into force at a planner. `now`: s on the monotonic clock."""
+        if not self.recording:
             return
         for entry in changed:
             if self.count >= MAX_RECORDS:
                 self.dropped += 1
                 continue
             self.count += 1
-            planners, times = self.times.setdefault(entry, (array("I"), array("d")))
-            planners.append(planner)
-            times.append(now)
+            self.times.setdefault(entry, EntryTimes()).add(planner, now)
 
     def restarted(self, planner: int, ended: float, ready_at: float) -> None:
-        """A planner that ended holds a list again."""
+        """Record that a planner has a list again after a restart."""
         self.restarts.append(RestartRecord(planner, ended, ready_at))
 
-    def message(self, name: Callable[[Server], str | None]) -> Records:
-        """All of it, with the servers' names."""
+    def message(self, name_of: Callable[[Server], str | None]) -> Records:
+        """All records, with the servers' names; `name_of`: the name of a server by its id."""
         entries = [
-            EntryRecord(name(e.server) or "", int(e.availability), e.started_at, planners.tolist(), times.tolist())
-            for e, (planners, times) in self.times.items()
+            EntryRecord(
+                name=name_of(entry.server) or "",
+                availability=int(entry.availability),
+                started=entry.started_at,
+                planners=at_planners.planners.tolist(),
+                times=at_planners.times.tolist(),
+            )
+            for entry, at_planners in self.times.items()
         ]
         return Records(entries, self.restarts, self.dropped)
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -1,4 +1,4 @@
-"""Hollow proxies and collectors: real streams to a planner, tables held as a forwarder holds them, no requests."""
+"""Hollow proxies and collectors: real streams to a planner and a forwarder's tables, but no requests."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 from stackwheel.wire.http import split_address
 
 LINE_END = b"\r\n"
-MAX_LINE_BYTES = 1 << 20  # the protocol's most of one message
-REDIAL_SECONDS = (0.2, 1.0)  # drawn evenly, as all proxies of a planner that dies come back at once
-APPLY_MEDIAN_MS = 5.0  # of the log-normal time in which a proxy applies a message; the toy proxy takes 2.5 ms
-APPLY_SIGMA = 0.8  # one in a hundred over 32 ms
+MAX_LINE_BYTES = 1 << 20  # the protocol's limit of one message
+RECONNECT_SECONDS = (0.2, 1.0)  # drawn uniformly, as all proxies of a planner that ends connect again at once
+APPLY_MEDIAN_MS = 5.0  # of the log-normal time that a proxy takes to apply an update; the example proxy takes 2.5 ms
+APPLY_SIGMA = 0.8  # of its logarithm: one in a hundred takes over 32 ms
+POLL_INTERVAL = 0.02  # s between two checks of a condition
 CYCLE_MS = 1000.0  # between two reports, as `family_info.cycle` of the example configuration
 
 
@@ -35,16 +36,16 @@
 
 @dataclass(slots=True)
 class ProxyState:
-    """What came to one proxy so far."""
+    """What one proxy has counted so far, and what it has to acknowledge."""
 
     joins: int = 0
     updates: int = 0
-    resets: int = 0  # orders that could not be used
-    pending_nonces: list[int] = field(default_factory=list)  # applied, but not answered yet
+    resets: int = 0  # streams that it reset for an invalid update
+    pending_nonces: list[int] = field(default_factory=list)  # applied, but not acknowledged yet
 
 
 class HollowProxy:
-    """One proxy: joins, applies orders, answers marks after a drawn time, reports its demand once a cycle."""
+    """One proxy: joins, applies updates, acknowledges them after a drawn time, reports its demand once a cycle."""
 
     def __init__(self, number: int, zone: str, settings: ProxySettings, traffic: Traffic, random: Random) -> None:
         self.number = number
@@ -57,7 +58,7 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
-        """Keep one stream open, dialling again after any break, until cancelled."""
+        """Keep one stream open until cancelled, connecting again after any break."""
         while True:
             try:
                 await self.stream()
@@ -65,15 +66,15 @@
                 self.state.resets += isinstance(error, InvalidUpdate)
             finally:
                 self.close()
-            await asyncio.sleep(self.random.uniform(*REDIAL_SECONDS))
+            await asyncio.sleep(self.random.uniform(*RECONNECT_SECONDS))
 
     async def stream(self) -> None:
         """One connection, from SUBSCRIBE until it breaks."""
         host, port = split_address(self.settings.address)
         reader, self.writer = await asyncio.open_connection(host, port, limit=MAX_LINE_BYTES)
-        fresh = int(not any(class_table.lines for class_table in self.forwarder.routes.values()))
+        is_new = int(not any(class_table.lines for class_table in self.forwarder.routes.values()))
         rate = self.settings.requests_per_second
-        self.send_line(f"SUBSCRIBE id={self.number} site={self.zone} rps={rate:g} new={fresh}")
+        self.send_line(f"SUBSCRIBE id={self.number} site={self.zone} rps={rate:g} new={is_new}")
         self.state.joins += 1
         reports = asyncio.create_task(self.report())
         try:
@@ -83,36 +84,38 @@
 
     async def read_updates(self, reader: asyncio.StreamReader) -> None:
         """Apply every update of a stream until it breaks."""
-        orders = ConfigUpdateReader()
+        updates = ConfigUpdateReader()
         while True:
             line = await reader.readuntil(LINE_END)
             self.traffic.sent(len(line))
-            order = orders.take(line.removesuffix(LINE_END).decode())
-            if order is not None:
-                self.apply(order)
+            update = updates.take(line.removesuffix(LINE_END).decode())
+            if update is not None:
+                self.apply(update)
 
-    def apply(self, order: ConfigUpdate) -> None:
+    def apply(self, update: ConfigUpdate) -> None:
         """Apply one update, and acknowledge it after a drawn delay."""
-        self.forwarder.apply(order)
+        self.forwarder.apply(update)
         self.state.updates += 1
-        marks = order.nonces()
-        if marks:
-            elapsed = self.random.lognormvariate(math.log(APPLY_MEDIAN_MS), APPLY_SIGMA)
-            self.state.pending_nonces += marks
-            asyncio.get_running_loop().call_later(elapsed / 1000.0, self.acknowledge, marks[-1], elapsed, self.writer)
-
-    def acknowledge(self, mark: int, elapsed: float, stream: asyncio.StreamWriter | None) -> None:
-        """Answer a mark and, as the protocol has it, all before it; only on the stream that brought it."""
+        nonces = update.nonces()
+        if nonces:
+            delay_ms = self.random.lognormvariate(math.log(APPLY_MEDIAN_MS), APPLY_SIGMA)
+            self.state.pending_nonces += nonces
+            asyncio.get_running_loop().call_later(
+                delay_ms / 1000.0, self.acknowledge, nonces[-1], delay_ms, self.writer
+            )
+
+    def acknowledge(self, nonce: int, elapsed_ms: float, stream: asyncio.StreamWriter | None) -> None:
+        """Acknowledge a nonce, and by the protocol all before it, if the stream that brought it is still open."""
         if stream is None or stream is not self.writer:
             return
-        self.state.pending_nonces = [waiting for waiting in self.state.pending_nonces if waiting > mark]
-        self.send_line(f"ACK id={self.number} seq={mark} ms={elapsed:.1f}")
+        self.state.pending_nonces = [pending for pending in self.state.pending_nonces if pending > nonce]
+        self.send_line(f"ACK id={self.number} seq={nonce} ms={elapsed_ms:.1f}")
 
     async def report(self) -> None:
-        """RATE of each route once a cycle, the first one at a drawn time within the cycle."""
+        """Send the demand of each route once a cycle, the first time at a drawn moment within the cycle."""
         cycle = self.settings.cycle_ms / 1000.0
         await asyncio.sleep(self.random.random() * cycle)
-        due = asyncio.get_running_loop().time()
+        next_report_at = asyncio.get_running_loop().time()
         expected = self.settings.requests_per_second * cycle / len(self.settings.routes)
         while True:
             for route in self.settings.routes:
@@ -120,8 +123,8 @@
                 self.send_line(
                     f"RATE id={self.number} lane={route} count={count} fail=0 over={self.settings.cycle_ms:.1f}"
                 )
-            due += cycle
-            await asyncio.sleep(max(0.0, due - asyncio.get_running_loop().time()))
+            next_report_at += cycle
+            await asyncio.sleep(max(0.0, next_report_at - asyncio.get_running_loop().time()))
 
     def send_line(self, line: str) -> None:
         """Write one line if there is a stream, and count it."""
@@ -132,19 +135,19 @@
         self.traffic.received(len(data))
 
     def close(self) -> None:
-        """Reset the connection; what waits for an answer is forgotten with it."""
+        """Reset the connection; its nonces will not be acknowledged any more."""
         if self.writer is not None:
             self.writer.transport.abort()
             self.writer = None
         self.state.pending_nonces.clear()
 
-    def holds_table(self) -> bool:
-        """Whether it has a line to pick for every route."""
+    def has_tables(self) -> bool:
+        """Whether it has a server for every route."""
         return not any(self.forwarder.has_no_servers(route) for route in self.settings.routes)
 
 
 class HollowCollector:
-    """The collector of one zone: once a cycle, what the zone's proxies met at each of some servers."""
+    """The collector of one zone: once a cycle, a load report for each of its servers."""
 
     def __init__(self, zone: str, address: str, servers: Sequence[str], traffic: Traffic, random: Random) -> None:
         self.zone = zone
@@ -154,12 +157,12 @@
         self.random = random
 
     async def run(self) -> None:
-        """Report until cancelled; a broken connection is dialled again."""
+        """Report until cancelled, connecting again after any break."""
         while True:
             try:
                 await self.stream()
             except OSError:
-                await asyncio.sleep(self.random.uniform(*REDIAL_SECONDS))
+                await asyncio.sleep(self.random.uniform(*RECONNECT_SECONDS))
 
     async def stream(self) -> None:
         """One connection: reports of all servers once a cycle, until it breaks."""
@@ -167,16 +170,16 @@
         _, writer = await asyncio.open_connection(host, port)
         try:
             self.write(writer, [f"SOURCE site={self.zone}"])
-            due = asyncio.get_running_loop().time() + self.random.random()
+            next_report_at = asyncio.get_running_loop().time() + self.random.random()
             while True:
-                await asyncio.sleep(max(0.0, due - asyncio.get_running_loop().time()))
-                self.write(writer, [self.load(server) for server in self.servers])
+                await asyncio.sleep(max(0.0, next_report_at - asyncio.get_running_loop().time()))
+                self.write(writer, [self.load_line(server) for server in self.servers])
                 await writer.drain()
-                due += CYCLE_MS / 1000.0
+                next_report_at += CYCLE_MS / 1000.0
         finally:
             writer.transport.abort()
 
-    def load(self, server: str) -> str:
+    def load_line(self, server: str) -> str:
         """The load report of one server, with drawn figures."""
         count = self.random.randint(10, 30)
         mean = self.random.lognormvariate(math.log(40.0), 0.3)
@@ -186,17 +189,17 @@
         )
 
     def write(self, writer: asyncio.StreamWriter, lines: Sequence[str]) -> None:
-        """Write lines in one piece, and count them."""
+        """Write several lines at once, and count them."""
         data = b"".join(line.encode() + LINE_END for line in lines)
         writer.write(data)
         self.traffic.received(len(data), len(lines))
 
 
-async def until(done: Callable[[], bool], seconds: float, poll: float = 0.02) -> bool:
-    """Whether a condition came true within so many seconds."""
-    end = time.monotonic() + seconds
-    while not done():
+async def wait_until(is_true: Callable[[], bool], timeout: float, poll_interval: float = POLL_INTERVAL) -> bool:
+    """Wait for a condition; whether it became true within `timeout` seconds."""
+    end = time.monotonic() + timeout
+    while not is_true():
         if time.monotonic() > end:
             return False
-        await asyncio.sleep(poll)
+        await asyncio.sleep(poll_interval)
     return True
--- a/stackwheel/scale/registry.py
+++ b/stackwheel/scale/registry.py
@@ -1,7 +1,7 @@
-"""The registry stand-in, a process of its own: serves list and watch as the protocol's page says.
+"""The registry stand-in, a process that serves the list and watches as the protocol's page says.
 
-It is written from that page, not from the planner's client. `python -m stackwheel.scale.registry` speaks with the
-run over standard input and output.
+It is written from that page, not from the planner's client. `python -m stackwheel.scale.registry` is started by a run
+and takes its requests over standard input and output.
 """
 
 from __future__ import annotations
@@ -25,42 +25,41 @@
     Traffic,
     standard_lines,
 )
+from stackwheel.scale.discovery_http import CHUNKED_JSON_HEADERS, LIST_PATH, read_request
 from stackwheel.scale.registry_list import RegistryList
 
-LIST_PATH = "/registry/instances"
-BEAT = 2.0  # s: the protocol's empty line while nothing changes
-MAX_CONNECTIONS = 18_000  # of the 20,000 descriptors of a process
-MAX_PENDING_BYTES = 256 << 20  # bytes of first answers not yet written: 30 whole lists of 48,000 servers; beyond it 503
-MAX_UNSENT_BYTES = 32 << 20  # bytes that one watch leaves unread: four whole lists of 48,000 servers; then it is reset
+HEARTBEAT_INTERVAL = 2.0  # s: the protocol's empty line while nothing changes
+MAX_CONNECTIONS = 18_000  # of the 20,000 descriptors of a process; more are answered with 503
+MAX_PENDING_BYTES = 256 << 20  # of first answers not yet written: 30 lists of 48,000 servers; more are answered by 503
+MAX_UNSENT_BYTES = 32 << 20  # that one watch leaves unread: four lists of 48,000 servers; beyond it the watch is reset
 READ_BYTES = 16 << 10
-REQUEST_WITHIN = 2.0  # s from accepting to a whole request
-BACKLOG = 4_096
+REQUEST_TIMEOUT = 2.0  # s from accepting a connection to a complete request
+BACKLOG = 4_096  # connections that the kernel may hold: many planners start at once
 
 
 class Framer:
-    """The bytes of a chunked answer, which are the same for every watch."""
+    """Encodes a chunked response once for all watches."""
 
     def __init__(self) -> None:
         self.http = h11.Connection(h11.SERVER)
         self.http.receive_data(b"GET / HTTP/1.1\r\nHost: registry\r\n\r\n")
         while not isinstance(self.http.next_event(), h11.EndOfMessage):
             pass
-        headers = [("Content-Type", "application/json"), ("Transfer-Encoding", "chunked")]
-        self.head = self.sent(h11.Response(status_code=200, headers=headers))
+        self.head = self.encode(h11.Response(status_code=200, headers=list(CHUNKED_JSON_HEADERS)))
 
-    def sent(self, event: h11.Response | h11.Data) -> bytes:
-        """The bytes of one event of the shared response."""
-        found = self.http.send(event)
-        assert found is not None
-        return found
+    def encode(self, event: h11.Response | h11.Data) -> bytes:
+        """The bytes of one event of the response."""
+        encoded = self.http.send(event)
+        assert encoded is not None
+        return encoded
 
-    def chunk(self, piece: bytes) -> bytes:
-        """One piece of a body, as a chunk."""
-        return self.sent(h11.Data(piece))
+    def chunk(self, body: bytes) -> bytes:
+        """A piece of a body as a chunk."""
+        return self.encode(h11.Data(body))
 
 
 class Registry:
-    """All connections of the registry, and what they are told."""
+    """Serves a list on all connections of the registry, and counts their bytes."""
 
     def __init__(self, endpoint_list: RegistryList) -> None:
         self.endpoint_list = endpoint_list
@@ -68,23 +67,25 @@
         self.watches: set[asyncio.StreamWriter] = set()
         self.connections = 0
         self.pending = 0  # bytes of first answers that are still being written
-        self.bytes_in = self.bytes_out = self.refused = 0
-        self.beat: asyncio.TimerHandle | None = None
+        self.bytes_in = 0
+        self.bytes_out = 0
+        self.rejected = 0  # calls answered with 503
+        self.heartbeat: asyncio.TimerHandle | None = None
 
     async def start(self, host: str) -> str:
-        """Begin to serve; the address."""
+        """Begin to serve; the address, HOST:PORT."""
         server = await asyncio.start_server(self.serve, host, 0, backlog=BACKLOG)
-        self.schedule_beat()
+        self.schedule_heartbeat()
         return "{}:{}".format(*server.sockets[0].getsockname()[:2])
 
-    def schedule_beat(self) -> None:
-        """Write a heartbeat once nothing has been written for a while."""
-        if self.beat is not None:
-            self.beat.cancel()
-        self.beat = asyncio.get_running_loop().call_later(BEAT, self.broadcast, b"\n")
+    def schedule_heartbeat(self) -> None:
+        """Broadcast a heartbeat if nothing else is broadcast before."""
+        if self.heartbeat is not None:
+            self.heartbeat.cancel()
+        self.heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL, self.broadcast, b"\n")
 
     def broadcast(self, line: bytes) -> None:
-        """Tell a line to every watch: framed once, written to each."""
+        """Write a line to every watch, framed once; reset the watches that leave too much unread."""
         data = self.framer.chunk(line)
         for writer in list(self.watches):
             if writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -92,7 +93,7 @@
                 self.watches.discard(writer)
             else:
                 self.write(writer, data)
-        self.schedule_beat()
+        self.schedule_heartbeat()
 
     def write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write to one connection, and count the bytes."""
@@ -100,11 +101,11 @@
         self.bytes_out += len(data)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection: one request, then its answer, or a watch until the connection ends."""
+        """Serve one connection: one request, then its answer, or a watch until the connection ends."""
         self.connections += 1
         try:
             http = h11.Connection(h11.SERVER)
-            request = await asyncio.wait_for(self.request(http, reader), REQUEST_WITHIN)
+            request = await asyncio.wait_for(read_request(http, reader, READ_BYTES, self.count_in), REQUEST_TIMEOUT)
             await self.answer(request, http, reader, writer)
         except (OSError, h11.ProtocolError, TimeoutError):
             pass
@@ -113,59 +114,51 @@
             self.watches.discard(writer)
             writer.transport.abort()
 
-    async def request(self, http: h11.Connection, reader: asyncio.StreamReader) -> h11.Request:
-        """The request that a connection begins with; ConnectionError if it is none."""
-        while True:
-            event = http.next_event()
-            if isinstance(event, h11.Request):
-                return event
-            if event is not h11.NEED_DATA:
-                raise ConnectionError("no request")
-            data = await reader.read(READ_BYTES)
-            self.bytes_in += len(data)
-            http.receive_data(data)
+    def count_in(self, size: int) -> None:
+        """Count bytes received."""
+        self.bytes_in += size
 
     async def answer(
         self, request: h11.Request, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Answer one request: the list, a watch, 404 for another path, 503 when overloaded."""
-        parts = urlsplit(request.target.decode("ascii", "replace"))
-        words = parse_qs(parts.query)
-        since = words.get("since", [""])[0]
-        if request.method != b"GET" or parts.path != LIST_PATH:
-            await self.plain(http, writer, 404, b"")
+        target = urlsplit(request.target.decode("ascii", "replace"))
+        query = parse_qs(target.query)
+        since = query.get("since", [""])[0]
+        if request.method != b"GET" or target.path != LIST_PATH:
+            await self.respond(http, writer, 404, b"")
             return
-        follow = words.get("follow") == ["1"]
+        follow = query.get("follow") == ["1"]
         first = self.endpoint_list.since(int(since) if follow and since.isdecimal() else None)
         if self.connections > MAX_CONNECTIONS or (self.pending and self.pending + len(first) > MAX_PENDING_BYTES):
-            self.refused += 1
-            await self.plain(http, writer, 503, b"")
+            self.rejected += 1
+            await self.respond(http, writer, 503, b"")
         elif follow:
             await self.watch(first, reader, writer)
         else:
-            await self.plain(http, writer, 200, first)
+            await self.respond(http, writer, 200, first)
 
-    async def plain(self, http: h11.Connection, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
-        """Answer with a body of known length and close the connection."""
+    async def respond(self, http: h11.Connection, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
+        """Write a response with a body of known length, and close the connection."""
         head = h11.Response(
             status_code=status, headers=[("Content-Length", str(len(body))), ("Content-Type", "application/json")]
         )
         for event in (head, h11.Data(body), h11.EndOfMessage()):
             self.write(writer, http.send(event) or b"")
-        await self.written(writer, len(body))
+        await self.drain_first(writer, len(body))
         writer.close()
         await writer.wait_closed()
 
     async def watch(self, first: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The first answer, and from then on every broadcast: nothing can come between the two."""
+        """Write the first answer, and from then on every broadcast: no broadcast can come between the two."""
         self.write(writer, self.framer.head + self.framer.chunk(first))
         self.watches.add(writer)
-        await self.written(writer, len(first))
+        await self.drain_first(writer, len(first))
         while data := await reader.read(READ_BYTES):
-            self.bytes_in += len(data)
+            self.count_in(len(data))
 
-    async def written(self, writer: asyncio.StreamWriter, size: int) -> None:
-        """Until the kernel has taken nearly all of a first answer; it counts as pending until then."""
+    async def drain_first(self, writer: asyncio.StreamWriter, size: int) -> None:
+        """Wait until the kernel has accepted nearly all of a first answer; it counts as pending until then."""
         self.pending += size
         try:
             await writer.drain()
@@ -177,18 +170,17 @@
         self.broadcast(self.endpoint_list.apply(change.entries, time.monotonic()))
 
     def traffic(self) -> Traffic:
-        """Bytes so far, and the calls that were answered with 503."""
-        return Traffic(self.bytes_in, self.bytes_out, failures=self.refused)
+        """Bytes so far; calls answered with 503 count as failures."""
+        return Traffic(self.bytes_in, self.bytes_out, failures=self.rejected)
 
     def full_list(self) -> FullList:
         """All entries, and the changes made so far."""
-        return FullList(
-            self.endpoint_list.generation, list(self.endpoint_list.entries.values()), self.endpoint_list.made
-        )
+        endpoint_list = self.endpoint_list
+        return FullList(endpoint_list.generation, list(endpoint_list.entries.values()), endpoint_list.made)
 
 
 async def load(lines: Lines[Request]) -> Registry | None:
-    """Wait for the list to serve, and serve it; None where the run ends before."""
+    """Wait for the list to serve, and begin to serve it; None if the run ends before."""
     message = await lines.receive()
     if not isinstance(message, Load):
         return None
--- a/stackwheel/scale/registry_list.py
+++ b/stackwheel/scale/registry_list.py
@@ -1,36 +1,54 @@
-"""The registry stand-in's list: its entries, its generations and the changes since; no I/O, the time is handed in."""
+"""The list of the discovery stand-ins: entries, generations and changes; no I/O, the time is a parameter."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 import msgspec
 
 from stackwheel.scale.control import MadeChange
 from stackwheel.scale.entries import TERMINATED, Entry
 
-MAX_CHANGES_KEPT = (
-    100_000  # kept for watches that resume: twice the largest fleet; who is further behind gets the whole
-)
+# Changes that are kept for watches that resume: two for each server of a large fleet. A watch that is further behind
+# gets the full list.
+MAX_CHANGES_KEPT = 100_000
+
+
+@dataclass(frozen=True, slots=True)
+class EncodedChange:
+    """One changed entry, as it is sent."""
+
+    generation: int
+    name: str
+    encoded: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class EncodedList:
+    """The full list of a generation, as it is sent."""
+
+    generation: int
+    line: bytes
 
 
 class RegistryList:
-    """What the registry lists. Every entry is encoded once, whoever asks for it."""
+    """The entries that are listed, and their changes. Every entry is encoded only once."""
 
     def __init__(self, entries: Iterable[Entry]) -> None:
         self.generation = 1
         self.encoder = msgspec.json.Encoder()
         self.entries: dict[str, Entry] = {}
         self.encoded: dict[str, bytes] = {}
-        self.changes: deque[tuple[int, str, bytes]] = deque(maxlen=MAX_CHANGES_KEPT)
-        self.made: list[MadeChange] = []  # all of a run: bounded by its schedule
-        self.encoded_full_list: tuple[int, bytes] | None = None
+        self.changes: deque[EncodedChange] = deque(maxlen=MAX_CHANGES_KEPT)
+        self.made: list[MadeChange] = []  # all changes of a run, whose number its schedule bounds
+        self.encoded_full_list: EncodedList | None = None
         for entry in entries:
             self.put(entry)
 
     def put(self, entry: Entry) -> bytes:
-        """List an entry, or take one that has terminated off; how it is encoded."""
+        """Add or replace an entry, or remove one that has terminated; the encoded entry."""
         encoded = self.encoder.encode(entry)
         if entry.lifecycle == TERMINATED:
             self.entries.pop(entry.instance_id, None)
@@ -41,35 +59,35 @@
         return encoded
 
     def apply(self, entries: Iterable[Entry], now: float) -> bytes:
-        """Change entries as one generation; the line that tells it. `now`: s on the monotonic clock."""
+        """Change entries as one generation; the line for the watches. `now`: s on the monotonic clock."""
         self.generation += 1
-        encoded_changes = []
+        encoded_entries = []
         for entry in entries:
             encoded = self.put(entry)
-            encoded_changes.append(encoded)
-            self.changes.append((self.generation, entry.instance_id, encoded))
+            encoded_entries.append(encoded)
+            self.changes.append(EncodedChange(self.generation, entry.instance_id, encoded))
             self.made.append(MadeChange(entry.instance_id, entry.lifecycle, entry.started_at_ms, self.generation, now))
-        return self.document(False, encoded_changes)
+        return self.document(False, encoded_entries)
 
     def since(self, generation: int | None) -> bytes:
-        """The line that tells what has changed after a generation, or the whole list where that is not known."""
-        if generation is None or not self.knows(generation):
+        """A line with the last change of each server after a generation; the full list if those are not all kept."""
+        if generation is None or not self.has_changes_since(generation):
             return self.full_list()
-        encoded_changes = {name: encoded for at, name, encoded in self.changes if at > generation}
-        return self.document(False, encoded_changes.values())
+        changed = {change.name: change.encoded for change in self.changes if change.generation > generation}
+        return self.document(False, changed.values())
 
-    def knows(self, generation: int) -> bool:
-        """Whether all changes after it are still kept."""
-        oldest = self.changes[0][0] if self.changes else self.generation + 1
+    def has_changes_since(self, generation: int) -> bool:
+        """Whether all changes after a generation are still kept."""
+        oldest = self.changes[0].generation if self.changes else self.generation + 1
         return 0 < generation <= self.generation and (len(self.changes) < MAX_CHANGES_KEPT or oldest <= generation)
 
     def full_list(self) -> bytes:
-        """The whole list as a line, encoded once a generation."""
-        if self.encoded_full_list is None or self.encoded_full_list[0] != self.generation:
-            self.encoded_full_list = self.generation, self.document(True, self.encoded.values())
-        return self.encoded_full_list[1]
+        """The full list as a line, encoded once for each generation."""
+        if self.encoded_full_list is None or self.encoded_full_list.generation != self.generation:
+            self.encoded_full_list = EncodedList(self.generation, self.document(True, self.encoded.values()))
+        return self.encoded_full_list.line
 
     def document(self, reset: bool, encoded: Iterable[bytes]) -> bytes:
-        """One line of the published format from entries that are encoded already."""
+        """One line of the published format, made of encoded entries."""
         head = self.encoder.encode({"generation": self.generation, "reset": reset})
         return head[:-1] + b',"instances":[' + b",".join(encoded) + b"]}\n"
--- a/stackwheel/scale/relay_bench.py
+++ b/stackwheel/scale/relay_bench.py
@@ -1,4 +1,4 @@
-"""One real relay's process between a registry and planners that watch it; nothing but their bytes is kept."""
+"""The bench of a relay: one real relay's process between discovery and watchers, which only count bytes."""
 
 from __future__ import annotations
 
@@ -13,33 +13,34 @@
 from stackwheel.cells.plan_file import save_plan
 from stackwheel.scale.accounting import Channel
 from stackwheel.scale.bench import READY_SECONDS, Bench, BenchError, address_of, started
-from stackwheel.scale.fake_environment import LIST_PATH, READ_BYTES, FakeDiscovery
+from stackwheel.scale.discovery_http import LIST_PATH
+from stackwheel.scale.fake_environment import READ_BYTES, FakeDiscovery
 from stackwheel.scale.points import ZONES, RelayPoint, cell_name
 from stackwheel.scale.ports import HOST
-from stackwheel.scale.proxies import until
+from stackwheel.scale.proxies import wait_until
 
 NAME = "relay-0"
-TWIN = "relay-1"
-TWIN_HOST = "127.78.0.1"  # nobody listens there: each cell is served by both relays, one of them is measured
-FIRST_PORT = 20_001
-HOSTS = iter(range(1, 1 << 16))  # of the loopback network: each relay of this process listens at one of its own
-AGAIN_SECONDS = 0.3  # after an answer that is none yet: the relay has no list, or no room
-LINE_END = b"\n\r\n"  # a JSON line or an empty one, and the end of its chunk
+OTHER_NAME = "relay-1"
+OTHER_HOST = "127.78.0.1"  # nothing listens there: a plan needs two relays for each cell, but one is measured
+FIRST_PORT = 20_001  # of the first cell
+HOST_NUMBERS = iter(range(1, 1 << 16))  # each relay of this process listens at its own loopback address
+RETRY_SECONDS = 0.3  # until a watcher calls again: the relay has no list yet, or no capacity
+LINE_END = b"\n\r\n"  # of a JSON line or an empty one, with the end of its chunk
 
 
 class RelayBench(Bench):
-    """A relay that serves every cell of its plan, with watchers spread over them."""
+    """One relay's process, which serves every cell of its plan, with watchers spread over them."""
 
     def __init__(self, point: RelayPoint, seed: int) -> None:
         super().__init__(seed)
         self.point = point
-        number = next(HOSTS)
+        number = next(HOST_NUMBERS)
         self.host = f"127.77.{number >> 8}.{number & 255}"
-        self.watchers_served: set[int] = set()  # watchers that have had their part
+        self.watchers_served: set[int] = set()  # watchers that have received the list of their cell
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[asyncio.subprocess.Process]:
-        """The relay's process, its list distributed to every watcher; ended with all that was started."""
+        """The relay's process once it has served every watcher; on exit it is ended together with all stand-ins."""
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self.cancel)
             self.feed = FakeDiscovery(self.point.entries(), self.counters[Channel.LIST])
@@ -53,25 +54,25 @@
             process = await stack.enter_async_context(started(("relay", "--operators", str(operators)), {}))
             for number in range(self.point.watchers):
                 self.start_task(self.watch(number, process))
-            if not await until(self.all_served, READY_SECONDS):
+            if not await wait_until(self.all_served, READY_SECONDS):
                 raise BenchError(
                     f"{len(self.watchers_served)} of {self.point.watchers} watchers were told their part in time"
                 )
             yield process
 
     def plan(self) -> Plan:
-        """A cell for each service, all at this relay and its twin."""
+        """A plan with a cell for each service, all served by this relay and one that does not run."""
         cells = range(self.point.cells())
         return Plan(
-            1,
-            Limits(),
-            {f"zone-{number:02d}": "region-00" for number in range(ZONES)},
-            (Relay(NAME, self.host), Relay(TWIN, TWIN_HOST)),
-            tuple(Cell(cell_name(number), cell_name(number), (), 0, 1, FIRST_PORT + number) for number in cells),
+            version=1,
+            limits=Limits(),
+            regions={f"zone-{number:02d}": "region-00" for number in range(ZONES)},
+            relays=(Relay(NAME, self.host), Relay(OTHER_NAME, OTHER_HOST)),
+            cells=tuple(Cell(cell_name(number), cell_name(number), (), 0, 1, FIRST_PORT + number) for number in cells),
         )
 
     async def watch(self, number: int, process: asyncio.subprocess.Process) -> None:
-        """One planner's watch, until cancelled; asked again until the relay has a list to tell."""
+        """Watch a cell until cancelled, calling again until the relay has a list."""
         while process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 reader, writer = await asyncio.open_connection(self.host, self.port(number))
@@ -79,14 +80,14 @@
                     await self.follow(number, reader, writer)
                 finally:
                     writer.transport.abort()
-            await asyncio.sleep(AGAIN_SECONDS)
+            await asyncio.sleep(RETRY_SECONDS)
 
     def port(self, number: int) -> int:
-        """Where a watcher's cell is served."""
+        """The port at which a watcher's cell is served."""
         return FIRST_PORT + number % self.point.cells()
 
     async def follow(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Ask, and count what comes until the connection ends; at once where there is no list yet."""
+        """Send the request and count the bytes until the connection ends; return at once if there is no list yet."""
         traffic = self.counters[Channel.WATCHES]
         request = f"GET {LIST_PATH}?follow=1 HTTP/1.1\r\nHost: {self.host}:{self.port(number)}\r\n\r\n".encode()
         writer.write(request)
@@ -100,7 +101,7 @@
             self.watchers_served.add(number)
 
     def all_served(self) -> bool:
-        """Whether every watcher has had its cell's list."""
+        """Whether every watcher has received the list of its cell."""
         return len(self.watchers_served) >= self.point.watchers
 
     def start_disturbances(self) -> None:
--- a/stackwheel/scale/relays.py
+++ b/stackwheel/scale/relays.py
@@ -1,4 +1,4 @@
-"""Real relays of a run: a plan made for the drawn fleet, one operators' file each, and the processes."""
+"""Real relays of a run: the plan for the drawn fleet, the relays' configuration files, and their processes."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Sequence
 from pathlib import Path
+from typing import NamedTuple
 
 from stackwheel.cells.assignment import CellIndex, discovery_addresses, relays_for_cell
 from stackwheel.cells.demand import Demand
@@ -21,14 +22,14 @@
 from stackwheel.wire.http import CallError, get
 
 PLAN_FILE = "cells.json"
-LOCK_PORT = 20_000  # below the first cell's; a run holds it at its network's first address
-NETWORKS = 250  # 127.0.1.0 and the following: as many runs may be made at once
-POLL_INTERVAL = 0.1  # s between looks whether a relay holds the list
-ANSWER_WITHIN = 2_000.0  # ms
+LOCK_PORT = 20_000  # below the first cell's port; a run binds it at the first address of its network
+NETWORKS = 250  # 127.0.1.0 and the following: the number of runs at the same time
+POLL_INTERVAL = 0.1  # s between two calls to a relay that has no list yet
+CALL_TIMEOUT_MS = 2_000.0
 
 
 class Network:
-    """Loopback addresses for a run's relays that no other run has; held until closed."""
+    """Loopback addresses for the relays of a run; no other run uses them until it is closed."""
 
     def __init__(self) -> None:
         for number in range(1, NETWORKS + 1):
@@ -45,38 +46,50 @@
         return f"127.0.{self.number}.{relay + 1}"
 
     def close(self) -> None:
-        """Give the addresses back."""
+        """Release the addresses."""
         self.lock.close()
 
 
 def design_plan(fleet: Fleet, hosts: Sequence[str]) -> Plan:
-    """The plan for a fleet, made as an operator makes it; ScaleError where none can hold it."""
+    """The plan of cells for a fleet, as `stackwheel cells` makes it; ScaleError if there is none.
+
+    Args:
+        fleet: for which it is made.
+        hosts: the address of each relay.
+    """
     relays = [Relay(f"relay-{number}", host) for number, host in enumerate(hosts)]
     try:
         return design(demand_of(fleet), Limits(), fleet.regions, relays)
     except CellPlanError as error:
-        raise ScaleError(f"no plan of cells holds this fleet: {error}") from None
+        raise ScaleError(f"no plan of cells holds this fleet: {error}") from error
 
 
 def demand_of(fleet: Fleet) -> list[Demand]:
-    """What each service has in each region, with the planners where they were drawn."""
-    names: defaultdict[tuple[str, str], list[str]] = defaultdict(list)
+    """The servers and planners of each service in each region."""
+    names: defaultdict[ServiceRegion, list[str]] = defaultdict(list)
     for server in fleet.servers:
-        names[place_of(fleet, server)].append(server.name)
-    planners = Counter(place_of(fleet, planner) for planner in fleet.planners)
+        names[service_region(fleet, server)].append(server.name)
+    planners = Counter(service_region(fleet, planner) for planner in fleet.planners)
     return [
-        Demand(service, region, len(found), planners[service, region], tuple(sorted(found)))
-        for (service, region), found in sorted(names.items())
+        Demand(key.service, key.region, len(servers), planners[key], tuple(sorted(servers)))
+        for key, servers in sorted(names.items())
     ]
 
 
-def place_of(fleet: Fleet, one: DrawnServer | DrawnPlanner) -> tuple[str, str]:
+class ServiceRegion(NamedTuple):
+    """A service in one of its regions."""
+
+    service: str
+    region: str
+
+
+def service_region(fleet: Fleet, member: DrawnServer | DrawnPlanner) -> ServiceRegion:
     """The service and region of a server or planner."""
-    return one.service, fleet.regions[one.zone]
+    return ServiceRegion(member.service, fleet.regions[member.zone])
 
 
 def relay_layout(fleet: Fleet, plan: Plan) -> Layout:
-    """Every planner follows the two relays of its cell."""
+    """The layout of a run with relays: every planner follows the two relays of its cell."""
     index = CellIndex(plan)
     cells = cells_of_planners(fleet, index)
     placed = tuple(
@@ -85,32 +98,41 @@
     )
 
     def cell_of_server(name: str, zone: str) -> str | None:
-        found = index.cell_of(name, zone)
-        return found.name if found is not None else None
+        """The name of a server's cell, if it has one."""
+        cell = index.cell_of(name, zone)
+        return cell.name if cell is not None else None
 
     return Layout(placed, cell_of_server)
 
 
 def cells_of_planners(fleet: Fleet, index: CellIndex) -> dict[str, Cell]:
-    """Each planner's cell: of its service, or of its service in its region where the plan cuts it so."""
+    """Each planner's cell: one of its service, or of its service in its region if the plan separates regions."""
     groups: defaultdict[tuple[str, str | None], list[str]] = defaultdict(list)
     for planner in fleet.planners:
-        service, region = place_of(fleet, planner)
+        service, region = service_region(fleet, planner)
         groups[service, None if (service, None) in index.groups else region].append(planner.name)
-    found: dict[str, Cell] = {}
+    cells: dict[str, Cell] = {}
     for (service, scope), names in groups.items():
-        found |= index.cells_of_planners(names, service, scope)
-    return found
+        cells |= index.cells_of_planners(names, service, scope)
+    return cells
 
 
 async def start_relays(children: Children, folder: Path, plan: Plan, registry: str) -> list[Child]:
-    """All relays of a plan, once each of them holds the list."""
+    """Start all relays of a plan, and wait until each of them has the list."""
     save_plan(plan, folder / PLAN_FILE)
     return list(await asyncio.gather(*(start_relay(children, folder, plan, relay, registry) for relay in plan.relays)))
 
 
 async def start_relay(children: Children, folder: Path, plan: Plan, relay: Relay, registry: str) -> Child:
-    """One relay, as an operator starts it: `stackwheel relay --operators FILE`."""
+    """Start one relay as an operator does, with `stackwheel relay --operators FILE`, and wait until it has the list.
+
+    Args:
+        children: the processes of the run.
+        folder: of the plan file and the relay's configuration file.
+        plan: of the cells.
+        relay: that is started.
+        registry: the address of the registry.
+    """
     operators = folder / f"{relay.name}.cue"
     operators.write_text(
         f'relay: {{on: true, name: "{relay.name}", upstream: "{registry}", plan: "{PLAN_FILE}"}}\n', encoding="utf-8"
@@ -119,7 +141,7 @@
     served = next((cell for cell in plan.cells if relay in relays_for_cell(cell.name, plan.relays)), None)
     while served is not None and child.process.returncode is None:
         try:
-            await get(f"{relay.host}:{served.port}", INSTANCES_PATH, ANSWER_WITHIN, ANSWER_WITHIN)
+            await get(f"{relay.host}:{served.port}", INSTANCES_PATH, CALL_TIMEOUT_MS, CALL_TIMEOUT_MS)
         except CallError:
             await asyncio.sleep(POLL_INTERVAL)
         else:
--- a/stackwheel/scale/report.py
+++ b/stackwheel/scale/report.py
@@ -8,13 +8,13 @@
 
 from stackwheel.scale.children import Role
 
-Progress = Callable[[str], None]  # takes one line that says how far a run is
+Progress = Callable[[str], None]  # takes one line about what a run is doing
 
 VERSION = 1  # of the report's format
 
 
 class Arguments(msgspec.Struct, frozen=True):
-    """What the run was asked for, with what was left out filled in."""
+    """The arguments of a run, defaults included."""
 
     scenario: str
     servers: int
@@ -31,11 +31,11 @@
 
 
 class RoleFigures(msgspec.Struct, frozen=True):
-    """Means of one process of a role, or of one hollow planner; nothing where the run has none."""
+    """Means of one process of a role, or of one hollow planner; None if the run has none."""
 
     count: int = 0
-    core: float | None = None  # of one processor core
-    rss_mb: float | None = None
+    core: float | None = None  # share of one processor core
+    rss_mb: float | None = None  # MiB
     bytes_in_per_s: float | None = None
     bytes_out_per_s: float | None = None
     highest_second_in: int | None = None  # bytes of the whole role in its highest second
@@ -43,27 +43,27 @@
 
 
 class InForceFigures(msgspec.Struct, frozen=True):
-    """ms from the change made at the registry to held by each hollow planner that should hold it."""
+    """Times in ms from a change at the registry until it is in force at each hollow planner concerned."""
 
     p50: float | None = None
     p99: float | None = None
     max: float | None = None
     count: int = 0
-    missing: int = 0  # changes that a planner was never seen to hold
+    missing: int = 0  # changes that were never seen in force at a planner
 
 
 class Datagrams(msgspec.Struct, frozen=True):
-    """What hollow planners send to their cells, a second of all of them."""
+    """The datagrams of all hollow planners together, a second; the two byte rates are those of one planner."""
 
     computed_per_s: float = 0.0  # by the planner's own formula
-    sent_per_s: float = 0.0  # for real, over UDP
+    sent_per_s: float = 0.0  # over UDP
     received_per_s: float = 0.0
-    mean_bytes_per_s: float = 0.0  # that one planner would read by the formula, sent for real or not
-    most_bytes_per_s: int = 0  # of the planner that would read most
+    mean_bytes_per_s: float = 0.0  # that one planner would read by the formula, whether they were sent or not
+    most_bytes_per_s: int = 0  # of the planner that would read the largest number of bytes
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """Where the run was made."""
+    """The machine that the run was made on."""
 
     cores: int
     memory_mb: int
@@ -71,7 +71,7 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What a run may take, what was expected, and the most that was seen."""
+    """What a run may take, what it was expected to take, and the highest readings."""
 
     memory_most_mb: int
     processes_most: int
@@ -89,17 +89,17 @@
     largest_servers: int = 0
     largest_planners: int = 0
     mean_servers_of_a_planner: float = 0.0
-    digests: dict[str, str] = {}  # of the largest cells, the digest that their planners agree on; "" where they don't
+    digests: dict[str, str] = {}  # of the largest cells: the digest of all planners' entries; "" where they differ
 
 
 class Report(msgspec.Struct, frozen=True):
-    """All of it."""
+    """The complete result of a run."""
 
     version: int
     arguments: Arguments
     wrong_entries: int
-    planners: int  # how many ended right
-    planners_expected: int
+    planners: int  # that had exactly the entries that they should have
+    planners_expected: int  # all planners
     entries_compared: int
     in_force_ms: InForceFigures
     registry: RoleFigures
@@ -113,16 +113,16 @@
     datagrams: Datagrams
     changes: int
     generation: int
-    duration_s: float  # as it was
-    ready_s: float  # from the start of the first planner to all holding a list
-    settle_s: float  # from the last second of the run to all planners right, or to giving up
+    duration_s: float  # as measured
+    ready_s: float  # from the start of the first planner until all have a list
+    settle_s: float  # from the end of the scenario until all planners are right, or the wait is given up
     failures: int  # calls and watches of hollow planners that failed
     refused: int  # calls that the registry answered with 503
-    wrong: list[str] = []  # some of what is wrong, in words
-    notes: list[str] = []
+    wrong: list[str] = []  # some wrong planners, one line each
+    notes: list[str] = []  # what a reader of the figures has to know
 
     def passed(self) -> bool:
-        """Whether every planner ended right."""
+        """Whether every planner had exactly the entries that it should have."""
         return self.wrong_entries == 0 and self.planners == self.planners_expected
 
     def figures(self, role: Role) -> RoleFigures:
--- a/stackwheel/scale/sampling.py
+++ b/stackwheel/scale/sampling.py
@@ -1,99 +1,155 @@
-"""What each role takes while a run lasts: read once a second, then as means of one and as highest seconds."""
+"""What each role takes during a run: readings about once a second, then means of one and highest seconds."""
 
 from __future__ import annotations
 
 import os
+from collections.abc import Sequence
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from stackwheel.scale.accounting import AccountingError, read_usage
 from stackwheel.scale.children import Child, Role
+from stackwheel.scale.control import Traffic
 from stackwheel.scale.report import RoleFigures
 
-SHORTEST = 0.5  # s between readings whose difference tells a rate: the last one may come right after another
+MIN_RATE_INTERVAL = 0.5  # s between readings that a rate is made of: the last reading may follow another at once
+
+
+class ByteCounts(NamedTuple):
+    """Payload bytes that a role has received and sent so far."""
+
+    received: int = 0
+    sent: int = 0
+
+    def plus(self, other: ByteCounts) -> ByteCounts:
+        """The counts of both together."""
+        return ByteCounts(self.received + other.received, self.sent + other.sent)
+
+    def minus(self, other: ByteCounts) -> ByteCounts:
+        """These counts without the other's."""
+        return ByteCounts(self.received - other.received, self.sent - other.sent)
+
+
+NO_BYTES = ByteCounts()
+
+
+@dataclass(frozen=True, slots=True)
+class TrafficReading:
+    """All counters of a run at one moment of the monotonic clock, in seconds."""
+
+    at: float
+    registry: Traffic
+    hollow: Sequence[Traffic]  # of each process of hollow planners
+    real_planners: ByteCounts
+    full_list_planners: ByteCounts
+
+    def by_role(self) -> dict[Role, ByteCounts]:
+        """The bytes of each role.
+
+        Those of the relays are computed, not counted at their sockets: they receive what the registry sends to all
+        but the full-list planners, and the calls of the planners in cells; what they send is the reverse.
+        """
+        registry = ByteCounts(self.registry.bytes_in, self.registry.bytes_out)
+        hollow = ByteCounts(sum(t.bytes_in for t in self.hollow), sum(t.bytes_out for t in self.hollow))
+        gossip = ByteCounts(sum(t.peer_bytes_in for t in self.hollow), sum(t.peer_bytes_out for t in self.hollow))
+        lists = hollow.minus(gossip).plus(self.real_planners)
+        return {
+            Role.REGISTRY: registry,
+            Role.RELAY: ByteCounts(
+                received=registry.sent - self.full_list_planners.received + lists.sent,
+                sent=registry.received - self.full_list_planners.sent + lists.received,
+            ),
+            Role.REAL_PLANNER: self.real_planners,
+            Role.FULL_LIST_PLANNER: self.full_list_planners,
+            Role.HOLLOW_PLANNER: hollow,
+        }
 
 
 @dataclass(slots=True)
-class Series:
-    """One role's bytes so far, reading by reading, about a second apart."""
+class ByteSeries:
+    """One role's bytes, reading by reading, about a second apart."""
 
-    first: tuple[int, int] | None = None
-    last: tuple[int, int] = (0, 0)
-    last_at: float = 0.0
-    highest_in: float = 0.0  # a second, between two readings
-    highest_out: float = 0.0
+    first: ByteCounts | None = None
+    last: ByteCounts = NO_BYTES
+    last_at: float = 0.0  # s on the monotonic clock
+    highest_received: float = 0.0  # bytes a second, between two readings
+    highest_sent: float = 0.0  # bytes a second, between two readings
 
-    def add(self, bytes_in: int, bytes_out: int, now: float) -> None:
+    def add(self, counts: ByteCounts, now: float) -> None:
         """A further reading of the counters. `now`: s on the monotonic clock."""
+        interval = now - self.last_at
         if self.first is None:
-            self.first = bytes_in, bytes_out
-        elif now - self.last_at >= SHORTEST:
-            self.highest_in = max(self.highest_in, (bytes_in - self.last[0]) / (now - self.last_at))
-            self.highest_out = max(self.highest_out, (bytes_out - self.last[1]) / (now - self.last_at))
-        self.last = (bytes_in, bytes_out)
+            self.first = counts
+        elif interval >= MIN_RATE_INTERVAL:
+            added = counts.minus(self.last)
+            self.highest_received = max(self.highest_received, added.received / interval)
+            self.highest_sent = max(self.highest_sent, added.sent / interval)
+        self.last = counts
         self.last_at = now
 
-    def total(self) -> tuple[int, int]:
-        """Bytes in and out between the first reading and the last."""
-        if self.first is None:
-            return 0, 0
-        return self.last[0] - self.first[0], self.last[1] - self.first[1]
+    def total(self) -> ByteCounts:
+        """Bytes between the first reading and the last."""
+        return NO_BYTES if self.first is None else self.last.minus(self.first)
 
 
 @dataclass(slots=True)
-class Usage:
-    """Processor time and memory of one process, from its first reading to its last."""
+class ProcessSeries:
+    """Processor time and memory of one process, reading by reading."""
 
     role: Role
-    cpu_first: float
-    cpu_last: float
-    rss: list[float] = field(default_factory=list)
+    first_cpu: float  # s of processor time
+    last_cpu: float  # s of processor time
+    rss_mb: list[float] = field(default_factory=list)
 
 
 class Sampler:
     """Readings of all processes and counters of a run."""
 
     def __init__(self) -> None:
-        self.usage: dict[int, Usage] = {}
-        self.bytes: dict[Role, Series] = {role: Series() for role in Role}
+        self.processes: dict[int, ProcessSeries] = {}  # by process id
+        self.bytes: dict[Role, ByteSeries] = {role: ByteSeries() for role in Role}
         self.peak_memory_mb = 0.0
         self.peak_processes = 0
         self.begun = False
 
     def read(self, children: list[Child]) -> None:
-        """One reading of each process that is there; one that has just ended is left out."""
+        """Read each running process once; one that has just ended is left out."""
         memory = read_usage(os.getpid()).rss_mb
         for child in children:
             try:
-                found = read_usage(child.pid)
+                usage = read_usage(child.pid)
             except AccountingError:
                 continue
-            before = 0.0 if self.begun else found.cpu_seconds  # who came later was started within the run
-            usage = self.usage.setdefault(child.pid, Usage(child.role, before, before))
-            usage.cpu_last = found.cpu_seconds
-            usage.rss.append(found.rss_mb)
-            memory += found.rss_mb
+            before = 0.0 if self.begun else usage.cpu_seconds  # a later process was started within the measured time
+            series = self.processes.setdefault(child.pid, ProcessSeries(child.role, before, before))
+            series.last_cpu = usage.cpu_seconds
+            series.rss_mb.append(usage.rss_mb)
+            memory += usage.rss_mb
         self.peak_memory_mb = max(self.peak_memory_mb, memory)
         self.peak_processes = max(self.peak_processes, len(children) + 1)
         self.begun = True
 
-    def figures(self, role: Role, count: int, seconds: float, counted: bool = True) -> RoleFigures:
-        """Means of one of `count`; `counted`: whether the role's bytes are known."""
+    def add_traffic(self, reading: TrafficReading) -> None:
+        """A further reading of the counters."""
+        for role, counts in reading.by_role().items():
+            self.bytes[role].add(counts, reading.at)
+
+    def figures(self, role: Role, count: int, seconds: float) -> RoleFigures:
+        """Means of one of `count` processes or planners of a role over so many seconds."""
         if count == 0 or seconds <= 0:
             return RoleFigures()
-        usages = [usage for usage in self.usage.values() if usage.role is role]
-        core = sum(usage.cpu_last - usage.cpu_first for usage in usages) / seconds / count
-        readings = max((len(usage.rss) for usage in usages), default=1)
-        rss = sum(sum(usage.rss) for usage in usages) / readings / count
+        processes = [process for process in self.processes.values() if process.role is role]
+        core = sum(process.last_cpu - process.first_cpu for process in processes) / seconds / count
+        readings = max((len(process.rss_mb) for process in processes), default=1)
+        rss_mb = sum(sum(process.rss_mb) for process in processes) / readings / count
         series = self.bytes[role]
-        total_in, total_out = series.total()
-        if not counted:
-            return RoleFigures(count, round(core, 6), round(rss, 3))
+        total = series.total()
         return RoleFigures(
-            count,
-            round(core, 6),
-            round(rss, 3),
-            round(total_in / seconds / count, 1),
-            round(total_out / seconds / count, 1),
-            round(series.highest_in),
-            round(series.highest_out),
+            count=count,
+            core=round(core, 6),
+            rss_mb=round(rss_mb, 3),
+            bytes_in_per_s=round(total.received / seconds / count, 1),
+            bytes_out_per_s=round(total.sent / seconds / count, 1),
+            highest_second_in=round(series.highest_received),
+            highest_second_out=round(series.highest_sent),
         )
--- a/stackwheel/scale/scenarios.py
+++ b/stackwheel/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens in a run, drawn from a seed: changes of the list and restarts of planners, each at its second."""
+"""What happens in a run, drawn from a seed: changes of the list and restarts of planners, each with its time."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING
 from stackwheel.scale.fleet import DrawnServer, Fleet
 
-EVENTS_PER_DAY = 13_000 + 120  # the operators: servers restarted or replaced, and failed, on an ordinary day ...
-EVENTS_OF = 48_000  # ... of so many
-SPEED_UP = 60  # an ordinary day's hour in a minute
-MIN_EVENTS_PER_SECOND = 1.0  # a second, so that a small fleet has something to tell
-DAY = 86_400.0  # s
-DRAIN = 1.0  # s from terminating to terminated; an ordinary drain, speeded up
-AWAY = 1.0  # s from terminated to back
+EVENTS_PER_DAY = 13_000 + 120  # the operators' figure: restarted or replaced, and failed, on an ordinary day
+EVENTS_FLEET_SIZE = 48_000  # servers that `EVENTS_PER_DAY` was counted over
+SPEED_UP = 60  # an hour of an ordinary day within a minute
+MIN_EVENTS_PER_SECOND = 1.0  # so that a small fleet has changes, too
+DAY_SECONDS = 86_400.0
+DRAIN_DURATION = 1.0  # s from terminating to terminated: an ordinary drain at this speed-up
+RESTART_DURATION = 1.0  # s from terminated to in service again
 ZONE_LOST_AT = 0.2  # of the duration
-ZONE_LOST_WITHIN = 1.0  # s: the operators' zone, 565 servers within a second
+ZONE_LOST_WITHIN = 1.0  # s: the operators' figure, 565 servers of a zone within a second
 ZONE_BACK_AT = 0.6  # of the duration
 RESTART_AT = 0.3  # of the duration
 EPOCH_MS = 1_767_225_600_000  # the beginning of 2026 in Unix ms
-STEP = 0.05  # s: changes due so close together are one generation
+BATCH_WINDOW = 0.05  # s: changes so close together are one generation
 
 
 class Scenario(Enum):
@@ -35,20 +35,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerChange:
-    """A server's new lifecycle, `at` seconds after the run began. One that returns is a new process."""
+    """A server's new lifecycle. A server that returns is a new process."""
 
-    at: float
+    at: float  # s after the run began
     server: DrawnServer
     lifecycle: str
-    started_at_ms: int = 0  # of the process that changes; ms, only ever larger for a server's next one
+    started_at_ms: int = 0  # Unix ms; grows with each process of a server
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerRestart:
-    """All those planners end and start anew at once."""
+    """A group of planners that all restart at once."""
 
-    at: float
-    planners: tuple[int, ...]
+    at: float  # s after the run began
+    planners: tuple[int, ...]  # their numbers
+
+
+@dataclass(frozen=True, slots=True)
+class ChangeBatch:
+    """Changes that are applied as one generation."""
+
+    at: float  # s after the run began: the time of the last change
+    changes: list[ServerChange]
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,25 +66,33 @@
     changes: tuple[ServerChange, ...]
     restarts: tuple[PlannerRestart, ...] = ()
 
-    def batches(self) -> Iterator[tuple[float, list[ServerChange]]]:
-        """Changes due within a step of each other, with the time of the last of them."""
-        batch: list[ServerChange] = []
+    def batches(self) -> Iterator[ChangeBatch]:
+        """All changes in their order, those within `BATCH_WINDOW` of the first of a batch together."""
+        changes: list[ServerChange] = []
         for change in self.changes:
-            if batch and change.at > batch[0].at + STEP:
-                yield batch[-1].at, batch
-                batch = []
-            batch.append(change)
-        if batch:
-            yield batch[-1].at, batch
+            if changes and change.at > changes[0].at + BATCH_WINDOW:
+                yield ChangeBatch(changes[-1].at, changes)
+                changes = []
+            changes.append(change)
+        if changes:
+            yield ChangeBatch(changes[-1].at, changes)
 
 
 def default_event_rate(servers: int) -> float:
-    """Servers that leave and return a second: an ordinary day's, speeded up."""
-    return max(MIN_EVENTS_PER_SECOND, EVENTS_PER_DAY * servers / EVENTS_OF / DAY * SPEED_UP)
+    """Servers a second that leave and return: those of an ordinary day, `SPEED_UP` times as fast."""
+    return max(MIN_EVENTS_PER_SECOND, EVENTS_PER_DAY * servers / EVENTS_FLEET_SIZE / DAY_SECONDS * SPEED_UP)
 
 
 def draw_schedule(fleet: Fleet, scenario: Scenario, duration: float, event_rate: float, seed: int) -> Schedule:
-    """What a run of so many seconds does; `event_rate`: servers a second that drain, leave and return."""
+    """The schedule of a run.
+
+    Args:
+        fleet: whose servers change.
+        scenario: the kind of run.
+        duration: of the run, in s.
+        event_rate: servers a second that drain, leave and return; a zone loss has none of them.
+        seed: the same seed gives the same schedule.
+    """
     random = Random(f"schedule {seed}")
     if scenario is Scenario.ZONE_LOSS:
         return Schedule(in_order(zone_loss(fleet, duration, random)))
@@ -87,8 +103,8 @@
 
 
 def churn(fleet: Fleet, duration: float, event_rate: float, random: Random) -> Iterator[ServerChange]:
-    """Servers drain, go and return, one after another; no server twice at a time, all back by the end."""
-    last_start = duration - DRAIN - AWAY
+    """Servers drain, leave and return, one after another; no server twice at a time, all back by the end."""
+    last_start = duration - DRAIN_DURATION - RESTART_DURATION
     free_at: dict[str, float] = {}
     starts: dict[str, int] = {}
     at = random.expovariate(event_rate)
@@ -96,17 +112,17 @@
         server = random.choice(fleet.servers)
         if free_at.get(server.name, 0.0) <= at:
             started = starts.get(server.name, 0)
-            returned_at = at + DRAIN + AWAY
+            returned_at = at + DRAIN_DURATION + RESTART_DURATION
             starts[server.name] = start_of(returned_at)
             yield ServerChange(at, server, TERMINATING, started)
-            yield ServerChange(at + DRAIN, server, TERMINATED, started)
+            yield ServerChange(at + DRAIN_DURATION, server, TERMINATED, started)
             yield ServerChange(returned_at, server, IN_SERVICE, starts[server.name])
-            free_at[server.name] = at + DRAIN + AWAY + STEP * 2
+            free_at[server.name] = at + DRAIN_DURATION + RESTART_DURATION + BATCH_WINDOW * 2
         at += random.expovariate(event_rate)
 
 
 def zone_loss(fleet: Fleet, duration: float, random: Random) -> Iterator[ServerChange]:
-    """All servers of the largest zone go within a second, and are back later, as fast."""
+    """All servers of the largest zone leave within a second, and return later within a second."""
     sizes: dict[str, int] = {}
     for server in fleet.servers:
         sizes[server.zone] = sizes.get(server.zone, 0) + 1
@@ -115,23 +131,23 @@
         if server.zone == lost:
             removed_at = ZONE_LOST_AT * duration + random.random() * ZONE_LOST_WITHIN
             returned_at = ZONE_BACK_AT * duration + random.random() * ZONE_LOST_WITHIN
-            returned_at = max(returned_at, removed_at + 2 * STEP)
+            returned_at = max(returned_at, removed_at + 2 * BATCH_WINDOW)
             yield ServerChange(removed_at, server, TERMINATED)
             yield ServerChange(returned_at, server, IN_SERVICE, start_of(returned_at))
 
 
 def start_of(at: float) -> int:
-    """The start of a process that comes `at` seconds after the run's begin, in ms: the draw knows no clock."""
+    """The start, in Unix ms, of a process that comes `at` seconds after the run began; no clock is read."""
     return EPOCH_MS + round(1000.0 * at)
 
 
 def in_order(changes: Iterator[ServerChange]) -> tuple[ServerChange, ...]:
-    """Changes by their time; at one time by the server's name."""
+    """Changes by their time; those of the same time by the server's name."""
     return tuple(sorted(changes, key=lambda change: (change.at, change.server.name)))
 
 
 def largest_group(fleet: Fleet) -> tuple[int, ...]:
-    """The planners of the service that has most of them."""
+    """The numbers of the planners of the service that has the largest number of planners."""
     counts: dict[str, int] = {}
     for planner in fleet.planners:
         counts[planner.service] = counts.get(planner.service, 0) + 1
