--- a/stackwheel/scale/slopes.py
+++ b/stackwheel/scale/slopes.py
@@ -1,4 +1,4 @@
-"""What a role costs against each size: least-squares fits of measured points, and the result file that holds them."""
+"""What a role costs against each size: least-squares fits of measured points, and the file of results."""
 
 from __future__ import annotations
 
@@ -10,24 +10,27 @@
 import msgspec
 import numpy
 
-VERSION = 1
+from stackwheel.errors import InvalidInputError
+
+VERSION = 1  # of the result file's format
 MIN_SIZES = 4  # different sizes that a fit needs
-POOR = 0.5  # a residual over which a fit is no slope
-FLOOR = 1e-9  # a power law knows no zero
+MAX_RESIDUAL = 0.5  # a fit with a larger one is not taken for a slope
+NEAR_ZERO = 1e-9  # stands for 0 in a power law, and separates nothing from something in a deviation
+MIN_RELATIVE_VALUE = 1e-3  # of the largest value: smaller ones get no larger weight in a fit
 
 
-class ResultError(ValueError):
-    """A result file that cannot be used; the text names the file and the place, in one line."""
+class ResultError(InvalidInputError):
+    """A result file can't be used, or lacks a result."""
 
 
 class Usage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One measured span of one process. Bytes are payload a second; `core` is the share of one processor.
+    """What one process took in a measured span; bytes are payload, all rates are per second.
 
-    Control is the list and datagrams between planners; data is orders, reports and probes.
+    Control is the list and datagrams between planners; data is updates to proxies, reports and health checks.
     """
 
-    core: float
-    rss_mb: float
+    core: float  # share of one processor
+    rss_mb: float  # MiB
     control_bytes_in: float
     control_bytes_out: float
     control_messages_in: float
@@ -42,7 +45,7 @@
 
 
 class ChannelRates(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Payload bytes and messages a second of one channel, as the measured process receives and sends them."""
+    """Payload bytes and messages per second of one channel, as the measured process receives and sends them."""
 
     bytes_in: float
     bytes_out: float
@@ -51,44 +54,44 @@
 
 
 class Repeat(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One repeat at one size, with what the machine was doing beside it."""
+    """One repeat at one size."""
 
     size: float
     usage: Usage
     span_seconds: float
-    peak: Usage  # of each metric the highest second
-    channels: dict[str, ChannelRates]  # what `usage` adds up
-    load_average: float  # of the last minute, as the kernel tells it at the end of the span
-    start_list_bytes: int = 0  # of the whole list, as it was first sent
-    orders: int = 0  # messages that came to proxies in all, from the start on
+    peak: Usage  # the highest second of each metric
+    channels: dict[str, ChannelRates]  # by channel; `usage` is their sum
+    load_average: float  # of the machine in the last minute, at the end of the span
+    start_list_bytes: int = 0  # of the full list, as sent at the start
+    orders: int = 0  # updates that proxies received since the start
 
 
 class Fit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`line`: intercept + slope x size. `power`: intercept x size ** slope. Residual: RMS of (measured/fitted - 1)."""
+    """A line, intercept + slope x size, or a power law, intercept x size ** slope."""
 
     shape: Literal["line", "power"]
     intercept: float
     slope: float
-    residual: float
-    largest: float  # size that went into the fit
+    residual: float  # root mean square of (measured / fitted - 1)
+    largest: float  # size that the fit was made from
 
     def at(self, size: float) -> float:
-        """The fitted value; never under 0."""
+        """The fitted value at a size; never under 0."""
         if self.shape == "power":
-            return float(self.intercept * max(size, FLOOR) ** self.slope)
+            return float(self.intercept * max(size, NEAR_ZERO) ** self.slope)
         return max(0.0, self.intercept + self.slope * size)
 
     def holds(self) -> bool:
-        """Whether it says anything: not where the metric is mostly noise or nothing."""
-        return self.residual <= POOR
+        """Whether it is a slope: not if the metric is mostly noise or nothing."""
+        return self.residual <= MAX_RESIDUAL
 
     def factor(self, size: float) -> float:
-        """How far beyond the largest fitted size this is; 1 within."""
+        """By what factor a size exceeds the largest fitted one; 1 if it does not."""
         return max(1.0, size / self.largest)
 
 
 class HeldOut(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A size that no fit has seen: what was predicted before it was measured, and what then came."""
+    """A size that the fits were not made from: predicted first, then measured."""
 
     size: float
     predicted: dict[str, float]
@@ -97,7 +100,7 @@
 
 
 class Sweep(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One size swept while all else stands."""
+    """The measurements of one variable at several sizes, with all other sizes fixed."""
 
     role: str
     variable: str
@@ -108,7 +111,7 @@
 
 
 class Machine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where it was measured."""
+    """The machine that it was measured on."""
 
     cores: int
     python: str
@@ -116,13 +119,13 @@
 
 
 class Choice(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One forwarder's choice from a table of so many lines, in microseconds: least and median of the repeats' means."""
+    """How long a forwarder takes to choose a server, in microseconds: the lowest and the median mean of the repeats."""
 
-    lines: int
-    without: int  # servers that were tried already
+    lines: int  # of the table
+    without: int  # servers that earlier attempts were sent to
     least_us: float
     median_us: float
-    repeats: list[float]
+    repeats: list[float]  # means
 
 
 class Result(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -132,53 +135,55 @@
     arguments: dict[str, float]
     machine: Machine
     sweeps: list[Sweep]
-    direct: dict[str, list[Repeat]]  # whole points that were measured as such, by name
+    direct: dict[str, list[Repeat]]  # single points, by name
     choices: list[Choice]
 
     def sweep(self, role: str, variable: str) -> Sweep:
-        """The sweep of that name; ResultError if it is absent."""
-        for found in self.sweeps:
-            if (found.role, found.variable) == (role, variable):
-                return found
-        raise ResultError(f"no sweep of {role} against {variable}")
+        """The sweep of a variable at a role; ResultError if there is none."""
+        for sweep in self.sweeps:
+            if (sweep.role, sweep.variable) == (role, variable):
+                return sweep
+        raise ResultError("", f"no sweep of {role} against {variable}")
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The line or power law with the lower residual; ValueError under four different sizes."""
+    """The line or power law with the lower residual; ValueError for fewer than `MIN_SIZES` different sizes."""
     if len(set(sizes)) < MIN_SIZES:
         raise ValueError(f"{len(set(sizes))} different sizes; a fit needs {MIN_SIZES}")
     candidates = [fit_line(sizes, values)]
     if min(sizes) > 0 and min(values) > 0:
         candidates.append(fit_power(sizes, values))
-    return min(candidates, key=lambda one: one.residual)
+    return min(candidates, key=lambda candidate: candidate.residual)
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Fit:
     """Least squares of intercept + slope x size, each point weighted by the inverse of its value.
 
-    Sizes double, so without weights the largest alone would decide and the smallest be off by a multiple.
+    Sizes double, so without weights the largest one alone would decide, and the fit at the smallest one be far off.
     """
-    weights = 1.0 / numpy.maximum(numpy.abs(values), max(map(abs, values), default=1.0) * 1e-3 or 1.0)
+    smallest = max(map(abs, values), default=1.0) * MIN_RELATIVE_VALUE or 1.0
+    weights = 1.0 / numpy.maximum(numpy.abs(values), smallest)
     slope, intercept = numpy.polyfit(sizes, values, 1, w=weights)
     return with_residual(Fit("line", float(intercept), float(slope), 0.0, max(sizes)), sizes, values)
 
 
 def fit_power(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Least squares in logarithms."""
+    """Least squares of the logarithms."""
     slope, logarithm = numpy.polyfit(numpy.log(sizes), numpy.log(values), 1)
     return with_residual(Fit("power", math.exp(logarithm), float(slope), 0.0, max(sizes)), sizes, values)
 
 
-def with_residual(found: Fit, sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """A fit with the root mean square of measured over fitted, less 1."""
-    off = [deviation(value, found.at(size)) for size, value in zip(sizes, values, strict=True)]
-    return msgspec.structs.replace(found, residual=math.sqrt(sum(one * one for one in off) / len(off)))
+def with_residual(fitted: Fit, sizes: Sequence[float], values: Sequence[float]) -> Fit:
+    """The same fit with its residual."""
+    deviations = [deviation(value, fitted.at(size)) for size, value in zip(sizes, values, strict=True)]
+    mean_square = sum(one * one for one in deviations) / len(deviations)
+    return msgspec.structs.replace(fitted, residual=math.sqrt(mean_square))
 
 
 def deviation(measured: float, fitted: float) -> float:
-    """Measured over fitted, less 1; 0 where both are nothing."""
-    if abs(fitted) < FLOOR:
-        return 0.0 if abs(measured) < FLOOR else 1.0
+    """Measured over fitted, less 1; 0 if both are nothing."""
+    if abs(fitted) < NEAR_ZERO:
+        return 0.0 if abs(measured) < NEAR_ZERO else 1.0
     return measured / fitted - 1.0
 
 
@@ -189,49 +194,46 @@
 
 
 def mean_usage(repeats: Sequence[Repeat]) -> Usage:
-    """The mean of each metric."""
-    return mean([one.usage for one in repeats])
+    """The mean of each metric over repeats."""
+    return mean([repeat.usage for repeat in repeats])
 
 
 def mean(usages: Sequence[Usage]) -> Usage:
     """The mean of each metric."""
-    return Usage(*(sum(getattr(one, metric) for one in usages) / len(usages) for metric in METRICS))
+    return Usage(*(sum(getattr(usage, metric) for usage in usages) / len(usages) for metric in METRICS))
 
 
 def highest(usages: Sequence[Usage]) -> Usage:
     """The highest value of each metric."""
-    return Usage(*(max(getattr(one, metric) for one in usages) for metric in METRICS))
+    return Usage(*(max(getattr(usage, metric) for usage in usages) for metric in METRICS))
 
 
 def predict(fits: dict[str, Fit], size: float) -> dict[str, float]:
-    """What the fits say of a size."""
-    return {metric: found.at(size) for metric, found in fits.items()}
+    """The fitted value of each metric at a size."""
+    return {metric: metric_fit.at(size) for metric, metric_fit in fits.items()}
 
 
 def held_out(predicted: dict[str, float], repeats: list[Repeat]) -> HeldOut:
-    """A prediction beside what was measured after it."""
+    """A prediction and the repeats that were measured after it, with the error of each metric."""
     measured = mean_usage(repeats)
     errors = {metric: deviation(getattr(measured, metric), value) for metric, value in predicted.items()}
     return HeldOut(repeats[0].size, predicted, repeats, errors)
 
 
 def write_result(path: Path, result: Result) -> None:
-    """Write the file whole or not at all."""
+    """Write a result file atomically: completely or not at all."""
     data = msgspec.json.format(msgspec.json.encode(result, order="deterministic"), indent=1)
-    beside = path.with_name(path.name + ".part")
-    beside.write_bytes(data + b"\n")
-    beside.replace(path)
+    temporary = path.with_name(path.name + ".part")
+    temporary.write_bytes(data + b"\n")
+    temporary.replace(path)
 
 
 def merged(former: Result, later: Result) -> Result:
-    """A result with those sweeps and points replaced that were measured again; the rest stays as it was."""
+    """The later result, with those sweeps and points of the former one that were not measured again."""
     measured_again = {(sweep.role, sweep.variable): sweep for sweep in later.sweeps}
-    return msgspec.structs.replace(
-        later,
-        sweeps=[measured_again.pop((sweep.role, sweep.variable), sweep) for sweep in former.sweeps]
-        + list(measured_again.values()),
-        direct={**former.direct, **later.direct},
-    )
+    sweeps = [measured_again.pop((sweep.role, sweep.variable), sweep) for sweep in former.sweeps]
+    new_sweeps = list(measured_again.values())
+    return msgspec.structs.replace(later, sweeps=sweeps + new_sweeps, direct={**former.direct, **later.direct})
 
 
 class _Versioned(msgspec.Struct):
@@ -239,17 +241,17 @@
 
 
 def read_result(path: Path) -> Result:
-    """Read a result file; ResultError if it is absent, cut, of another version, or not as written here."""
+    """Read a result file; ResultError if it is absent, truncated, of another version, or has another format."""
     try:
         data = path.read_bytes()
     except OSError as error:
-        raise ResultError(f"{path}: {error.strerror or error}") from None
+        raise ResultError(str(path), error.strerror or str(error)) from error
     try:
         version = msgspec.json.decode(data, type=_Versioned).version
         if version != VERSION:
-            raise ResultError(f"{path}: version {version}; this program reads version {VERSION}")
+            raise ResultError(str(path), f"version {version}; this program reads version {VERSION}")
         return msgspec.json.decode(data, type=Result)
     except msgspec.ValidationError as error:
-        raise ResultError(f"{path}: {error}") from None
+        raise ResultError(str(path), str(error)) from error
     except msgspec.DecodeError as error:
-        raise ResultError(f"{path}: cut or no JSON: {error}") from None
+        raise ResultError(str(path), f"cut or no JSON: {error}") from error
--- a/stackwheel/scale/summary.py
+++ b/stackwheel/scale/summary.py
@@ -1,4 +1,4 @@
-"""Makes a run's report of what was read and found."""
+"""Makes the report of a run from its readings, its records and the comparison."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     Machine,
     Report,
 )
-from stackwheel.scale.sampling import Sampler
+from stackwheel.scale.sampling import Sampler, TrafficReading
 
-WRONG_SHOWN = 20
-DIGESTS_SHOWN = 5
+MAX_WRONG_SHOWN = 20  # wrong planners that a report names
+MAX_DIGESTS_SHOWN = 5  # cells whose digest a report has, the largest ones
 
 
 @dataclass(slots=True)
 class Outcome:
-    """All that a run has gathered."""
+    """All that a run has collected, from which its report is made."""
 
     arguments: Arguments
     fleet: Fleet
@@ -42,18 +42,19 @@
     hollow: frozenset[int]  # the numbers of the hollow planners
     expected: Estimate
     sampler: Sampler = field(default_factory=Sampler)
-    traffic: list[tuple[Traffic, list[Traffic]]] = field(default_factory=list)  # registry and hollow, by second
-    records: list[Records] = field(default_factory=list)
-    duration: float = 0.0  # s
-    ready: float = 0.0  # s
-    settled: float = 0.0  # s
+    traffic: list[TrafficReading] = field(default_factory=list)  # about one a second
+    records: list[Records] = field(default_factory=list)  # of each hollow process
+    duration: float = 0.0  # s from the first reading to the last
+    ready: float = 0.0  # s from the first planner's start until all have a list
+    settled: float = 0.0  # s from the end of the scenario until all planners are right, or the wait is given up
 
 
 def make_report(outcome: Outcome, comparison: ListComparison) -> Report:
-    """The report; it takes a while for many records."""
+    """The report; for many records this takes seconds, so it is called in a thread."""
     arguments = outcome.arguments
     sampler = outcome.sampler
     duration = outcome.duration
+    last_reading = outcome.traffic[-1]
     return Report(
         version=VERSION,
         arguments=arguments,
@@ -61,7 +62,7 @@
         planners=comparison.right,
         planners_expected=len(outcome.fleet.planners) + arguments.full_list_planners,
         entries_compared=comparison.compared,
-        in_force_ms=in_force_figures(in_force(outcome, comparison)),
+        in_force_ms=in_force_figures(propagation_times(outcome, comparison)),
         registry=sampler.figures(Role.REGISTRY, 1, duration),
         relay=sampler.figures(Role.RELAY, arguments.relays, duration),
         real_planner=sampler.figures(Role.REAL_PLANNER, arguments.real_planners, duration),
@@ -76,111 +77,116 @@
         duration_s=round(duration, 3),
         ready_s=round(outcome.ready, 3),
         settle_s=round(outcome.settled, 3),
-        failures=sum(t.failures for t in outcome.traffic[-1][1]),
-        refused=outcome.traffic[-1][0].failures,
-        wrong=comparison.examples[:WRONG_SHOWN],
+        failures=sum(process.failures for process in last_reading.hollow),
+        refused=last_reading.registry.failures,
+        wrong=comparison.examples[:MAX_WRONG_SHOWN],
         notes=notes(outcome),
     )
 
 
-def in_force(outcome: Outcome, comparison: ListComparison) -> PropagationTimes:
-    """Of hollow planners: a real one does not tell when it took a change in."""
-    due = {
+def propagation_times(outcome: Outcome, comparison: ListComparison) -> PropagationTimes:
+    """Times until changes were in force at hollow planners: a real one does not report when it applied a change."""
+    planners_of_servers = {
         name: [number for number in numbers if number in outcome.hollow]
         for name, numbers in outcome.layout.planners_of_servers(outcome.fleet).items()
     }
-    entries = (entry for one in outcome.records for entry in one.entries)
-    restarts = (restart for one in outcome.records for restart in one.restarts)
-    return measure(comparison.full_list.changes, entries, due, restarts)
+    entries = (entry for records in outcome.records for entry in records.entries)
+    restarts = (restart for records in outcome.records for restart in records.restarts)
+    return measure(comparison.full_list.changes, entries, planners_of_servers, restarts)
 
 
-def in_force_figures(found: PropagationTimes) -> InForceFigures:
-    """The percentiles that are reported."""
+def in_force_figures(times: PropagationTimes) -> InForceFigures:
+    """The percentiles that are reported, in ms."""
     return InForceFigures(
-        found.percentile(50.0), found.percentile(99.0), found.percentile(100.0), found.count(), found.missing
+        p50=times.percentile(50.0),
+        p99=times.percentile(99.0),
+        max=times.percentile(100.0),
+        count=times.count(),
+        missing=times.missing,
     )
 
 
 def bounds_seen(outcome: Outcome) -> Bounds:
-    """The bounds, what was expected, and what was seen."""
+    """The bounds, what was expected, and the highest readings."""
     return Bounds(
-        bounds.MAX_MEMORY_MB,
-        bounds.MAX_PROCESSES,
-        round(outcome.expected.memory_mb, 1),
-        outcome.expected.processes,
-        round(outcome.sampler.peak_memory_mb, 1),
-        outcome.sampler.peak_processes,
+        memory_most_mb=bounds.MAX_MEMORY_MB,
+        processes_most=bounds.MAX_PROCESSES,
+        memory_expected_mb=round(outcome.expected.memory_mb, 1),
+        processes_expected=outcome.expected.processes,
+        memory_seen_mb=round(outcome.sampler.peak_memory_mb, 1),
+        processes_seen=outcome.sampler.peak_processes,
     )
 
 
 def cell_notes(outcome: Outcome, comparison: ListComparison) -> CellNotes:
     """The sizes of the cells, and the digests of the largest."""
     layout = outcome.layout
-    servers = {cell: len(due) for cell, due in layout.entries_by_cell(comparison.full_list.entries).items()}
+    servers = {cell: len(entries) for cell, entries in layout.entries_by_cell(comparison.full_list.entries).items()}
     planners = {cell: len(numbers) for cell, numbers in layout.planners_by_cell().items()}
-    largest = sorted(servers, key=lambda cell: (-servers[cell], cell))[:DIGESTS_SHOWN]
+    largest = sorted(servers, key=lambda cell: (-servers[cell], cell))[:MAX_DIGESTS_SHOWN]
     return CellNotes(
-        len(servers),
-        max(outcome.fleet.sizes().values()),
-        max(servers.values()),
-        max(planners.values()),
-        round(sum(servers[one.cell] for one in layout.placed) / len(layout.placed), 1),
-        {cell or "all": agreed(comparison.digests.get(cell, set())) for cell in largest},
+        cells=len(servers),
+        largest_service=max(outcome.fleet.sizes().values()),
+        largest_servers=max(servers.values()),
+        largest_planners=max(planners.values()),
+        mean_servers_of_a_planner=round(sum(servers[placed.cell] for placed in layout.placed) / len(layout.placed), 1),
+        digests={cell or "all": common_digest(comparison.digests.get(cell, set())) for cell in largest},
     )
 
 
-def agreed(digests: set[str]) -> str:
-    """The one digest of a cell's planners; nothing where they differ."""
+def common_digest(digests: set[str]) -> str:
+    """The digest that all planners of a cell have; "" where they differ."""
     return next(iter(digests)) if len(digests) == 1 else ""
 
 
 def datagrams(outcome: Outcome) -> Datagrams:
-    """Datagrams by the formula and for real, between the first reading and the last."""
+    """Datagrams, computed and sent, between the first reading and the last."""
     if outcome.duration <= 0:
         return Datagrams()
-    first = outcome.traffic[0][1]
-    last = outcome.traffic[-1][1]
+    first = outcome.traffic[0].hollow
+    last = outcome.traffic[-1].hollow
 
     def rate(count: Callable[[Traffic], int]) -> float:
+        """The growth of a counter, a second."""
         return round((sum(map(count, last)) - sum(map(count, first))) / outcome.duration, 1)
 
-    read = datagram_bytes(outcome)
+    bytes_by_planner = datagram_bytes(outcome)
     return Datagrams(
-        rate(lambda t: t.datagrams_computed),
-        rate(lambda t: t.datagrams_out),
-        rate(lambda t: t.datagrams_in),
-        round(sum(read) / len(read), 1),
-        max(read),
+        computed_per_s=rate(lambda traffic: traffic.datagrams_computed),
+        sent_per_s=rate(lambda traffic: traffic.datagrams_out),
+        received_per_s=rate(lambda traffic: traffic.datagrams_in),
+        mean_bytes_per_s=round(sum(bytes_by_planner) / len(bytes_by_planner), 1),
+        most_bytes_per_s=max(bytes_by_planner),
     )
 
 
 def datagram_bytes(outcome: Outcome) -> list[int]:
-    """What each planner would read a second, were all datagrams of its cell sent."""
+    """Bytes that each planner would read a second if all datagrams of its cell were sent."""
     entry_counts = outcome.layout.entries_per_planner(outcome.fleet)
     planners = {cell: len(numbers) for cell, numbers in outcome.layout.planners_by_cell().items()}
-    return [bytes_per_cycle(planners[one.cell], entry_counts[one.number]) for one in outcome.layout.placed]
+    return [bytes_per_cycle(planners[placed.cell], entry_counts[placed.number]) for placed in outcome.layout.placed]
 
 
 def notes(outcome: Outcome) -> list[str]:
-    """What a reader of the figures has to know."""
-    found = [
+    """What a reader of the figures has to know, as it is printed in the report."""
+    lines = [
         "core: processor time of the processes over the run; bytes: payload of TCP and UDP, counted at the sockets",
         "in force: of hollow planners",
         f"datagrams: sent for real up to {MAX_DATAGRAMS_SENT} a second from each hollow process, "
         "to each peer by itself",
     ]
     if outcome.arguments.real_planners or outcome.arguments.full_list_planners:
-        found.append(
+        lines.append(
             "real planners: lines of their tables against the ready servers of their cell; none sends datagrams; "
             "bytes are those from and to discovery"
         )
-    dropped = sum(one.dropped for one in outcome.records)
+    dropped = sum(records.dropped for records in outcome.records)
     if dropped:
-        found.append(f"{dropped} in-force records over the bound were not kept")
-    return found
+        lines.append(f"{dropped} in-force records over the bound were not kept")
+    return lines
 
 
 def machine() -> Machine:
-    """This machine."""
-    memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") >> 20
-    return Machine(os.cpu_count() or 1, memory, platform.python_version())
+    """The machine that the run is made on."""
+    memory_mb = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") >> 20
+    return Machine(os.cpu_count() or 1, memory_mb, platform.python_version())
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -1,4 +1,4 @@
-"""Measures one real planner between stand-ins, size by size: start, settle, count over a span, end."""
+"""Measures one real process between stand-ins, size by size: start, settle, count over a span, end."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from stackwheel.scale.bench import Bench, BenchError
 from stackwheel.scale.planner_bench import PlannerBench
 from stackwheel.scale.points import DIRECT, DIRECT_JOBS, Plan, Point, RelayPoint
-from stackwheel.scale.proxies import until
+from stackwheel.scale.proxies import wait_until
 from stackwheel.scale.relay_bench import RelayBench
 from stackwheel.scale.slopes import (
     ChannelRates,
@@ -30,9 +30,9 @@
     predict,
 )
 
-SECOND = 1.0
-TABLES_SECONDS = 8.0  # from joining until every proxy holds a table, before the span begins anyway
-SETTLE_SECONDS = 2.0  # after that: two cycles of reports, so that whole tables follow short ones
+SAMPLE_INTERVAL = 1.0  # s between two readings
+TABLES_SECONDS = 8.0  # from joining until every proxy has a table; the span begins then in any case
+SETTLE_SECONDS = 2.0  # after that: two cycles of reports, so that complete tables follow the first short ones
 MEASURE_SECONDS = 60.0  # beyond the span, for one repeat from start to end
 
 
@@ -40,80 +40,105 @@
 class Timing:
     """How long a point is measured."""
 
-    span: float  # s
-    settle: float = SETTLE_SECONDS
+    span: float  # s that are counted
+    settle: float = SETTLE_SECONDS  # s before the span
+
+
+@dataclass(frozen=True, slots=True)
+class SizedPoint:
+    """A point, and the size of the swept variable there."""
+
+    size: float
+    point: Point | RelayPoint
+
+
+@dataclass(frozen=True, slots=True)
+class Measurements:
+    """The results of all sweeps, and the repeats of the single points by name."""
+
+    sweeps: list[Sweep]
+    direct: dict[str, list[Repeat]]
 
 
 async def measure(point: Point | RelayPoint, timing: Timing, seed: int, size: float) -> Repeat:
-    """One repeat at one point; BenchError if the planner ends meanwhile or the repeat takes far too long."""
+    """Measure one repeat at one point; BenchError if the process ends meanwhile or the repeat takes far too long."""
     try:
         async with asyncio.timeout(MEASURE_SECONDS + timing.span):
-            return await measure_within(point, timing, seed, size)
-    except TimeoutError:
-        raise BenchError(f"not measured within {MEASURE_SECONDS + timing.span:g} s: {point}") from None
+            return await measure_untimed(point, timing, seed, size)
+    except TimeoutError as error:
+        raise BenchError(f"not measured within {MEASURE_SECONDS + timing.span:g} s: {point}") from error
 
 
 def bench_of(point: Point | RelayPoint, seed: int) -> Bench:
-    """What a point is measured on."""
+    """The bench on which a point is measured."""
     return PlannerBench(point, seed) if isinstance(point, Point) else RelayBench(point, seed)
 
 
-async def measure_within(point: Point | RelayPoint, timing: Timing, seed: int, size: float) -> Repeat:
-    """One repeat at one point, without a limit of time."""
+async def measure_untimed(point: Point | RelayPoint, timing: Timing, seed: int, size: float) -> Repeat:
+    """Measure one repeat at one point, without a time limit."""
     bench = bench_of(point, seed)
     async with bench.running() as process:
-        await until(bench.all_served, TABLES_SECONDS)
+        await wait_until(bench.all_served, TABLES_SECONDS)
         await asyncio.sleep(timing.settle)
-        listed = bench.counters[Channel.LIST].bytes_in
+        start_list_bytes = bench.counters[Channel.LIST].bytes_in
         bench.start_disturbances()
         try:
-            seconds = await sample(process.pid, bench.counters, timing.span)
+            readings = await sample(process.pid, bench.counters, timing.span)
         except AccountingError as error:
-            raise BenchError(f"ended while it was measured at {point}: {error}") from None
-        first = seconds[0]
-        last = seconds[-1]
+            raise BenchError(f"ended while it was measured at {point}: {error}") from error
+        first = readings[0]
+        last = readings[-1]
         span = last.at - first.at
-        counted = last.traffic.since(first.traffic)
-        peak = highest([usage_between(one, other) for one, other in pairwise(seconds)])
-        channels = {channel.value: channel_rates(one, span) for channel, one in counted.channels.items()}
-        load = os.getloadavg()[0]
-        orders = bench.updates_received()
-        return Repeat(size, usage_between(first, last), round(span, 3), peak, channels, round(load, 2), listed, orders)
+        traffic = last.traffic.since(first.traffic)
+        return Repeat(
+            size=size,
+            usage=usage_between(first, last),
+            span_seconds=round(span, 3),
+            peak=highest([usage_between(before, after) for before, after in pairwise(readings)]),
+            channels={channel.value: channel_rates(counts, span) for channel, counts in traffic.channels.items()},
+            load_average=round(os.getloadavg()[0], 2),
+            start_list_bytes=start_list_bytes,
+            orders=bench.updates_received(),
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A process and its traffic at a moment of the monotonic clock, in seconds."""
+    """A process and its traffic at one moment."""
 
-    at: float
+    at: float  # s on the monotonic clock
     process: ProcessUsage
     traffic: TrafficCounters
 
 
 async def sample(pid: int, counters: TrafficCounters, span: float) -> list[Reading]:
-    """Readings once a second over a span, first and last included."""
-    found = [Reading(time.monotonic(), read_usage(pid), counters.reading())]
-    end = found[0].at + span
-    while (left := end - time.monotonic()) > 0:
-        await asyncio.sleep(min(SECOND, left))
-        found.append(Reading(time.monotonic(), read_usage(pid), counters.reading()))
-    return found
+    """Take a reading each second over a span of so many seconds, at its start and end, too."""
+    readings = [Reading(time.monotonic(), read_usage(pid), counters.reading())]
+    end = readings[0].at + span
+    while (remaining := end - time.monotonic()) > 0:
+        await asyncio.sleep(min(SAMPLE_INTERVAL, remaining))
+        readings.append(Reading(time.monotonic(), read_usage(pid), counters.reading()))
+    return readings
 
 
 def channel_rates(traffic: Traffic, span: float) -> ChannelRates:
-    """A channel's traffic a second."""
-    counts = (traffic.bytes_in, traffic.bytes_out, traffic.messages_in, traffic.messages_out)
-    return ChannelRates(*(round(count / span, 2) for count in counts))
+    """A channel's traffic per second over a span in seconds."""
+    return ChannelRates(
+        bytes_in=round(traffic.bytes_in / span, 2),
+        bytes_out=round(traffic.bytes_out / span, 2),
+        messages_in=round(traffic.messages_in / span, 2),
+        messages_out=round(traffic.messages_out / span, 2),
+    )
 
 
 def usage_between(before: Reading, after: Reading) -> Usage:
-    """Rates between two readings. Memory is that of the later."""
+    """Rates between two readings; memory is that of the later one."""
     span = after.at - before.at
-    counted = after.traffic.since(before.traffic)
-    control = list(counted.control())
-    data = list(counted.data_path())
+    traffic = after.traffic.since(before.traffic)
+    control = list(traffic.control())
+    data = list(traffic.data_path())
     rates = {
-        f"{name}_{field}": round(sum(getattr(one, field) for one in group) / span, 2)
+        f"{name}_{field}": round(sum(getattr(channel, field) for channel in group) / span, 2)
         for name, group in (("control", control), ("data", data))
         for field in ("bytes_in", "bytes_out", "messages_in", "messages_out")
     }
@@ -122,45 +147,62 @@
 
 
 async def repeats_of(
-    points: Sequence[tuple[float, Point | RelayPoint]],
+    points: Sequence[SizedPoint],
     timing: Timing,
     repeats: int,
     seed: int,
     jobs: int,
     progress: Callable[[str], None],
 ) -> list[Repeat]:
-    """All repeats of all points, so many side by side, in the order of sizes."""
-    turn = asyncio.Semaphore(jobs)
+    """Measure all points several times.
+
+    Args:
+        points: that are measured.
+        timing: of each repeat.
+        repeats: of each point.
+        seed: of the first repeat; each further one has the next number.
+        jobs: how many are measured concurrently.
+        progress: called with a line about each repeat.
+
+    Returns:
+        The first repeats of all points in their order, then the second ones, and so on.
+    """
+    limit = asyncio.Semaphore(jobs)
 
-    async def one(size: float, point: Point | RelayPoint, repeat: int) -> Repeat:
-        async with turn:
-            found = await measure(point, timing, seed + repeat, size)
-        progress(f"{size:g}, repeat {repeat + 1}: {found.usage.core:.4f} core, {found.usage.rss_mb:.0f} MB")
-        return found
+    async def measure_repeat(sized: SizedPoint, number: int) -> Repeat:
+        """Measure one repeat of one point when its turn has come."""
+        async with limit:
+            repeat = await measure(sized.point, timing, seed + number, sized.size)
+        usage = repeat.usage
+        progress(f"{sized.size:g}, repeat {number + 1}: {usage.core:.4f} core, {usage.rss_mb:.0f} MB")
+        return repeat
 
-    return list(await asyncio.gather(*(one(s, p, r) for r in range(repeats) for s, p in points)))
+    work = (measure_repeat(sized, number) for number in range(repeats) for sized in points)
+    return list(await asyncio.gather(*work))
 
 
 async def run_sweep(plan: Plan, timing: Timing, repeats: int, seed: int, progress: Callable[[str], None]) -> Sweep:
     """Measure the sizes, fit, predict the held-out size, and only then measure that."""
     progress(f"{plan.role} against {plan.variable}")
-    points = [(float(size), plan.point(size)) for size in plan.sizes]
+    points = [SizedPoint(float(size), plan.point(size)) for size in plan.sizes]
     measured = await repeats_of(points, timing, repeats, seed, plan.jobs, progress)
     fits = fit_all(measured)
     predicted = predict(fits, plan.held_out)
     progress(f"predicted at {plan.held_out}: {predicted['core']:.4f} core, {predicted['rss_mb']:.0f} MB")
-    beyond = [(float(plan.held_out), plan.point(plan.held_out))]
-    found = held_out(predicted, await repeats_of(beyond, timing, repeats, seed, plan.jobs, progress))
-    progress(prediction_error_text(found))
-    return Sweep(plan.role, plan.variable, plan.fixed(), measured, fits, found)
+    held_out_point = SizedPoint(float(plan.held_out), plan.point(plan.held_out))
+    held_out_repeats = await repeats_of([held_out_point], timing, repeats, seed, plan.jobs, progress)
+    prediction = held_out(predicted, held_out_repeats)
+    progress(prediction_error_text(prediction))
+    return Sweep(plan.role, plan.variable, plan.fixed(), measured, fits, prediction)
 
 
-def prediction_error_text(found: HeldOut) -> str:
-    """Prediction beside measurement, in a line."""
-    measured = mean_usage(found.repeats)
+def prediction_error_text(prediction: HeldOut) -> str:
+    """A line about what was measured, and the error of the prediction."""
+    measured = mean_usage(prediction.repeats)
+    error = prediction.error
     return (
-        f"measured at {found.size:g}: {measured.core:.4f} core ({found.error['core']:+.0%} against the prediction), "
-        f"{measured.rss_mb:.0f} MB ({found.error['rss_mb']:+.0%})"
+        f"measured at {prediction.size:g}: {measured.core:.4f} core ({error['core']:+.0%} against the prediction), "
+        f"{measured.rss_mb:.0f} MB ({error['rss_mb']:+.0%})"
     )
 
 
@@ -171,17 +213,17 @@
     repeats: int,
     seed: int,
     progress: Callable[[str], None],
-) -> tuple[list[Sweep], dict[str, list[Repeat]]]:
-    """All sweeps, one after the other, and the points that are measured as such."""
+) -> Measurements:
+    """Run all sweeps, then measure the single points named by `direct`, one after another."""
     sweeps = [await run_sweep(plan, timing, repeats, seed, progress) for plan in plans]
-    found: dict[str, list[Repeat]] = {}
+    direct_repeats: dict[str, list[Repeat]] = {}
     for name in direct:
         progress(name)
-        points = [(float(DIRECT[name].servers), DIRECT[name])]
-        found[name] = await repeats_of(points, timing, repeats, seed, DIRECT_JOBS, progress)
-    return sweeps, found
+        points = [SizedPoint(float(DIRECT[name].servers), DIRECT[name])]
+        direct_repeats[name] = await repeats_of(points, timing, repeats, seed, DIRECT_JOBS, progress)
+    return Measurements(sweeps, direct_repeats)
 
 
 def this_machine() -> Machine:
-    """What it is measured on."""
+    """The machine that this process runs on."""
     return Machine(os.cpu_count() or 1, platform.python_version(), f"{platform.system()} {platform.release()}")
--- a/tests/scale/test_fake_environment.py
+++ b/tests/scale/test_fake_environment.py
@@ -12,7 +12,7 @@
 from stackwheel.interface import Availability
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.entries import Entry
-from stackwheel.scale.fake_environment import FakeDiscovery, FakePeerPlanners, since
+from stackwheel.scale.fake_environment import FakeDiscovery, FakePeerPlanners, known_generation
 from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
 WORK_MOST = 60.0  # s that one test may take
@@ -66,8 +66,8 @@
 @pytest.mark.parametrize(
     ("target", "generation"), [("/x?follow=1&since=41", 41), ("/x?follow=1", None), ("/x", None), ("/x?since=a", None)]
 )
-def test_since(target: str, generation: int | None) -> None:
-    assert since(target) == generation
+def test_known_generation(target: str, generation: int | None) -> None:
+    assert known_generation(target) == generation
 
 
 @pytest.fixture
--- a/tests/scale/test_fleet_draw.py
+++ b/tests/scale/test_fleet_draw.py
@@ -101,8 +101,9 @@
 def test_batches_hold_all_changes_in_order_and_no_step_is_exceeded() -> None:
     schedule = draw_schedule(draw_fleet(FULL), Scenario.ZONE_LOSS, 20.0, 1.0, 7)
     batches = list(schedule.batches())
-    assert [change for _, batch in batches for change in batch] == list(schedule.changes)
-    assert all(batch[-1].at == at and at - batch[0].at <= 0.05 for at, batch in batches)
+    assert [change for batch in batches for change in batch.changes] == list(schedule.changes)
+    assert all(batch.changes[-1].at == batch.at for batch in batches)
+    assert all(batch.at - batch.changes[0].at <= 0.05 for batch in batches)
     assert len(batches) < 60
 
 
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -79,7 +79,7 @@
             assert answer.nonce == 9
             assert answer.elapsed > 0
             assert proxy.forwarder.routes["write"].lines == {"s-0": 1.0, "s-1": 2.0}
-            assert proxy.holds_table()
+            assert proxy.has_tables()
             assert traffic.bytes_out == planner.told
             assert traffic.messages_out == 2
             assert traffic.bytes_in >= planner.heard > 0
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -84,7 +84,7 @@
         assert await line(call) == b"\n"
         call.close()
 
-    monkeypatch.setattr(module, "BEAT", 0.05)
+    monkeypatch.setattr(module, "HEARTBEAT_INTERVAL", 0.05)
     with_registry(work)
 
 
@@ -94,7 +94,7 @@
         with pytest.raises(CallError) as rejected:
             await get(address, INSTANCES_PATH, LIMIT, LIMIT)
         assert rejected.value.status == 503
-        assert registry.refused == 1
+        assert registry.rejected == 1
         registry.pending = 0
         assert isinstance(await fetch_endpoint_list(address), EndpointList)
 
--- a/tests/scale/test_sweep.py
+++ b/tests/scale/test_sweep.py
@@ -15,7 +15,7 @@
 from stackwheel.scale.planner_bench import PlannerBench
 from stackwheel.scale.points import DIRECT, PLANS, Point, RelayPoint
 from stackwheel.scale.slopes import MIN_SIZES, Repeat
-from stackwheel.scale.sweep import Timing, measure, repeats_of
+from stackwheel.scale.sweep import SizedPoint, Timing, measure, repeats_of
 
 WORK_MOST = 60.0  # s that one test may take
 
@@ -98,7 +98,7 @@
     monkeypatch.setattr(sweep, "measure", counted)
 
     async def work() -> None:
-        points = [(float(size), Point(servers=size)) for size in (1, 2, 3)]
+        points = [SizedPoint(float(size), Point(servers=size)) for size in (1, 2, 3)]
         with pytest.raises(BenchError):
             await repeats_of(points, BRIEF, 3, 1, 2, lambda _: None)
 
