--- a/stackwheel/scale/accounting.py
+++ b/stackwheel/scale/accounting.py
@@ -70,7 +70,7 @@
     PEERS = "peers"
     STREAMS = "streams"  # of proxies
     COLLECTORS = "collectors"
-    PROBES = "probes"
+    HEALTH_CHECKS = "probes"
     WATCHES = "watches"  # of planners at a relay
 
 
--- a/stackwheel/scale/capacity.py
+++ b/stackwheel/scale/capacity.py
@@ -23,12 +23,12 @@
 
 # The mechanisms that carry the load of a row; a test checks that each file, class and function is there.
 WATCH = "`wire/discovery_client.py` `DiscoveryClient.watch`"
-ORDERS = "`wire/transport.py` `SocketTransport.deliver`"
+UPDATES = "`wire/transport.py` `SocketTransport.deliver`"
 PEERS = "`balance.py` `Planner.tell_peers`"
 RELAY = "`relay/watch_cache.py` `WatchCache.apply`, `wire/endpoint_list_server.py` `EndpointListServer.perform`"
 SCOPE = "`cells/assignment.py` `CellIndex.cell_of` and a relay, where they are configured"
 CHOICE = "`forwarder/state.py` `choose`"
-PROBE = "`wire/health_checks.py` `check_health`"
+HEALTH_CHECK = "`wire/health_checks.py` `check_health`"
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
 
     role: str
     case: str
-    state: str  # what it holds or gets in that case
+    state: str  # sizes and events of that case
     cost: Cost
     source: str  # where the cost is from
     mechanism: str  # what carries it
--- a/stackwheel/scale/capacity_edge.py
+++ b/stackwheel/scale/capacity_edge.py
@@ -9,14 +9,14 @@
 from stackwheel.scale.capacity import (
     CHOICE,
     COMPUTED,
+    HEALTH_CHECK,
     MISSING,
-    ORDERS,
     PEERS,
     PLANNER_BUDGET,
-    PROBE,
     PROXY_BUDGET,
     SCOPE,
     SHOWN_METRICS,
+    UPDATES,
     WATCH,
     Cost,
     Model,
@@ -44,7 +44,7 @@
     state = "48,000 servers, 85 zones, 5 proxies"
     sweep = model.result.sweep("planner", "list")
     fits = [sweep.fits[name] for name in SHOWN_METRICS]
-    extrapolated = Cost(*(fit.at(design.SERVERS) if fit.holds() else None for fit in fits))
+    extrapolated = Cost(*(fit.at(design.SERVERS) if fit.is_slope() else None for fit in fits))
     factor = sweep.fits["core"].factor(design.SERVERS)
     mechanism = f"{MISSING} while a planner is given the whole list; {SCOPE}"
     yield measured_row("whole list, mean", state, model.mean_cost("whole list"), mechanism)
@@ -59,7 +59,7 @@
 
 def cell_rows(model: Model, name: str, state: str) -> Iterator[Row]:
     """Rows of a planner in one kind of cell: mean, zone lost, region lost or start."""
-    mechanism = f"{WATCH}, {PEERS}, {ORDERS}"
+    mechanism = f"{WATCH}, {PEERS}, {UPDATES}"
     yield measured_row(f"{name}, mean", state, model.mean_cost(name), mechanism)
     if name == "mean cell":
         with_66_proxies = model.mean_cost("mean cell, one request a proxy")
@@ -96,7 +96,7 @@
         messages_in=fmean(stream.messages_out for stream in streams) / proxies,
         messages_out=fmean(stream.messages_in for stream in streams) / proxies,
     )
-    yield Row("proxy", "mean", "tables of 23 lines", cost, "measured at the planner", ORDERS)
+    yield Row("proxy", "mean", "tables of 23 lines", cost, "measured at the planner", UPDATES)
     for choice in model.result.choices:
         yield choice_row(choice)
     yield routes_row()
@@ -135,7 +135,7 @@
 
 def choice_row(choice: Choice) -> Row:
     """The row of the time that choosing a server adds to a request."""
-    attempt = "first try" if choice.without == 0 else f"try {choice.without + 1}"
+    attempt = "first try" if choice.attempted == 0 else f"try {choice.attempted + 1}"
     return Row(
         "proxy",
         f"choice, {attempt}",
@@ -187,4 +187,4 @@
     """The row of a server's health checks, at most; measured planners sent none, as load reports came each cycle."""
     health_checks = design.HEALTH_CHECKS_PER_REQUEST * design.REQUESTS / design.SERVERS
     cost = Cost(messages_in=health_checks, messages_out=health_checks)
-    yield Row("server", "mean, at most", "no state for control", cost, f"{COMPUTED}: docs/fleet.md", PROBE)
+    yield Row("server", "mean, at most", "no state for control", cost, f"{COMPUTED}: docs/fleet.md", HEALTH_CHECK)
--- a/stackwheel/scale/capacity_page.py
+++ b/stackwheel/scale/capacity_page.py
@@ -94,7 +94,7 @@
 def formula(sweep: Sweep, metric: str) -> str:
     """The fit of a metric as a formula; the mean if there is no slope."""
     fit = sweep.fits[metric]
-    if not fit.holds():
+    if not fit.is_slope():
         return f"none found, mean {figure(getattr(mean_usage(sweep.repeats), metric))}"
     if fit.shape == "power":
         return f"{figure(fit.intercept)} x^{fit.slope:.2f} ({fit.residual:.0%})"
@@ -118,7 +118,7 @@
         measured = mean_usage(sweep.held_out.repeats)
         for name in SHOWN_METRICS:
             predicted = sweep.held_out.predicted[name]
-            if predicted <= 0 or not sweep.fits[name].holds():
+            if predicted <= 0 or not sweep.fits[name].is_slope():
                 continue
             error = f"{sweep.held_out.error[name]:+.0%}"
             subject = f"{sweep.role}: {sweep.variable} | {sweep.held_out.size:g} | {name}"
@@ -157,7 +157,7 @@
     lines += planner_lines("usual", [model.mean_cost(name) for name in names])
     lines += planner_lines("zone lost", [model.highest_second(f"{name}, zone lost") for name in names])
     starts = " | ".join(figure(model.start_bytes(name)) for name in names)
-    orders = " | ".join(", ".join(str(repeat.orders) for repeat in model.direct(name)) for name in names)
+    orders = " | ".join(", ".join(str(repeat.updates) for repeat in model.direct(name)) for name in names)
     lines.append(f"| orders that came to proxies by the span's end, each repeat | - | {orders} |")
     lines.append(f"| list bytes at a start | {figure(design.BYTES_BUDGET)} a second | {starts} |")
     return lines
--- a/stackwheel/scale/choice_timing.py
+++ b/stackwheel/scale/choice_timing.py
@@ -28,17 +28,17 @@
     return forwarder
 
 
-def time_choice(lines: int, without: int, repeats: int = REPEATS, calls: int = CALLS) -> Choice:
+def time_choice(lines: int, attempts_made: int, repeats: int = REPEATS, calls: int = CALLS) -> Choice:
     """Time choices from a table.
 
     Args:
         lines: of the table.
-        without: servers that earlier attempts were sent to, which are avoided.
+        attempts_made: earlier attempts, each sent to a server that the choice avoids.
         repeats: means that are measured.
         calls: that each mean is taken over.
     """
     class_table = forwarder_with_table(lines).routes[ROUTE]
-    attempted = class_table.open[:without]
+    attempted = class_table.open[:attempts_made]
     random = Random(1)
     in_flight = {name: number % 3 for number, name in enumerate(class_table.open)}
     means = []
@@ -47,9 +47,9 @@
         for _ in range(calls):
             choose(class_table, LOAD_BALANCING_POLICY, random, in_flight, (), attempted)
         means.append(round((time.perf_counter_ns() - began) / calls / 1000.0, 3))
-    return Choice(lines, without, min(means), statistics.median(means), means)
+    return Choice(lines, attempts_made, min(means), statistics.median(means), means)
 
 
 def time_choices() -> list[Choice]:
     """Time choices for all sizes of a table and all numbers of attempts."""
-    return [time_choice(lines, without) for lines in TABLE_LINES for without in ATTEMPTS_MADE]
+    return [time_choice(lines, attempts_made) for lines in TABLE_LINES for attempts_made in ATTEMPTS_MADE]
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -76,7 +76,7 @@
         """The process, ready, with its proxies started; on exit it is ended together with all stand-ins."""
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self.cancel)
-            servers = await asyncio.start_server(FakeServers(self.counters[Channel.PROBES]).serve, HOST, 0)
+            servers = await asyncio.start_server(FakeServers(self.counters[Channel.HEALTH_CHECKS]).serve, HOST, 0)
             stack.callback(servers.close)
             entries = self.point.entries(address_of(servers))
             self.feed = FakeDiscovery(entries, self.counters[Channel.LIST])
--- a/stackwheel/scale/processes.py
+++ b/stackwheel/scale/processes.py
@@ -197,7 +197,7 @@
         )
 
     def check_children(self) -> None:
-        """ControlError if a process has ended that the run has not ended itself."""
+        """Raise ControlError if a process has ended that the run has not ended itself."""
         for child in self.children.ended():
             raise ControlError(f"{child.name} ended with {child.process.returncode}: {last_line(self.folder, child)}")
 
--- a/stackwheel/scale/registry.py
+++ b/stackwheel/scale/registry.py
@@ -190,7 +190,7 @@
 
 
 async def main() -> None:
-    """Serve until told to stop, or until the run's end of the control connection is gone."""
+    """Carry out the run's requests until it sends `Stop` or closes the control connection."""
     lines = await standard_lines()
     registry = await load(lines)
     while registry is not None:
--- a/stackwheel/scale/report.py
+++ b/stackwheel/scale/report.py
@@ -38,7 +38,7 @@
     rss_mb: float | None = None  # MiB
     bytes_in_per_s: float | None = None
     bytes_out_per_s: float | None = None
-    highest_second_in: int | None = None  # bytes of the whole role in its highest second
+    highest_second_in: int | None = None  # bytes of all processes of the role in its highest second
     highest_second_out: int | None = None
 
 
@@ -59,7 +59,9 @@
     sent_per_s: float = 0.0  # over UDP
     received_per_s: float = 0.0
     mean_bytes_per_s: float = 0.0  # that one planner would read by the formula, whether they were sent or not
-    most_bytes_per_s: int = 0  # of the planner that would read the largest number of bytes
+    max_bytes_per_s: int = msgspec.field(
+        default=0, name="most_bytes_per_s"
+    )  # of the planner that would read the largest number of bytes
 
 
 class Machine(msgspec.Struct, frozen=True):
@@ -73,8 +75,8 @@
 class Bounds(msgspec.Struct, frozen=True):
     """What a run may take, what it was expected to take, and the highest readings."""
 
-    memory_most_mb: int
-    processes_most: int
+    memory_max_mb: int = msgspec.field(name="memory_most_mb")
+    processes_max: int = msgspec.field(name="processes_most")
     memory_expected_mb: float
     processes_expected: int
     memory_seen_mb: float
@@ -117,7 +119,7 @@
     ready_s: float  # from the start of the first planner until all have a list
     settle_s: float  # from the end of the scenario until all planners are right, or the wait is given up
     failures: int  # calls and watches of hollow planners that failed
-    refused: int  # calls that the registry answered with 503
+    rejected: int = msgspec.field(name="refused")  # calls that the registry answered with 503
     wrong: list[str] = []  # some wrong planners, one line each
     notes: list[str] = []  # what a reader of the figures has to know
 
--- a/stackwheel/scale/run.py
+++ b/stackwheel/scale/run.py
@@ -131,7 +131,7 @@
         await asyncio.gather(*(planner.restart(processes.children, processes.folder) for planner in real_planners))
 
     async def make_fault(self, began: float) -> None:
-        """Kill a relay if the run was asked to; its cells go on with their other one."""
+        """Kill a relay if the arguments say so; the planners of its cells go on with their other relay."""
         if self.arguments.fault:
             await sleep_until(began + FAULT_AT * self.arguments.duration)
             victim = self.processes.children.of(Role.RELAY)[0]
@@ -160,7 +160,7 @@
         self.outcome.sampler.add_traffic(reading)
 
     async def plant(self) -> None:
-        """Drop an entry at one hollow planner if the run was asked to, so that the comparison has to fail."""
+        """Drop an entry at one hollow planner if the arguments say so, so that the comparison has to fail."""
         if self.arguments.plant:
             number = min(self.processes.hollow)
             await self.processes.hollow[number].notify_process(DropEntry(number))
--- a/stackwheel/scale/slopes.py
+++ b/stackwheel/scale/slopes.py
@@ -63,7 +63,7 @@
     channels: dict[str, ChannelRates]  # by channel; `usage` is their sum
     load_average: float  # of the machine in the last minute, at the end of the span
     start_list_bytes: int = 0  # of the full list, as sent at the start
-    orders: int = 0  # updates that proxies received since the start
+    updates: int = msgspec.field(default=0, name="orders")  # that proxies received since the start
 
 
 class Fit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -81,7 +81,7 @@
             return float(self.intercept * max(size, NEAR_ZERO) ** self.slope)
         return max(0.0, self.intercept + self.slope * size)
 
-    def holds(self) -> bool:
+    def is_slope(self) -> bool:
         """Whether it is a slope: not if the metric is mostly noise or nothing."""
         return self.residual <= MAX_RESIDUAL
 
@@ -122,8 +122,8 @@
     """How long a forwarder takes to choose a server, in microseconds: the lowest and the median mean of the repeats."""
 
     lines: int  # of the table
-    without: int  # servers that earlier attempts were sent to
-    least_us: float
+    attempted: int = msgspec.field(name="without")  # servers that earlier attempts were sent to
+    min_us: float = msgspec.field(name="least_us")
     median_us: float
     repeats: list[float]  # means
 
--- a/stackwheel/scale/summary.py
+++ b/stackwheel/scale/summary.py
@@ -78,7 +78,7 @@
         ready_s=round(outcome.ready, 3),
         settle_s=round(outcome.settled, 3),
         failures=sum(process.failures for process in last_reading.hollow),
-        refused=last_reading.registry.failures,
+        rejected=last_reading.registry.failures,
         wrong=comparison.examples[:MAX_WRONG_SHOWN],
         notes=notes(outcome),
     )
@@ -109,8 +109,8 @@
 def bounds_seen(outcome: Outcome) -> Bounds:
     """The bounds, what was expected, and the highest readings."""
     return Bounds(
-        memory_most_mb=bounds.MAX_MEMORY_MB,
-        processes_most=bounds.MAX_PROCESSES,
+        memory_max_mb=bounds.MAX_MEMORY_MB,
+        processes_max=bounds.MAX_PROCESSES,
         memory_expected_mb=round(outcome.expected.memory_mb, 1),
         processes_expected=outcome.expected.processes,
         memory_seen_mb=round(outcome.sampler.peak_memory_mb, 1),
@@ -156,7 +156,7 @@
         sent_per_s=rate(lambda traffic: traffic.datagrams_out),
         received_per_s=rate(lambda traffic: traffic.datagrams_in),
         mean_bytes_per_s=round(sum(bytes_by_planner) / len(bytes_by_planner), 1),
-        most_bytes_per_s=max(bytes_by_planner),
+        max_bytes_per_s=max(bytes_by_planner),
     )
 
 
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -98,7 +98,7 @@
             channels={channel.value: channel_rates(counts, span) for channel, counts in traffic.channels.items()},
             load_average=round(os.getloadavg()[0], 2),
             start_list_bytes=start_list_bytes,
-            orders=bench.updates_received(),
+            updates=bench.updates_received(),
         )
 
 
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -122,8 +122,8 @@
 
 
 def test_noise_is_no_slope() -> None:
-    assert fit(SIZES, SIZES).holds()
-    assert not fit(SIZES * 2, [1.0, 50.0, 2.0, 90.0, 60.0, 1.0, 70.0, 2.0]).holds()
+    assert fit(SIZES, SIZES).is_slope()
+    assert not fit(SIZES * 2, [1.0, 50.0, 2.0, 90.0, 60.0, 1.0, 70.0, 2.0]).is_slope()
 
 
 def test_what_is_measured_again_replaces_the_former_and_nothing_else() -> None:
--- a/tests/scale/test_sweep.py
+++ b/tests/scale/test_sweep.py
@@ -34,7 +34,7 @@
     assert 10 < repeat.usage.rss_mb < 200
     assert repeat.peak.core >= repeat.usage.core
     assert repeat.start_list_bytes > 8 * 100
-    assert repeat.orders >= 3
+    assert repeat.updates >= 3
     assert repeat.channels["list"].bytes_in > 0
     assert repeat.channels["list"].messages_in > 2
     assert repeat.channels["peers"].bytes_in > 0
@@ -121,4 +121,4 @@
     found = time_choice(23, 2, repeats=3, calls=50)
     assert found.lines == 23
     assert len(found.repeats) == 3
-    assert 0 < found.least_us <= found.median_us <= max(found.repeats) < 10_000
+    assert 0 < found.min_us <= found.median_us <= max(found.repeats) < 10_000
