--- a/stackwheel/scale/capacity.py
+++ b/stackwheel/scale/capacity.py
@@ -24,7 +24,7 @@
 # The mechanisms that carry the load of a row; a test checks that each file, class and function is there.
 WATCH = "`wire/discovery_client.py` `DiscoveryClient.watch`"
 UPDATES = "`wire/transport.py` `SocketTransport.deliver`"
-PEERS = "`balance.py` `Planner.tell_peers`"
+PEERS = "`policy/peer_planners.py` `PeerPlanners.announce`"
 RELAY = "`relay/watch_cache.py` `WatchCache.apply`, `wire/endpoint_list_server.py` `EndpointListServer.perform`"
 SCOPE = "`cells/assignment.py` `CellIndex.cell_of` and a relay, where they are configured"
 CHOICE = "`forwarder/state.py` `choose`"
--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -10,7 +10,7 @@
 import h11
 import msgspec
 
-from stackwheel import peers
+from stackwheel.policy import gossip
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.discovery_http import CHUNKED_JSON_HEADERS, read_request
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING, Entry
@@ -172,7 +172,7 @@
     """The other planners of a tier: each sends its load once a cycle, unless that exceeds the policy's limit."""
 
     def __init__(self, servers: Sequence[str], max_datagrams: int, traffic: Traffic) -> None:
-        self.payloads = peers.pack(PEER_PROXIES, {server_id(name): PEER_RATE for name in servers})
+        self.payloads = gossip.encode(PEER_PROXIES, {server_id(name): PEER_RATE for name in servers})
         self.max_datagrams = max_datagrams  # that a planner reads in a cycle
         self.traffic = traffic
         self.broadcast_socket = FakePeerSocket(traffic)
--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Callable, Iterable
 
-from stackwheel import peers
+from stackwheel.policy import gossip
 from stackwheel.scale.control import HollowPlanner
 from stackwheel.scale.hollow_endpoints import HollowEndpointCache
 from stackwheel.wire.http import split_address
@@ -20,7 +20,7 @@
 
 def datagrams_per_cycle(planners: int, servers: int) -> int:
     """The datagrams that one planner of a cell sends in a cycle; it reads as many."""
-    needed = (planners - 1) * math.ceil(servers / peers.LINES)
+    needed = (planners - 1) * math.ceil(servers / gossip.LINES_PER_DATAGRAM)
     return needed if needed <= MAX_DATAGRAMS_PER_CYCLE else 0
 
 
@@ -28,8 +28,8 @@
     """The bytes of the datagrams that one planner of a cell reads in a cycle."""
     if not datagrams_per_cycle(planners, servers):
         return 0
-    payloads = math.ceil(servers / peers.LINES)
-    return (planners - 1) * (payloads * peers.HEAD.size + servers * peers.LINE.size)
+    payloads = math.ceil(servers / gossip.LINES_PER_DATAGRAM)
+    return (planners - 1) * (payloads * gossip.HEADER.size + servers * gossip.LINE.size)
 
 
 class Receiver(asyncio.DatagramProtocol):
@@ -39,10 +39,13 @@
         self.traffic = traffic
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Count a datagram of a peer if a planner could read it."""
-        if peers.unpack(data) is not None:
-            self.traffic.datagrams_in += 1
-            self.traffic.bytes_in += len(data)
+        """Count a datagram of a peer if a planner can read it."""
+        try:
+            gossip.decode(data)
+        except gossip.MalformedGossipError:
+            return
+        self.traffic.datagrams_in += 1
+        self.traffic.bytes_in += len(data)
 
 
 class PeerTraffic:
@@ -101,7 +104,7 @@
             if count and granted is None:
                 granted = self.grant(count)
             if count and granted:
-                self.send(transport, peers.pack(PROXIES, dict.fromkeys(servers, RATE)), others)
+                self.send(transport, gossip.encode(PROXIES, dict.fromkeys(servers, RATE)), others)
             await asyncio.sleep(CYCLE)
 
     def grant(self, count: int) -> bool:
