--- a/tests/scale/test_peers.py
+++ b/tests/scale/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams of hollow planners: as many as docs/fleet.md says, none over the most."""
+"""Datagrams of hollow planners: as many as docs/fleet.md says, none over the limit."""
 
 from __future__ import annotations
 
@@ -17,29 +17,30 @@
 
 
 @pytest.mark.parametrize(
-    ("planners", "servers", "due"),
+    ("planners", "servers", "datagrams"),
     [(1, 500, 0), (7, 23, 6), (7, 31, 6), (7, 32, 12), (2, 31 * 128, 128), (2, 31 * 128 + 1, 0), (16, 512, 0)],
 )
-def test_as_many_as_the_planners_formula(planners: int, servers: int, due: int) -> None:
-    assert datagrams_per_cycle(planners, servers) == due
+def test_the_number_follows_the_formula_of_planners(planners: int, servers: int, datagrams: int) -> None:
+    assert datagrams_per_cycle(planners, servers) == datagrams
 
 
 @pytest.mark.parametrize(("planners", "servers"), [(7, 23), (2, 31), (2, 32), (16, 70), (1, 9), (16, 512)])
-def test_bytes_are_those_of_the_planners_own_datagrams(planners: int, servers: int) -> None:
+def test_bytes_are_those_of_a_planners_datagrams(planners: int, servers: int) -> None:
     payloads = encode(5, {server_id(str(number)): 1.0 for number in range(servers)})
     sent = datagrams_per_cycle(planners, servers) > 0
     assert bytes_per_cycle(planners, servers) == (planners - 1) * sum(map(len, payloads)) * sent
 
 
-def test_the_most_is_the_policys() -> None:
+def test_the_limit_is_that_of_the_policy() -> None:
     assert MAX_DATAGRAMS_PER_CYCLE == peer_planners.MAX_DATAGRAMS_PER_CYCLE
 
 
-def test_datagrams_are_sent_and_read_by_the_others() -> None:
+def test_datagrams_are_sent_to_and_read_by_peers() -> None:
     async def work() -> None:
-        traffic, holding = PeerTraffic(), HollowEndpointCache(SharedEntries(("zone",), ("m1",)))
+        traffic = PeerTraffic()
+        cache = HollowEndpointCache(SharedEntries(("zone",), ("m1",)))
         ready = tuple(Instance(f"s-{n}", "", "zone", "m1", 0, Availability.READY, 1.0, 0.0) for n in range(40))
-        holding.apply_list(EndpointList(1, True, ready), 0.0)
+        cache.apply_list(EndpointList(1, True, ready), 0.0)
         ports = []
         loop = asyncio.get_running_loop()
         for _ in range(2):
@@ -48,7 +49,7 @@
             transport.close()
         await asyncio.sleep(0)
         planners = [HollowPlanner(n, "c", "", 0, ports[n], (ports[1 - n],)) for n in (0, 1)]
-        await traffic.start(planners, lambda _: holding)
+        await traffic.start(planners, lambda _: cache)
         async with asyncio.timeout(10):
             while traffic.datagrams_in < 4:
                 await asyncio.sleep(0.01)
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -1,4 +1,4 @@
-"""Hollow proxies and collectors against a scripted planner: what they say, hold and count."""
+"""Hollow proxies and collectors against a scripted planner: their messages, tables and counters."""
 
 from __future__ import annotations
 
@@ -13,46 +13,49 @@
 from stackwheel.wire.line_codec import decode
 from stackwheel.wire.messages import AckMessage, CollectorMessage, DemandMessage, JoinMessage, LoadMessage
 
-WORK_MOST = 60.0  # s that one test may take
+TEST_TIMEOUT = 60.0  # s
+STEP_TIMEOUT = 20.0  # s of one step of a test
 
 NAMES = Names(classes=("read", "write"), zones=("east",), columns=("outstanding",))
 SERVERS = ("s-0", "s-1")
-MOST = 20.0  # s that any one thing may take
 
 
 class ScriptedPlanner:
-    """Takes streams one after another; keeps what was said, byte for byte."""
+    """Accepts streams one after another, and counts the bytes received and sent."""
 
     def __init__(self) -> None:
         self.streams: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
-        self.heard = self.told = 0
+        self.bytes_received = 0
+        self.bytes_sent = 0
 
-    async def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.streams.put_nowait((reader, writer))
 
     async def stream(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.wait_for(self.streams.get(), MOST)
+        return await asyncio.wait_for(self.streams.get(), STEP_TIMEOUT)
 
-    async def line(self, reader: asyncio.StreamReader) -> object:
-        data = await asyncio.wait_for(reader.readuntil(b"\r\n"), MOST)
-        self.heard += len(data)
+    async def receive(self, reader: asyncio.StreamReader) -> object:
+        data = await asyncio.wait_for(reader.readuntil(b"\r\n"), STEP_TIMEOUT)
+        self.bytes_received += len(data)
         return decode(data.removesuffix(b"\r\n"), NAMES)
 
-    async def until(self, reader: asyncio.StreamReader, kind: type) -> object:
-        while not isinstance(found := await self.line(reader), kind):
-            assert isinstance(found, DemandMessage | AckMessage), found
-        return found
+    async def receive_next(self, reader: asyncio.StreamReader, kind: type) -> object:
+        """The next message of a kind; those before it have to be demand reports or acknowledgements."""
+        while not isinstance(message := await self.receive(reader), kind):
+            assert isinstance(message, DemandMessage | AckMessage), message
+        return message
 
-    def tell(self, writer: asyncio.StreamWriter, line: str) -> None:
+    def send(self, writer: asyncio.StreamWriter, line: str) -> None:
         data = line.encode() + b"\r\n"
         writer.write(data)
-        self.told += len(data)
+        self.bytes_sent += len(data)
 
 
 @contextlib.asynccontextmanager
 async def joined(cycle: float = 50.0) -> AsyncIterator[tuple[HollowProxy, ScriptedPlanner, Traffic]]:
-    planner, traffic = ScriptedPlanner(), Traffic()
-    server = await asyncio.start_server(planner.take, "127.0.0.1", 0)
+    planner = ScriptedPlanner()
+    traffic = Traffic()
+    server = await asyncio.start_server(planner.accept, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     proxy = HollowProxy(3, "east", ProxySettings(address, NAMES.classes, SERVERS, 40.0, cycle), traffic, Random(1))
     task = asyncio.create_task(proxy.run())
@@ -63,79 +66,80 @@
         server.close()
 
 
-def test_it_joins_reports_each_route_and_answers_marks_with_the_tables_held() -> None:
+def test_a_proxy_joins_reports_each_route_and_acknowledges_applied_updates() -> None:
     async def work() -> None:
         async with joined() as (proxy, planner, traffic):
             reader, writer = await planner.stream()
-            assert await planner.line(reader) == JoinMessage(3, 0, 40.0, True)
-            first, second = [await planner.line(reader) for _ in range(2)]
+            assert await planner.receive(reader) == JoinMessage(3, 0, 40.0, True)
+            first, second = [await planner.receive(reader) for _ in range(2)]
             assert isinstance(first, DemandMessage)
             assert isinstance(second, DemandMessage)
             assert (first.proxy, first.request_class, second.request_class, first.window) == (3, 0, 1, 50.0)
-            planner.tell(writer, "CONFIG routes=read+write full=1 endpoints=s-0:1,s-1:2 continued=1")
-            planner.tell(writer, "CONFIG nonce_out=9")
-            answer = await planner.until(reader, AckMessage)
-            assert isinstance(answer, AckMessage)
-            assert answer.nonce == 9
-            assert answer.elapsed > 0
+            planner.send(writer, "CONFIG routes=read+write full=1 endpoints=s-0:1,s-1:2 continued=1")
+            planner.send(writer, "CONFIG nonce_out=9")
+            acknowledgement = await planner.receive_next(reader, AckMessage)
+            assert isinstance(acknowledgement, AckMessage)
+            assert acknowledgement.nonce == 9
+            assert acknowledgement.elapsed > 0
             assert proxy.forwarder.routes["write"].lines == {"s-0": 1.0, "s-1": 2.0}
             assert proxy.has_tables()
-            assert traffic.bytes_out == planner.told
+            assert traffic.bytes_out == planner.bytes_sent
             assert traffic.messages_out == 2
-            assert traffic.bytes_in >= planner.heard > 0
+            assert traffic.bytes_in >= planner.bytes_received > 0
             assert proxy.state.updates == 1
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
 
 
-def test_an_order_it_cannot_use_resets_the_stream_and_it_comes_back_with_its_table() -> None:
+def test_an_invalid_update_resets_the_stream_and_the_proxy_rejoins_with_its_table() -> None:
     async def work() -> None:
         async with joined() as (proxy, planner, _):
             _, writer = await planner.stream()
-            planner.tell(writer, "CONFIG full=1 endpoints=s-0:1")
-            planner.tell(writer, "CONFIG endpoints=never-listed:1")
-            again, _ = await planner.stream()
-            assert await planner.line(again) == JoinMessage(3, 0, 40.0, False)
+            planner.send(writer, "CONFIG full=1 endpoints=s-0:1")
+            planner.send(writer, "CONFIG endpoints=never-listed:1")
+            rejoined, _ = await planner.stream()
+            assert await planner.receive(rejoined) == JoinMessage(3, 0, 40.0, False)
             assert proxy.state.resets == 1
             assert proxy.state.joins == 2
             assert proxy.forwarder.routes["read"].lines == {"s-0": 1.0}
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
 
 
-def test_a_mark_of_a_former_stream_is_not_answered_on_the_next() -> None:
+def test_a_nonce_of_an_earlier_stream_is_not_acknowledged_on_the_next() -> None:
     async def work() -> None:
         async with joined(cycle=60_000.0) as (proxy, planner, traffic):
             _, writer = await planner.stream()
-            former = proxy.writer
+            earlier_stream = proxy.writer
             writer.transport.abort()
             reader, _ = await planner.stream()
-            await planner.line(reader)
-            said = traffic.bytes_in
-            proxy.acknowledge(5, 1.0, former)
-            assert traffic.bytes_in == said
+            await planner.receive(reader)
+            bytes_before = traffic.bytes_in
+            proxy.acknowledge(5, 1.0, earlier_stream)
+            assert traffic.bytes_in == bytes_before
             proxy.acknowledge(6, 1.0, proxy.writer)
-            assert await planner.line(reader) == AckMessage(3, 6, 1.0)
+            assert await planner.receive(reader) == AckMessage(3, 6, 1.0)
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
 
 
 def test_a_collector_names_its_zone_and_reports_each_server_once_a_cycle() -> None:
     async def work() -> None:
-        planner, traffic = ScriptedPlanner(), Traffic()
-        server = await asyncio.start_server(planner.take, "127.0.0.1", 0)
+        planner = ScriptedPlanner()
+        traffic = Traffic()
+        server = await asyncio.start_server(planner.accept, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         task = asyncio.create_task(HollowCollector("east", address, SERVERS, traffic, Random(2)).run())
         try:
             reader, _ = await planner.stream()
-            assert await planner.line(reader) == CollectorMessage(0)
-            loads = [await planner.line(reader) for _ in SERVERS]
+            assert await planner.receive(reader) == CollectorMessage(0)
+            loads = [await planner.receive(reader) for _ in SERVERS]
             assert all(isinstance(load, LoadMessage) for load in loads)
             assert [load.server_name for load in loads if isinstance(load, LoadMessage)] == list(SERVERS)
             assert traffic.messages_in == 3
-            assert traffic.bytes_in == planner.heard
+            assert traffic.bytes_in == planner.bytes_received
         finally:
             task.cancel()
             server.close()
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
--- a/tests/scale/test_real_planners.py
+++ b/tests/scale/test_real_planners.py
@@ -1,4 +1,4 @@
-"""What is compared of real planners, and the configuration they get."""
+"""The comparison of real planners' tables with the list, and the configuration that these planners get."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
     assert compare_tables(set(), []).count() == 0
 
 
-def test_a_line_for_what_is_not_ready_is_wrong() -> None:
-    found = compare_tables(names(3), [*entries(2), Entry("s-2", "10.0.0.1:1", "zone-00", TERMINATING)])
-    assert found.unlisted == ("s-2",)
-    assert "not ready" in found.example()
+def test_a_line_for_a_server_that_is_not_ready_is_wrong() -> None:
+    difference = compare_tables(names(3), [*entries(2), Entry("s-2", "10.0.0.1:1", "zone-00", TERMINATING)])
+    assert difference.unlisted == ("s-2",)
+    assert "not ready" in difference.example()
 
 
-def test_a_ready_server_without_a_line_is_missing_in_a_small_cell_only() -> None:
+def test_a_ready_server_without_a_line_is_missing_only_in_a_small_cell() -> None:
     assert compare_tables(names(2), entries(3)).unused == ("s-2",)
     assert compare_tables(names(MAX_SERVERS_IN_FULL_TABLE + 1, 1), entries(MAX_SERVERS_IN_FULL_TABLE + 1)).count() == 0
     assert compare_tables(set(), entries(MAX_SERVERS_IN_FULL_TABLE + 1)).count() == MAX_SERVERS_IN_FULL_TABLE + 1
 
 
-def test_the_configuration_is_one_a_planner_starts_with() -> None:
+def test_a_planner_accepts_the_configuration() -> None:
     placed = Placed(0, DrawnPlanner("planner-00000", "svc-0000", "zone-01"), "", "127.0.0.1:8500")
-    found = configuration(placed, "127.0.0.1:8081", "127.0.0.1:1,127.0.0.1:2", ["zone-00", "zone-01"], 7)
-    read = read_config(found)
-    assert read.defaulted_settings == ()
-    assert read.names.zones == ("zone-00", "zone-01")
-    assert read.settings.home_zone == 1
-    assert found["limits"] == LIMITS
-    assert not read.settings.endpoint_list_on_request
+    document = configuration(placed, "127.0.0.1:8081", "127.0.0.1:1,127.0.0.1:2", ["zone-00", "zone-01"], 7)
+    config = read_config(document)
+    assert config.defaulted_settings == ()
+    assert config.names.zones == ("zone-00", "zone-01")
+    assert config.settings.home_zone == 1
+    assert document["limits"] == LIMITS
+    assert not config.settings.endpoint_list_on_request
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry stand-in over real sockets, heard by the planner's own client."""
+"""The registry stand-in over real sockets, called by the planner's own client."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from stackwheel.endpoints import EndpointList
-from stackwheel.scale import registry as module
+from stackwheel.scale import registry as registry_module
 from stackwheel.scale.control import Apply
 from stackwheel.scale.entries import TERMINATED, Entry
 from stackwheel.scale.registry import Registry
@@ -18,7 +18,7 @@
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH, parse_endpoint_list
 from stackwheel.wire.http import Call, CallError, get
 
-LIMIT = 5_000.0  # ms
+TIMEOUT_MS = 5_000.0
 
 
 def entry(number: int, lifecycle: str = "in_service") -> Entry:
@@ -33,81 +33,82 @@
     asyncio.run(asyncio.wait_for(run(), 30))
 
 
-async def line(call: Call) -> bytes:
-    found = await call.read_chunk(LIMIT)
-    assert isinstance(found, bytes)
-    return found
+async def read_line(call: Call) -> bytes:
+    chunk = await call.read_chunk(TIMEOUT_MS)
+    assert isinstance(chunk, bytes)
+    return chunk
 
 
-async def listing(call: Call) -> EndpointList:
-    return parse_endpoint_list(await line(call))
+async def read_list(call: Call) -> EndpointList:
+    return parse_endpoint_list(await read_line(call))
 
 
 async def watch(address: str, since: str = "") -> Call:
     call = Call(address, f"{INSTANCES_PATH}?follow=1{since}")
-    await call.open(LIMIT, LIMIT)
+    await call.open(TIMEOUT_MS, TIMEOUT_MS)
     return call
 
 
 async def has_ended(call: Call) -> bool:
     try:
-        return await call.read_chunk(LIMIT) is None
+        return await call.read_chunk(TIMEOUT_MS) is None
     except CallError:
         return True
 
 
-def test_whole_list_and_watch_tell_the_same_and_changes_follow() -> None:
+def test_fetch_and_watches_get_the_same_list_and_watches_get_deltas() -> None:
     async def work(registry: Registry, address: str) -> None:
-        whole, calls = await fetch_endpoint_list(address), [await watch(address) for _ in range(3)]
-        assert isinstance(whole, EndpointList)
-        assert whole.complete
-        assert len(whole.instances) == 2
-        assert [await listing(call) for call in calls] == [whole] * 3
+        full_list = await fetch_endpoint_list(address)
+        calls = [await watch(address) for _ in range(3)]
+        assert isinstance(full_list, EndpointList)
+        assert full_list.complete
+        assert len(full_list.instances) == 2
+        assert [await read_list(call) for call in calls] == [full_list] * 3
         registry.apply(Apply([entry(2, TERMINATED), entry(3)]))
-        told = [await listing(call) for call in calls]
-        assert told[0] == told[1] == told[2]
-        assert told[0].generation == 2
-        assert not told[0].complete
-        resumed = await listing(late := await watch(address, "&since=1"))
-        assert resumed == told[0]
-        for call in (*calls, late):
+        deltas = [await read_list(call) for call in calls]
+        assert deltas[0] == deltas[1] == deltas[2]
+        assert deltas[0].generation == 2
+        assert not deltas[0].complete
+        resuming = await watch(address, "&since=1")
+        assert await read_list(resuming) == deltas[0]
+        for call in (*calls, resuming):
             call.close()
 
     with_registry(work)
 
 
-def test_an_empty_line_comes_while_nothing_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_heartbeats_are_sent_while_nothing_changes(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(_registry: Registry, address: str) -> None:
         call = await watch(address)
-        await listing(call)
-        assert await line(call) == b"\n"
-        assert await line(call) == b"\n"
+        await read_list(call)
+        assert await read_line(call) == b"\n"
+        assert await read_line(call) == b"\n"
         call.close()
 
-    monkeypatch.setattr(module, "HEARTBEAT_INTERVAL", 0.05)
+    monkeypatch.setattr(registry_module, "HEARTBEAT_INTERVAL", 0.05)
     with_registry(work)
 
 
-def test_beyond_what_may_be_pending_calls_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calls_over_the_limit_of_pending_bytes_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(registry: Registry, address: str) -> None:
         registry.pending = 1  # one answer is still being written
         with pytest.raises(CallError) as rejected:
-            await get(address, INSTANCES_PATH, LIMIT, LIMIT)
+            await get(address, INSTANCES_PATH, TIMEOUT_MS, TIMEOUT_MS)
         assert rejected.value.status == 503
         assert registry.rejected == 1
         registry.pending = 0
         assert isinstance(await fetch_endpoint_list(address), EndpointList)
 
-    monkeypatch.setattr(module, "MAX_PENDING_BYTES", 10)
+    monkeypatch.setattr(registry_module, "MAX_PENDING_BYTES", 10)
     with_registry(work)
 
 
-def test_who_leaves_too_much_unread_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watch_that_leaves_too_much_unread_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(registry: Registry, address: str) -> None:
         call = await watch(address)
-        await listing(call)
+        await read_list(call)
         (writer,) = registry.watches
-        monkeypatch.setattr(module, "MAX_UNSENT_BYTES", -1)
+        monkeypatch.setattr(registry_module, "MAX_UNSENT_BYTES", -1)
         registry.apply(Apply([entry(1)]))
         assert not registry.watches
         assert writer.transport.is_closing()
@@ -118,17 +119,17 @@
 
 
 @pytest.mark.parametrize("target", ["/", "/registry", "/registry/instances/x"])
-def test_other_paths_are_unknown(target: str) -> None:
+def test_other_paths_are_not_found(target: str) -> None:
     async def work(_registry: Registry, address: str) -> None:
         with pytest.raises(CallError) as rejected:
-            await get(address, target, LIMIT, LIMIT)
+            await get(address, target, TIMEOUT_MS, TIMEOUT_MS)
         assert rejected.value.status == 404
 
     with_registry(work)
 
 
-def test_what_is_no_request_ends_its_connection_alone() -> None:
-    async def work(registry: Registry, address: str) -> None:
+def test_a_malformed_request_ends_only_its_connection() -> None:
+    async def work(_registry: Registry, address: str) -> None:
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"what?\r\n\r\n")
--- a/tests/scale/test_sweep.py
+++ b/tests/scale/test_sweep.py
@@ -1,4 +1,4 @@
-"""Small real measurements: the program between the stand-ins, for a moment."""
+"""Short real measurements: the program between the stand-ins."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from stackwheel.scale.slopes import MIN_SIZES, Repeat
 from stackwheel.scale.sweep import SizedPoint, Timing, measure, repeats_of
 
-WORK_MOST = 60.0  # s that one test may take
+TEST_TIMEOUT = 60.0  # s
 
 BRIEF = Timing(span=1.2, settle=0.1)
 
 
 def test_a_planner_is_measured_with_every_channel_counted() -> None:
-    found: list[Repeat] = []
+    repeats: list[Repeat] = []
 
     async def work() -> None:
-        found.append(await measure(Point(servers=8, zones=2, proxies=3, planners=2, changes=5.0), BRIEF, 1, 8.0))
+        repeats.append(await measure(Point(servers=8, zones=2, proxies=3, planners=2, changes=5.0), BRIEF, 1, 8.0))
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
-    (repeat,) = found
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    (repeat,) = repeats
     assert 0 < repeat.usage.core < 1
     assert 10 < repeat.usage.rss_mb < 200
     assert repeat.peak.core >= repeat.usage.core
@@ -46,13 +46,13 @@
 
 
 def test_a_relay_is_measured_with_its_watchers() -> None:
-    found: list[Repeat] = []
+    repeats: list[Repeat] = []
 
     async def work() -> None:
-        found.append(await measure(RelayPoint(servers=46, watchers=4, changes=10.0), BRIEF, 1, 4.0))
+        repeats.append(await measure(RelayPoint(servers=46, watchers=4, changes=10.0), BRIEF, 1, 4.0))
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
-    (repeat,) = found
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    (repeat,) = repeats
     assert 0 < repeat.usage.core < 1
     assert repeat.usage.rss_mb > 10
     assert repeat.channels["list"].messages_in > 4
@@ -60,39 +60,40 @@
     assert repeat.usage.data_bytes_out == 0
 
 
-def test_a_planner_that_ends_meanwhile_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Killed(PlannerBench):
+def test_a_planner_that_ends_while_it_is_measured_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    class KillingBench(PlannerBench):
         def start_disturbances(self) -> None:
             (child,) = Path(f"/proc/self/task/{os.getpid()}/children").read_text().split()
             os.kill(int(child), signal.SIGKILL)
 
-    monkeypatch.setattr(sweep, "bench_of", Killed)
+    monkeypatch.setattr(sweep, "bench_of", KillingBench)
 
     async def work() -> None:
         with pytest.raises(BenchError, match="ended while it was measured"):
             await measure(Point(servers=2, proxies=1), BRIEF, 1, 2.0)
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
 
 
-def test_a_relay_that_has_not_told_its_watchers_is_not_measured(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_relay_that_has_not_served_its_watchers_is_not_measured(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(relay_bench, "READY_SECONDS", 0.0)
 
     async def work() -> None:
         with pytest.raises(BenchError, match="0 of 4 watchers were told"):
             await measure(RelayPoint(servers=46, watchers=4), BRIEF, 1, 4.0)
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
 
 
-def test_no_more_are_measured_side_by_side_than_asked_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    under_way: list[int] = [0, 0]
+def test_no_more_points_are_measured_concurrently_than_requested(monkeypatch: pytest.MonkeyPatch) -> None:
+    running: list[int] = []
+    running_counts: list[int] = []
 
-    async def counted(point: Point, timing: Timing, seed: int, size: float) -> Repeat:
-        under_way[0] += 1
-        under_way[1] = max(under_way)
+    async def counted(_point: Point, _timing: Timing, seed: int, _size: float) -> Repeat:
+        running.append(seed)
+        running_counts.append(len(running))
         await asyncio.sleep(0)
-        under_way[0] -= 1
+        running.remove(seed)
         raise BenchError(f"{seed}")
 
     monkeypatch.setattr(sweep, "measure", counted)
@@ -102,23 +103,24 @@
         with pytest.raises(BenchError):
             await repeats_of(points, BRIEF, 3, 1, 2, lambda _: None)
 
-    asyncio.run(asyncio.wait_for(work(), WORK_MOST))
-    assert under_way[1] == 2
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    assert max(running_counts) == 2
 
 
-def test_each_sweep_has_sizes_enough_and_holds_out_twice_the_largest() -> None:
+def test_each_sweep_has_enough_sizes_and_holds_out_twice_the_largest() -> None:
     for plan in PLANS:
-        assert len(set(plan.sizes)) >= MIN_SIZES and plan.held_out == 2 * max(plan.sizes), plan.name
+        assert len(set(plan.sizes)) >= MIN_SIZES, plan.name
+        assert plan.held_out == 2 * max(plan.sizes), plan.name
     assert len({plan.name for plan in PLANS}) == len(PLANS)
 
 
-def test_a_lost_zone_of_the_whole_list_is_as_large_as_the_operators_say() -> None:
+def test_a_lost_zone_of_the_full_list_has_the_operators_size() -> None:
     point = DIRECT["whole list, zone lost"]
     assert sum(point.zone(number) == point.zone(0) for number in range(point.servers)) == 565
 
 
 def test_a_choice_is_timed_from_a_table_of_that_size() -> None:
-    found = time_choice(23, 2, repeats=3, calls=50)
-    assert found.lines == 23
-    assert len(found.repeats) == 3
-    assert 0 < found.min_us <= found.median_us <= max(found.repeats) < 10_000
+    choice = time_choice(23, 2, repeats=3, calls=50)
+    assert choice.lines == 23
+    assert len(choice.repeats) == 3
+    assert 0 < choice.min_us <= choice.median_us <= max(choice.repeats) < 10_000
