--- a/tests/scale/test_peers.py
+++ b/tests/scale/test_peers.py
@@ -32,7 +32,7 @@
 
 
 def test_the_limit_is_that_of_the_policy() -> None:
-    assert MAX_DATAGRAMS_PER_CYCLE == peer_planners.MAX_DATAGRAMS_PER_CYCLE
+    assert MAX_DATAGRAMS_PER_CYCLE == peer_planners.MAX_DATAGRAMS_PER_INTERVAL
 
 
 def test_datagrams_are_sent_to_and_read_by_peers() -> None:
