--- a/stackwheel/scale/capacity_edge.py
+++ b/stackwheel/scale/capacity_edge.py
@@ -184,7 +184,7 @@
 
 
 def server_rows() -> Iterator[Row]:
-    """The row of a server's health checks, at most; measured planners sent none, as load reports came each cycle."""
+    """The row of a server's health checks, at most; measured planners sent none, as load reports came in time."""
     health_checks = design.HEALTH_CHECKS_PER_REQUEST * design.REQUESTS / design.SERVERS
     cost = Cost(messages_in=health_checks, messages_out=health_checks)
     yield Row("server", "mean, at most", "no state for control", cost, f"{COMPUTED}: docs/fleet.md", HEALTH_CHECK)
--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -169,11 +169,11 @@
 
 
 class FakePeerPlanners:
-    """The other planners of a tier: each sends its load once a cycle, unless that exceeds the policy's limit."""
+    """The other planners of a tier: each sends its load once a report interval, within the policy's limit."""
 
     def __init__(self, servers: Sequence[str], max_datagrams: int, traffic: Traffic) -> None:
         self.payloads = gossip.encode(PEER_PROXIES, {server_id(name): PEER_RATE for name in servers})
-        self.max_datagrams = max_datagrams  # that a planner reads in a cycle
+        self.max_datagrams = max_datagrams  # that a planner reads in a report interval
         self.traffic = traffic
         self.broadcast_socket = FakePeerSocket(traffic)
         self.sockets: list[FakePeerSocket] = []  # of each peer
@@ -187,7 +187,7 @@
             self.sockets.append(peer)
 
     async def run(self, planner: tuple[str, int]) -> None:
-        """Send until cancelled; send nothing if the planner had to read more than `max_datagrams` in a cycle."""
+        """Send until cancelled; send nothing if that were more than `max_datagrams` in a report interval."""
         if not 0 < len(self.sockets) * len(self.payloads) <= self.max_datagrams:
             return
         while True:
--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -11,22 +11,22 @@
 from stackwheel.scale.hollow_endpoints import HollowEndpointCache
 from stackwheel.wire.http import split_address
 
-CYCLE = 1.0  # s: `family_info.cycle` of the example configuration
-MAX_DATAGRAMS_PER_CYCLE = 128  # that a planner reads; if more were needed none are sent, see docs/fleet.md
+REPORT_INTERVAL = 1.0  # s: `family_info.cycle` of the example configuration
+MAX_DATAGRAMS_PER_INTERVAL = 128  # that a planner reads; if more were needed none are sent, see docs/fleet.md
 MAX_DATAGRAMS_SENT = 1_000  # a second from one process, some 0.03 of its core; those over it are computed, not sent
 PROXIES = 66  # of a planner: 990,000 requests a second over 15,000 planners, at 1 a second of each proxy
 RATE = 1.0  # requests a second to each server: the size of a datagram does not depend on it
 
 
-def datagrams_per_cycle(planners: int, servers: int) -> int:
-    """The datagrams that one planner of a cell sends in a cycle; it reads as many."""
+def datagrams_per_interval(planners: int, servers: int) -> int:
+    """The datagrams that one planner of a cell sends in a report interval; it reads as many."""
     needed = (planners - 1) * math.ceil(servers / gossip.LINES_PER_DATAGRAM)
-    return needed if needed <= MAX_DATAGRAMS_PER_CYCLE else 0
+    return needed if needed <= MAX_DATAGRAMS_PER_INTERVAL else 0
 
 
-def bytes_per_cycle(planners: int, servers: int) -> int:
-    """The bytes of the datagrams that one planner of a cell reads in a cycle."""
-    if not datagrams_per_cycle(planners, servers):
+def bytes_per_interval(planners: int, servers: int) -> int:
+    """The bytes of the datagrams that one planner of a cell reads in a report interval."""
+    if not datagrams_per_interval(planners, servers):
         return 0
     payloads = math.ceil(servers / gossip.LINES_PER_DATAGRAM)
     return (planners - 1) * (payloads * gossip.HEADER.size + servers * gossip.LINE.size)
@@ -57,14 +57,14 @@
         self.datagrams_computed = 0  # that the planners would send by their formula, sent or not
         self.bytes_in = 0
         self.bytes_out = 0
-        self.granted = 0  # datagrams a cycle of the planners that send
+        self.granted = 0  # datagrams an interval of the planners that send
         self.tasks: list[asyncio.Task[None]] = []
         self.transports: list[asyncio.DatagramTransport] = []
 
     async def start(
         self, planners: Iterable[HollowPlanner], endpoints_of: Callable[[int], HollowEndpointCache]
     ) -> None:
-        """Open a socket for each planner that has peers, and begin its cycles.
+        """Open a socket for each planner that has peers, and begin to send.
 
         Args:
             planners: of the process.
@@ -78,37 +78,39 @@
                 lambda: Receiver(self), local_addr=split_address(planner.listen)
             )
             self.transports.append(transport)
-            self.tasks.append(asyncio.create_task(self.send_cycles(transport, planner, endpoints_of)))
+            self.tasks.append(asyncio.create_task(self.send_periodically(transport, planner, endpoints_of)))
 
     def close(self) -> None:
-        """End all cycles, and close all sockets."""
+        """Stop sending, and close all sockets."""
         for task in self.tasks:
             task.cancel()
         for transport in self.transports:
             transport.close()
 
-    async def send_cycles(
+    async def send_periodically(
         self,
         transport: asyncio.DatagramTransport,
         planner: HollowPlanner,
         endpoints_of: Callable[[int], HollowEndpointCache],
     ) -> None:
-        """Once a cycle, send one planner's load to its peers, or only count the datagrams."""
+        """Once a report interval, send one planner's load to its peers, or only count the datagrams."""
         others = [split_address(peer) for peer in planner.peers]
-        await asyncio.sleep(CYCLE * (planner.number % 100) / 100.0)  # real planners' cycles are not in phase either
+        await asyncio.sleep(
+            REPORT_INTERVAL * (planner.number % 100) / 100.0
+        )  # real planners' intervals are not in phase either
         granted: bool | None = None
         while True:
             servers = list(endpoints_of(planner.number).entries)
-            count = datagrams_per_cycle(len(others) + 1, len(servers))
+            count = datagrams_per_interval(len(others) + 1, len(servers))
             self.datagrams_computed += count
             if count and granted is None:
                 granted = self.grant(count)
             if count and granted:
                 self.send(transport, gossip.encode(PROXIES, dict.fromkeys(servers, RATE)), others)
-            await asyncio.sleep(CYCLE)
+            await asyncio.sleep(REPORT_INTERVAL)
 
     def grant(self, count: int) -> bool:
-        """Whether a planner with so many datagrams a cycle may send them; the bound is shared by the process."""
+        """Whether a planner with so many datagrams an interval may send them; the bound is shared by the process."""
         if self.granted + count > MAX_DATAGRAMS_SENT:
             return False
         self.granted += count
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -20,7 +20,7 @@
 from stackwheel.scale.planner_settings import PlannerSettings, RequestClassSettings
 from stackwheel.scale.points import Point
 from stackwheel.scale.ports import HOST, free_port
-from stackwheel.scale.proxies import CYCLE_MS, HollowCollector, HollowProxy, ProxySettings
+from stackwheel.scale.proxies import REPORT_INTERVAL_MS, HollowCollector, HollowProxy, ProxySettings
 from stackwheel.scale.target_size import REQUESTS_PER_PROXY
 from stackwheel.service.config import VARIABLE
 from stackwheel.wire.http import split_address
@@ -40,7 +40,7 @@
         proxies=point.proxies,
         planners=point.planners,
         cross_zone_cost=0.1,
-        report_interval=CYCLE_MS,
+        report_interval=REPORT_INTERVAL_MS,
         message_cap=12,
         slow_start_duration=17000.0,
         slow_start_min_share=0.2,
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -20,7 +20,7 @@
 APPLY_MEDIAN_MS = 5.0  # of the log-normal time that a proxy takes to apply an update; the example proxy takes 2.5 ms
 APPLY_SIGMA = 0.8  # of its logarithm: one in a hundred takes over 32 ms
 POLL_INTERVAL = 0.02  # s between two checks of a condition
-CYCLE_MS = 1000.0  # between two reports, as `family_info.cycle` of the example configuration
+REPORT_INTERVAL_MS = 1000.0  # between two reports, as `family_info.cycle` of the example configuration
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     routes: tuple[str, ...]
     known_servers: Collection[str]  # all servers that the registry has ever listed
     requests_per_second: float = 15.0  # of one proxy, all routes together
-    cycle_ms: float = CYCLE_MS
+    report_interval_ms: float = REPORT_INTERVAL_MS
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
 
 
 class HollowProxy:
-    """One proxy: joins, applies updates, acknowledges them after a drawn time, reports its demand once a cycle."""
+    """One proxy: joins, applies updates, acknowledges them after a drawn time, reports its demand periodically."""
 
     def __init__(self, number: int, zone: str, settings: ProxySettings, traffic: Traffic, random: Random) -> None:
         self.number = number
@@ -112,18 +112,17 @@
         self.send_line(f"ACK id={self.number} seq={nonce} ms={elapsed_ms:.1f}")
 
     async def report(self) -> None:
-        """Send the demand of each route once a cycle, the first time at a drawn moment within the cycle."""
-        cycle = self.settings.cycle_ms / 1000.0
-        await asyncio.sleep(self.random.random() * cycle)
+        """Send the demand of each route once a report interval, the first time at a drawn moment within it."""
+        interval_ms = self.settings.report_interval_ms
+        interval = interval_ms / 1000.0
+        await asyncio.sleep(self.random.random() * interval)
         next_report_at = asyncio.get_running_loop().time()
-        expected = self.settings.requests_per_second * cycle / len(self.settings.routes)
+        expected = self.settings.requests_per_second * interval / len(self.settings.routes)
         while True:
             for route in self.settings.routes:
                 count = max(0, round(self.random.gauss(expected, math.sqrt(expected))))
-                self.send_line(
-                    f"RATE id={self.number} lane={route} count={count} fail=0 over={self.settings.cycle_ms:.1f}"
-                )
-            next_report_at += cycle
+                self.send_line(f"RATE id={self.number} lane={route} count={count} fail=0 over={interval_ms:.1f}")
+            next_report_at += interval
             await asyncio.sleep(max(0.0, next_report_at - asyncio.get_running_loop().time()))
 
     def send_line(self, line: str) -> None:
@@ -147,7 +146,7 @@
 
 
 class HollowCollector:
-    """The collector of one zone: once a cycle, a load report for each of its servers."""
+    """The collector of one zone: once a report interval, a load report for each of its servers."""
 
     def __init__(self, zone: str, address: str, servers: Sequence[str], traffic: Traffic, random: Random) -> None:
         self.zone = zone
@@ -165,7 +164,7 @@
                 await asyncio.sleep(self.random.uniform(*RECONNECT_SECONDS))
 
     async def stream(self) -> None:
-        """One connection: reports of all servers once a cycle, until it breaks."""
+        """One connection: reports of all servers once a report interval, until it breaks."""
         host, port = split_address(self.address)
         _, writer = await asyncio.open_connection(host, port)
         try:
@@ -175,7 +174,7 @@
                 await asyncio.sleep(max(0.0, next_report_at - asyncio.get_running_loop().time()))
                 self.write(writer, [self.load_line(server) for server in self.servers])
                 await writer.drain()
-                next_report_at += CYCLE_MS / 1000.0
+                next_report_at += REPORT_INTERVAL_MS / 1000.0
         finally:
             writer.transport.abort()
 
@@ -185,7 +184,7 @@
         mean = self.random.lognormvariate(math.log(40.0), 0.3)
         return (
             f"LOAD site={self.zone} target={server} count={count} fail=0 mean={mean:.1f} "
-            f"over={CYCLE_MS:.1f} util=inflight:{self.random.randint(0, 3)}"
+            f"over={REPORT_INTERVAL_MS:.1f} util=inflight:{self.random.randint(0, 3)}"
         )
 
     def write(self, writer: asyncio.StreamWriter, lines: Sequence[str]) -> None:
--- a/stackwheel/scale/summary.py
+++ b/stackwheel/scale/summary.py
@@ -14,7 +14,7 @@
 from stackwheel.scale.control import Records, Traffic
 from stackwheel.scale.fleet import Fleet
 from stackwheel.scale.layout import Layout
-from stackwheel.scale.peers import MAX_DATAGRAMS_SENT, bytes_per_cycle
+from stackwheel.scale.peers import MAX_DATAGRAMS_SENT, bytes_per_interval
 from stackwheel.scale.propagation import PropagationTimes, measure
 from stackwheel.scale.report import (
     VERSION,
@@ -164,7 +164,7 @@
     """Bytes that each planner would read a second if all datagrams of its cell were sent."""
     entry_counts = outcome.layout.entries_per_planner(outcome.fleet)
     planners = {cell: len(numbers) for cell, numbers in outcome.layout.planners_by_cell().items()}
-    return [bytes_per_cycle(planners[placed.cell], entry_counts[placed.number]) for placed in outcome.layout.placed]
+    return [bytes_per_interval(planners[placed.cell], entry_counts[placed.number]) for placed in outcome.layout.placed]
 
 
 def notes(outcome: Outcome) -> list[str]:
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -32,7 +32,7 @@
 
 SAMPLE_INTERVAL = 1.0  # s between two readings
 TABLES_SECONDS = 8.0  # from joining until every proxy has a table; the span begins then in any case
-SETTLE_SECONDS = 2.0  # after that: two cycles of reports, so that complete tables follow the first short ones
+SETTLE_SECONDS = 2.0  # after that: two report intervals, so that complete tables follow the first short ones
 MEASURE_SECONDS = 60.0  # beyond the span, for one repeat from start to end
 
 
--- a/tests/scale/test_peers.py
+++ b/tests/scale/test_peers.py
@@ -12,7 +12,7 @@
 from stackwheel.policy.gossip import encode
 from stackwheel.scale.control import HollowPlanner
 from stackwheel.scale.hollow_endpoints import HollowEndpointCache, SharedEntries
-from stackwheel.scale.peers import MAX_DATAGRAMS_PER_CYCLE, PeerTraffic, bytes_per_cycle, datagrams_per_cycle
+from stackwheel.scale.peers import MAX_DATAGRAMS_PER_INTERVAL, PeerTraffic, bytes_per_interval, datagrams_per_interval
 from stackwheel.state.server_ids import server_id
 
 
@@ -21,18 +21,18 @@
     [(1, 500, 0), (7, 23, 6), (7, 31, 6), (7, 32, 12), (2, 31 * 128, 128), (2, 31 * 128 + 1, 0), (16, 512, 0)],
 )
 def test_the_number_follows_the_formula_of_planners(planners: int, servers: int, datagrams: int) -> None:
-    assert datagrams_per_cycle(planners, servers) == datagrams
+    assert datagrams_per_interval(planners, servers) == datagrams
 
 
 @pytest.mark.parametrize(("planners", "servers"), [(7, 23), (2, 31), (2, 32), (16, 70), (1, 9), (16, 512)])
 def test_bytes_are_those_of_a_planners_datagrams(planners: int, servers: int) -> None:
     payloads = encode(5, {server_id(str(number)): 1.0 for number in range(servers)})
-    sent = datagrams_per_cycle(planners, servers) > 0
-    assert bytes_per_cycle(planners, servers) == (planners - 1) * sum(map(len, payloads)) * sent
+    sent = datagrams_per_interval(planners, servers) > 0
+    assert bytes_per_interval(planners, servers) == (planners - 1) * sum(map(len, payloads)) * sent
 
 
 def test_the_limit_is_that_of_the_policy() -> None:
-    assert MAX_DATAGRAMS_PER_CYCLE == peer_planners.MAX_DATAGRAMS_PER_INTERVAL
+    assert MAX_DATAGRAMS_PER_INTERVAL == peer_planners.MAX_DATAGRAMS_PER_INTERVAL
 
 
 def test_datagrams_are_sent_to_and_read_by_peers() -> None:
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -52,12 +52,14 @@
 
 
 @contextlib.asynccontextmanager
-async def joined(cycle: float = 50.0) -> AsyncIterator[tuple[HollowProxy, ScriptedPlanner, Traffic]]:
+async def joined(report_interval_ms: float = 50.0) -> AsyncIterator[tuple[HollowProxy, ScriptedPlanner, Traffic]]:
     planner = ScriptedPlanner()
     traffic = Traffic()
     server = await asyncio.start_server(planner.accept, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    proxy = HollowProxy(3, "east", ProxySettings(address, NAMES.classes, SERVERS, 40.0, cycle), traffic, Random(1))
+    proxy = HollowProxy(
+        3, "east", ProxySettings(address, NAMES.classes, SERVERS, 40.0, report_interval_ms), traffic, Random(1)
+    )
     task = asyncio.create_task(proxy.run())
     try:
         yield proxy, planner, traffic
@@ -108,7 +110,7 @@
 
 def test_a_nonce_of_an_earlier_stream_is_not_acknowledged_on_the_next() -> None:
     async def work() -> None:
-        async with joined(cycle=60_000.0) as (proxy, planner, traffic):
+        async with joined(report_interval_ms=60_000.0) as (proxy, planner, traffic):
             _, writer = await planner.stream()
             earlier_stream = proxy.writer
             writer.transport.abort()
@@ -123,7 +125,7 @@
     asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
 
 
-def test_a_collector_names_its_zone_and_reports_each_server_once_a_cycle() -> None:
+def test_a_collector_names_its_zone_and_reports_each_server_periodically() -> None:
     async def work() -> None:
         planner = ScriptedPlanner()
         traffic = Traffic()
