--- a/stackwheel/cli/scale_slopes.py
+++ b/stackwheel/cli/scale_slopes.py
@@ -10,7 +10,7 @@
 
 from stackwheel.cli.interrupts import cancelled_by_sigterm
 from stackwheel.cli.options import FILE_PATH
-from stackwheel.scale.points import DIRECT, PLANS, Plan
+from stackwheel.scale.points import DIRECT, PLANS, SweepPlan
 from stackwheel.scale.slopes import VERSION, Result, ResultError, merged, read_result, write_result
 from stackwheel.scale.sweep import Timing, run_all, this_machine
 
@@ -73,7 +73,7 @@
 )
 
 
-def select_plans(names: Sequence[str]) -> list[Plan]:
+def select_plans(names: Sequence[str]) -> list[SweepPlan]:
     """The sweeps of some names, or all; a usage error (exit 2) if a name is unknown."""
     plans = {plan.name: plan for plan in PLANS}
     for name in names:
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -46,7 +46,7 @@
 from stackwheel.wire.discovery_client import DiscoveryClient, WatchEnd
 from stackwheel.wire.discovery_protocol import LIFECYCLES
 
-LIST_POLL_DEADLINE = 10_000.0  # ms: `obligations.ask_within` of the example configuration; it bounds the backoff
+LIST_POLL_DEADLINE_MS = 10_000.0  # `obligations.ask_within` of the example configuration; it bounds the backoff
 START_INTERVAL = 0.002  # s between the starts of two planners of a process, so that they don't all call at once
 MIN_SWEEP_ENTRIES = 10_000  # shared entries below which no sweep is worth its time
 STALE_SNAPSHOT_INTERVAL = 0.5  # s between two checks for stale snapshots, see `EndpointCache.confirmed_snapshot`
@@ -126,12 +126,12 @@
         self.endpoints = HollowEndpointCache(self.shared)
         self.has_list = False
         self.discovery = CountedDiscovery(
-            self.planner.discovery,
-            0,
-            True,
-            self.on_endpoint_list,
-            Random(f"{self.planner.seed} {self.incarnation}"),
-            LIST_POLL_DEADLINE,
+            address=self.planner.discovery,
+            generation=0,
+            always_watch=True,
+            post=self.on_endpoint_list,
+            random=Random(f"{self.planner.seed} {self.incarnation}"),
+            poll_deadline_ms=LIST_POLL_DEADLINE_MS,
         )
         self.task = asyncio.create_task(self.discovery.run())
 
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class SweepPlan:
     """One sweep of a variable."""
 
     variable: str
@@ -98,15 +98,15 @@
 FIELDS = {"list": "servers"}  # the changed field of sweeps that have another name
 
 PLANS = (
-    Plan("servers", (32, 64, 128, 256), 512, Point(), 3),
-    Plan("list", (250, 500, 1_000, 2_000), 4_000, Point(zones=20, proxies=5), 2),
-    Plan("zones", (2, 4, 8, 16), 32, Point(servers=256, proxies=32), 3),
-    Plan("proxies", (8, 16, 32, 64), 128, Point(servers=23), 3),
-    Plan("planners", (2, 4, 8, 16), 32, Point(servers=23), 3),
-    Plan("changes", (1, 2, 4, 8), 16, Point(servers=256), 3),
-    Plan("watchers", (100, 200, 400, 800), 1_600, RelayPoint(), 2),
-    Plan("servers", (2_000, 4_000, 8_000, 16_000), 32_000, RelayPoint(), 2),
-    Plan("changes", (5, 10, 20, 40), 80, RelayPoint(), 2),
+    SweepPlan("servers", sizes=(32, 64, 128, 256), held_out=512, base=Point(), jobs=3),
+    SweepPlan("list", sizes=(250, 500, 1_000, 2_000), held_out=4_000, base=Point(zones=20, proxies=5), jobs=2),
+    SweepPlan("zones", sizes=(2, 4, 8, 16), held_out=32, base=Point(servers=256, proxies=32), jobs=3),
+    SweepPlan("proxies", sizes=(8, 16, 32, 64), held_out=128, base=Point(servers=23), jobs=3),
+    SweepPlan("planners", sizes=(2, 4, 8, 16), held_out=32, base=Point(servers=23), jobs=3),
+    SweepPlan("changes", sizes=(1, 2, 4, 8), held_out=16, base=Point(servers=256), jobs=3),
+    SweepPlan("watchers", sizes=(100, 200, 400, 800), held_out=1_600, base=RelayPoint(), jobs=2),
+    SweepPlan("servers", sizes=(2_000, 4_000, 8_000, 16_000), held_out=32_000, base=RelayPoint(), jobs=2),
+    SweepPlan("changes", sizes=(5, 10, 20, 40), held_out=80, base=RelayPoint(), jobs=2),
 )
 MEAN_CELL = Point(servers=23, zones=2, proxies=5, planners=7)
 SERVICE_PART = Point(
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -13,7 +13,7 @@
 from stackwheel.scale.accounting import AccountingError, Channel, ProcessUsage, Traffic, TrafficCounters, read_usage
 from stackwheel.scale.bench import Bench, BenchError
 from stackwheel.scale.planner_bench import PlannerBench
-from stackwheel.scale.points import DIRECT, DIRECT_JOBS, Plan, Point, RelayPoint
+from stackwheel.scale.points import DIRECT, DIRECT_JOBS, Point, RelayPoint, SweepPlan
 from stackwheel.scale.proxies import wait_until
 from stackwheel.scale.relay_bench import RelayBench
 from stackwheel.scale.slopes import (
@@ -181,7 +181,7 @@
     return list(await asyncio.gather(*work))
 
 
-async def run_sweep(plan: Plan, timing: Timing, repeats: int, seed: int, progress: Callable[[str], None]) -> Sweep:
+async def run_sweep(plan: SweepPlan, timing: Timing, repeats: int, seed: int, progress: Callable[[str], None]) -> Sweep:
     """Measure the sizes, fit, predict the held-out size, and only then measure that."""
     progress(f"{plan.role} against {plan.variable}")
     points = [SizedPoint(float(size), plan.point(size)) for size in plan.sizes]
@@ -207,7 +207,7 @@
 
 
 async def run_all(
-    plans: Sequence[Plan],
+    plans: Sequence[SweepPlan],
     direct: Sequence[str],
     timing: Timing,
     repeats: int,
