--- a/stackwheel/cli/scale_slopes.py
+++ b/stackwheel/cli/scale_slopes.py
@@ -10,7 +10,7 @@
 
 from stackwheel.cli.interrupts import cancelled_by_sigterm
 from stackwheel.cli.options import FILE_PATH
-from stackwheel.scale.points import DIRECT, PLANS, Plan
+from stackwheel.scale.points import DIRECT, PLANS, SweepPlan
 from stackwheel.scale.slopes import VERSION, Result, ResultError, merged, read_result, write_result
 from stackwheel.scale.sweep import Timing, run_all, this_machine
 
@@ -35,14 +35,14 @@
     former = load_result(out) if replace else None
     work = run_all(plans, points, Timing(span), repeats, seed, print_progress)
     try:
-        sweeps, measured_points = asyncio.run(cancelled_by_sigterm(work))
+        measured = asyncio.run(cancelled_by_sigterm(work))
     except asyncio.CancelledError as error:
         raise click.Abort from error
     except BenchError as error:
         click.echo(f"stackwheel: {error}", err=True)
         return 1
     arguments = {"repeats": float(repeats), "span": span, "seed": float(seed)}
-    result = Result(VERSION, arguments, this_machine(), sweeps, measured_points, time_choices())
+    result = Result(VERSION, arguments, this_machine(), measured.sweeps, measured.direct, time_choices())
     write_result(out, result if former is None else merged(former, result))
     click.echo(f"written: {out}")
     return 0
@@ -73,7 +73,7 @@
 )
 
 
-def select_plans(names: Sequence[str]) -> list[Plan]:
+def select_plans(names: Sequence[str]) -> list[SweepPlan]:
     """The sweeps of some names, or all; a usage error (exit 2) if a name is unknown."""
     plans = {plan.name: plan for plan in PLANS}
     for name in names:
