--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -29,6 +29,13 @@
 MIN_CAPACITY = 1e-9
 """In place of a capacity of 0 where a load is divided by it."""
 
+AVAILABILITY_LABELS = {
+    Availability.READY: "READY",
+    Availability.DRAINING: "DRAINING",
+    Availability.REMOVED: "GONE",
+}
+"""How a violation's trail names a server's state: part of the output of `stackwheel trial replay`."""
+
 
 class DeadlineKind(IntEnum):
     """What has to be looked at when a deadline passes."""
@@ -153,7 +160,7 @@
         view = self.planners.get(planner)
         if view is None:
             return
-        self.note(now, f"told {listed.availability.name}", f"planner-{planner}", server)
+        self.note(now, f"told {AVAILABILITY_LABELS[listed.availability]}", f"planner-{planner}", server)
         view.notified(server, listed, now, self.limits.removal_is_advisory)
         if listed.availability is Availability.READY and listed.warm_at > now:
             heapq.heappush(self.deadlines, Deadline(listed.warm_at, DeadlineKind.SERVER_WARM, planner, 0))
--- a/tests/docs/test_oncall_page.py
+++ b/tests/docs/test_oncall_page.py
@@ -13,9 +13,26 @@
 PACKAGE = ROOT / "stackwheel"
 NOT_IN_SERVICE = {"trials", "scale"}  # programs that nobody is on call for
 LEVELS = {"debug": "debug", "info": "info", "warning": "warning", "error": "error", "exception": "error"}
-FIELDS_IN_ORDER = (
-    "connection proxy planner server file incarnation source address cell generation kind stage count bytes lines nonce duration_s reason"
-).split()
+FIELDS_IN_ORDER = [
+    "connection",
+    "proxy",
+    "planner",
+    "server",
+    "file",
+    "incarnation",
+    "source",
+    "address",
+    "cell",
+    "generation",
+    "kind",
+    "stage",
+    "count",
+    "bytes",
+    "lines",
+    "nonce",
+    "duration_s",
+    "reason",
+]
 ROW = re.compile(r"^\| (debug|info|warning|error) \| `([^`]+)` \|", re.MULTILINE)
 FIELD = re.compile(r"(\w+)=")
 
--- a/tests/fake_services.py
+++ b/tests/fake_services.py
@@ -16,7 +16,8 @@
 
 def load_example(name: str) -> ModuleType:
     spec = importlib.util.spec_from_file_location(name, ROOT / "examples" / f"{name}.py")
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules[name] = module
     spec.loader.exec_module(module)
--- a/tests/rules/test_checker.py
+++ b/tests/rules/test_checker.py
@@ -249,3 +249,20 @@
     assert any("told DRAINING" in line for line in violation.trail)
     assert any("proxy-0" in line for line in violation.trail)
     assert not any("proxy-9" in line for line in violation.trail)
+
+
+def test_the_trail_names_a_removed_server_as_its_readers_know_it() -> None:
+    """The words of the trail are output of the command line, whatever the code calls the state."""
+    checker = make_checker()
+    checker.endpoint_notified(0, 5000.0, "s", READY)
+    checker.endpoint_notified(0, 6000.0, "s", DRAINING)
+    checker.endpoint_notified(0, 6500.0, "s", REMOVED)
+    checker.attempt_sent(0, "s", 9500.0)
+    trail = checker.violations[0].trail
+    assert [
+        words for words in ("told READY", "told DRAINING", "told GONE") if any(words in line for line in trail)
+    ] == [
+        "told READY",
+        "told DRAINING",
+        "told GONE",
+    ]
