--- a/stackwheel/scale/bounds.py
+++ b/stackwheel/scale/bounds.py
@@ -50,7 +50,7 @@
 
 
 def hollow_processes(planners: int) -> int:
-    """The number of processes for so many hollow planners."""
+    """The number of processes for a number of hollow planners."""
     return math.ceil(planners / PLANNERS_PER_PROCESS)
 
 
--- a/stackwheel/scale/capacity_edge.py
+++ b/stackwheel/scale/capacity_edge.py
@@ -81,7 +81,7 @@
 
 
 def bytes_row(case: str, state: str, size: float, mechanism: str) -> Row:
-    """One row of a planner: a second in which it receives so many bytes of the list."""
+    """One row of a planner: a second in which it receives `size` bytes of the list."""
     cost = Cost(control_in=size, control_out=0.0, messages_in=1.0)
     return Row("planner", case, state, cost, f"{COMPUTED}: entries' bytes", mechanism, PLANNER_BUDGET)
 
--- a/stackwheel/scale/choice_timing.py
+++ b/stackwheel/scale/choice_timing.py
@@ -19,7 +19,7 @@
 
 
 def forwarder_with_table(lines: int) -> ForwarderState:
-    """A forwarder with one table of so many lines, with drawn weights."""
+    """A forwarder with one table of `lines` lines, with drawn weights."""
     names = [f"svc-0001-{number:08x}" for number in range(lines)]
     forwarder = ForwarderState((ROUTE,), frozenset(names))
     weights = Random(lines)
--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -76,7 +76,7 @@
             del self.watches[writer]
 
     def change(self, count: int = 1) -> None:
-        """Make so many changes as one generation."""
+        """Make `count` changes as one generation."""
         self.broadcast([self.next_step() for _ in range(count)])
 
     def remove_zone(self, zone: str) -> None:
@@ -179,7 +179,7 @@
         self.sockets: list[FakePeerSocket] = []  # of each peer
 
     async def open(self, count: int) -> None:
-        """Open the sockets of so many peers, and the one of their broadcast address."""
+        """Open the sockets of `count` peers, and the one of their broadcast address."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self.broadcast_socket, local_addr=(HOST, 0))
         for _ in range(count):
--- a/stackwheel/scale/fleet.py
+++ b/stackwheel/scale/fleet.py
@@ -68,7 +68,7 @@
 
 
 def default_zones(servers: int) -> int:
-    """Zones for so many servers, in the proportion of the operators' fleet; at least one."""
+    """The number of zones for a number of servers, in the proportion of the operators' fleet; at least one."""
     return max(1, round(servers / SERVERS_PER_ZONE))
 
 
--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -110,7 +110,7 @@
             await asyncio.sleep(REPORT_INTERVAL)
 
     def grant(self, count: int) -> bool:
-        """Whether a planner with so many datagrams an interval may send them; the bound is shared by the process."""
+        """Whether a planner may send `count` datagrams in each interval; the process's planners share the bound."""
         if self.granted + count > MAX_DATAGRAMS_SENT:
             return False
         self.granted += count
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -23,7 +23,7 @@
     planners: int = 1
     changes: float = 0.0  # of the list, a second
     zone_lost: bool = False  # all servers of the first zone leave during the span
-    requests: int = MEAN_REQUESTS  # a second: at most so many servers have a report in each report interval
+    requests: int = MEAN_REQUESTS  # a second; it bounds the servers that have a report in a report interval
 
     def entries(self, probe_address: str) -> list[Entry]:
         """The list: names as in the fleet, zones in turn; all servers at one address for health checks."""
--- a/stackwheel/scale/sampling.py
+++ b/stackwheel/scale/sampling.py
@@ -135,7 +135,7 @@
             self.bytes[role].add(counts, reading.at)
 
     def figures(self, role: Role, count: int, seconds: float) -> RoleFigures:
-        """Means of one of `count` processes or planners of a role over so many seconds."""
+        """Means of one of the `count` processes or planners of a role, over a time in seconds."""
         if count == 0 or seconds <= 0:
             return RoleFigures()
         processes = [process for process in self.processes.values() if process.role is role]
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -112,7 +112,7 @@
 
 
 async def sample(pid: int, counters: TrafficCounters, span: float) -> list[Reading]:
-    """Take a reading each second over a span of so many seconds, at its start and end, too."""
+    """Take a reading each second over a span in seconds, and at its start and end."""
     readings = [Reading(time.monotonic(), read_usage(pid), counters.reading())]
     end = readings[0].at + span
     while (remaining := end - time.monotonic()) > 0:
--- a/stackwheel/scale/target_size.py
+++ b/stackwheel/scale/target_size.py
@@ -69,7 +69,7 @@
 
 
 def service(servers: int) -> ServiceSize:
-    """A service of so many servers, with its planners and cells."""
+    """A service with this number of servers, and the planners and cells that it has."""
     planners = max(1, round(servers * PLANNERS_PER_SERVER))
     cells = max(math.ceil(servers / CELL_SERVERS), math.ceil(planners / CELL_PLANNERS))
     return ServiceSize(servers, planners, cells)
