--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -36,9 +36,9 @@
     run_relay_chunk,
     run_seeds,
 )
-from stackwheel.trials.script import Script, ScriptError, encode, load, words
-from stackwheel.trials.shrink import RUNS_MOST, Shrinker, Shrunk
-from stackwheel.trials.world import run_script
+from stackwheel.trials.script import Script, ScriptError, describe, encode, load
+from stackwheel.trials.shrink import MAX_RUNS, Shrinker, Shrunk
+from stackwheel.trials.simulation import run_script
 
 MAX_SEEDS = 10_000_000  # of one run; more would take weeks
 MAX_JOBS = 256
@@ -94,7 +94,7 @@
     summary = Summary()
     started_at = time.perf_counter()
     stopped = collect_results(summary, seeds, jobs, chunk_runner(files, relays), console, quiet=as_json)
-    summary.seconds = time.perf_counter() - started_at
+    summary.wall_seconds = time.perf_counter() - started_at
     if as_json:
         click.echo(json.dumps({**summary.document(), **({"stopped": True} if stopped else {})}))
     else:
@@ -128,7 +128,7 @@
 @script_argument
 @click.option("--out", type=FILE_PATH, required=True, help="Where the script goes.")
 @click.option("--rule", type=click.Choice(RULE_NAMES), help="The rule; the first broken if not given.")
-@click.option("--runs", type=click.IntRange(1, 100_000), default=RUNS_MOST, show_default=True, help="Trials at most.")
+@click.option("--runs", type=click.IntRange(1, 100_000), default=MAX_RUNS, show_default=True, help="Trials at most.")
 @defect_option
 @files_option
 @relays_option
@@ -143,7 +143,7 @@
         out.write_bytes(encode(shrunk.script))
     except OSError as error:
         raise click.UsageError(f"{out}: {error.strerror or error}") from error
-    click.echo("\n".join(words(shrunk.script)))
+    click.echo("\n".join(describe(shrunk.script)))
     click.echo(f"breaks at {shrunk.at:.2f} s: {shrunk.rule.value}; {shrunk.runs} trials; saved as {out}")
     return 0
 
@@ -156,7 +156,7 @@
 def show(seed_or_file: str, files: bool, relays: bool, as_json: bool) -> None:
     """Show a seed's script in words."""
     script = load_script(seed_or_file, files, relays)
-    click.echo(encode(script).decode().rstrip() if as_json else "\n".join(words(script)))
+    click.echo(encode(script).decode().rstrip() if as_json else "\n".join(describe(script)))
 
 
 @trial.command()
--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -24,7 +24,7 @@
 from stackwheel.files.records import Incarnation, ProxyStatus, TableLevel, TableUpdate, WeightTable
 from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
@@ -179,7 +179,7 @@
         ids.learn(f"s-{number}")
     names = Names(CLASSES, ("east",), ("k",), ())
     settings = PublisherSettings(file_lifetime=3e4, deltas_per_base=20, report_interval=1e6)
-    posted: list[Item] = []
+    posted: list[PlannerMessage] = []
     return FilePublisher(
         PublisherState("n0", names, 4, settings, ids.name, 1),
         PushScheduler(PushLimits(), 1),
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -21,7 +21,7 @@
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushScheduler, WriteAttempt
 from stackwheel.files.records import Document, Incarnation, ProxyStatus
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 
@@ -62,7 +62,7 @@
         scheduler: PushScheduler,
         folders: Folders,
         environment: FileEnvironment,
-        post: Callable[[Item], None],
+        post: Callable[[PlannerMessage], None],
         keys: KeyRing = NO_KEYS,
         poll_interval_s: float = POLL_INTERVAL_S,
     ) -> None:
--- a/stackwheel/scale/choice_timing.py
+++ b/stackwheel/scale/choice_timing.py
@@ -6,14 +6,15 @@
 import time
 from random import Random
 
-from stackwheel.forwarder.state import ForwarderState, choose
+from stackwheel.forwarder.state import ForwarderState, LoadBalancingPolicy, choose
 from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdatePart
 from stackwheel.scale.slopes import Choice
 
 ROUTE = "read"
 TABLE_LINES = (23, 200, 512)  # a mean service; the largest usual table (docs/fleet.md); the largest cell
 ATTEMPTS_MADE = (0, 2)  # before the choice: a first attempt, and a third one
-LOAD_BALANCING_POLICY = "two"  # two drawn by weight, the one with fewer in flight: the slowest that keeps no state
+# Two drawn by weight, the one with fewer in flight: the slowest policy that keeps no state.
+LOAD_BALANCING_POLICY: LoadBalancingPolicy = "two"
 CALLS = 2_000  # timed together, as a single call takes about as long as reading the clock
 REPEATS = 15
 
@@ -37,10 +38,10 @@
         repeats: means that are measured.
         calls: that each mean is taken over.
     """
-    class_table = forwarder_with_table(lines).routes[ROUTE]
-    attempted = class_table.open[:attempts_made]
+    class_table = forwarder_with_table(lines).class_tables[ROUTE]
+    attempted = class_table.available[:attempts_made]
     random = Random(1)
-    in_flight = {name: number % 3 for number, name in enumerate(class_table.open)}
+    in_flight = {name: number % 3 for number, name in enumerate(class_table.available)}
     means = []
     for _ in range(repeats):
         began = time.perf_counter_ns()
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -41,7 +41,7 @@
 from stackwheel.scale.hollow_endpoints import HollowEndpointCache, ListedEntry, SharedEntries, compare, digest_of
 from stackwheel.scale.peers import PeerTraffic
 from stackwheel.scale.propagation_records import PropagationRecords
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.state.server_ids import server_id
 from stackwheel.wire.discovery_client import DiscoveryClient, WatchEnd
 from stackwheel.wire.discovery_protocol import LIFECYCLES
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -22,7 +22,7 @@
 from stackwheel.scale.ports import HOST, free_port
 from stackwheel.scale.proxies import REPORT_INTERVAL_MS, HollowCollector, HollowProxy, ProxySettings
 from stackwheel.scale.target_size import REQUESTS_PER_PROXY
-from stackwheel.service.config import VARIABLE
+from stackwheel.service.config import CONFIG_VARIABLE
 from stackwheel.wire.http import split_address
 
 ROUTES = ("read", "write")
@@ -90,7 +90,7 @@
             folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="stackwheel-scale-"))
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(config))
-            process = await stack.enter_async_context(started((), {VARIABLE: str(path)}))
+            process = await stack.enter_async_context(started((), {CONFIG_VARIABLE: str(path)}))
             await wait_until_ready(str(config["listen"]), process)
             self.start_proxies(str(config["listen"]), names)
             self.start_task(peers.run(split_address(str(config["peer_listen"]))))
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from stackwheel.forwarder.state import ForwarderState
-from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdate
+from stackwheel.forwarder.updates import ConfigUpdate, ConfigUpdateReader, InvalidUpdateError
 from stackwheel.scale.accounting import Traffic
 from stackwheel.wire.http import split_address
 
@@ -62,8 +62,8 @@
         while True:
             try:
                 await self.stream()
-            except (OSError, InvalidUpdate, asyncio.LimitOverrunError, asyncio.IncompleteReadError) as error:
-                self.state.resets += isinstance(error, InvalidUpdate)
+            except (OSError, InvalidUpdateError, asyncio.LimitOverrunError, asyncio.IncompleteReadError) as error:
+                self.state.resets += isinstance(error, InvalidUpdateError)
             finally:
                 self.close()
             await asyncio.sleep(self.random.uniform(*RECONNECT_SECONDS))
@@ -72,7 +72,7 @@
         """One connection, from SUBSCRIBE until it breaks."""
         host, port = split_address(self.settings.address)
         reader, self.writer = await asyncio.open_connection(host, port, limit=MAX_LINE_BYTES)
-        is_new = int(not any(class_table.lines for class_table in self.forwarder.routes.values()))
+        is_new = int(not any(class_table.lines for class_table in self.forwarder.class_tables.values()))
         rate = self.settings.requests_per_second
         self.send_line(f"SUBSCRIBE id={self.number} site={self.zone} rps={rate:g} new={is_new}")
         self.state.joins += 1
--- a/stackwheel/scale/real.py
+++ b/stackwheel/scale/real.py
@@ -22,7 +22,7 @@
 from stackwheel.scale.ping import answers_ping
 from stackwheel.scale.planner_settings import PlannerSettings, RequestClassSettings
 from stackwheel.scale.proxies import HollowProxy, ProxySettings
-from stackwheel.service.config import VARIABLE
+from stackwheel.service.config import CONFIG_VARIABLE
 
 ROUTES = ("read", "write")
 PROXIES = 8  # that a planner's settings allow; one of them joins
@@ -118,7 +118,7 @@
 
     async def start(self, children: Children, folder: Path) -> None:
         """Start the program, wait until it answers a PING, and have the proxy join; TimeoutError if it doesn't."""
-        environment = {VARIABLE: str(self.config_path(folder)), "STACKWHEEL_OPERATORS": ""}
+        environment = {CONFIG_VARIABLE: str(self.config_path(folder)), "STACKWHEEL_OPERATORS": ""}
         self.child = await children.start_program(self.role, self.placed.planner.name, (), environment)
         async with asyncio.timeout(READY_TIMEOUT):
             while not await answers_ping(self.listen):
@@ -142,7 +142,7 @@
         """The names of all servers that have a line in the proxy's tables."""
         if self.proxy is None:
             return set()
-        return {name for class_table in self.proxy.forwarder.routes.values() for name in class_table.lines}
+        return {name for class_table in self.proxy.forwarder.class_tables.values() for name in class_table.lines}
 
     def bytes_in(self) -> int:
         """Bytes received from discovery so far."""
--- a/stackwheel/service/file_transport.py
+++ b/stackwheel/service/file_transport.py
@@ -1,4 +1,4 @@
-"""What the operators' file turns on beside the sockets; imported only where such a file is named."""
+"""Builds the file transport where the operators' file turns it on; imported only where such a file is named."""
 
 from __future__ import annotations
 
@@ -17,23 +17,26 @@
 from stackwheel.files.publisher import FilePublisher, Folders
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
-from stackwheel.service.ports import PlannerContext, ProxyTransport
+from stackwheel.service.ports import PlannerContext, ProxyTransport, TransportSetupError
 
-
-class ExtrasError(OSError):
-    """The operators' file can't be used; a start ends with this one line."""
+INCARNATION_BITS = 48
 
 
 def build(context: PlannerContext, path: str) -> list[ProxyTransport]:
-    """ExtrasError where the file, or one that it names, can't be used."""
+    """The transports that the operators' file turns on.
+
+    Raises:
+        TransportSetupError: the file, or one that it names, can't be used.
+    """
     try:
-        found = load(Path(path)).records
-        return [file_publisher(context, found.files)] if found.files.enabled else []
+        records = load(Path(path)).records
+        return [build_publisher(context, records.files)] if records.files.enabled else []
     except (OperatorsFileError, KeyFileError) as error:
-        raise ExtrasError(str(error)) from None
+        raise TransportSetupError(str(error)) from error
 
 
-def file_publisher(context: PlannerContext, files: FilesRecord) -> FilePublisher:
+def build_publisher(context: PlannerContext, files: FilesRecord) -> FilePublisher:
+    """The file publisher as the operators' file describes it; KeyFileError where its keys can't be used."""
     config = context.config
     keys = load_keys(Path(files.key_file)) if files.key_file else NO_KEYS
     state = PublisherState(
@@ -42,13 +45,12 @@
         config.settings.proxy_count,
         PublisherSettings(files.lifetime_ms, files.deltas_per_full_file, config.settings.report_interval),
         context.endpoints.server_ids.name,
-        random.Random(config.seed).getrandbits(48),
+        random.Random(config.seed).getrandbits(INCARNATION_BITS),
     )
     limits = PushLimits(files.pace.max_files, files.pace.window_ms, files.pace.min_interval_ms)
-    scheduler = PushScheduler(limits, config.seed, files.max_concurrent_writes)
     return FilePublisher(
         state,
-        scheduler,
+        PushScheduler(limits, config.seed, files.max_concurrent_writes),
         Folders(files.output_folder, files.reports_folder),
         FileEnvironment(SystemDisk(), context.clock.now),
         context.post,
--- a/stackwheel/service/relay_config.py
+++ b/stackwheel/service/relay_config.py
@@ -12,7 +12,7 @@
 from stackwheel.config_language.errors import OperatorsFileError
 from stackwheel.config_language.load import load
 from stackwheel.errors import InvalidInputError
-from stackwheel.service.config import replicated
+from stackwheel.service.config import ConfigError, check_replica_addresses
 
 
 class RelayConfigError(InvalidInputError):
@@ -47,8 +47,8 @@
     if not record.enabled:
         raise RelayConfigError(str(path), "relay.on is false")
     try:
-        upstream = replicated({"relay.upstream": record.upstream}, "relay.upstream")
-    except ValueError as error:
+        upstream = check_replica_addresses("relay.upstream", record.upstream)
+    except ConfigError as error:
         raise RelayConfigError(str(path), str(error)) from error
     return RelayConfig(record.name, upstream, path.parent / record.plan_file)
 
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -11,7 +11,7 @@
 from stackwheel.rules.violations import Rule
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
-from stackwheel.state.streams import ProxyStreams, carried
+from stackwheel.state.streams import ProxyStreams, stream_over
 from stackwheel.trials.defects.planting import Defect, Patch
 
 EVENTS_PROCESSED = 3  # of each batch
@@ -21,7 +21,7 @@
     """The end of any stream of a proxy counts as the end of its present one."""
 
     def leave(self: ProxyStreams, proxy: int, _line: Any) -> Iterable[face.Event]:
-        self.silent.pop(proxy, None)
+        self.timed_out.pop(proxy, None)
         if self.by_proxy.pop(proxy, None) is not None:
             yield face.ProxyLeft(proxy)
 
@@ -31,21 +31,21 @@
 def superseded_stream_takes_over() -> Sequence[Patch]:
     """The older stream of a proxy takes it over again with its late lines."""
 
-    def heard(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
+    def message_received(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
         stream = self.by_proxy.get(proxy)
-        if stream is not None and not carried(self.by_proxy, proxy, line):
+        if stream is not None and not stream_over(self.by_proxy, proxy, line):
             stream.connection = line
         return ()
 
-    return [Patch(ProxyStreams, "heard", heard)]
+    return [Patch(ProxyStreams, "message_received", message_received)]
 
 
-def full_list_taken_as_delta() -> Sequence[Patch]:
+def complete_list_taken_as_delta() -> Sequence[Patch]:
     """What a complete endpoint list lacks stays listed."""
     original = EndpointCache.apply
 
-    def apply(self: EndpointCache, listing: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
-        return original(self, replace(listing, complete=False), now)
+    def apply(self: EndpointCache, endpoint_list: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
+        return original(self, replace(endpoint_list, complete=False), now)
 
     return [Patch(EndpointCache, "apply", apply)]
 
@@ -53,8 +53,8 @@
 def older_generation_believed() -> Sequence[Patch]:
     """Generations are not compared: an older state brings back what drains."""
 
-    def discard_stale(_self: EndpointCache, listing: EndpointList, _now: float) -> EndpointList:
-        return listing
+    def discard_stale(_self: EndpointCache, endpoint_list: EndpointList, _now: float) -> EndpointList:
+        return endpoint_list
 
     return [Patch(EndpointCache, "discard_stale", discard_stale)]
 
@@ -89,7 +89,7 @@
         "whole-list-as-changes",
         "state",
         (Rule.DRAINS,),
-        full_list_taken_as_delta,
+        complete_list_taken_as_delta,
         "what a whole list lacks stays listed",
     ),
     Defect(
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -10,7 +10,7 @@
 
 from stackwheel import interface as face
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.wire import timing
@@ -56,7 +56,7 @@
 
     names: Names
     proxy_count: int
-    post: Callable[[Item], None]
+    post: Callable[[PlannerMessage], None]
     on_identified: Callable[[Connection, bool], None]
     limiter: Callable[[int], RateLimiter]
     buffer_budget: BufferBudget
@@ -201,9 +201,9 @@
         if isinstance(message, PingMessage):
             self.send(PONG)
         elif self.zone is not None:
-            self.dispatch_from_collector(message, self.zone)
+            self.dispatch_from_collector(message)
         elif self.proxy is not None:
-            self.dispatch_from_proxy(message, self.proxy)
+            self.dispatch_from_proxy(message)
         else:
             self.dispatch_unidentified(message)
 
@@ -218,7 +218,7 @@
             case _:
                 raise not_expected(message)
 
-    def dispatch_from_collector(self, message: Message, own_zone: int) -> None:
+    def dispatch_from_collector(self, message: Message) -> None:
         """Reports of any zone and any proxy."""
         match message:
             case LoadMessage():
@@ -227,21 +227,21 @@
                 self.context.post(demand_report(message))
             case DemandMessage() | AckMessage():
                 raise not_served(message)
-            case CollectorMessage(zone) if zone == own_zone:
-                pass  # it has said so before
+            case CollectorMessage() if message.zone == self.zone:
+                pass  # it is this collector already
             case _:
                 raise not_expected(message)
 
-    def dispatch_from_proxy(self, message: Message, own_proxy: int) -> None:
+    def dispatch_from_proxy(self, message: Message) -> None:
         """Reports and acknowledgements of the connection's own proxy; it may also join again."""
         match message:
-            case DemandMessage() if message.proxy == own_proxy:
-                self.context.post(StreamMessage(own_proxy, demand_report(message), self))
-            case AckMessage(proxy, nonce, elapsed) if proxy == own_proxy:
+            case DemandMessage() if message.proxy == self.proxy:
+                self.context.post(StreamMessage(message.proxy, demand_report(message), self))
+            case AckMessage(proxy, nonce, elapsed) if proxy == self.proxy:
                 self.context.post(StreamMessage(proxy, face.Acknowledged(proxy, nonce, elapsed), self))
             case DemandMessage() | AckMessage():
                 raise not_served(message)
-            case JoinMessage() if message.proxy == own_proxy:
+            case JoinMessage() if message.proxy == self.proxy:
                 self.join(message)
             case _:
                 raise not_expected(message)
@@ -313,7 +313,7 @@
         self.writer.transport.abort()
 
     def send(self, data: bytes) -> None:
-        """Queue data without waiting; a connection with more than UNSENT_MOST bytes queued is closed."""
+        """Queue data without waiting; a connection with more than MAX_UNSENT_BYTES bytes queued is closed."""
         self.unsent_bytes += len(data)
         if self.unsent_bytes > timing.MAX_UNSENT_BYTES:
             self.close(f"{self.unsent_bytes} bytes unread by the other side")
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from stackwheel.endpoints import EndpointList
-from stackwheel.state.planner_actor import EndpointListFailed
+from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import timing
 from stackwheel.wire.backoff import Backoff
 from stackwheel.wire.discovery_calls import (
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -15,7 +15,9 @@
 from stackwheel.cli import entry
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.defects.catalogue import ALL_DEFECTS
-from stackwheel.trials.script import Drain, Script, Shape, decode, encode, load
+from stackwheel.trials.faults import Drain
+from stackwheel.trials.script import Script, decode, encode, load
+from stackwheel.trials.shape import Shape
 
 
 def test_relay_scripts_are_drawn_and_shown() -> None:
--- a/tests/files/test_publisher.py
+++ b/tests/files/test_publisher.py
@@ -23,7 +23,7 @@
 from stackwheel.files.records import Incarnation, TableUpdate
 from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item
+from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
@@ -45,7 +45,7 @@
     """The folders of one planner and one zone, and what the planner actor is told."""
 
     root: Path
-    posted: list[Item] = field(default_factory=list)
+    posted: list[PlannerMessage] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         for name in ("out/zone-east", "answers", "state"):
--- a/tests/files/test_publisher_state.py
+++ b/tests/files/test_publisher_state.py
@@ -17,7 +17,7 @@
 )
 from stackwheel.interface import AdmissionLevel, Retry
 from stackwheel.settings import Names
-from stackwheel.state.planner_actor import Item, StreamEnded, StreamMessage
+from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
@@ -48,7 +48,7 @@
         assert isinstance(stream, ProxyStream)
         return stream
 
-    def send_status(self, proxy: int, **fields: object) -> list[Item]:
+    def send_status(self, proxy: int, **fields: object) -> list[PlannerMessage]:
         """A proxy's next status, which acknowledges what its reader has applied."""
         self.sequence += 1
         reader = self.readers[proxy]
@@ -65,7 +65,7 @@
         status = ProxyStatus(proxy, reader.zone, INCARNATION, self.sequence, self.now, **{**values, **fields})  # type: ignore[arg-type]
         return self.receive(status)
 
-    def receive(self, status: ProxyStatus) -> list[Item]:
+    def receive(self, status: ProxyStatus) -> list[PlannerMessage]:
         return list(self.state.receive_status(status, self.now))
 
     def update(
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -83,7 +83,7 @@
             assert isinstance(acknowledgement, AckMessage)
             assert acknowledgement.nonce == 9
             assert acknowledgement.elapsed > 0
-            assert proxy.forwarder.routes["write"].lines == {"s-0": 1.0, "s-1": 2.0}
+            assert proxy.forwarder.class_tables["write"].lines == {"s-0": 1.0, "s-1": 2.0}
             assert proxy.has_tables()
             assert traffic.bytes_out == planner.bytes_sent
             assert traffic.messages_out == 2
@@ -103,7 +103,7 @@
             assert await planner.receive(rejoined) == JoinMessage(3, 0, 40.0, False)
             assert proxy.state.resets == 1
             assert proxy.state.joins == 2
-            assert proxy.forwarder.routes["read"].lines == {"s-0": 1.0}
+            assert proxy.forwarder.class_tables["read"].lines == {"s-0": 1.0}
 
     asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
 
