--- a/stackwheel/scale/choice_timing.py
+++ b/stackwheel/scale/choice_timing.py
@@ -14,14 +14,14 @@
 ROUTE = "read"
 TABLE_LINES = (23, 200, 512)  # a mean service; the largest usual table (docs/fleet.md); the largest cell
 ATTEMPTS_MADE = (0, 2)  # before the choice: a first attempt, and a third one
-# Two drawn by weight, the one with fewer in flight: the slowest that keeps no state.
+# Two drawn by weight, the one with fewer in flight: the slowest policy that keeps no state.
 LOAD_BALANCING_POLICY: LoadBalancingPolicy = "two"
 CALLS = 2_000  # timed together, as a single call takes about as long as reading the clock
 REPEATS = 15
 
 
 def forwarder_with_table(lines: int) -> ForwarderState:
-    """A forwarder with one table of so many lines, with drawn weights."""
+    """A forwarder with one table of `lines` lines, with drawn weights."""
     names = [f"svc-0001-{number:08x}" for number in range(lines)]
     forwarder = ForwarderState((ROUTE,), frozenset(names))
     weights = Random(lines)
