--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -10,6 +10,7 @@
 from stackwheel.simulator.encoder import encode_action, encode_fault
 from stackwheel.simulator.errors import WireError
 from stackwheel.simulator.framing import Frame, encode_reply
+from stackwheel.simulator.wire import ActionCode, EventCode
 
 ADDRESS = face.Server(bytes.fromhex("0a9011f21b84"))
 
@@ -160,3 +161,39 @@
     assert len(body) == 15
     with pytest.raises(WireError, match=message):
         Decoder().decode_batch(Frame(struct.pack(">dIII", *header), body[: len(body) - cut]))
+
+
+def test_record_codes_are_those_of_the_simulators_page() -> None:
+    """Other tests name records by these enums; the numbers on the wire are fixed here."""
+    assert {code.name: code.value for code in EventCode} == {
+        "CREATE_PLANNER": 1,
+        "ENDPOINT_UPDATE": 2,
+        "TIMER_FIRED": 3,
+        "HEALTH_CHECK_RESULT": 4,
+        "GOSSIP_RECEIVED": 5,
+        "STOP_PLANNER": 6,
+        "PROXY_JOINED": 7,
+        "PROXY_LEFT": 8,
+        "ACKNOWLEDGED": 9,
+        "LOAD_REPORT": 10,
+        "DEMAND_REPORT": 11,
+        "KEY_RANGE_DEMAND": 12,
+        "KEY_RANGE_GRANTED": 13,
+        "KEY_RANGE_WEIGHT": 14,
+        "ENDPOINT_PAGE": 15,
+    }
+    assert {code.name: code.value for code in ActionCode} == {
+        "SET_TIMER": 65,
+        "START_HEALTH_CHECK": 66,
+        "SEND_GOSSIP": 67,
+        "LOG": 68,
+        "FAULT": 69,
+        "WATCH_ENDPOINTS": 70,
+        "FETCH_ENDPOINTS": 71,
+        "SET_WEIGHT": 72,
+        "CLEAR_TABLE": 73,
+        "SET_EJECTION": 74,
+        "ASSIGN_TABLE": 75,
+        "SET_ADMISSION": 76,
+        "ATTACH_NONCE": 77,
+    }
