--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -20,7 +20,7 @@
     "config_language": 4,
     "simulator": 4,
     "state": 5,
-    "relay": 6,
+    "relay": 4,
     "files": 6,
     "wire": 7,
     "service": 8,
