--- a/stackwheel/cells/assignment.py
+++ b/stackwheel/cells/assignment.py
@@ -83,6 +83,7 @@
     key = _hash_key(cell_name)
 
     def score(relay: Relay) -> tuple[int, str]:
+        """The relay's weight for this cell; equal weights are ordered by name."""
         return xxh3_64_intdigest(key, xxh3_64_intdigest(_hash_key(relay.name))), relay.name
 
     return tuple(sorted(relays, key=score, reverse=True)[:count])
--- a/stackwheel/cli/files.py
+++ b/stackwheel/cli/files.py
@@ -63,6 +63,7 @@
 
     @functools.wraps(command)
     def call(**values: object) -> int:
+        """Run the command with its `FollowOptions` as one record."""
         follow = {field.name: values.pop(field.name) for field in fields(FollowOptions)}
         return command(FollowOptions(**follow), **values)  # type: ignore[arg-type]  # click has converted each
 
@@ -227,6 +228,7 @@
     from stackwheel.files.reader import ReaderConfig
 
     def print_outcome(outcome: dict[str, object]) -> None:
+        """Print what became of a file, as JSON if asked for."""
         click.echo(json.dumps(outcome) if options.as_json else describe_outcome(outcome))
 
     with contextlib.ExitStack() as stack:
--- a/stackwheel/config_language/unify.py
+++ b/stackwheel/config_language/unify.py
@@ -33,6 +33,7 @@
 
     @property
     def all(self) -> list[Conjunct[Record | ListValue]]:
+        """Records first, then lists."""
         return [*self.records, *self.lists]
 
 
@@ -53,6 +54,7 @@
         self._scalars = ScalarUnifier(sources)
 
     def unify_sources(self) -> dict[str, Tree]:
+        """Unify the sources from their top records down."""
         conjuncts = [Conjunct(source, source.record, {}) for source in self._sources.sources]
         return self._unify_records("", conjuncts)
 
--- a/stackwheel/service/relay_config.py
+++ b/stackwheel/service/relay_config.py
@@ -98,6 +98,7 @@
     index = CellIndex(plan)
 
     def locate(instance_name: str, zone: str) -> str | None:
+        """The name of an instance's cell; None if no cell has it."""
         cell = index.cell_of(instance_name, zone)
         return None if cell is None else cell.name
 
--- a/stackwheel/trials/defects/files.py
+++ b/stackwheel/trials/defects/files.py
@@ -19,6 +19,7 @@
     """A file is written piece by piece under its final name."""
 
     def replace_file(disk: Any, folder: str, name: str, data: bytes) -> None:
+        """In place of `publisher.replace_file`."""
         try:
             handle = disk.create(f"{folder}/{name}")
             for start in range(0, len(data), WRITE_BYTES):
@@ -35,6 +36,7 @@
     original = Acceptor.validate
 
     def validate(self: Acceptor, update: Any, now: float) -> Any:
+        """In place of `Acceptor.validate`."""
         applied = self.memory.applied
         self.memory.applied = {}
         try:
@@ -50,6 +52,7 @@
     original = Acceptor.record_applied
 
     def record_applied(self: Acceptor, acceptance: Any, now: float) -> Any:
+        """In place of `Acceptor.record_applied`."""
         memory = original(self, acceptance, now)
         memory.reservations = {}
         return memory
@@ -61,6 +64,7 @@
     """The body of a file is used without a look at its digest and signature."""
 
     def unseal(data: bytes, _keys: Any = None) -> Any:
+        """In place of `codec.unseal`."""
         body = data.partition(b"\n")[2].partition(b"\nend ")[0]
         if not body:
             raise FileRejectedError(Stage.TRAILER, "empty")
--- a/stackwheel/trials/defects/forwarder.py
+++ b/stackwheel/trials/defects/forwarder.py
@@ -17,6 +17,7 @@
     original = Clients.finish
 
     def finish(self: Clients, request: Request, proxy: RequestReceiver, good: bool, decided_at: float) -> None:
+        """In place of `Clients.finish`."""
         loop = self.context.loop
         if good or loop.now >= request.deadline - TOO_LATE_TO_DELAY_S:
             original(self, request, proxy, good, decided_at)
--- a/stackwheel/trials/defects/policy.py
+++ b/stackwheel/trials/defects/policy.py
@@ -32,6 +32,7 @@
     original = EndpointTracker.apply_entry
 
     def apply_entry(self: EndpointTracker, entry: face.EndpointEntry) -> bool:
+        """In place of `EndpointTracker.apply_entry`."""
         return original(self, replace(entry, availability=Availability.READY))
 
     return [Patch(EndpointTracker, "apply_entry", apply_entry)]
@@ -42,6 +43,7 @@
     original = EndpointTracker.apply
 
     def apply(self: EndpointTracker, update: face.EndpointUpdate) -> bool:
+        """In place of `EndpointTracker.apply`."""
         listed = tuple(entry for entry in update.entries if entry.availability is not Availability.REMOVED)
         listed_servers = {entry.server for entry in listed}
         missing = tuple(view.entry for server, view in self.pool.views.items() if server not in listed_servers)
@@ -55,6 +57,7 @@
     original = UpdateScheduler.table_changes
 
     def table_changes(self: UpdateScheduler, position: int, table: Table, now: float) -> list[WeightChange]:
+        """In place of `UpdateScheduler.table_changes`."""
         changes = original(self, position, table, now)
         return [change._replace(urgency=Urgency.NEW) for change in changes if change.weight > 0]
 
@@ -71,6 +74,7 @@
     original = tables.shares_of
 
     def shares_of(placed: Rates, pool: ServerPool, now: float) -> Rates:
+        """In place of `tables.shares_of`."""
         warming_up = {server for server in placed if pool.available_share(pool.views[server], now) < 1.0}
         exceeded = {
             server: rate * (OVERLOAD_FACTOR if server in warming_up else 1.0) for server, rate in placed.items()
@@ -95,6 +99,7 @@
     original = Joins.bind_waiting
 
     def bind_waiting(self: Joins, now: float) -> None:
+        """In place of `Joins.bind_waiting`."""
         original(self, now)
         self.actions[:] = [
             action
@@ -112,6 +117,7 @@
     def write(
         self: UpdateScheduler, table: Table, users: list[int], weights: Rates, levels: dict[int, face.AdmissionLevel]
     ) -> None:
+        """In place of `UpdateScheduler.write`."""
         slot = self.slot.number
         if slot >= FIRST_EMPTIED_SLOT and slot % EMPTIED_EVERY_SLOTS == 0:
             weights = dict.fromkeys((*weights, *table.sent), 0.0)
@@ -137,6 +143,7 @@
     """Each stream has a limiter of its own, so that a new stream begins a new count."""
 
     def limiter(self: SocketTransport, _proxy: int) -> RateLimiter:
+        """In place of `SocketTransport.limiter`."""
         return RateLimiter(self.settings.message_cap, self.settings.message_window)
 
     return [
--- a/stackwheel/trials/defects/relay.py
+++ b/stackwheel/trials/defects/relay.py
@@ -32,6 +32,7 @@
     original = EndpointListServer._watch
 
     async def watch(self: EndpointListServer, cell: str, delta: bytes | None, reader: Any, writer: Any) -> None:
+        """In place of `EndpointListServer._watch`."""
         first_answer = delta or self.cache.snapshot(cell)
         await asyncio.sleep(WATCH_GAP_S)
         await original(self, cell, first_answer, reader, writer)
@@ -60,6 +61,7 @@
     original = CellView._changed_after
 
     def changed_after(self: CellView, since: int) -> list[bytes]:
+        """In place of `CellView._changed_after`."""
         removed = self.removed
         self.removed = {}
         try:
@@ -85,6 +87,7 @@
     original = EndpointWatch.enqueue
 
     def enqueue(self: EndpointWatch, data: bytes) -> None:
+        """In place of `EndpointWatch.enqueue`."""
         if not self.writing or self.pending_bytes + len(data) <= MAX_PENDING_BYTES:
             original(self, data)
 
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -21,6 +21,7 @@
     """The end of any stream of a proxy counts as the end of its present one."""
 
     def leave(self: ProxyStreams, proxy: int, _line: Any) -> Iterable[face.Event]:
+        """In place of `ProxyStreams.leave`."""
         self.timed_out.pop(proxy, None)
         if self.by_proxy.pop(proxy, None) is not None:
             yield face.ProxyLeft(proxy)
@@ -32,6 +33,7 @@
     """The older stream of a proxy takes it over again with its late lines."""
 
     def message_received(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
+        """In place of `ProxyStreams.message_received`."""
         stream = self.by_proxy.get(proxy)
         if stream is not None and not stream_over(self.by_proxy, proxy, line):
             stream.connection = line
@@ -45,6 +47,7 @@
     original = EndpointCache.apply
 
     def apply(self: EndpointCache, endpoint_list: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
+        """In place of `EndpointCache.apply`."""
         return original(self, replace(endpoint_list, complete=False), now)
 
     return [Patch(EndpointCache, "apply", apply)]
@@ -54,6 +57,7 @@
     """Generations are not compared: an older state brings back what drains."""
 
     def discard_stale(_self: EndpointCache, endpoint_list: EndpointList, _now: float) -> EndpointList:
+        """In place of `EndpointCache.discard_stale`."""
         return endpoint_list
 
     return [Patch(EndpointCache, "discard_stale", discard_stale)]
@@ -64,6 +68,7 @@
     original = PlannerActor.process_batch
 
     def process_batch(self: PlannerActor) -> None:
+        """In place of `PlannerActor.process_batch`."""
         self.mailbox = self.mailbox[-EVENTS_PROCESSED:]
         original(self)
 
--- a/stackwheel/trials/defects/wire.py
+++ b/stackwheel/trials/defects/wire.py
@@ -30,6 +30,7 @@
     original = Encoder.encode_part
 
     def encode_part(self: Encoder, part: UpdatePart) -> Any:
+        """In place of `Encoder.encode_part`."""
         return original(self, replace(part, complete=False))
 
     return [Patch(Encoder, "encode_part", encode_part)]
@@ -40,6 +41,7 @@
     original = Encoder.encode_part
 
     def encode_part(self: Encoder, part: UpdatePart) -> Any:
+        """In place of `Encoder.encode_part`."""
         positive = tuple((server, weight) for server, weight in part.lines if weight > 0)
         return original(self, replace(part, lines=positive))
 
@@ -51,6 +53,7 @@
     original = Connection.send
 
     def send(self: Connection, data: bytes) -> None:
+        """In place of `Connection.send`."""
         if not (data.startswith(b"CONFIG") and len(data) % LOST_LENGTH == 0):
             original(self, data)
 
@@ -66,6 +69,7 @@
     """The total of buffered bytes grows by each count, and forgets no connection."""
 
     def account(self: BufferBudget, peer: Connection, count: int) -> None:
+        """In place of `BufferBudget.account`."""
         self.total_bytes += count
         self.bytes_by_connection[peer] = count
 
@@ -76,12 +80,16 @@
     """Nothing is ever taken from the unidentified connections."""
 
     class GrowingDict(dict[Any, None]):
+        """A dict that keeps what is taken from it."""
+
         def pop(self, *_: Any) -> Any:
+            """Take nothing."""
             return None
 
     original = SocketTransport.__init__
 
     def initialise(self: SocketTransport, *args: Any, **keywords: Any) -> None:
+        """In place of `SocketTransport.__init__`."""
         original(self, *args, **keywords)
         self.connection_table.unidentified = GrowingDict()
 
@@ -93,6 +101,7 @@
     original = line_codec.decode
 
     def decode(line: bytes, names: Any) -> Any:
+        """In place of `line_codec.decode`."""
         try:
             return original(line, names)
         except MalformedMessageError as error:
--- a/stackwheel/trials/discovery.py
+++ b/stackwheel/trials/discovery.py
@@ -176,6 +176,7 @@
         old_calls = list(self.calls)
 
         def end_old_calls() -> None:
+            """Abort the calls that were open at the move."""
             for call in old_calls:
                 if call in self.calls and call.transport is not None:
                     call.transport.abort()
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -134,6 +134,7 @@
         """In place of a thread: the disk's time passes, then the work is done."""
 
         async def run(work: Callable[..., Any], *args: Any) -> Any:
+            """Wait for the disk, then do the work."""
             await asyncio.sleep(disk.delay)
             return work(*args)
 
--- a/stackwheel/trials/measure.py
+++ b/stackwheel/trials/measure.py
@@ -113,6 +113,7 @@
         clock = time.perf_counter
 
         def call(*args: Any, **keywords: Any) -> Any:
+            """Call the method and count its time."""
             began = clock()
             try:
                 return method(*args, **keywords)
--- a/stackwheel/trials/simulation.py
+++ b/stackwheel/trials/simulation.py
@@ -86,6 +86,7 @@
         trace = world.context.trace
 
         def trace_message(message: Any) -> None:
+            """Trace a log line with the time and the machine."""
             trace(f"{world.loop.now:9.3f} {world.loop.machine}: {message.record['message']}")
 
         sinks.append(logger.add(trace_message, level="DEBUG", format="{message}", catch=False))
--- a/stackwheel/wire/task_supervisor.py
+++ b/stackwheel/wire/task_supervisor.py
@@ -34,6 +34,7 @@
         """Run a task that the process can't do without: after an unexpected error it is logged and restarted."""
 
         async def restart_on_error() -> None:
+            """Run the work until it returns; pause after an unexpected error."""
             while True:
                 try:
                     return await work()
