--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -11,6 +11,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
+from itertools import chain
 
 from stackwheel.cells.assignment import part_of
 from stackwheel.cells.demand import Demand
@@ -44,6 +45,7 @@
     server_names: tuple[str, ...]
 
     def times(self, factor: int) -> _Need:
+        """The needs of as many groups as `factor`, without their names."""
         return _Need(self.servers * factor, self.planners * factor, ())
 
 
@@ -181,14 +183,11 @@
     New ports come after the highest former one, and only when there are none left from what is free: a planner that
     still polls a port that was given up must not be served the list of another cell.
     """
-    former_cells = (
-        {(cell.service, cell.regions, cell.part): cell for cell in former.cells} if former is not None else {}
-    )
+    former_cells = _cells_by_part(former)
     used_ports = {cell.port for cell in former_cells.values()}
     used_names = {cell.name for cell in former_cells.values()}
     highest_port = max([first_port - 1, *used_ports])
-    port_ranges = (range(highest_port + 1, MAX_PORT + 1), range(first_port, highest_port))
-    candidate_ports = (port for ports in port_ranges for port in ports)
+    candidate_ports = chain(range(highest_port + 1, MAX_PORT + 1), range(first_port, highest_port))
     cells: list[Cell] = []
     for (service, scope), parts in groups.items():
         for part in range(parts):
@@ -207,6 +206,13 @@
     return tuple(sorted(cells, key=lambda cell: (cell.service, cell.regions, cell.part)))
 
 
+def _cells_by_part(plan: Plan | None) -> dict[tuple[str, Scope, int], Cell]:
+    """The cells of a plan, if there is one, by service, scope and part."""
+    if plan is None:
+        return {}
+    return {(cell.service, cell.regions, cell.part): cell for cell in plan.cells}
+
+
 def _new_cell_name(service: str, scope: Scope, part: int, used_names: set[str]) -> str:
     name = service if not scope and part == 0 else ".".join((service, *scope, str(part)))
     while name in used_names:  # another service may be called as a part of this one would be
--- a/stackwheel/cells/movement.py
+++ b/stackwheel/cells/movement.py
@@ -85,12 +85,7 @@
 
 def measure_spread(plan: Plan, servers: Sequence[ListedServer]) -> Spread:
     """How evenly a valid plan with at least one cell spreads servers."""
-    index = CellIndex(plan)
-    cell_sizes: Counter[str] = Counter()
-    for server in servers:
-        cell = index.cell_of(server.name, server.zone)
-        if cell is not None:
-            cell_sizes[cell.name] += 1
+    cell_sizes = _cell_sizes(plan, servers)
     cells_by_relay: Counter[str] = Counter()
     servers_by_relay: Counter[str] = Counter()
     for cell in plan.cells:
@@ -107,5 +102,16 @@
     )
 
 
+def _cell_sizes(plan: Plan, servers: Sequence[ListedServer]) -> Counter[str]:
+    """The servers of each cell that has any, by its name."""
+    index = CellIndex(plan)
+    sizes: Counter[str] = Counter()
+    for server in servers:
+        cell = index.cell_of(server.name, server.zone)
+        if cell is not None:
+            sizes[cell.name] += 1
+    return sizes
+
+
 def _load_range(figures: Sequence[int]) -> LoadRange:
     return LoadRange(min(figures), sum(figures) / len(figures), max(figures))
--- a/stackwheel/cli/scale.py
+++ b/stackwheel/cli/scale.py
@@ -49,15 +49,23 @@
 
     def contradictions(self) -> Iterator[str]:
         """What can't be run, in the order in which it is reported."""
-        planners = self.planners + self.real_planners
+        yield from self._missing_options()
+        yield from self._unusable_values()
+
+    def _missing_options(self) -> Iterator[str]:
+        """What the run or another option needs and is not given."""
         if self.scenario is None:
             yield f"--scenario is missing: {', '.join(SCENARIOS)}"
-        if planners == 0:
+        if self.planners + self.real_planners == 0:
             yield "no planner: give --planners or --real-planners"
         if self.fault and not self.relays:
             yield "--fault kill-relay: give --relays"
         if self.full_list_planners and not self.relays:
             yield "--whole-list-planners: without --relays all planners hold the whole list"
+
+    def _unusable_values(self) -> Iterator[str]:
+        """Values that are too large, too small, or have nothing to apply to."""
+        planners = self.planners + self.real_planners
         if planners > MAX_PLANNERS:
             yield f"{planners} planners; {MAX_PLANNERS} are the most"
         if self.plant and not self.planners:
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -43,7 +43,7 @@
 from stackwheel.scale.propagation_records import PropagationRecords
 from stackwheel.state.messages import EndpointListFailed
 from stackwheel.state.server_ids import server_id
-from stackwheel.wire.discovery_client import DiscoveryClient, WatchEnd
+from stackwheel.wire.discovery_client import DiscoveryClient, DiscoveryOptions, WatchEnd
 from stackwheel.wire.discovery_protocol import LIFECYCLES
 
 LIST_POLL_DEADLINE_MS = 10_000.0  # `obligations.ask_within` of the example configuration; it bounds the backoff
@@ -128,10 +128,9 @@
         self.discovery = CountedDiscovery(
             address=self.planner.discovery,
             generation=0,
-            always_watch=True,
             post=self.on_endpoint_list,
             random=Random(f"{self.planner.seed} {self.incarnation}"),
-            poll_deadline_ms=LIST_POLL_DEADLINE_MS,
+            options=DiscoveryOptions(always_watch=True, poll_deadline_ms=LIST_POLL_DEADLINE_MS),
         )
         self.task = asyncio.create_task(self.discovery.run())
 
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -19,7 +19,7 @@
 from stackwheel.service.reload import Reload
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.planner_actor import PlannerActor, PolicyOptions
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
@@ -151,9 +151,8 @@
         context = PlannerContext(config, self.clock, self.endpoints, lambda item: self.planner.post(item))
         self.transports = environment.transports(context)
         self.planner = PlannerActor(
-            with_slot_jitter(config.settings),
+            PolicyOptions(with_slot_jitter(config.settings), config.seed),
             config.names.batch_delay,
-            config.seed,
             self.clock,
             self.endpoints,
             CompositePorts(self.transport, self.transports) if self.transports else self.transport,
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -172,7 +172,8 @@
     try:
         host, port = split_address(str(value))
     except ValueError:
-        host, port = "", 0
+        host = ""
+        port = 0
     if not host or not 0 < port <= MAX_PORT:
         raise ConfigError(key, f"not host:port: {str(value)[:SHOWN_ADDRESS_CHARACTERS]!r}")
     return str(value)
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -28,7 +28,7 @@
 )
 from stackwheel.state.messages import EndpointListFailed
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_client import DiscoveryClient
+from stackwheel.wire.discovery_client import DiscoveryClient, DiscoveryOptions
 from stackwheel.wire.endpoint_list_server import EndpointListServer, open_listener
 
 MAX_DESCRIPTORS = 20_000  # of one process, whatever the system would allow
@@ -80,12 +80,15 @@
         self.upstream = DiscoveryClient(
             config.upstream,
             0,
-            True,
             self.apply_endpoint_list,
             Random(config.name),
-            MAX_LIST_AGE,  # polled again at the latest after a part of the time that any list may be old
-            timing.watch_renewal_interval(len(assignment.plan.relays)),
-            self.mark_upstream_alive,
+            DiscoveryOptions(
+                always_watch=True,
+                # polled again at the latest after a part of the time that any list may be old
+                poll_deadline_ms=MAX_LIST_AGE,
+                renewal_interval_ms=timing.watch_renewal_interval(len(assignment.plan.relays)),
+                on_heartbeat=self.mark_upstream_alive,
+            ),
         )
         self.reload_requested = asyncio.Event()
 
--- a/stackwheel/settings.py
+++ b/stackwheel/settings.py
@@ -101,16 +101,22 @@
     if isinstance(value, Mapping):
         for key, item in value.items():
             yield from flatten(item, f"{path}.{key}" if path else str(key))
-    elif isinstance(value, list) and any(isinstance(item, Mapping | list) for item in value):
-        yield f"{path}.count", str(len(value))
-        for index, item in enumerate(value):
-            yield from flatten(item, f"{path}.{index}")
     elif isinstance(value, list):
-        yield path, ",".join(format_scalar(item) for item in value)
+        yield from flatten_list(value, path)
     elif value is not None:
         yield path, format_scalar(value)
 
 
+def flatten_list(items: list[object], path: str) -> Iterator[tuple[str, str]]:
+    """The pairs of a list: one of scalars joined by commas, or those of each item and their count."""
+    if any(isinstance(item, Mapping | list) for item in items):
+        yield f"{path}.count", str(len(items))
+        for index, item in enumerate(items):
+            yield from flatten(item, f"{path}.{index}")
+    else:
+        yield path, ",".join(format_scalar(item) for item in items)
+
+
 def format_scalar(value: object) -> str:
     """A value as the pairs have it: a space or comma would end it."""
     if isinstance(value, bool):
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -82,13 +82,10 @@
         self._note_restarts(listed.values())
         if accepted.complete:
             retained = self._unreadable_entries(accepted, {entry.server for entry in entries})
-            removed |= {
-                server: entry.started_at
-                for server, entry in self.entries.items()
-                if server not in listed and server not in retained
-            }
+            still_listed = {**retained, **listed}
+            removed |= self._unlisted(still_listed)
             entries += retained.values()
-            self.entries = {**retained, **listed}
+            self.entries = still_listed
         else:
             self.entries |= listed
         self._record_removals(removed)
@@ -107,9 +104,7 @@
         old, discovery has started its generations again and the list holds, see `confirmed_snapshot`.
         """
         if received.generations_restarted or received.generation >= self.generation:
-            overtaken = self.refetch_needed or self.stale_snapshot is not None
-            self.refetch_needed = not received.complete and overtaken
-            self.stale_snapshot = None
+            self._drop_deferred(received)
             return received
         compared = [(instance, self._freshness(instance)) for instance in received.instances]
         if not received.complete:
@@ -209,6 +204,12 @@
             self.addresses.pop(entry.server, None)
         return entries
 
+    def _drop_deferred(self, received: EndpointList) -> None:
+        """Drop the deferred list, which one that is not older supersedes; after changes a complete one is needed."""
+        overtaken = self.refetch_needed or self.stale_snapshot is not None
+        self.refetch_needed = not received.complete and overtaken
+        self.stale_snapshot = None
+
     def _defer(self, received: EndpointList, now: float) -> None:
         logger.warning(
             "endpoint list deferred: generation={} duration_s={:g} reason=it lists servers that drain or have left "
@@ -231,6 +232,10 @@
             if server not in read and (any_server or server in named)
         }
 
+    def _unlisted(self, listed: dict[Server, EndpointEntry]) -> dict[Server, float]:
+        """The known servers that are not among these, and when their processes had started."""
+        return {server: entry.started_at for server, entry in self.entries.items() if server not in listed}
+
     def _note_restarts(self, listed: Iterable[EndpointEntry]) -> None:
         for entry in listed:
             known = self._known_process(entry.server)
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -6,6 +6,7 @@
 import math
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass
 
 from loguru import logger
 
@@ -17,6 +18,7 @@
     Event,
     FetchEndpoints,
     GossipReceived,
+    HealthCheckResult,
     LoadReport,
     Log,
     SendGossip,
@@ -54,14 +56,31 @@
 """As the start time of a server that is not listed: no process has it."""
 
 
+@dataclass(frozen=True, slots=True)
+class PolicyOptions:
+    """What a policy is made of.
+
+    Attributes:
+        settings: what it is configured with.
+        seed: of its random numbers; each incarnation has its own.
+        factory: makes a policy from settings and seed.
+    """
+
+    settings: Settings
+    seed: int
+    factory: Callable[[Settings, int], Planner] = Planner
+
+    def create(self, incarnation: int) -> Planner:
+        """Make the policy of an incarnation, the first of which is 0."""
+        return self.factory(self.settings, self.seed + incarnation)
+
+
 class PlannerActor:
     """Owns the policy, the streams and the tables; nothing else changes them.
 
     Attributes:
-        settings: what the policy is configured with.
+        policy: what each incarnation of the policy is made of.
         batch_delay: ms from the first message that arrives to the batch that includes it.
-        seed: of the policy's random numbers; each incarnation has its own.
-        planner_factory: makes a policy from settings and seed.
         clock: the planner's clock.
         endpoints: the endpoint cache.
         ports: where the policy's actions go.
@@ -78,26 +97,22 @@
 
     def __init__(
         self,
-        settings: Settings,
+        policy: PolicyOptions,
         batch_delay: float,
-        seed: int,
         clock: Clock,
         endpoints: EndpointCache,
         ports: PlannerPorts,
         ack_timeout: float = math.inf,
-        planner_factory: Callable[[Settings, int], Planner] = Planner,
     ) -> None:
         """Set the actor up; `ack_timeout` (ms) is that of `ProxyStreams`."""
-        self.settings = settings
+        self.policy = policy
         self.batch_delay = batch_delay
-        self.seed = seed
-        self.planner_factory = planner_factory
         self.clock = clock
         self.endpoints = endpoints
         self.ports = ports
         self.streams = ProxyStreams(ack_timeout)
-        self.updates = TableUpdates(len(settings.classes), self.streams)
-        self.planner: Planner | None = planner_factory(settings, seed)
+        self.updates = TableUpdates(len(policy.settings.classes), self.streams)
+        self.planner: Planner | None = policy.create(0)
         self.incarnation = 0
         self.failed_at = -math.inf
         self.mailbox: list[PlannerMessage] = []
@@ -174,13 +189,21 @@
             case EndpointListFailed():
                 return [self.endpoints.failed_update()]
             case HealthCheckCompleted(target, result):
-                return [result] if target == self._health_check_target(result.server) else []
+                return self._health_check_events(target, result)
             case TimerElapsed(incarnation, token):
-                return [TimerFired(token)] if incarnation == self.incarnation else []
+                return self._timer_events(incarnation, token)
             case LoadReport() | DemandReport() | GossipReceived():
                 return [message] if self._is_current(message) else []
         return []
 
+    def _health_check_events(self, target: HealthCheckTarget, result: HealthCheckResult) -> list[Event]:
+        """The result, unless the policy or the server's process or address is another one by now."""
+        return [result] if target == self._health_check_target(result.server) else []
+
+    def _timer_events(self, incarnation: int, token: int) -> list[Event]:
+        """The timer of the present policy; none of an earlier one."""
+        return [TimerFired(token)] if incarnation == self.incarnation else []
+
     def _stream_events(self, message: StreamMessage) -> list[Event]:
         alive = self.streams.message_received(message.proxy, message.connection)
         if alive is None:
@@ -266,6 +289,7 @@
         incarnation = self.incarnation
 
         def fire() -> None:
+            """Post that the timer has elapsed."""
             self.timers.discard(handle)
             self.post(TimerElapsed(incarnation, token))
 
@@ -292,7 +316,7 @@
         It asks for the list itself, so that a failed call of the former policy is nothing that it has to know.
         """
         self.mailbox = [message for message in self.mailbox if not isinstance(message, EndpointListFailed)]
-        self.planner = self.planner_factory(self.settings, self.seed + self.incarnation)
+        self.planner = self.policy.create(self.incarnation)
         self.run_policy([self.endpoints.cached_update(), *self.streams.rejoin()])
 
 
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -277,10 +277,14 @@
         if complete or lines or common_level is not None:
             yield UpdatePart(tuple(levels), complete, tuple(lines.items()), common_level)
         if len(distinct) > 1:
-            for level in distinct:
-                if level is not None:
-                    classes = tuple(one for one, class_level in levels.items() if class_level == level)
-                    yield UpdatePart(classes, False, (), level)
+            yield from self._level_parts(levels, distinct)
+
+    def _level_parts(self, levels: ClassLevels, distinct: tuple[AdmissionLevel | None, ...]) -> Iterator[UpdatePart]:
+        """A part for each distinct level, without lines, for the classes that have it."""
+        for level in distinct:
+            if level is not None:
+                classes = tuple(one for one, class_level in levels.items() if class_level == level)
+                yield UpdatePart(classes, False, (), level)
 
     def _ejections(
         self, stream: ProxyStream, changes: ReplyChanges, parts: tuple[UpdatePart, ...]
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -57,6 +57,27 @@
     received_list: bool
 
 
+@dataclass(frozen=True, slots=True)
+class DiscoveryOptions:
+    """How a client gets the endpoint list.
+
+    Attributes:
+        always_watch: watch without being asked, and repeat a watch that failed, instead of posting the failure.
+        poll_deadline_ms: within which the list has to be asked for again; bounds the delays.
+        renewal_interval_ms: without a change after which a watch is renewed.
+        on_heartbeat: called for each heartbeat of a watch that has delivered its list.
+    """
+
+    always_watch: bool = False
+    poll_deadline_ms: float = math.inf
+    renewal_interval_ms: float = math.inf
+    on_heartbeat: Callable[[], None] = lambda: None
+
+
+DEFAULT_OPTIONS = DiscoveryOptions()
+"""Only what commands ask for, once each."""
+
+
 class DiscoveryClient:
     """An actor whose mailbox holds commands; each call that it makes for one ends in one posted item.
 
@@ -69,6 +90,7 @@
 
     Attributes:
         address: where discovery is.
+        options: how the list is watched.
         source: the address whose list is in force; another one than `address` during a hand-over.
         generation: of the list in force.
         replica_index: counts on to the replica that the next watch calls.
@@ -82,33 +104,26 @@
         self,
         address: str,
         generation: int,
-        always_watch: bool,
         post: Callable[[EndpointList | EndpointListFailed], None],
         random: Random | None = None,
-        poll_deadline_ms: float = math.inf,
-        renewal_interval_ms: float = math.inf,
-        on_heartbeat: Callable[[], None] = lambda: None,
+        options: DiscoveryOptions = DEFAULT_OPTIONS,
     ) -> None:
         """Make a client that is not started yet.
 
         Args:
             address: "host:port" of the service, or several of replicas with commas between.
             generation: of the list that is known already; 0 for none.
-            always_watch: watch without being asked, and repeat a watch that failed, instead of posting the failure.
             post: gets each endpoint list, and each failure to get one.
             random: for the jitter of delays.
-            poll_deadline_ms: within which the list has to be asked for again; bounds the delays.
-            renewal_interval_ms: without a change after which a watch is renewed.
-            on_heartbeat: called for each heartbeat of a watch that has delivered its list.
+            options: how the list is watched.
         """
         self.address = address
         self.generation = generation
-        self.always_watch = always_watch
+        self.options = options
         self.post = post
         self.random = random or Random(0)
-        self.backoff = Backoff(timing.CONNECT_TIMEOUT_MS, timing.MAX_RETRY_DELAY_RATIO * poll_deadline_ms, self.random)
-        self.renewal_interval_ms = renewal_interval_ms
-        self.on_heartbeat = on_heartbeat
+        max_delay_ms = timing.MAX_RETRY_DELAY_RATIO * options.poll_deadline_ms
+        self.backoff = Backoff(timing.CONNECT_TIMEOUT_MS, max_delay_ms, self.random)
         self.source = address
         self.replica_index = 0
         self.mailbox: asyncio.Queue[Command | ChangeAddress] = asyncio.Queue()
@@ -122,23 +137,26 @@
 
     async def run(self) -> None:
         """Carry out commands until cancelled."""
-        if self.always_watch:
+        if self.options.always_watch:
             self.send(Command.WATCH)
         while True:
-            match await self.mailbox.get():
-                case ChangeAddress(address):
-                    self.change_address(address)
-                case Command.HAND_OVER if self.watch_task is not None and self.source != self.address:
-                    self.successor_task = self.successor_task or self._start_watch()
-                case Command.RENEW if self.watch_task is not None and self.successor_task is None:
-                    self.successor_task = self._start_watch()
-                case Command.FETCH:
-                    self._start_fetch()
-                case Command.WATCH if self.successor_task is None:
-                    self.cancel_watches()
-                    self.watch_task = self._start_watch()
-                case Command.STOP:
-                    self.cancel_watches()
+            self._carry_out(await self.mailbox.get())
+
+    def _carry_out(self, command: Command | ChangeAddress) -> None:
+        match command:
+            case ChangeAddress(address):
+                self.change_address(address)
+            case Command.HAND_OVER if self.watch_task is not None and self.source != self.address:
+                self.successor_task = self.successor_task or self._start_watch()
+            case Command.RENEW if self.watch_task is not None and self.successor_task is None:
+                self.successor_task = self._start_watch()
+            case Command.FETCH:
+                self._start_fetch()
+            case Command.WATCH if self.successor_task is None:
+                self.cancel_watches()
+                self.watch_task = self._start_watch()
+            case Command.STOP:
+                self.cancel_watches()
 
     def _start_watch(self) -> asyncio.Task[None]:
         return asyncio.create_task(self.watch(self.address))
@@ -251,7 +269,7 @@
         """One watch at one replica, until its end."""
         received_list = False
         call = watch_call(replica, self.generation if address == self.source else None)
-        renewal = RenewalTimer(self.renewal_interval_ms, self.random)
+        renewal = RenewalTimer(self.options.renewal_interval_ms, self.random)
         loop = asyncio.get_running_loop()
         try:
             await call.open(timing.CONNECT_TIMEOUT_MS, timing.RESPONSE_TIMEOUT_MS)
@@ -264,7 +282,7 @@
                     renewal.restart(loop.time())
                     continue
                 if received_list:
-                    self.on_heartbeat()
+                    self.options.on_heartbeat()
                 if renewal.is_due(loop.time()):
                     renewal.back_off(loop.time())
                     self.send(Command.RENEW)
@@ -325,7 +343,7 @@
     def report_failure(self, error: CallError, address: str) -> None:
         """Post that the list could not be had; whoever asked for it decides when to ask again."""
         logger.warning("discovery call failed: source={} stage={} reason={}", address, error.stage, error.reason)
-        if self.always_watch:
+        if self.options.always_watch:
             self._send_after_backoff(Command.WATCH)
         else:
             self.post(EndpointListFailed())
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -22,7 +22,7 @@
 from stackwheel.wire.connection_limits import BufferBudget, RateLimiter
 from stackwheel.wire.connection_table import ConnectionTable
 from stackwheel.wire.datagrams import GossipProtocol
-from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient
+from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient, DiscoveryOptions
 from stackwheel.wire.health_check_runner import HealthCheckRunner
 from stackwheel.wire.http import socket_closed, split_address
 from stackwheel.wire.line_codec import Encoder
@@ -116,11 +116,14 @@
         return DiscoveryClient(
             self.addresses.discovery,
             self.endpoints.generation,
-            not settings.endpoint_list_on_request,
             self._post_item,
             random,
-            settings.list_poll_deadline,
-            timing.watch_renewal_interval(settings.planner_count),
+            DiscoveryOptions(
+                # a policy that doesn't ask for the list has it watched without being asked
+                always_watch=not settings.endpoint_list_on_request,
+                poll_deadline_ms=settings.list_poll_deadline,
+                renewal_interval_ms=timing.watch_renewal_interval(settings.planner_count),
+            ),
         )
 
     async def open(self, post: Callable[[PlannerMessage], None]) -> None:
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -13,7 +13,7 @@
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.messages import HealthCheckTarget, PlannerMessage
-from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.planner_actor import PlannerActor, PolicyOptions
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.state.streams import ProxyStream, StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
@@ -92,14 +92,12 @@
         endpoints = EndpointCache(("east", "west"), ("small",), ServerIds())
         endpoints.apply(endpoint_list("s-0", "s-1"))
         self.actor = PlannerActor(
-            SETTINGS,
+            PolicyOptions(SETTINGS, SEED, self.make_policy),
             0.0,
-            SEED,
             clock or Clock(),  # type: ignore[arg-type]
             endpoints,
             self.ports,
             ACK_TIMEOUT,
-            self.make_policy,
         )
 
     def make_policy(self, settings: Settings, seed: int) -> Planner:
--- a/tests/scripted_discovery.py
+++ b/tests/scripted_discovery.py
@@ -11,7 +11,7 @@
 
 from stackwheel.endpoints import EndpointList
 from stackwheel.state.messages import EndpointListFailed
-from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient
+from stackwheel.wire.discovery_client import ChangeAddress, Command, DiscoveryClient, DiscoveryOptions
 
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TEST_TIMEOUT_S = 60.0
@@ -92,8 +92,7 @@
 
     def __init__(self, address: str, **options: Any) -> None:
         self.posted: asyncio.Queue[EndpointList | EndpointListFailed] = asyncio.Queue()
-        always_watch = options.pop("always_watch", False)
-        self.client = DiscoveryClient(address, 0, always_watch, self.posted.put_nowait, Random(3), **options)
+        self.client = DiscoveryClient(address, 0, self.posted.put_nowait, Random(3), DiscoveryOptions(**options))
         self.task = asyncio.create_task(self.client.run())
 
     def send(self, command: Command | ChangeAddress) -> None:
--- a/tests/service/test_configured_names.py
+++ b/tests/service/test_configured_names.py
@@ -18,7 +18,7 @@
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.messages import HealthCheckTarget
-from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.planner_actor import PlannerActor, PolicyOptions
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream, StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
@@ -122,7 +122,7 @@
 
     endpoints.apply(EndpointList(1, True, tuple(listed(n) for n in range(SERVERS))))
     ports = RecordingPorts(Encoder(loaded.names, endpoints.server_ids), {new: old for old, new in names.items()})
-    planner = PlannerActor(loaded.settings, 0.0, 5, clock, endpoints, ports)
+    planner = PlannerActor(PolicyOptions(loaded.settings, 5), 0.0, clock, endpoints, ports)
     planner.set_timer = lambda _delay, _token: None  # type: ignore[method-assign]
     planner.run_policy([endpoints.cached_update()])
     for proxy in range(PROXIES):
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -301,7 +301,7 @@
 
     def __init__(self, address: str, generation: int = 0) -> None:
         self.posted: list[EndpointList | EndpointListFailed] = []
-        self.discovery_client = DiscoveryClient(address, generation, False, self.posted.append)
+        self.discovery_client = DiscoveryClient(address, generation, self.posted.append)
         self.task = asyncio.create_task(self.discovery_client.run())
 
     async def wait_for_posts(self, count: int) -> None:
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -15,7 +15,7 @@
 from stackwheel.simulator.encoder import encode_action
 from stackwheel.simulator.host import Host
 from stackwheel.state.endpoint_cache import EndpointCache
-from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.planner_actor import PlannerActor, PolicyOptions
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.wire.discovery_protocol import parse_endpoint_list
 from stackwheel.wire.transport import SocketTransport
@@ -156,7 +156,8 @@
         endpoints,
         clock,  # type: ignore[arg-type]
     )
-    actor = PlannerActor(service_config.settings, 0.0, SEED, clock, endpoints, transport, 1e12, RecordingPlanner)  # type: ignore[arg-type]
+    policy = PolicyOptions(service_config.settings, SEED, RecordingPlanner)
+    actor = PlannerActor(policy, 0.0, clock, endpoints, transport, 1e12)  # type: ignore[arg-type]
     await transport.open(actor.post)
     host, _, port = service_config.addresses.listen.rpartition(":")
     writers: dict[str, asyncio.StreamWriter] = {}
--- a/tests/state/test_state_bounds.py
+++ b/tests/state/test_state_bounds.py
@@ -25,7 +25,7 @@
     StreamEnded,
     StreamMessage,
 )
-from stackwheel.state.planner_actor import PlannerActor
+from stackwheel.state.planner_actor import PlannerActor, PolicyOptions
 from stackwheel.state.server_ids import ServerIds, server_id
 
 
@@ -79,7 +79,7 @@
         connection = FakeConnection()
         endpoints = EndpointCache(("east", "west"), ("small",), ServerIds())
         settings = replace(SETTINGS, planner_count=2, gossip_enabled=True, message_cap=0)
-        actor = PlannerActor(settings, 0.0, SEED, clock, endpoints, ports, 60_000.0)  # type: ignore[arg-type]
+        actor = PlannerActor(PolicyOptions(settings, SEED), 0.0, clock, endpoints, ports, 60_000.0)  # type: ignore[arg-type]
         endpoints.apply(endpoint_list("s-0", "s-1", "s-2", "s-3"))
         actor.run_policy([endpoints.cached_update()])
         actor.post(proxy_stream(1, connection))
