--- a/stackwheel/endpoints.py
+++ b/stackwheel/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery tells them, and how an entry of an older list compares with what is known.
+"""Endpoint lists as discovery sends them, and how an entry of an older list compares with what is known.
 
 Values and pure functions only. Whoever keeps a list (`state`, `relay`), reads one (`wire`) or makes one (`scale`,
 `trials`) shares these types and rules.
@@ -14,7 +14,7 @@
 from stackwheel.interface import Availability
 
 MAX_LIST_AGE = 6000.0
-"""ms: by the protocol, what discovery tells counts as told after this time; no list in transit is older."""
+"""ms after which the protocol counts what discovery has sent as delivered; no list in transit is older."""
 
 MIN_REMOVED_KEPT = 64
 """Removed servers that are remembered whatever the size of the list."""
--- a/stackwheel/service/reload.py
+++ b/stackwheel/service/reload.py
@@ -95,7 +95,11 @@
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """Keys that differ and are read at the start alone. `known` is another, but it is out of date in either file."""
+    """The keys that differ and take effect at a start only.
+
+    `known` is left out: it is the list that a planner starts with, replaced by discovery's since, so that a restart
+    for its sake would change nothing.
+    """
     keys = differing_fields(("name", "seed"), old, new)
     keys += differing_fields(FIXED_ADDRESSES, old.addresses, new.addresses)
     if (old.settings, old.names) != (new.settings, new.names):
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -64,14 +64,14 @@
     # Lists in
 
     def apply(self, endpoint_list: EndpointList, now: float = 0.0) -> EndpointUpdate:
-        """Apply a list that discovery told; changes cost by what they name, not by the size of the list.
+        """Apply a list that discovery has sent; the cost of changes grows with what they name, not with the list.
 
         Args:
             endpoint_list: the list.
             now: ms on the planner's clock.
 
         Returns:
-            The event that tells the policy.
+            The event that notifies the policy.
         """
         received = replace(endpoint_list, instances=latest_by_name(endpoint_list.instances))
         late_drains = self._late_drains(received) if self.removal_is_advisory else []
@@ -154,11 +154,11 @@
     # Questions
 
     def cached_update(self) -> EndpointUpdate:
-        """The event that tells a policy which starts of the list as known."""
+        """The event that notifies a policy that starts of the list as known."""
         return EndpointUpdate(UpdateKind.CACHED, self.generation, tuple(self.entries.values()))
 
     def failed_update(self) -> EndpointUpdate:
-        """The event that tells the policy that a call for the list has failed."""
+        """The event that notifies the policy that a call for the list has failed."""
         return EndpointUpdate(UpdateKind.FAILED, self.generation)
 
     def predates_current_process(self, server: Server, since: float) -> bool:
@@ -190,7 +190,7 @@
         return entry_freshness(instance, self._known_process(server_id(instance.name)))
 
     def _late_drains(self, received: EndpointList) -> list[EndpointEntry]:
-        """Drains of processes that have left since, as changes of an older generation tell them.
+        """Drains of processes that have left since, from changes of an older generation.
 
         Drains bind where removals do not. These are for the policy alone, which may still send there; what has
         left is not listed again.
--- a/stackwheel/state/messages.py
+++ b/stackwheel/state/messages.py
@@ -1,6 +1,6 @@
 """What may be posted to the planner actor's mailbox.
 
-A `ProxyStream` opens a stream, an `EndpointList` is what discovery has told; the rest is defined here.
+A `ProxyStream` opens a stream, an `EndpointList` is what discovery has sent; the rest is defined here.
 """
 
 from __future__ import annotations
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -122,7 +122,12 @@
     # The mailbox
 
     def post(self, message: PlannerMessage) -> None:
-        """Put a message into the mailbox; a report or result is dropped if the mailbox is full."""
+        """Put a message into the mailbox.
+
+        While the mailbox is full, only streams that open or end, endpoint lists and failed calls for them are taken.
+        All else is dropped, with a log line each: load and demand reports, gossip, acknowledgements, results of
+        health checks, and timers of the policy.
+        """
         always_taken = isinstance(message, ProxyStream | StreamEnded | EndpointList | EndpointListFailed)
         if len(self.mailbox) >= MAX_MAILBOX_MESSAGES and not always_taken:
             logger.error("message dropped: kind={} reason=the mailbox is full", type(message).__name__)
--- a/stackwheel/state/streams.py
+++ b/stackwheel/state/streams.py
@@ -62,7 +62,7 @@
         return set(self.table_by_class.values())
 
     def joined_event(self) -> Event:
-        """The event that tells the policy of it."""
+        """The event that notifies the policy of it."""
         return ProxyJoined(self.proxy, self.zone, self.expected_rate, self.newly_started)
 
 
@@ -174,7 +174,7 @@
             yield ProxyLeft(stream.proxy)
 
     def rejoin(self) -> Iterator[Event]:
-        """The joins that a restarted policy is told of; the proxies keep the tables that they have."""
+        """The joins that a restarted policy is notified of; the proxies keep the tables that they have."""
         for stream in self.by_proxy.values():
             stream.table_by_class = {}
             stream.newly_started = False
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -214,6 +214,7 @@
                 pass  # the actor carries it out
 
     def _set_weight(self, action: SetWeight, changes: ReplyChanges) -> None:
+        """Set a line of a table; weight 0 removes it, and proxies are sent the 0."""
         lines = self.tables.setdefault(action.table, {})
         if action.weight <= 0:
             lines.pop(action.server, None)
@@ -268,7 +269,10 @@
     def _table_parts(
         self, table: int | None, complete: bool, levels: ClassLevels, changes: ReplyChanges
     ) -> Iterator[UpdatePart]:
-        """A table's lines for its classes, with their level if all have the same, else levels in parts that follow."""
+        """A table's lines for its classes, with their level if all have the same, else levels in parts that follow.
+
+        Of a changed table these are the changed lines alone; one that has been removed has weight 0.
+        """
         lines = self.tables.get(table, {}) if table is not None else {}
         if not complete and table is not None:
             lines = {server: lines.get(server, 0.0) for server in changes.lines.get(table, ())}
@@ -289,7 +293,7 @@
     def _ejections(
         self, stream: ProxyStream, changes: ReplyChanges, parts: tuple[UpdatePart, ...]
     ) -> tuple[tuple[Server, ...], tuple[Server, ...]]:
-        """The servers that a proxy has to be told to avoid, and those to restore, as they stand now.
+        """The servers that a proxy has to be sent as ejected, and those to restore, as they stand now.
 
         These are the changed ones that it may use, and any that these parts add to its tables.
         """
--- a/stackwheel/wire/timing.py
+++ b/stackwheel/wire/timing.py
@@ -49,7 +49,8 @@
 # Bytes that arrived together with a connection have been read by then.
 FIRST_READ_MS = 50.0
 
-# The same while turns of the event loop take up to 60 ms, as in a crowd of new connections; nobody waits yet.
+# The same while many connections arrive at once and a turn of the event loop takes up to 60 ms. It delays nobody: it
+# applies while descriptors are still free.
 BURST_FIRST_READ_MS = 4 * FIRST_READ_MS
 
 # That a client may leave unread; the protocol's own limit towards the planner is half of it.
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -119,7 +119,7 @@
             self._post_item,
             random,
             DiscoveryOptions(
-                # a policy that doesn't ask for the list has it watched without being asked
+                # the setting's negation: unless the policy has to ask for the list, it is watched from the start
                 always_watch=not settings.endpoint_list_on_request,
                 poll_deadline_ms=settings.list_poll_deadline,
                 renewal_interval_ms=timing.watch_renewal_interval(settings.planner_count),
