--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -64,14 +64,14 @@
     # Lists in
 
     def apply(self, endpoint_list: EndpointList, now: float = 0.0) -> EndpointUpdate:
-        """Apply a list that discovery told; changes cost by what they name, not by the size of the list.
+        """Apply a list that discovery has sent; the cost of changes grows with what they name, not with the list.
 
         Args:
             endpoint_list: the list.
             now: ms on the planner's clock.
 
         Returns:
-            The event that tells the policy.
+            The event that notifies the policy.
         """
         received = replace(endpoint_list, instances=latest_by_name(endpoint_list.instances))
         late_drains = self._late_drains(received) if self.removal_is_advisory else []
@@ -82,13 +82,10 @@
         self._note_restarts(listed.values())
         if accepted.complete:
             retained = self._unreadable_entries(accepted, {entry.server for entry in entries})
-            removed |= {
-                server: entry.started_at
-                for server, entry in self.entries.items()
-                if server not in listed and server not in retained
-            }
+            still_listed = {**retained, **listed}
+            removed |= self._unlisted(still_listed)
             entries += retained.values()
-            self.entries = {**retained, **listed}
+            self.entries = still_listed
         else:
             self.entries |= listed
         self._record_removals(removed)
@@ -107,9 +104,7 @@
         old, discovery has started its generations again and the list holds, see `confirmed_snapshot`.
         """
         if received.generations_restarted or received.generation >= self.generation:
-            overtaken = self.refetch_needed or self.stale_snapshot is not None
-            self.refetch_needed = not received.complete and overtaken
-            self.stale_snapshot = None
+            self._drop_deferred(received)
             return received
         compared = [(instance, self._freshness(instance)) for instance in received.instances]
         if not received.complete:
@@ -159,11 +154,11 @@
     # Questions
 
     def cached_update(self) -> EndpointUpdate:
-        """The event that tells a policy which starts of the list as known."""
+        """The event that notifies a policy that starts of the list as known."""
         return EndpointUpdate(UpdateKind.CACHED, self.generation, tuple(self.entries.values()))
 
     def failed_update(self) -> EndpointUpdate:
-        """The event that tells the policy that a call for the list has failed."""
+        """The event that notifies the policy that a call for the list has failed."""
         return EndpointUpdate(UpdateKind.FAILED, self.generation)
 
     def predates_current_process(self, server: Server, since: float) -> bool:
@@ -195,7 +190,7 @@
         return entry_freshness(instance, self._known_process(server_id(instance.name)))
 
     def _late_drains(self, received: EndpointList) -> list[EndpointEntry]:
-        """Drains of processes that have left since, as changes of an older generation tell them.
+        """Drains of processes that have left since, from changes of an older generation.
 
         Drains bind where removals do not. These are for the policy alone, which may still send there; what has
         left is not listed again.
@@ -209,6 +204,12 @@
             self.addresses.pop(entry.server, None)
         return entries
 
+    def _drop_deferred(self, received: EndpointList) -> None:
+        """Drop the deferred list, which one that is not older supersedes; after changes a complete one is needed."""
+        overtaken = self.refetch_needed or self.stale_snapshot is not None
+        self.refetch_needed = not received.complete and overtaken
+        self.stale_snapshot = None
+
     def _defer(self, received: EndpointList, now: float) -> None:
         logger.warning(
             "endpoint list deferred: generation={} duration_s={:g} reason=it lists servers that drain or have left "
@@ -231,6 +232,10 @@
             if server not in read and (any_server or server in named)
         }
 
+    def _unlisted(self, listed: dict[Server, EndpointEntry]) -> dict[Server, float]:
+        """The known servers that are not among these, and when their processes had started."""
+        return {server: entry.started_at for server, entry in self.entries.items() if server not in listed}
+
     def _note_restarts(self, listed: Iterable[EndpointEntry]) -> None:
         for entry in listed:
             known = self._known_process(entry.server)
