--- a/stackwheel/policy/channel.py
+++ b/stackwheel/policy/channel.py
@@ -21,7 +21,7 @@
 """Of the channel's stated rate: what changes of weights may use of it."""
 
 CHANGE_ALLOWANCE_INTERVALS = 2.0
-"""Report intervals' worth of that pace that may be saved up, and go to one zone in one go."""
+"""Report intervals' worth of that pace that may accumulate unused, so that one message can change a zone's tables."""
 
 LINES_PER_OVERHEAD = 5.0
 """Overheads' worth of lines in a message to each proxy of a group; else most of what is sent is overhead."""
@@ -32,10 +32,14 @@
 
 # the queue where nothing is acknowledged
 SILENT_DRAIN_SHARE = 0.2
-"""Of the stated rate: how fast the queue is taken to drain while no acknowledgement can tell."""
+"""Of the stated rate: how fast the queue is assumed to drain while no acknowledgement shows it."""
 
 SILENT_INTERVALS = 1.0
-"""Report intervals without any acknowledgement after which none is waited for."""
+"""Report intervals without any acknowledgement after which the queue is assumed to drain by time alone.
+
+This is about the whole channel. When the stream of one silent proxy is closed is decided elsewhere, and later:
+`MAX_SILENT_REPORT_INTERVALS` in `stackwheel/wire/timing.py`.
+"""
 
 NONCE_COUNT = 1 << 16
 """Nonces go round; far more than can be unacknowledged at once."""
@@ -48,11 +52,15 @@
     lines_by_proxy: dict[int, float]
 
 
-class Outbox:
-    """Owns the channel: how many lines wait in it, what may be added, and when a proxy got messages.
+class ChannelBudget:
+    """Accounts for the channel: how many lines wait in it, what may be added, and when a proxy got messages.
+
+    It holds no messages itself; the actions of the planner are turned into messages by `stackwheel/state`.
 
     Attributes:
         queued_lines: lines sent and not known to have left the queue.
+        ack_clock_started_at: when the wait for the next acknowledgement began, in ms: the last acknowledgement, or, if
+            none was owed before it, the last message.
         overhead_lines: what a message costs besides its lines, with its nonce.
         pending_lines: lines by proxy that the present call of the planner has decided to send.
         change_allowance: lines that changes may use now, by their pace; negative after a large message.
@@ -66,7 +74,7 @@
         self.queue_limit = settings.queue_limit or math.inf
         self.now = 0.0
         self.queued_lines = 0.0
-        self.acknowledged_at = 0.0
+        self.ack_clock_started_at = 0.0
         self.overhead_lines = settings.message_overhead + 1.0
         self.change_lines_per_ms = CHANGE_PACE_SHARE * settings.channel_rate / 1000.0
         self.max_change_allowance = CHANGE_ALLOWANCE_INTERVALS * settings.report_interval * self.change_lines_per_ms
@@ -79,15 +87,20 @@
         self.pending_lines: dict[int, int] = {}
 
     def begin(self, now: float, proxies: dict[int, ProxyView]) -> None:
-        """Start a call of the planner: let time pass for the queue and for the pace of changes."""
+        """Start a call of the planner: let time pass for the queue and for the pace of changes.
+
+        The queue drains by two rules. While acknowledgements are expected, only they shorten it (`acknowledge`). Once
+        they have been overdue for `SILENT_INTERVALS`, or if no open stream owes one, it drains by time, at
+        `SILENT_DRAIN_SHARE` of the stated rate.
+        """
         self.pending_lines = {}
         elapsed_ms = now - self.now
-        silent_since = self.acknowledged_at + SILENT_INTERVALS * self.settings.report_interval
-        if now > silent_since or not self.awaits_acknowledgement(proxies):
+        acknowledgement_due_at = self.ack_clock_started_at + SILENT_INTERVALS * self.settings.report_interval
+        if now > acknowledgement_due_at or not self.awaits_acknowledgement(proxies):
             drained = elapsed_ms / 1000.0 * self.settings.channel_rate * SILENT_DRAIN_SHARE
             self.queued_lines -= min(self.queued_lines, drained)
-        saved_up = self.change_allowance + elapsed_ms * self.change_lines_per_ms
-        self.change_allowance = min(self.max_change_allowance, saved_up)
+        accumulated = self.change_allowance + elapsed_ms * self.change_lines_per_ms
+        self.change_allowance = min(self.max_change_allowance, accumulated)
         self.now = now
 
     def awaits_acknowledgement(self, proxies: dict[int, ProxyView]) -> bool:
@@ -100,14 +113,17 @@
         return False
 
     def acknowledge(self, proxy: int, nonce: int) -> None:
-        """Updates leave in order: one that is acknowledged shows that all before it have left."""
+        """Take in an acknowledgement; updates leave in order, so that all before this one have left too."""
+        # The dict is in the order in which updates were sent. A nonce that is assigned again while it is still in the
+        # dict would keep its old place, but that takes NONCE_COUNT updates in a row of which no proxy acknowledges any:
+        # one acknowledgement, of any proxy, removes all earlier updates.
         if nonce not in self.unacknowledged:
             return
         later = itertools.dropwhile(lambda item: item[0] != nonce, self.unacknowledged.items())
         self.unacknowledged = dict(later)
         self.unacknowledged[nonce].lines_by_proxy.pop(proxy, None)
         self.queued_lines = sum(sum(update.lines_by_proxy.values()) for update in self.unacknowledged.values())
-        self.acknowledged_at = self.now
+        self.ack_clock_started_at = self.now
 
     def free_lines(self, share: float) -> float:
         """Lines that may be added before the queue is over a share of its limit; negative if it is."""
@@ -136,14 +152,17 @@
             self.pending_lines[user] = self.pending_lines.get(user, 0) + lines
 
     def commit(self) -> list[Action]:
-        """Charge what this call sends; the nonce tells when it has arrived."""
+        """Charge what this call sends, with a nonce whose acknowledgement will show that it has arrived.
+
+        If no acknowledgement was owed before, the wait for one begins now (`ack_clock_started_at`).
+        """
         lines = self.pending_lines
         if not lines:
             return []
         for proxy in lines:
             self.message_times[proxy] = [*self.message_times.get(proxy, []), self.now]
         if not any(update.lines_by_proxy for update in self.unacknowledged.values()):
-            self.acknowledged_at = self.now
+            self.ack_clock_started_at = self.now
         self.queued_lines = self.queued_lines + (sum(lines.values()) + len(lines) * self.overhead_lines)
         self.last_nonce = (self.last_nonce + 1) % NONCE_COUNT
         lines_by_proxy = {proxy: count + self.overhead_lines for proxy, count in lines.items()}
--- a/stackwheel/policy/endpoints.py
+++ b/stackwheel/policy/endpoints.py
@@ -60,7 +60,8 @@
         draw = self.random.uniform(MIN_THIN_LINE_DRAW, 1.0)  # for known servers too: draws keep their order
         known = self.pool.views.setdefault(entry.server, ServerView(entry, thin_line_draw=draw))
         before = known.entry
-        if entry.started_at > before.started_at:  # a new process: of what was measured its size and demand hold
+        if entry.started_at > before.started_at:
+            # A new process: measured capacity and attempt rates stay valid, latency and failures are measured anew.
             self.pool.views[entry.server] = ServerView(entry, known.capacity, known.thin_line_draw, known.attempt_rates)
         self.pool.views[entry.server].entry = entry
         return (entry.started_at, entry.availability) != (before.started_at, before.availability)
--- a/stackwheel/policy/estimates.py
+++ b/stackwheel/policy/estimates.py
@@ -33,7 +33,7 @@
 """A slot's rise of the quickest latency, so that an old record is forgotten."""
 
 REPORT_VALIDITY_WINDOWS = 2.0
-"""Windows for which a report holds: the next one comes about as late."""
+"""Windows for which a report is valid: the next one may come that late."""
 
 REPORT_SPAN_GAIN = 0.05
 """Step of the average report window to the newest."""
@@ -105,7 +105,7 @@
         return median(known) or 0.5 * self.mean_objective_ms
 
     def fade(self, median_latency_ms: float, now: float) -> None:
-        """Let drift what no valid report confirms: silence is neither health nor a failure."""
+        """Move figures without a valid report towards the median: silence is neither health nor a failure."""
         for view in self.pool.views.values():
             reports = {zone: report for zone, report in view.zone_reports.items() if report.valid_until > now}
             view.zone_reports = reports
--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -49,7 +49,7 @@
 """Requests a second and proxy: a level that limits nothing, where admission is stated as a rate."""
 
 LEVEL_CHANGE_SHARE = 0.1
-"""Of a level: a smaller change is not worth a line."""
+"""Of a level: a smaller change is not sent."""
 
 RETRY = Retry.ONCE_IF_NOT_EXECUTED
 """Safe for any class; a retry after any failure doubled the work just when servers were short."""
@@ -184,7 +184,7 @@
 
 
 def level_differs(new: AdmissionLevel, old: AdmissionLevel | None) -> bool:
-    """Whether a level is worth a line: it was never sent, moved by a tenth, or begins or ends to limit."""
+    """Whether a level has to be sent: it was never sent, moved by a tenth, or begins or ends to limit."""
     if old is None or new.retry != old.retry or (new.admitted == 1.0) != (old.admitted == 1.0):
         return True
     return abs(new.admitted - old.admitted) > LEVEL_CHANGE_SHARE * max(new.admitted, old.admitted)
--- a/stackwheel/policy/planner.py
+++ b/stackwheel/policy/planner.py
@@ -30,7 +30,7 @@
 )
 from stackwheel.policy.allocation import Allocator
 from stackwheel.policy.capacity import CapacityEstimates
-from stackwheel.policy.channel import Outbox
+from stackwheel.policy.channel import ChannelBudget
 from stackwheel.policy.demand import DemandTracker
 from stackwheel.policy.endpoints import EndpointTracker
 from stackwheel.policy.estimates import LoadEstimates
@@ -54,7 +54,11 @@
 
 
 class Planner:
-    """One planner's policy: a function of the settings, the seed, and the events so far."""
+    """One planner's policy: a function of the settings, the seed, and the events so far.
+
+    With `key_range_count` set nothing is decided: tables then belong to key ranges, which this policy does not serve.
+    All events are dropped, no endpoint list is asked for, and no action is ever returned.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         random = Random(seed)
@@ -64,7 +68,7 @@
         self.slot = Slot()
         self.has_new_reports = False
         self.proxies: dict[int, ProxyView] = {}
-        self.outbox = Outbox(settings)
+        self.channel = ChannelBudget(settings)
         self.pool = ServerPool(settings)
         self.endpoints = EndpointTracker(settings, random, self.actions, self.pool)
         self.demand = DemandTracker(settings, self.proxies)
@@ -79,13 +83,20 @@
         )
         self.health_checks = HealthChecks(settings, self.pool, self.demand, self.estimates, self.groups)
         self.updates = UpdateScheduler(
-            settings, self.actions, self.slot, self.pool, self.outbox, self.shedding, self.groups
+            settings, self.actions, self.slot, self.pool, self.channel, self.shedding, self.groups
         )
-        self.joins = Joins(settings, self.actions, self.proxies, self.outbox, self.groups, self.updates)
+        self.joins = Joins(settings, self.actions, self.proxies, self.channel, self.groups, self.updates)
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Take a batch of events in and decide what to do about it.
 
+        One call does, in this order:
+
+        1. Start: time passes for the channel, the first call may watch the endpoint list, and all events are taken in.
+        2. Slot: if one is due, everything is recomputed and what changed is sent.
+        3. Otherwise urgent or deferred changes are sent, if there are any and the queue is short.
+        4. Joins: proxies that wait are assigned tables, as many as the channel has capacity for.
+
         Args:
             now: ms on the planner's clock.
             events: all that happened since the last call, in order.
@@ -94,8 +105,8 @@
             The actions, in the order in which they count.
         """
         self.actions.clear()
-        self.outbox.begin(now, self.proxies)
-        if self.settings.key_range_count:  # tables there belong to key ranges, which this policy does not serve
+        self.channel.begin(now, self.proxies)
+        if self.settings.key_range_count:
             return []
         is_starting = self.slot.started_at == -math.inf
         if is_starting and self.settings.endpoint_list_on_request:
@@ -107,11 +118,12 @@
         if starts_slot or (self.has_new_reports and since_slot >= MIN_SLOT_INTERVALS * self.settings.report_interval):
             self.run_slot(now)
         elif self.updates.should_send(now):
-            if self.updates.is_urgent:  # once for its cause: a step each batch that finds no capacity is no capped step
+            if self.updates.is_urgent:
+                # Move once per cause: moving again in each batch while the queue is full would break the step cap.
                 self.groups.move_all(now)
             self.send_updates(now)
-        self.joins.bind_waiting(now)
-        return self.actions + self.outbox.commit()
+        self.joins.assign_waiting(now)
+        return self.actions + self.channel.commit()
 
     def take(self, event: Event, now: float) -> bool:
         """Take in one event; True if it is the timer of the next slot."""
@@ -121,11 +133,11 @@
             case DemandReport():
                 self.demand.record(event, now)
             case Acknowledged(proxy, nonce, _):
-                self.outbox.acknowledge(proxy, nonce)
+                self.channel.acknowledge(proxy, nonce)
             case HealthCheckResult():
                 self.estimates.record_health_check(event, now)
             case EndpointUpdate():
-                self.updates.is_urgent |= self.endpoints.apply(event)
+                self.apply_endpoints(event)
             case GossipReceived(sender, payload):
                 with contextlib.suppress(MalformedGossipError):  # no planner's: nothing to learn from it
                     self.peers.record(sender, payload, now)
@@ -138,6 +150,11 @@
                 return self.timer_fired(token)
         return False
 
+    def apply_endpoints(self, update: EndpointUpdate) -> None:
+        """Follow the endpoint list; what changes a server's availability or process is urgent."""
+        if self.endpoints.apply(update):
+            self.updates.request_urgent()
+
     def proxy_left(self, number: int) -> None:
         """Forget a proxy, with its part of the demand."""
         self.joins.waiting.pop(number, None)
@@ -159,7 +176,8 @@
         self.has_new_reports = False
         if has_reports:
             self.update_estimates(now)
-            self.updates.is_urgent |= self.ejection.judge(now)
+            if self.ejection.judge(now):
+                self.updates.request_urgent()
             self.shedding.update(now)
             self.actions += self.health_checks.start(now)
         if has_reports or not self.proxies:  # without proxies too, or our part of warming servers lies idle
@@ -181,5 +199,5 @@
     def send_updates(self, now: float) -> None:
         """Send changes of tables, after proxies that have waited too long for their first ones."""
         if self.joins.are_overdue(now):
-            self.joins.bind_waiting(now)
+            self.joins.assign_waiting(now)
         self.updates.send(bool(self.joins.waiting), now)
--- a/stackwheel/policy/servers.py
+++ b/stackwheel/policy/servers.py
@@ -82,7 +82,7 @@
     """The servers that tables may hold, as of now."""
 
     servers: list[Server]
-    jumping: set[Server]
+    uncapped: set[Server]
     """Those of them that are warming up or ejected: their weights take new values at once, without steps."""
 
 
@@ -124,5 +124,5 @@
     def ready_servers(self, now: float) -> ReadyServers:
         """The ready servers by id, and those of them that are not healthy."""
         ready = self.ready()
-        jumping = {view.entry.server for view in ready if not self.is_healthy(view, now)}
-        return ReadyServers([view.entry.server for view in ready], jumping)
+        uncapped = {view.entry.server for view in ready if not self.is_healthy(view, now)}
+        return ReadyServers([view.entry.server for view in ready], uncapped)
--- a/stackwheel/policy/slow_start.py
+++ b/stackwheel/policy/slow_start.py
@@ -48,7 +48,7 @@
         are slow and proxies avoid servers after consecutive failures: all traffic would turn to the warming ones.
 
         Args:
-            reported_per_s: attempts a second that load reports tell of.
+            reported_per_s: attempts a second that load reports count.
             demand_per_s: requests a second that proxies get.
             admitted_share: of those, the part that is not shed.
             median_latency_ms: median latency of the servers.
--- a/stackwheel/policy/table_groups.py
+++ b/stackwheel/policy/table_groups.py
@@ -15,7 +15,12 @@
 from stackwheel.policy.tables import Table, TableGroup, shares_of
 
 COMPLETE: Final = 0
-"""The size that stands for complete tables; else a size is the lines of a short table."""
+"""The size that stands for complete tables; else a size is the lines of a short table.
+
+A complete table has all servers that proxies of the zone may use for its classes, except those whose share is too small
+for a line. `UpdatePart.complete` (a message replaces a table) and `EndpointList.complete` (a list names every server)
+are other things.
+"""
 
 MIN_HEALTHY_LINES = 4
 """Of a short table, as long as there are so many healthy servers."""
@@ -100,8 +105,8 @@
         distribute(wanted, size, tables)
         for table in tables:
             table.members = [server for server in table.members if server in wanted]
-            others = [s for s in wanted if s not in table.members and s not in ready.jumping]
-            lacking = MIN_HEALTHY_LINES - sum(server not in ready.jumping for server in table.members)
+            others = [s for s in wanted if s not in table.members and s not in ready.uncapped]
+            lacking = MIN_HEALTHY_LINES - sum(server not in ready.uncapped for server in table.members)
             table.members += self.random.sample(others, min(len(others), max(0, lacking)))
             target = shares_of({server: wanted[server] for server in table.members}, self.pool, now)
             table.step_towards(target, ready)
--- a/stackwheel/policy/tables.py
+++ b/stackwheel/policy/tables.py
@@ -47,16 +47,16 @@
         """Move the shares a capped step towards the target.
 
         Servers that warm up or are ejected take their target at once, as does all of a table that was never sent. What
-        lines that leave or jump give up goes to the lines that stay.
+        lines that leave or are uncapped give up goes to the lines that stay.
         """
-        jumping = ready.jumping if self.sent else set(ready.servers)
-        staying = sum(share for s, share in self.shares.items() if s in target and s not in jumping)
-        given_up = 1.0 - sum(share for s, share in target.items() if s in jumping)
+        uncapped = ready.uncapped if self.sent else set(ready.servers)
+        staying = sum(share for s, share in self.shares.items() if s in target and s not in uncapped)
+        given_up = 1.0 - sum(share for s, share in target.items() if s in uncapped)
         growth = max(0.0, given_up) / max(MIN_SHARE, staying)
         shares = {server: growth * self.shares.get(server, 0.0) for server in ready.servers}
         for server, old in shares.items():
             new = target.get(server, 0.0)
-            limit = math.inf if server in jumping else MAX_STEP * max(old, new)
+            limit = math.inf if server in uncapped else MAX_STEP * max(old, new)
             shares[server] = old + bounded(new - old, -limit, limit)
         self.shares = {s: share for s, share in shares.items() if share >= MIN_SHARE or s in target}
 
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -17,7 +17,7 @@
     SetWeight,
 )
 from stackwheel.policy.arithmetic import bounded
-from stackwheel.policy.channel import CHANGE_MESSAGE_SHARE, CHANGE_QUEUE_SHARE, MAX_QUEUE_SHARE, Outbox
+from stackwheel.policy.channel import CHANGE_MESSAGE_SHARE, CHANGE_QUEUE_SHARE, MAX_QUEUE_SHARE, ChannelBudget
 from stackwheel.policy.load_shedding import LoadShedding, level_differs
 from stackwheel.policy.servers import Rates, ServerPool
 from stackwheel.policy.table_groups import TableGroups
@@ -25,7 +25,7 @@
 from stackwheel.policy.timers import DEFERRED_CHANGES_TIMER, Slot
 
 MIN_CHANGE_SHARE = 0.1
-"""Of a weight: a smaller change is not worth a line."""
+"""Of a weight: a smaller change is not sent."""
 
 OVERWEIGHT_MULTIPLE = 1.2
 """Times its target: a warming or ejected server's line over this must not wait."""
@@ -73,8 +73,9 @@
     """Decides what each group of proxies is sent, within the queue, the pace and the message cap.
 
     Attributes:
-        is_urgent: a change that the operators' rules require to be sent at once.
-        has_deferred: some changes were due and could not be sent.
+        is_urgent: a change that the operators' rules require to be sent at once; set by `request_urgent`, cleared by
+            the next `send`, whether that could send the change or not.
+        has_deferred: the last `send` left changes out that are to be retried before the next slot (`note_deferred`).
         retry_at: when deferred changes may be retried.
     """
 
@@ -84,7 +85,7 @@
         actions: list[Action],
         slot: Slot,
         pool: ServerPool,
-        outbox: Outbox,
+        channel: ChannelBudget,
         shedding: LoadShedding,
         groups: TableGroups,
     ) -> None:
@@ -92,7 +93,7 @@
         self.actions = actions
         self.slot = slot
         self.pool = pool
-        self.outbox = outbox
+        self.channel = channel
         self.shedding = shedding
         self.groups = groups
         self.is_urgent = False
@@ -100,14 +101,21 @@
         self.retry_at = 0.0
         self.retry_ms = RETRY_INTERVALS * settings.report_interval
 
+    def request_urgent(self) -> None:
+        """Have the tables moved and changes sent in this call of the planner, or as soon as the queue is short."""
+        self.is_urgent = True
+
     def should_send(self, now: float) -> bool:
         """Whether changes should be sent before the next slot, and the queue is short enough."""
         wanted = self.is_urgent or (self.has_deferred and now >= self.retry_at)
-        return wanted and self.outbox.free_lines(CHANGE_QUEUE_SHARE) > 0
+        return wanted and self.channel.free_lines(CHANGE_QUEUE_SHARE) > 0
 
     def send(self, proxies_wait: bool, now: float) -> None:
         """Send what is due: lines of removed servers leave all tables before anything else.
 
+        A timer is set only after deferred removals; other deferred changes are retried in the next call of the planner
+        that an event causes after `retry_at`.
+
         Args:
             proxies_wait: some proxies have no tables yet, so that only what the rules require may use the channel.
             now: ms.
@@ -120,9 +128,10 @@
         ready = {view.entry.server for view in self.pool.ready()}
         for group in [group for group in groups if group.users and self.has_withdrawals(group, ready)]:
             self.send_group(group, admitted, True, now)
-        if self.has_deferred:
+        removals_deferred = self.has_deferred  # or, of the same groups, changes of warming servers or levels
+        if removals_deferred:
             self.actions.append(SetTimer(self.retry_ms, DEFERRED_CHANGES_TIMER))
-        only_urgent = self.has_deferred or proxies_wait
+        only_urgent = removals_deferred or proxies_wait
         for group in groups:
             self.send_group(group, admitted, only_urgent, now)
 
@@ -131,59 +140,82 @@
         return any(server not in ready for table in group.tables for server in table.sent)
 
     def send_group(self, group: TableGroup, admitted: list[float], only_urgent: bool, now: float) -> None:
-        """Send a group in one message what must not wait, then the largest changes, as many as fit."""
+        """Send a group in one message what must not wait, then the largest changes, as many as fit.
+
+        Routine changes that do not fit are not deferred: they wait for the next slot, which computes them anew.
+
+        Args:
+            group: whose tables, and to whose proxies.
+            admitted: the share of each class that is admitted.
+            only_urgent: send only changes for removed and warming servers; all others, and levels, are left to a later
+                call without being deferred (but levels are if the group can get no message at all).
+            now: ms.
+        """
         changes = self.group_changes(group, only_urgent, now)
         levels = [self.shedding.levels(table, admitted) for table in group.tables]
         level_lines = count_level_lines(group, levels)
-        free = self.free_lines_for_each(group) - level_lines
-        fits = free > 0 and self.may_write(group, changes, now)
-        paced = 0.0 if only_urgent else self.paced_lines(group, lacks_lines(changes))
-        limit = int(bounded(max(count_must_go(changes), paced), 0, max(0, free)))
-        chosen = changes[:limit] if fits else []
-        self.note_deferred(changes, chosen, levels_wait=level_lines > 0 and not fits)
-        sends_levels = level_lines > 0 and fits and not only_urgent
+        free_lines = self.free_lines_for_each(group) - level_lines
+        may_send = free_lines > 0 and self.may_write(group, changes, now)
+        max_paced_lines = 0.0 if only_urgent else self.lines_within_pace(group, lacks_lines(changes))
+        max_changes = int(bounded(max(count_urgent(changes), max_paced_lines), 0, max(0, free_lines)))
+        chosen = changes[:max_changes] if may_send else []
+        self.note_deferred(changes, chosen, levels_wait=level_lines > 0 and not may_send)
+        sends_levels = level_lines > 0 and may_send and not only_urgent
         if chosen or sends_levels:
             self.write_group(group, chosen, levels, now)
-            if paced:
-                message_lines = self.outbox.overhead_lines + len(chosen)
-                self.outbox.change_allowance -= max(1, len(group.users)) * message_lines
+            if max_paced_lines:
+                message_lines = self.channel.overhead_lines + len(chosen)
+                self.channel.change_allowance -= max(1, len(group.users)) * message_lines
 
     def note_deferred(self, changes: Sequence[WeightChange], chosen: Sequence[WeightChange], levels_wait: bool) -> None:
-        """Note whether something of a group has to be tried again soon: urgent changes, missing lines or levels."""
-        urgent_wait = count_must_go(chosen) < count_must_go(changes)
+        """Note whether something of a group has to be tried again before the next slot.
+
+        Urgent changes and levels count if they were left out, new lines of a table that lacks a part in any case.
+        Routine changes are not deferred: they wait for the next slot.
+        """
+        urgent_wait = count_urgent(chosen) < count_urgent(changes)
         self.has_deferred |= lacks_lines(changes) or levels_wait or urgent_wait
 
     def free_lines_for_each(self, group: TableGroup) -> float:
-        """Lines that a message to each proxy of a group may have before the queue is too long."""
-        free = self.outbox.free_lines(MAX_QUEUE_SHARE)
-        return free / max(1, len(group.users)) - self.outbox.overhead_lines
+        """Lines that a message to each proxy of a group may have before the queue is too long.
 
-    def paced_lines(self, group: TableGroup, is_lacking: bool) -> float:
+        This bounds urgent changes too; those that do not fit are deferred, routine ones wait for the next slot.
+        """
+        free = self.channel.free_lines(MAX_QUEUE_SHARE)
+        return free / max(1, len(group.users)) - self.channel.overhead_lines
+
+    def lines_within_pace(self, group: TableGroup, is_lacking: bool) -> float:
         """Lines for each proxy of a group that the pace of changes allows; none once it is spent.
 
-        What a table lacks may go beyond the pace while the queue is short: no other change would use it.
+        What a table lacks may go beyond the pace while the queue is short: no other change would use it. Urgent changes
+        are not bounded by this; routine ones over it are not deferred, but wait for the next slot.
         """
-        outbox = self.outbox
-        if outbox.change_allowance <= 0 and not (is_lacking and outbox.free_lines(CHANGE_QUEUE_SHARE / 2) > 0):
+        channel = self.channel
+        if channel.change_allowance <= 0 and not (is_lacking and channel.free_lines(CHANGE_QUEUE_SHARE / 2) > 0):
             return 0.0
-        overhead = outbox.overhead_lines
-        return max(overhead, outbox.max_change_allowance / max(1, len(group.users)) - overhead)
+        overhead = channel.overhead_lines
+        return max(overhead, channel.max_change_allowance / max(1, len(group.users)) - overhead)
 
     def may_write(self, group: TableGroup, changes: Sequence[WeightChange], now: float) -> bool:
         """Whether the queue is short, and each proxy of a group may get one more message.
 
-        For removed and warming servers there is a reserve of the message cap.
+        Proxies already written to in this call of the planner are skipped: each gets one message a call, and what is
+        added goes into that. For removed and warming servers there is a reserve of the message cap, for one message
+        every `ChannelBudget.reserve_spacing_ms`.
+
+        The spacing rule: between slots, where messages are capped, a group that was written to in an earlier call less
+        than `MIN_SPACING_GRACE_SHARE` of the drain grace ago has to wait, so that changes gather in one message.
         """
         settings = self.settings
-        outbox = self.outbox
+        channel = self.channel
         since_last = now - group.written_at
         between_slots = self.slot.started_at < now
         if settings.message_cap and between_slots and 0 < since_last < MIN_SPACING_GRACE_SHARE * settings.drain_grace:
             return False
-        uses_reserve = changes and changes[0].urgency <= Urgency.WARMING and since_last >= outbox.reserve_spacing_ms()
+        uses_reserve = changes and changes[0].urgency <= Urgency.WARMING and since_last >= channel.reserve_spacing_ms()
         share = 1.0 if uses_reserve else CHANGE_MESSAGE_SHARE
-        return outbox.free_lines(CHANGE_QUEUE_SHARE) > 0 and all(
-            outbox.may_write(user, share) for user in group.users if user not in outbox.pending_lines
+        return channel.free_lines(CHANGE_QUEUE_SHARE) > 0 and all(
+            channel.may_write(user, share) for user in group.users if user not in channel.pending_lines
         )
 
     def group_changes(self, group: TableGroup, only_urgent: bool, now: float) -> list[WeightChange]:
@@ -214,7 +246,7 @@
         return changes
 
     def change_urgency(self, server: Server, old: float, new: float, now: float) -> Urgency:
-        """How long the change of a line that proxies hold may wait."""
+        """How long the change of a line that proxies have been sent may wait."""
         if old <= OVERWEIGHT_MULTIPLE * new:
             return Urgency.ROUTINE
         view = self.pool.views.get(server)
@@ -236,23 +268,23 @@
             group.written_at = now
 
     def write_unused(self, groups: Sequence[TableGroup], now: float) -> None:
-        """Order the tables of groups that no proxy uses yet."""
+        """Write all lines and levels of groups that no proxy uses yet; this puts nothing into the channel."""
         admitted = self.shedding.admitted_shares(now)
         for group in groups:
             for table in group.tables:
                 self.write(table, [], table.shares, self.shedding.levels(table, admitted))
 
     def write(self, table: Table, users: list[int], weights: Rates, levels: dict[int, AdmissionLevel]) -> None:
-        """Order lines and levels of one table, and charge them to its users."""
-        orders: list[Action] = [SetWeight(table.number, server, weight) for server, weight in weights.items()]
+        """Set lines and levels of one table, and charge them to its users."""
+        actions: list[Action] = [SetWeight(table.number, server, weight) for server, weight in weights.items()]
         table.sent = {server: weight for server, weight in {**table.sent, **weights}.items() if weight > 0}
         for request_class, level in levels.items():
             if level_differs(level, table.levels.get(request_class)):
                 table.levels[request_class] = level
-                orders.append(SetAdmission(table.number, (request_class,), level.admitted, level.retry))
-        if orders:
-            self.actions += orders
-            self.outbox.add(users, len(orders))
+                actions.append(SetAdmission(table.number, (request_class,), level.admitted, level.retry))
+        if actions:
+            self.actions += actions
+            self.channel.add(users, len(actions))
 
 
 def new_line_urgency(lacking: float) -> Urgency:
@@ -262,8 +294,8 @@
     return Urgency.NEW if lacking > LACKING_SHARE else Urgency.ROUTINE
 
 
-def count_must_go(changes: Sequence[WeightChange]) -> int:
-    """How many changes must not wait for the pace of ordinary ones."""
+def count_urgent(changes: Sequence[WeightChange]) -> int:
+    """How many changes must not wait for the pace; neither new lines nor routine changes count."""
     return sum(change.urgency < Urgency.NEW for change in changes)
 
 
--- a/stackwheel/trials/defects/policy.py
+++ b/stackwheel/trials/defects/policy.py
@@ -9,7 +9,7 @@
 from stackwheel import interface as face
 from stackwheel.interface import Availability, Retry
 from stackwheel.policy import load_shedding, table_groups, tables
-from stackwheel.policy.channel import Outbox
+from stackwheel.policy.channel import ChannelBudget
 from stackwheel.policy.endpoints import EndpointTracker
 from stackwheel.policy.joins import Joins
 from stackwheel.policy.servers import Rates, ServerPool
@@ -87,14 +87,14 @@
 
 def joined_proxies_ignored() -> Sequence[Patch]:
     """Proxies that joined are assigned no table."""
-    return [Patch(Joins, "bind_waiting", returns(None))]
+    return [Patch(Joins, "assign_waiting", returns(None))]
 
 
 def one_class_assigned() -> Sequence[Patch]:
     """Tables of all classes but the first are never assigned."""
-    original = Joins.bind_waiting
+    original = Joins.assign_waiting
 
-    def bind_waiting(self: Joins, now: float) -> None:
+    def assign_waiting(self: Joins, now: float) -> None:
         original(self, now)
         self.actions[:] = [
             action
@@ -102,7 +102,7 @@
             if not (isinstance(action, face.AssignTable) and action.classes and action.classes[0] > 0)
         ]
 
-    return [Patch(Joins, "bind_waiting", bind_waiting)]
+    return [Patch(Joins, "assign_waiting", assign_waiting)]
 
 
 def tables_emptied() -> Sequence[Patch]:
@@ -121,14 +121,14 @@
 
 
 def queue_unbounded() -> Sequence[Patch]:
-    """The outbox always has capacity left."""
-    return [Patch(Outbox, "free_lines", returns(math.inf))]
+    """The channel always has capacity left."""
+    return [Patch(ChannelBudget, "free_lines", returns(math.inf))]
 
 
 def message_cap_ignored() -> Sequence[Patch]:
     """Neither the policy nor the connections limit the messages to one proxy."""
     return [
-        Patch(Outbox, "may_write", returns(True)),
+        Patch(ChannelBudget, "may_write", returns(True)),
         Patch(RateLimiter, "delay", returns(0.0)),
     ]
 
@@ -141,7 +141,7 @@
 
     return [
         Patch(SocketTransport, "limiter", limiter),
-        Patch(Outbox, "may_write", returns(True)),
+        Patch(ChannelBudget, "may_write", returns(True)),
     ]
 
 
--- a/tests/policy/test_channel.py
+++ b/tests/policy/test_channel.py
@@ -39,7 +39,7 @@
         nonces = [action.nonce for action in actions if isinstance(action, face.AttachNonce)]
         if not nonces:
             return
-        lines = self.harness.planner.outbox.pending_lines
+        lines = self.harness.planner.channel.pending_lines
         overhead = self.harness.settings.message_overhead + 1.0
         self.queue.extend(Message(nonces[0], proxy, count + overhead) for proxy, count in lines.items())
         self.longest = max(self.longest, self.waiting)
@@ -107,30 +107,30 @@
 def test_proxies_that_left_are_not_waited_for() -> None:
     """Their acknowledgements never come; the queue is then taken to drain slowly, and updates go on."""
     harness = busy_fleet()
-    unacknowledged_lines = harness.planner.outbox.queued_lines
+    unacknowledged_lines = harness.planner.channel.queued_lines
     harness.send(wait=100.0)
     assert unacknowledged_lines > 0
-    assert harness.planner.outbox.queued_lines == unacknowledged_lines  # acknowledgements may still come
+    assert harness.planner.channel.queued_lines == unacknowledged_lines  # acknowledgements may still come
     harness.send(*(face.ProxyLeft(proxy) for proxy in range(PROXIES)), wait=100.0)
     harness.send(wait=200.0)
-    assert harness.planner.outbox.queued_lines < unacknowledged_lines
+    assert harness.planner.channel.queued_lines < unacknowledged_lines
 
 
 def test_a_proxy_that_joined_again_owes_nothing_on_its_former_stream() -> None:
     """Streams that are replaced take their nonces with them: four planners' proxies waited for each other's."""
     harness = busy_fleet()
-    unacknowledged_lines = harness.planner.outbox.queued_lines
+    unacknowledged_lines = harness.planner.channel.queued_lines
     again = [
         event
         for proxy in range(PROXIES)
         for event in (face.ProxyLeft(proxy), face.ProxyJoined(proxy, proxy % 2, 40.0, False))
     ]
     # so that nothing new is sent, and all that is unacknowledged is old
-    harness.planner.outbox.queued_lines = harness.settings.queue_limit
+    harness.planner.channel.queued_lines = harness.settings.queue_limit
     harness.send(*again, wait=100.0)
     harness.send(wait=200.0)
     assert unacknowledged_lines > 0
-    assert harness.planner.outbox.queued_lines < harness.settings.queue_limit
+    assert harness.planner.channel.queued_lines < harness.settings.queue_limit
 
 
 def test_removed_servers_leave_all_tables_before_ordinary_changes_are_sent() -> None:
@@ -147,12 +147,12 @@
     groups = [group for group in harness.planner.groups.all() if group.users]
     assert len(groups) > 2
     for _ in range(6):  # weights want to move, but the queue is long
-        harness.planner.outbox.queued_lines = harness.settings.queue_limit
+        harness.planner.channel.queued_lines = harness.settings.queue_limit
         harness.slot(attempts=8, demand=3, zones=(0,), utilization={n: 0.2 + 0.08 * (n % 9) for n in range(SERVERS)})
-    lines_and_levels = 4 + harness.planner.outbox.overhead_lines
+    lines_and_levels = 4 + harness.planner.channel.overhead_lines
     withdrawal_lines = sum(len(group.users) * lines_and_levels for group in groups)
-    harness.planner.outbox.queued_lines = 0.25 * harness.settings.queue_limit - withdrawal_lines - 1.0
-    harness.planner.outbox.unacknowledged.clear()
+    harness.planner.channel.queued_lines = 0.25 * harness.settings.queue_limit - withdrawal_lines - 1.0
+    harness.planner.channel.unacknowledged.clear()
     harness.update_endpoints(entry(3, 0, Availability.DRAINING))
     assert all(server_id(3) not in table.sent for group in groups for table in group.tables)
 
@@ -160,10 +160,10 @@
 def test_a_lost_acknowledgement_stops_nothing() -> None:
     """Its proxy is still joined, but a queue of which nothing is acknowledged is taken to drain slowly."""
     harness = busy_fleet()
-    assert harness.planner.outbox.queued_lines > 0
+    assert harness.planner.channel.queued_lines > 0
     for _ in range(60):
         harness.send(wait=1000.0)
-    assert harness.planner.outbox.queued_lines == 0
+    assert harness.planner.channel.queued_lines == 0
     assert actions_of(harness.update_endpoints(entry(0, 0, Availability.DRAINING)), face.SetWeight)
 
 
--- a/tests/policy/test_planner.py
+++ b/tests/policy/test_planner.py
@@ -29,7 +29,7 @@
         servers=[entry(n, 0) for n in range(6)], proxies=((0, 0),), message_cap=4, message_window=10000.0
     )
     harness.slots(3)
-    harness.planner.outbox.message_times[0] = [harness.now] * 4  # nothing may be written for a while
+    harness.planner.channel.message_times[0] = [harness.now] * 4  # nothing may be written for a while
     moved = 0
     move_all = harness.planner.groups.move_all
 
--- a/tests/policy/test_table_groups.py
+++ b/tests/policy/test_table_groups.py
@@ -40,7 +40,7 @@
     assert all(tables[0] == tables[1] for tables in harness.bindings.values())
     users = [len(group.users) for group in harness.planner.groups.all()]
     assert sum(users) == 200
-    assert max(users) <= harness.planner.outbox.max_group_size + 1
+    assert max(users) <= harness.planner.channel.max_group_size + 1
     small = PolicyHarness(servers=[entry(n) for n in range(8)], proxies=((0, 0),))
     assert small.bindings[0][0] != small.bindings[0][1]  # by the design: a table a class
 
--- a/tests/policy/test_tables.py
+++ b/tests/policy/test_tables.py
@@ -1,4 +1,4 @@
-"""Shares of a table: capped steps, thin lines, jumping lines."""
+"""Shares of a table: capped steps, thin lines, uncapped lines."""
 
 from policy_harness import PolicyHarness, alternating_fleet, entry, load_reports, server_id
 
@@ -47,7 +47,7 @@
     assert sum(share for s, share in harness.shares(0).items() if s in away) > 0.05
 
 
-def test_no_share_is_negative_where_jumping_lines_take_all() -> None:
+def test_no_share_is_negative_where_uncapped_lines_take_all() -> None:
     """Thin lines drawn at the least share can sum to more than one; a negative weight makes proxies reset streams."""
     harness = PolicyHarness(servers=[entry(n, started=100_000.0 * (n > 1)) for n in range(4)], proxies=((0, 0),))
     table = Table(
--- a/tests/policy/test_updates.py
+++ b/tests/policy/test_updates.py
@@ -180,7 +180,7 @@
         servers=servers, proxies=((0, 0),), message_cap=10, message_window=10000.0, cross_zone_cost=0.0
     )
     harness.slots(3)
-    harness.planner.outbox.message_times[0] = [harness.now] * 7  # over the share for changes
+    harness.planner.channel.message_times[0] = [harness.now] * 7  # over the share for changes
     start = len(harness.actions)
     harness.slots(3, failures={5: 20})
     assert harness.planner.pool.views[server_id(5)].is_ejected(harness.now)
@@ -205,7 +205,7 @@
         while 0 not in harness.bindings or server_id(number) in harness.shares(0):
             harness.slot()
             assert harness.now - removed_at < 3500.0
-    assert len([at for at in harness.planner.outbox.message_times[0] if at > harness.now - 10000.0]) <= 12
+    assert len([at for at in harness.planner.channel.message_times[0] if at > harness.now - 10000.0]) <= 12
 
 
 def test_new_lines_of_an_empty_table_do_not_wait() -> None:
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -94,7 +94,7 @@
             face.Acknowledged(proxy, action.nonce, 100.0)
             for action in actions
             if isinstance(action, face.AttachNonce)
-            for proxy in self.planner.outbox.pending_lines
+            for proxy in self.planner.channel.pending_lines
         ]
         return actions
 
--- a/tests/service/test_app.py
+++ b/tests/service/test_app.py
@@ -4,7 +4,7 @@
 
 from policy_harness import SETTINGS
 
-from stackwheel.policy.channel import Outbox
+from stackwheel.policy.channel import ChannelBudget
 from stackwheel.service.app import stream_timeout, with_slot_jitter
 from stackwheel.wire.connection_limits import RateLimiter
 
@@ -12,11 +12,11 @@
 def test_a_message_has_left_the_window_when_a_slot_comes_early() -> None:
     """In the simulator the tenth slot comes 10 s later to the millisecond, on sockets 3 ms early or late."""
     settings = replace(SETTINGS, message_cap=2, message_window=10_000.0)
-    outbox = Outbox(with_slot_jitter(settings))
+    channel = ChannelBudget(with_slot_jitter(settings))
     proxy = 3
-    outbox.message_times[proxy] = [1000.0, 2000.0]
-    outbox.begin(10_990.0, {})
-    assert outbox.may_write(proxy, 1.0)
+    channel.message_times[proxy] = [1000.0, 2000.0]
+    channel.begin(10_990.0, {})
+    assert channel.may_write(proxy, 1.0)
     assert replace(with_slot_jitter(settings), message_window=settings.message_window) == settings
 
 
--- a/tests/state/test_state_bounds.py
+++ b/tests/state/test_state_bounds.py
@@ -101,8 +101,8 @@
                             actor.updates.ejected,
                             policy.pool.views,
                             policy.peers.figures[1].rates,
-                            policy.outbox.unacknowledged,
-                            policy.outbox.message_times,
+                            policy.channel.unacknowledged,
+                            policy.channel.message_times,
                         )
                     ]
                     + [sum(len(lines) for lines in actor.updates.tables.values())]
