--- a/stackwheel/policy/joins.py
+++ b/stackwheel/policy/joins.py
@@ -23,7 +23,7 @@
 JOIN_START_QUEUE_SHARE = CHANGE_QUEUE_SHARE - JOIN_HEADROOM_SHARE
 """Of the queue limit: joins start under this, and stop at `CHANGE_QUEUE_SHARE`.
 
-Thus many proxies are assigned tables in one call, as each attempt costs time. Overdue joins don't wait for the headroom.
+Thus many proxies are assigned tables in one call, as each attempt costs time. Overdue joins need no headroom.
 """
 
 
