--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -156,7 +156,7 @@
         self._schedule(proxy, state)
 
     def endpoint_notified(self, planner: int, now: float, server: str, listed: ListedEndpoint) -> None:
-        """Discovery has told a planner of a server, and nothing newer before."""
+        """Discovery has notified a planner of a server, and of nothing newer before."""
         view = self.planners.get(planner)
         if view is None:
             return
--- a/stackwheel/rules/views.py
+++ b/stackwheel/rules/views.py
@@ -1,4 +1,4 @@
-"""What binds the planners and proxies of a run: what each planner was told, and since when limits run."""
+"""What binds the planners and proxies of a run: what each planner was notified of, and since when limits run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """A server as a planner was told of it.
+    """A server as a planner was notified of it.
 
     Attributes:
         availability: ready, draining or removed.
@@ -54,10 +54,10 @@
     Attributes:
         ready_at: ms, when it answered for the first time.
         limits_from: ms; no limit runs before.
-        listed: the servers that it was told of and that have not been removed.
-        unavailable_since: servers that it was told are draining, or removed where removals bind, and when (ms).
-        latest_start: for each server, the start time of the process that it was told of last.
-        listed_since: for each listed server, when it was told of its present process (ms).
+        listed: the servers that it was notified of and that have not been removed.
+        unavailable_since: servers that it was notified are draining, or removed where removals bind, and when (ms).
+        latest_start: for each server, the start time of the process that it was notified of last.
+        listed_since: for each listed server, when it was notified of its present process (ms).
         serviceable_since: zones and classes for which a warm server is listed, since when without a break (ms).
         message_times: for each proxy, when it sent messages to it within the window of the message cap.
     """
@@ -75,7 +75,7 @@
         """Whether an entry of an older generation says nothing any more.
 
         It is of a process that a later one has replaced under the same name, or shows a process as ready that the
-        planner was told is draining or removed since.
+        planner was notified is draining or removed since.
         """
         latest_start = self.latest_start.get(server, listed.started_at)
         if listed.started_at != latest_start:
@@ -83,7 +83,7 @@
         return listed.availability is Availability.READY and server in self.unavailable_since
 
     def notified(self, server: str, listed: ListedEndpoint, now: float, removal_is_advisory: bool) -> None:
-        """Note what the planner was told of a server."""
+        """Note what the planner was notified of about a server."""
         self.latest_start[server] = listed.started_at
         known = self.listed.get(server)
         if listed.availability is Availability.REMOVED:
--- a/stackwheel/rules/violations.py
+++ b/stackwheel/rules/violations.py
@@ -17,7 +17,7 @@
 """ms after SIGHUP during which no limit runs."""
 
 NOTIFICATION_DEADLINE = 6000.0
-"""ms after which what discovery has written counts as told, whether it arrived or not."""
+"""ms after which what discovery has written counts as received, whether it arrived or not."""
 
 
 class Rule(StrEnum):
