--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 from typing import NamedTuple, TypeAlias
 
 from stackwheel.interface import Server, Settings
@@ -44,15 +43,21 @@
     priority_weight: float
 
 
-@dataclass(slots=True)
 class ServerHeadroom:
-    """What a server can do now, in requests a second."""
+    """What a server can do now, in requests a second.
 
-    present: float
-    """Its capacity, as far as it has warmed up."""
-    others: float
-    """Sent by other planners' proxies."""
-    is_warm: bool
+    Attributes:
+        present: its capacity, as far as it has warmed up.
+        others: sent by other planners' proxies.
+        is_warm: whether it has warmed up.
+    """
+
+    __slots__ = ("is_warm", "others", "present")
+
+    def __init__(self, present: float, others: float, is_warm: bool) -> None:
+        self.present = present
+        self.others = others
+        self.is_warm = is_warm
 
 
 class Allocator:
--- a/stackwheel/policy/demand.py
+++ b/stackwheel/policy/demand.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from stackwheel.interface import DemandReport, ProxyJoined, Settings
@@ -27,14 +26,19 @@
     request_class: int
 
 
-@dataclass(slots=True)
 class DemandCounter:
-    """The requests of one class that a zone's proxies reported."""
+    """The requests of one class that a zone's proxies reported.
 
-    requests: float = 0.0
-    """Since the last count."""
-    rate: float = 0.0
-    """A second, averaged over counts."""
+    Attributes:
+        requests: since the last count.
+        rate: a second, averaged over counts.
+    """
+
+    __slots__ = ("rate", "requests")
+
+    def __init__(self) -> None:
+        self.requests = 0.0
+        self.rate = 0.0
 
 
 class DemandTracker:
--- a/stackwheel/policy/timers.py
+++ b/stackwheel/policy/timers.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 from typing import Final
 
 SLOT_TIMER: Final = 1 << 32
@@ -16,12 +15,14 @@
 """Only causes another call, in which withdrawals that the message cap deferred are sent."""
 
 
-@dataclass(slots=True)
 class Slot:
     """The newest slot: the periodic recomputation of estimates, shares and tables."""
 
-    number: int = 0
-    started_at: float = -math.inf
+    __slots__ = ("number", "started_at")
+
+    def __init__(self) -> None:
+        self.number = 0
+        self.started_at = -math.inf
 
     def begin(self, now: float) -> None:
         """Count a slot that starts now."""
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -6,7 +6,7 @@
 import math
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from loguru import logger
 
@@ -56,8 +56,7 @@
 """As the start time of a server that is not listed: no process has it."""
 
 
-@dataclass(frozen=True, slots=True)
-class PolicyOptions:
+class PolicyOptions(NamedTuple):
     """What a policy is made of.
 
     Attributes:
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from loguru import logger
 
@@ -39,8 +39,7 @@
 )
 
 
-@dataclass(frozen=True, slots=True)
-class ConnectionContext:
+class ConnectionContext(NamedTuple):
     """What all connections of one planner share.
 
     Attributes:
--- a/stackwheel/wire/discovery_calls.py
+++ b/stackwheel/wire/discovery_calls.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
-from dataclasses import dataclass
 
 from stackwheel.endpoints import EndpointList, merge
 from stackwheel.errors import InvalidInputError
@@ -13,7 +12,6 @@
 from stackwheel.wire.http import Call, CallError, Stage, get
 
 
-@dataclass(frozen=True, slots=True)
 class Heartbeat:
     """An empty line of a watch: nothing has changed, and the service is alive."""
 
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -5,9 +5,10 @@
 import asyncio
 import math
 from collections.abc import AsyncIterator, Callable
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from enum import Enum, auto
 from random import Random
+from typing import NamedTuple
 
 from loguru import logger
 
@@ -37,15 +38,13 @@
     HAND_OVER = auto()  # the same at a new address, after that has changed or the last attempt has failed
 
 
-@dataclass(frozen=True, slots=True)
-class ChangeAddress:
+class ChangeAddress(NamedTuple):
     """The command to look for discovery at another address from now on: "host:port" or several with commas."""
 
     address: str
 
 
-@dataclass(frozen=True, slots=True)
-class WatchEnd:
+class WatchEnd(NamedTuple):
     """How one watch at one replica ended.
 
     Attributes:
@@ -57,8 +56,7 @@
     received_list: bool
 
 
-@dataclass(frozen=True, slots=True)
-class DiscoveryOptions:
+class DiscoveryOptions(NamedTuple):
     """How a client gets the endpoint list.
 
     Attributes:
