--- a/stackwheel/endpoints.py
+++ b/stackwheel/endpoints.py
@@ -13,13 +13,13 @@
 
 from stackwheel.interface import Availability
 
-MAX_LIST_AGE = 6000.0
+MAX_LIST_AGE_MS = 6000.0
 """ms after which the protocol counts what discovery has sent as delivered; no list in transit is older."""
 
-MIN_REMOVED_KEPT = 64
+MIN_REMOVED_SERVER_LIMIT = 64
 """Removed servers that are remembered whatever the size of the list."""
 
-REMOVED_KEPT_RATIO = 2
+REMOVED_SERVER_LIMIT_PER_LISTED = 2
 """Removed servers remembered for each listed one, as the policy remembers them."""
 
 
@@ -123,7 +123,7 @@
     Attributes:
         first_received_at: ms, when the first such list arrived.
         generation: the generation of the list, or of the last change that was merged into it.
-        instances: its entries by name; bounded by the list and the names in the changes of `MAX_LIST_AGE`.
+        instances: its entries by name; bounded by the list and the names in the changes of `MAX_LIST_AGE_MS`.
         unreadable: names of entries that can't be read, as in `EndpointList`.
     """
 
--- a/stackwheel/errors.py
+++ b/stackwheel/errors.py
@@ -9,11 +9,11 @@
     """Something read from outside can't be used: a setting, a file, a message.
 
     Attributes:
-        place: the field, line or byte where the fault was found, in the words of the format that was read.
+        location: the field, line or byte where the fault was found, in the words of the format that was read.
         problem: what is wrong there, with the offending value shortened.
     """
 
-    def __init__(self, place: str, problem: str) -> None:
-        super().__init__(f"{place}: {problem}" if place else problem)
-        self.place = place
+    def __init__(self, location: str, problem: str) -> None:
+        super().__init__(f"{location}: {problem}" if location else problem)
+        self.location = location
         self.problem = problem
--- a/stackwheel/files/file_proxy.py
+++ b/stackwheel/files/file_proxy.py
@@ -7,11 +7,11 @@
 
 from stackwheel.files.content import TableContent, positive_lines
 from stackwheel.files.records import Incarnation, TableLevel
-from stackwheel.interface import Server
-from stackwheel.settings import Names
+from stackwheel.interface import ServerId
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
-NameOf = Callable[[Server], str | None]  # the name of a server's id, where it is known
+NameOf = Callable[[ServerId], str | None]  # the name of a server's id, where it is known
 
 
 class FileConnection:
@@ -58,7 +58,7 @@
     nonces: dict[int, int | None] = field(default_factory=dict)
     updated: bool = False
 
-    def apply(self, update: ProxyUpdate, names: Names, name_of: NameOf) -> None:
+    def apply(self, update: ProxyUpdate, names: ConfiguredNames, name_of: NameOf) -> None:
         """Bring the content to what an update says; servers without a name are left out."""
         for part in update.parts:
             self._apply_part(part, names, name_of)
@@ -72,7 +72,7 @@
         if update.nonce is not None:
             self.nonces[update.nonce] = None
 
-    def _apply_part(self, part: UpdatePart, names: Names, name_of: NameOf) -> None:
+    def _apply_part(self, part: UpdatePart, names: ConfiguredNames, name_of: NameOf) -> None:
         content = self.content
         lines = {name: weight for server, weight in part.lines if (name := name_of(server)) is not None}
         for number in part.classes:
--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -23,7 +23,7 @@
 from stackwheel.files.reader import FileReader, ReaderConfig
 from stackwheel.files.records import Incarnation, ProxyStatus, TableLevel, TableUpdate, WeightTable
 from stackwheel.interface import AdmissionLevel, Retry
-from stackwheel.settings import Names
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
@@ -177,7 +177,7 @@
     ids = ServerIds()
     for number in range(servers):
         ids.learn(f"s-{number}")
-    names = Names(CLASSES, ("east",), ("k",), ())
+    names = ConfiguredNames(CLASSES, ("east",), ("k",), ())
     settings = PublisherSettings(file_lifetime=3e4, deltas_per_base=20, report_interval=1e6)
     posted: list[PlannerMessage] = []
     return FilePublisher(
--- a/stackwheel/files/publisher_state.py
+++ b/stackwheel/files/publisher_state.py
@@ -12,7 +12,7 @@
 from stackwheel.files.file_proxy import FileConnection, FileProxy, NameOf
 from stackwheel.files.incarnations import next_incarnation
 from stackwheel.files.records import Incarnation, ProxyStatus, Reservation, ServerObservation, TableUpdate
-from stackwheel.settings import Names
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
@@ -37,7 +37,13 @@
     """
 
     def __init__(
-        self, planner: str, names: Names, proxy_count: int, settings: PublisherSettings, name_of: NameOf, salt: int
+        self,
+        planner: str,
+        names: ConfiguredNames,
+        proxy_count: int,
+        settings: PublisherSettings,
+        name_of: NameOf,
+        salt: int,
     ) -> None:
         self.planner = planner
         self.names = names
--- a/stackwheel/interface/__init__.py
+++ b/stackwheel/interface/__init__.py
@@ -26,7 +26,7 @@
     Availability,
     EndpointEntry,
     EndpointUpdate,
-    Server,
+    ServerId,
     UpdateKind,
 )
 from stackwheel.interface.events import (
@@ -84,7 +84,7 @@
     "RequestClass",
     "Retry",
     "SendGossip",
-    "Server",
+    "ServerId",
     "SetAdmission",
     "SetEjection",
     "SetTimer",
--- a/stackwheel/interface/actions.py
+++ b/stackwheel/interface/actions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple, TypeAlias
 
-from stackwheel.interface.endpoints import Server
+from stackwheel.interface.endpoints import ServerId
 from stackwheel.interface.settings import Retry
 
 
@@ -14,7 +14,7 @@
     """Action: set a server's weight in a table; 0 removes the line."""
 
     table: int
-    server: Server
+    server: ServerId
     weight: float
 
 
@@ -44,7 +44,7 @@
 class SetEjection:
     """Action: have all proxies avoid a server, or use it again, whatever their tables say."""
 
-    server: Server
+    server: ServerId
     ejected: bool
 
 
@@ -67,13 +67,13 @@
     Attributes:
         table: the table's number; 0xFFFF: all tables, standing ones included.
         classes: the classes; empty: all of them.
-        level: as `AdmissionLevel.admitted`.
+        admitted: as in `AdmissionLevel`.
         retry: the retry mode.
     """
 
     table: int
     classes: tuple[int, ...]
-    level: float
+    admitted: float
     retry: Retry
 
 
@@ -102,7 +102,7 @@
 class StartHealthCheck:
     """Action: call a server; `HealthCheckResult` follows."""
 
-    server: Server
+    server: ServerId
 
 
 @dataclass(frozen=True, slots=True)
--- a/stackwheel/interface/endpoints.py
+++ b/stackwheel/interface/endpoints.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 from typing import NewType
 
-Server = NewType("Server", bytes)
+ServerId = NewType("ServerId", bytes)
 """An opaque id of a server: compare it, sort it, give it back unchanged."""
 
 
@@ -48,7 +48,7 @@
         started_at: when its process started, Unix ms; 0: long ago.
     """
 
-    server: Server
+    server: ServerId
     zone: int
     kind: int
     cell: int
@@ -63,10 +63,10 @@
 
     Attributes:
         kind: how much the update says.
-        version: generation of the list.
+        generation: generation of the list.
         entries: the servers it names; none if the kind is `FAILED`.
     """
 
     kind: UpdateKind
-    version: int
+    generation: int
     entries: tuple[EndpointEntry, ...] = ()
--- a/stackwheel/interface/events.py
+++ b/stackwheel/interface/events.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 from typing import TypeAlias
 
-from stackwheel.interface.endpoints import EndpointUpdate, Server
+from stackwheel.interface.endpoints import EndpointUpdate, ServerId
 
 
 class HealthCheckOutcome(IntEnum):
@@ -45,7 +45,7 @@
         load: the server's load by load column, where its answer stated it.
     """
 
-    server: Server
+    server: ServerId
     outcome: int
     elapsed: float
     load: tuple[float, ...] = ()
@@ -113,7 +113,7 @@
     """
 
     zone: int
-    server: Server
+    server: ServerId
     attempts: int
     failures: int
     mean_latency: float
@@ -164,7 +164,7 @@
     """Event: a line that the table of a granted slice has; `weight` is relative to the others."""
 
     table: int
-    server: Server
+    server: ServerId
     weight: float
 
 
--- a/stackwheel/interface/settings.py
+++ b/stackwheel/interface/settings.py
@@ -65,10 +65,10 @@
     """What the planner is configured with, in groups.
 
     Attributes:
-        planner_index: this planner's place among the planners.
+        planner_index: this planner's index among the planners.
         planner_count: planners of the deployment.
         home_zone: the zone that this planner runs in.
-        zones: number of zones.
+        zone_count: number of zones.
         classes: the request classes.
         load_columns: the figures of a server's own load, in the order in which reports give them.
 
@@ -85,7 +85,7 @@
         report_interval: ms between two reports of a proxy, and the length of a slot.
         load_balancing_policy: how proxies choose among the lines of a table.
         default_retry: the retry mode where a table says nothing.
-        retry_factor: time of one attempt as a multiple of the latency objective; the policy does not use it.
+        attempt_duration_factor: time of one attempt as a multiple of the latency objective; the policy does not use it.
         consecutive_failure_limit: failures in a row after which a proxy avoids a server for a while; 0: never.
         admission_mode: what an admission level states.
         key_range_count: slices of the key space that have a table each; 0: tables are assigned to proxies.
@@ -110,7 +110,7 @@
     planner_index: int = 0
     planner_count: int = 1
     home_zone: int = 0
-    zones: int = 1
+    zone_count: int = 1
     classes: tuple[RequestClass, ...] = ()
     load_columns: tuple[str, ...] = ()
 
@@ -129,7 +129,7 @@
     report_interval: float = 1000.0
     load_balancing_policy: LoadBalancingPolicy = "weighted"
     default_retry: Retry = Retry.ONCE_IF_NOT_EXECUTED
-    retry_factor: float = 1.0
+    attempt_duration_factor: float = 1.0
     consecutive_failure_limit: int = 0
     admission_mode: AdmissionMode = "off"
     key_range_count: int = 0
--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -5,7 +5,7 @@
 import math
 from typing import NamedTuple, TypeAlias
 
-from stackwheel.interface import Server, Settings
+from stackwheel.interface import ServerId, Settings
 from stackwheel.policy.capacity import TARGET_USE
 from stackwheel.policy.demand import MIN_DEMAND_PER_S, DemandKey, DemandTracker
 from stackwheel.policy.estimates import LoadEstimates
@@ -126,7 +126,7 @@
         joined = len(self.demand.proxies) + sum(figures.proxies for figures in fresh)
         return fraction * min(1.0, joined / self.settings.proxy_count)
 
-    def server_headrooms(self, now: float) -> dict[Server, ServerHeadroom]:
+    def server_headrooms(self, now: float) -> dict[ServerId, ServerHeadroom]:
         """What every server in the pool can do now."""
         headrooms = {}
         for server, view in self.pool.views.items():
@@ -136,7 +136,7 @@
             headrooms[server] = ServerHeadroom(view.capacity * available, others, is_warm)
         return headrooms
 
-    def spare_capacity(self, headrooms: dict[Server, ServerHeadroom], use: float, placed: Placement) -> Rates:
+    def spare_capacity(self, headrooms: dict[ServerId, ServerHeadroom], use: float, placed: Placement) -> Rates:
         """What we may still place on each server before it is used beyond `use`.
 
         A warming server has a lower limit, of which we take our share; others' load there is not known in time.
@@ -156,7 +156,7 @@
         return spare
 
     def attractions(
-        self, keys: list[DemandKey], headrooms: dict[Server, ServerHeadroom], demand: float, now: float
+        self, keys: list[DemandKey], headrooms: dict[ServerId, ServerHeadroom], demand: float, now: float
     ) -> Placement:
         """How much each zone's classes are drawn to each server that they may use.
 
@@ -182,7 +182,7 @@
                 attraction[view.entry.server] = 0.0 if view.is_ejected(now) else score**-SCORE_POWER
         return attractions
 
-    def place_excess(self, excess: float, placed: Rates, headrooms: dict[Server, ServerHeadroom], now: float) -> None:
+    def place_excess(self, excess: float, placed: Rates, headrooms: dict[ServerId, ServerHeadroom], now: float) -> None:
         """Spread what found no spare capacity by capacity: over healthy servers if any, else over those not ejected."""
         ejected = {server for server in placed if self.pool.views[server].is_ejected(now)}
         able = [server for server in placed if headrooms[server].is_warm and server not in ejected]
--- a/stackwheel/policy/demand.py
+++ b/stackwheel/policy/demand.py
@@ -46,7 +46,7 @@
 
     def __init__(self, settings: Settings, proxies: dict[int, ProxyView]) -> None:
         self.proxies = proxies
-        self.zones = range(settings.zones)
+        self.zones = range(settings.zone_count)
         self.classes = range(len(settings.classes))
         self.promise_ms = PROMISE_INTERVALS * settings.report_interval
         self.counters: dict[int, list[DemandCounter]] = {}
--- a/stackwheel/policy/gossip.py
+++ b/stackwheel/policy/gossip.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from stackwheel.errors import InvalidInputError
-from stackwheel.interface import Server
+from stackwheel.interface import ServerId
 
 HEADER = struct.Struct(">H")
 """Proxies joined to the sender."""
@@ -29,7 +29,7 @@
     """One datagram of a peer; a peer with many servers sends several."""
 
     proxies: int
-    rates: dict[Server, float]
+    rates: dict[ServerId, float]
     """Requests a second that its proxies send, by server."""
 
 
@@ -37,7 +37,7 @@
     """A datagram that no planner of this version sends."""
 
 
-def encode(proxies: int, rates: Mapping[Server, float]) -> list[bytes]:
+def encode(proxies: int, rates: Mapping[ServerId, float]) -> list[bytes]:
     """Encode a planner's figures in as many datagrams as they need; none where it knows no server."""
     header = HEADER.pack(min(MAX_FIELD, proxies))
     lines = [
@@ -58,4 +58,4 @@
         raise MalformedGossipError("gossip datagram", f"{len(payload)} bytes are no header and lines")
     (proxies,) = HEADER.unpack_from(payload)
     lines = LINE.iter_unpack(payload[HEADER.size :])
-    return GossipMessage(proxies, {Server(server): rate / RATE_UNITS_PER_REQUEST for server, rate in lines})
+    return GossipMessage(proxies, {ServerId(server): rate / RATE_UNITS_PER_REQUEST for server, rate in lines})
--- a/stackwheel/policy/servers.py
+++ b/stackwheel/policy/servers.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple, TypeAlias
 
-from stackwheel.interface import Availability, EndpointEntry, Server, Settings
+from stackwheel.interface import Availability, EndpointEntry, ServerId, Settings
 from stackwheel.policy.slow_start import SlowStart
 
-Rates: TypeAlias = dict[Server, float]
+Rates: TypeAlias = dict[ServerId, float]
 """Requests a second, shares or weights by server."""
 
 MAX_ENDPOINT_WEIGHT = 1e6
@@ -81,8 +81,8 @@
 class ReadyServers(NamedTuple):
     """The servers that tables may hold, as of now."""
 
-    servers: list[Server]
-    uncapped: set[Server]
+    servers: list[ServerId]
+    uncapped: set[ServerId]
     """Those of them that are warming up or ejected: their weights take new values at once, without steps."""
 
 
@@ -92,7 +92,7 @@
     def __init__(self, settings: Settings) -> None:
         self.classes = settings.classes
         self.slow_start = SlowStart(settings)
-        self.views: dict[Server, ServerView] = {}
+        self.views: dict[ServerId, ServerView] = {}
 
     def ready(self) -> list[ServerView]:
         """The servers that may get requests."""
--- a/stackwheel/policy/tables.py
+++ b/stackwheel/policy/tables.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from stackwheel.interface import AdmissionLevel, Server
+from stackwheel.interface import AdmissionLevel, ServerId
 from stackwheel.policy.arithmetic import bounded
 from stackwheel.policy.servers import Rates, ReadyServers, ServerPool
 
@@ -27,7 +27,7 @@
     zone: int
     classes: tuple[int, ...]
     """The request classes that share it, as they may go to the same servers."""
-    members: list[Server] = field(default_factory=list)
+    members: list[ServerId] = field(default_factory=list)
     """Of a short table: the servers that it may hold."""
     shares: Rates = field(default_factory=dict)
     """Wanted, summing to about 1."""
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -10,7 +10,7 @@
     Action,
     AdmissionLevel,
     Availability,
-    Server,
+    ServerId,
     SetAdmission,
     SetTimer,
     Settings,
@@ -65,7 +65,7 @@
     negated_size: float
     position: int
     """Of its table in the group."""
-    server: Server
+    server: ServerId
     weight: float
 
 
@@ -135,7 +135,7 @@
         for group in groups:
             self.send_group(group, admitted, only_urgent, now)
 
-    def has_withdrawals(self, group: TableGroup, ready: set[Server]) -> bool:
+    def has_withdrawals(self, group: TableGroup, ready: set[ServerId]) -> bool:
         """Whether the group's proxies have lines of servers that are not ready."""
         return any(server not in ready for table in group.tables for server in table.sent)
 
@@ -245,7 +245,7 @@
                 changes.append(WeightChange(urgency, -size, position, server, new))
         return changes
 
-    def change_urgency(self, server: Server, old: float, new: float, now: float) -> Urgency:
+    def change_urgency(self, server: ServerId, old: float, new: float, now: float) -> Urgency:
         """How long the change of a line that proxies have been sent may wait."""
         if old <= OVERWEIGHT_MULTIPLE * new:
             return Urgency.ROUTINE
--- a/stackwheel/relay/cell_view.py
+++ b/stackwheel/relay/cell_view.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from stackwheel.endpoints import MAX_LIST_AGE, MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO, Instance
+from stackwheel.endpoints import MAX_LIST_AGE_MS, MIN_REMOVED_SERVER_LIMIT, REMOVED_SERVER_LIMIT_PER_LISTED, Instance
 from stackwheel.interface import Availability
 from stackwheel.relay.encoding import encode_instance, encode_line, encode_unreadable
 
@@ -128,7 +128,7 @@
                 self.newer_generations.pop(next(iter(self.newer_generations)))
             first_call = now
             self.newer_generations[since] = first_call
-        return now < first_call + MAX_LIST_AGE
+        return now < first_call + MAX_LIST_AGE_MS
 
     def _changed_after(self, since: int) -> list[bytes]:
         return [
@@ -139,7 +139,7 @@
         ]
 
     def _forget_removed(self) -> None:
-        limit = max(MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO * len(self.listed))
+        limit = max(MIN_REMOVED_SERVER_LIMIT, REMOVED_SERVER_LIMIT_PER_LISTED * len(self.listed))
         while len(self.removed) > limit:
             name = next(iter(self.removed))
             forgotten = self.removed.pop(name)
--- a/stackwheel/relay/watch_cache.py
+++ b/stackwheel/relay/watch_cache.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from stackwheel.endpoints import (
-    MAX_LIST_AGE,
+    MAX_LIST_AGE_MS,
     EndpointList,
     EntryFreshness,
     Instance,
@@ -278,7 +278,7 @@
             first_received_at = now if pending is None else pending.snapshot.first_received_at
             snapshot = StaleSnapshot.from_list(endpoint_list, first_received_at)
             revives = self._revives_any(endpoint_list)
-            self.pending_restart = PendingRestart(snapshot, MAX_LIST_AGE if revives else self.heartbeat_interval)
+            self.pending_restart = PendingRestart(snapshot, MAX_LIST_AGE_MS if revives else self.heartbeat_interval)
         elif pending is not None:
             pending.snapshot.advance(endpoint_list)
         new_entries = [instance for instance in endpoint_list.instances if self._is_new(instance)]
--- a/stackwheel/scale/hollow_endpoints.py
+++ b/stackwheel/scale/hollow_endpoints.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 
 from stackwheel.endpoints import EndpointList, Instance
-from stackwheel.interface import Availability, EndpointEntry, Server, UpdateKind
+from stackwheel.interface import Availability, EndpointEntry, ServerId, UpdateKind
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds, server_id
 
@@ -57,7 +57,7 @@
         self.addresses[entry.server] = self.shared.address(instance.address)
         return self.shared.entry(entry)
 
-    def forget(self, server: Server) -> None:
+    def forget(self, server: ServerId) -> None:
         """Drop a removed server from this cache; its id may still be used by another planner."""
         self.removed.pop(server, None)
 
@@ -80,7 +80,7 @@
         changed = [entry for server, entry in self.entries.items() if before.get(server) != entry]
         return changed + [removed_entry(entry) for server, entry in before.items() if server not in self.entries]
 
-    def entries_that_may_change(self, endpoint_list: EndpointList) -> dict[Server, EndpointEntry]:
+    def entries_that_may_change(self, endpoint_list: EndpointList) -> dict[ServerId, EndpointEntry]:
         """A copy of the entries that a list may change: the cache changes them in place."""
         if endpoint_list.complete:
             return dict(self.entries)
--- a/stackwheel/scale/propagation_records.py
+++ b/stackwheel/scale/propagation_records.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from stackwheel.interface import EndpointEntry, Server
+from stackwheel.interface import EndpointEntry, ServerId
 from stackwheel.scale.control import EntryRecord, Records, RestartRecord
 
 MAX_RECORDS = 4_000_000  # of a process: 12 bytes each, 48 MB; 1,000 planners with 4,000 changes each
@@ -54,7 +54,7 @@
         """Record that a planner has a list again after a restart."""
         self.restarts.append(RestartRecord(planner, ended, ready_at))
 
-    def message(self, name_of: Callable[[Server], str | None]) -> Records:
+    def message(self, name_of: Callable[[ServerId], str | None]) -> Records:
         """All records, with the servers' names; `name_of`: the name of a server by its id."""
         entries = [
             EntryRecord(
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -14,7 +14,7 @@
 from stackwheel.endpoints import EndpointList
 from stackwheel.errors import InvalidInputError
 from stackwheel.interface import Settings
-from stackwheel.settings import Names, SettingsError, load_settings
+from stackwheel.settings import ConfiguredNames, SettingsError, load_settings
 from stackwheel.wire.discovery_protocol import read_endpoint_list, replica_addresses
 from stackwheel.wire.http import split_address
 from stackwheel.wire.transport import Addresses
@@ -30,7 +30,7 @@
 
 
 class ConfigError(InvalidInputError):
-    """The configuration can't be used; `place` is the file or the key."""
+    """The configuration can't be used; `location` is the file or the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
     addresses: Addresses
     seed: int
     settings: Settings
-    names: Names
+    names: ConfiguredNames
     cached_endpoints: EndpointList
     defaulted_settings: tuple[str, ...] = ()
 
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -16,7 +16,7 @@
 
 from loguru import logger
 
-from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
+from stackwheel.endpoints import MAX_LIST_AGE_MS, EndpointList
 from stackwheel.relay.watch_cache import WatchCache
 from stackwheel.service.logging_setup import start_logging
 from stackwheel.service.relay_config import (
@@ -85,7 +85,7 @@
             DiscoveryOptions(
                 always_watch=True,
                 # polled again at the latest after a part of the time that any list may be old
-                poll_deadline_ms=MAX_LIST_AGE,
+                poll_deadline_ms=MAX_LIST_AGE_MS,
                 renewal_interval_ms=timing.watch_renewal_interval(len(assignment.plan.relays)),
                 on_heartbeat=self.mark_upstream_alive,
             ),
--- a/stackwheel/service/relay_config.py
+++ b/stackwheel/service/relay_config.py
@@ -82,7 +82,7 @@
     try:
         plan = load_plan(path)
     except CellPlanError as error:
-        raise RelayConfigError(error.place, error.problem) from error
+        raise RelayConfigError(error.location, error.problem) from error
     return assignment_for_relay(name, plan, str(path))
 
 
--- a/stackwheel/settings.py
+++ b/stackwheel/settings.py
@@ -19,10 +19,10 @@
 
 
 class SettingsError(InvalidInputError):
-    """The settings can't be used; `place` is the path of the setting."""
+    """The settings can't be used; `location` is the path of the setting."""
 
 
-LOAD_COLUMN_NAMES = {
+LOAD_COLUMN_ALIASES = {
     "inflight": "outstanding",
     "queue": "backlog",
     "util": "utilization",
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class ConfiguredNames:
     """What the settings name and the policy knows by its index, and what only the transport needs.
 
     Attributes:
@@ -62,7 +62,7 @@
     """All that settings say, and the paths that they lack: a misspelt path quietly becomes a default."""
 
     settings: Settings
-    names: Names
+    names: ConfiguredNames
     absent_paths: tuple[str, ...]
 
 
@@ -212,14 +212,14 @@
     return read_obligations(reader, settings)
 
 
-def build_names(reader: SettingsReader, settings: Settings) -> Names:
+def build_names(reader: SettingsReader, settings: Settings) -> ConfiguredNames:
     """The names that go with the settings."""
-    return Names(
+    return ConfiguredNames(
         classes=tuple(request_class.name for request_class in settings.classes),
         zones=reader.texts("zones"),
         kinds=reader.texts("kinds"),
         columns=settings.load_columns,
-        batch_delay=reader.number("tick", Names().batch_delay),
+        batch_delay=reader.number("tick", ConfiguredNames().batch_delay),
         health_check_returns_load=reader.is_enabled("load_report.source"),
     )
 
@@ -231,9 +231,9 @@
         planner_index=reader.integer("me", defaults.planner_index),
         planner_count=max(1, reader.integer("instances", defaults.planner_count)),
         home_zone=reader.integer("zone", defaults.home_zone),
-        zones=max(1, len(reader.texts("zones"))),
+        zone_count=max(1, len(reader.texts("zones"))),
         classes=read_classes(reader),
-        load_columns=tuple(LOAD_COLUMN_NAMES.get(name, name) for name in reader.texts("load_report.columns")),
+        load_columns=tuple(LOAD_COLUMN_ALIASES.get(name, name) for name in reader.texts("load_report.columns")),
         endpoint_weights_enabled=reader.is_enabled("weight_kind"),
         endpoint_list_on_request=reader.choice("discovery", "pushed", ("pushed", "on_request")) == "on_request",
         list_poll_deadline=reader.number("obligations.ask_within", defaults.list_poll_deadline),
@@ -268,7 +268,7 @@
             "family_info.lb_method", defaults.load_balancing_policy, ("weighted", "round", "two")
         ),
         default_retry=read_default_retry(reader, defaults.default_retry),
-        retry_factor=reader.number("family_info.try_factor", defaults.retry_factor),
+        attempt_duration_factor=reader.number("family_info.try_factor", defaults.attempt_duration_factor),
         consecutive_failure_limit=reader.integer("family_info.strikes", defaults.consecutive_failure_limit),
         key_range_count=reader.integer("family_info.key_ranges", defaults.key_range_count),
         exclusive_key_ranges=reader.flag("family_info.exclusive", defaults.exclusive_key_ranges),
--- a/stackwheel/simulator/decoder.py
+++ b/stackwheel/simulator/decoder.py
@@ -22,7 +22,7 @@
     LoadReport,
     ProxyJoined,
     ProxyLeft,
-    Server,
+    ServerId,
     TimerFired,
     UpdateKind,
 )
@@ -135,7 +135,7 @@
     server, zone, kind, cell, availability, weight, started_at = fields
     if availability > max(Availability):
         raise WireError(reader.place, f"availability {availability} is reserved")
-    return EndpointEntry(Server(server), zone, kind, cell, Availability(availability), weight, started_at)
+    return EndpointEntry(ServerId(server), zone, kind, cell, Availability(availability), weight, started_at)
 
 
 def read_create_planner(reader: FieldReader) -> CreatePlanner:
--- a/stackwheel/simulator/field_reader.py
+++ b/stackwheel/simulator/field_reader.py
@@ -4,7 +4,7 @@
 
 import struct
 
-from stackwheel.interface import Server
+from stackwheel.interface import ServerId
 from stackwheel.simulator.errors import WireError
 from stackwheel.simulator.framing import RECORD_HEADER, Record
 
@@ -64,9 +64,9 @@
         """A number of double precision."""
         return self._read_float(FLOAT64)
 
-    def read_server(self) -> Server:
+    def read_server(self) -> ServerId:
         """A server's id."""
-        return Server(self.read_bytes(SERVER_ID_BYTES))
+        return ServerId(self.read_bytes(SERVER_ID_BYTES))
 
     def read_flag(self) -> bool:
         """A byte that is 0 or 1; WireError if it is another."""
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -9,9 +9,9 @@
 from loguru import logger
 
 from stackwheel.endpoints import (
-    MAX_LIST_AGE,
-    MIN_REMOVED_KEPT,
-    REMOVED_KEPT_RATIO,
+    MAX_LIST_AGE_MS,
+    MIN_REMOVED_SERVER_LIMIT,
+    REMOVED_SERVER_LIMIT_PER_LISTED,
     EndpointList,
     EntryFreshness,
     Instance,
@@ -20,7 +20,7 @@
     entry_freshness,
     latest_by_name,
 )
-from stackwheel.interface import Availability, EndpointEntry, EndpointUpdate, Server, UpdateKind
+from stackwheel.interface import Availability, EndpointEntry, EndpointUpdate, ServerId, UpdateKind
 from stackwheel.state.server_ids import ServerIds, server_id
 
 MAX_ZONE_LOGGED = 40
@@ -41,7 +41,7 @@
         removed: when the process of each removed server had started, the oldest removal first. The owner forgets
             those of `excess_removed` that nothing names any more; each of them may return.
         restarted: those of `entries` that had an earlier process under the same id.
-        stale_snapshot: a complete list that is deferred, if any; for `MAX_LIST_AGE` at most.
+        stale_snapshot: a complete list that is deferred, if any; for `MAX_LIST_AGE_MS` at most.
         refetch_needed: whether a deferred list was overtaken by changes: if discovery had started its generations
             again, the servers that left by that list are not known.
     """
@@ -54,10 +54,10 @@
         self.server_ids = ids
         self.removal_is_advisory = removal_is_advisory
         self.generation = 0
-        self.entries: dict[Server, EndpointEntry] = {}
-        self.addresses: dict[Server, str] = {}
-        self.removed: dict[Server, float] = {}
-        self.restarted: dict[Server, None] = {}
+        self.entries: dict[ServerId, EndpointEntry] = {}
+        self.addresses: dict[ServerId, str] = {}
+        self.removed: dict[ServerId, float] = {}
+        self.restarted: dict[ServerId, None] = {}
         self.stale_snapshot: StaleSnapshot | None = None
         self.refetch_needed = False
 
@@ -120,7 +120,7 @@
 
     def confirmed_snapshot(self, now: float) -> EndpointList | None:
         """The complete list that was deferred, once nothing newer can be in transit; it is to be applied."""
-        if self.stale_snapshot is None or now < self.stale_snapshot.first_received_at + MAX_LIST_AGE:
+        if self.stale_snapshot is None or now < self.stale_snapshot.first_received_at + MAX_LIST_AGE_MS:
             return None
         return self.stale_snapshot.endpoint_list()
 
@@ -161,24 +161,24 @@
         """The event that notifies the policy that a call for the list has failed."""
         return EndpointUpdate(UpdateKind.FAILED, self.generation)
 
-    def predates_current_process(self, server: Server, since: float) -> bool:
+    def predates_current_process(self, server: ServerId, since: float) -> bool:
         """Whether what was measured at a server from `since` (ms) on may be of an earlier process under its id."""
         entry = self.entries.get(server)
         return entry is not None and server in self.restarted and since < entry.started_at
 
-    def excess_removed(self) -> list[Server]:
+    def excess_removed(self) -> list[ServerId]:
         """The removed servers beyond the bound, to be forgotten once nothing names them."""
-        bound = max(MIN_REMOVED_KEPT, REMOVED_KEPT_RATIO * len(self.entries))
+        bound = max(MIN_REMOVED_SERVER_LIMIT, REMOVED_SERVER_LIMIT_PER_LISTED * len(self.entries))
         return list(islice(self.removed, max(0, len(self.removed) - bound)))
 
-    def forget(self, server: Server) -> None:
+    def forget(self, server: ServerId) -> None:
         """Forget a removed server and its name."""
         self.removed.pop(server, None)
         self.server_ids.forget(server)
 
     # Steps
 
-    def _known_process(self, server: Server) -> KnownProcess | None:
+    def _known_process(self, server: ServerId) -> KnownProcess | None:
         """The latest process known under an id, listed or removed."""
         entry = self.entries.get(server)
         if entry is not None:
@@ -215,13 +215,13 @@
             "endpoint list deferred: generation={} duration_s={:g} reason=it lists servers that drain or have left "
             "by generation {}",
             received.generation,
-            MAX_LIST_AGE / 1000.0,
+            MAX_LIST_AGE_MS / 1000.0,
             self.generation,
         )
         first_received_at = now if self.stale_snapshot is None else self.stale_snapshot.first_received_at
         self.stale_snapshot = StaleSnapshot.from_list(received, first_received_at)
 
-    def _unreadable_entries(self, complete: EndpointList, read: set[Server]) -> dict[Server, EndpointEntry]:
+    def _unreadable_entries(self, complete: EndpointList, read: set[ServerId]) -> dict[ServerId, EndpointEntry]:
         """Known servers that a complete list may name in an entry that can't be used: they have not left."""
         named = {server_id(name) for name in complete.unreadable}
         named |= {server_id(instance.name) for instance in complete.instances}  # of an unknown zone, say
@@ -232,7 +232,7 @@
             if server not in read and (any_server or server in named)
         }
 
-    def _unlisted(self, listed: dict[Server, EndpointEntry]) -> dict[Server, float]:
+    def _unlisted(self, listed: dict[ServerId, EndpointEntry]) -> dict[ServerId, float]:
         """The known servers that are not among these, and when their processes had started."""
         return {server: entry.started_at for server, entry in self.entries.items() if server not in listed}
 
@@ -242,7 +242,7 @@
             if known is not None and entry.started_at > known.started_at:
                 self.restarted[entry.server] = None
 
-    def _record_removals(self, removed: dict[Server, float]) -> None:
+    def _record_removals(self, removed: dict[ServerId, float]) -> None:
         for server, started_at in removed.items():
             self.entries.pop(server, None)
             self.removed[server] = started_at
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
+from stackwheel.endpoints import MAX_LIST_AGE_MS, EndpointList
 from stackwheel.interface import (
     Acknowledged,
     Action,
@@ -22,7 +22,7 @@
     LoadReport,
     Log,
     SendGossip,
-    Server,
+    ServerId,
     SetTimer,
     Settings,
     StartHealthCheck,
@@ -155,7 +155,7 @@
             logger.warning(
                 "endpoint list accepted: generation={} duration_s={:g} reason=it was deferred and nothing newer came",
                 confirmed.generation,
-                MAX_LIST_AGE / 1000.0,
+                MAX_LIST_AGE_MS / 1000.0,
             )
             events.append(self.endpoints.apply(confirmed))
         if self.endpoints.take_refetch_needed():
@@ -242,7 +242,7 @@
             case GossipReceived():
                 return True
 
-    def _health_check_target(self, server: Server) -> HealthCheckTarget:
+    def _health_check_target(self, server: ServerId) -> HealthCheckTarget:
         """What a health check of that server is meant for now."""
         entry = self.endpoints.entries.get(server)
         started_at = entry.started_at if entry is not None else NO_PROCESS
--- a/stackwheel/state/ports.py
+++ b/stackwheel/state/ports.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from stackwheel.interface import Server
+from stackwheel.interface import ServerId
 from stackwheel.state.messages import HealthCheckTarget
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
@@ -23,7 +23,7 @@
     def fetch_endpoints(self) -> None:
         """Ask for the complete endpoint list once."""
 
-    def start_health_check(self, server: Server, target: HealthCheckTarget) -> None:
+    def start_health_check(self, server: ServerId, target: HealthCheckTarget) -> None:
         """Call a server; `HealthCheckCompleted` with this target follows."""
 
     def send_gossip(self, payload: bytes, peer: int | None) -> None:
--- a/stackwheel/state/server_ids.py
+++ b/stackwheel/state/server_ids.py
@@ -6,15 +6,15 @@
 
 from loguru import logger
 
-from stackwheel.interface import Server
+from stackwheel.interface import ServerId
 
 ID_BYTES = 6
 """Length of an id, as the simulator's wire has it."""
 
 
-def server_id(name: str) -> Server:
+def server_id(name: str) -> ServerId:
     """The id of the server with that name."""
-    return Server(hashlib.blake2b(name.encode(), digest_size=ID_BYTES).digest())
+    return ServerId(hashlib.blake2b(name.encode(), digest_size=ID_BYTES).digest())
 
 
 class ServerIds:
@@ -25,9 +25,9 @@
     """
 
     def __init__(self) -> None:
-        self.names: dict[Server, str] = {}
+        self.names: dict[ServerId, str] = {}
 
-    def learn(self, name: str) -> Server | None:
+    def learn(self, name: str) -> ServerId | None:
         """The id of a listed server; None if another server has the same, which would then get its updates."""
         server = server_id(name)
         known = self.names.setdefault(server, name)
@@ -36,10 +36,10 @@
             return None
         return server
 
-    def name(self, server: Server) -> str | None:
+    def name(self, server: ServerId) -> str | None:
         """The name of a server; None if it is not known."""
         return self.names.get(server)
 
-    def forget(self, server: Server) -> None:
+    def forget(self, server: ServerId) -> None:
         """Forget a server."""
         self.names.pop(server, None)
--- a/stackwheel/state/streams.py
+++ b/stackwheel/state/streams.py
@@ -9,7 +9,7 @@
 
 from loguru import logger
 
-from stackwheel.interface import Event, ProxyJoined, ProxyLeft, Server
+from stackwheel.interface import Event, ProxyJoined, ProxyLeft, ServerId
 
 MAX_PENDING_NONCES = 64
 """Unacknowledged nonces remembered for a stream: more than are sent before it times out."""
@@ -53,7 +53,7 @@
     newly_started: bool
     connection: StreamConnection
     table_by_class: dict[int, int] = field(default_factory=dict)
-    ejected: dict[Server, bool] = field(default_factory=dict)
+    ejected: dict[ServerId, bool] = field(default_factory=dict)
     ack_pending_since: float | None = None
     pending_nonces: dict[int, float] = field(default_factory=dict)
 
@@ -153,7 +153,7 @@
                 break
         return True
 
-    def forget(self, server: Server) -> None:
+    def forget(self, server: ServerId) -> None:
         """Forget ejections of a server that is remembered no longer."""
         for stream in self.by_proxy.values():
             stream.ejected.pop(server, None)
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -12,7 +12,7 @@
     AssignTable,
     AttachNonce,
     ClearTable,
-    Server,
+    ServerId,
     SetAdmission,
     SetEjection,
     SetWeight,
@@ -25,7 +25,7 @@
 NONCES_PER_INCARNATION = 1 << 16
 """The policy's nonces are below it; on the wire each incarnation of the policy has as many of its own."""
 
-TableLines: TypeAlias = dict[Server, float]
+TableLines: TypeAlias = dict[ServerId, float]
 """Weights above 0 by server, in the order in which they were set first."""
 
 ClassLevels: TypeAlias = dict[int, AdmissionLevel | None]
@@ -45,7 +45,7 @@
 
     classes: tuple[int, ...]
     complete: bool
-    lines: tuple[tuple[Server, float], ...] = ()
+    lines: tuple[tuple[ServerId, float], ...] = ()
     level: AdmissionLevel | None = None
 
     def cost(self) -> int:
@@ -67,8 +67,8 @@
 
     proxy: int
     parts: tuple[UpdatePart, ...] = ()
-    eject: tuple[Server, ...] = ()
-    restore: tuple[Server, ...] = ()
+    eject: tuple[ServerId, ...] = ()
+    restore: tuple[ServerId, ...] = ()
     nonce: int | None = None
 
     def cost(self) -> int:
@@ -90,11 +90,11 @@
         nonce: the nonce to attach, if any.
     """
 
-    lines: dict[int, dict[Server, None]] = field(default_factory=dict)
+    lines: dict[int, dict[ServerId, None]] = field(default_factory=dict)
     levels: dict[int, set[int]] = field(default_factory=dict)
     cleared: set[int] = field(default_factory=set)
     assigned: dict[int, set[int]] = field(default_factory=dict)
-    ejections: dict[Server, None] = field(default_factory=dict)
+    ejections: dict[ServerId, None] = field(default_factory=dict)
     nonce: AttachNonce | None = None
 
     def level_changed(self, request_class: int, table: int | None) -> bool:
@@ -137,8 +137,8 @@
         self.streams = streams
         self.tables: dict[int, TableLines] = {}
         self.levels: dict[int, dict[int, AdmissionLevel]] = {}
-        self.ejected: dict[Server, None] = {}
-        self.ever_ejected: dict[Server, None] = {}
+        self.ejected: dict[ServerId, None] = {}
+        self.ever_ejected: dict[ServerId, None] = {}
         self.first_nonce = 0
 
     def restart(self) -> None:
@@ -152,7 +152,7 @@
         """The policy's nonce for one on the wire; None if an earlier incarnation set it."""
         return nonce - self.first_nonce if nonce >= self.first_nonce else None
 
-    def references(self, server: Server) -> bool:
+    def references(self, server: ServerId) -> bool:
         """Whether a table, an ejection or a stream that ejected it still names a server."""
         return (
             server in self.ejected
@@ -160,7 +160,7 @@
             or any(stream.ejected.get(server) for stream in self.streams.by_proxy.values())
         )
 
-    def forget(self, server: Server) -> None:
+    def forget(self, server: ServerId) -> None:
         """Forget a server that nothing references."""
         self.ever_ejected.pop(server, None)
 
@@ -232,7 +232,7 @@
 
     def _set_admission(self, action: SetAdmission, changes: ReplyChanges) -> None:
         for request_class in action.classes or self.classes:
-            self.levels.setdefault(action.table, {})[request_class] = AdmissionLevel(action.level, action.retry)
+            self.levels.setdefault(action.table, {})[request_class] = AdmissionLevel(action.admitted, action.retry)
             changes.levels.setdefault(action.table, set()).add(request_class)
 
     def _set_ejection(self, action: SetEjection, changes: ReplyChanges) -> None:
@@ -292,7 +292,7 @@
 
     def _ejections(
         self, stream: ProxyStream, changes: ReplyChanges, parts: tuple[UpdatePart, ...]
-    ) -> tuple[tuple[Server, ...], tuple[Server, ...]]:
+    ) -> tuple[tuple[ServerId, ...], tuple[ServerId, ...]]:
         """The servers that a proxy has to be sent as ejected, and those to restore, as they stand now.
 
         These are the changed ones that it may use, and any that these parts add to its tables.
@@ -301,8 +301,8 @@
             return (), ()
         added = [server for part in parts for server, weight in part.lines if weight > 0]
         changed = [server for server in changes.ejections if self._may_use(stream, server)]
-        eject: list[Server] = []
-        restore: list[Server] = []
+        eject: list[ServerId] = []
+        restore: list[ServerId] = []
         for server in dict.fromkeys([*changed, *added]):
             ejected = server in self.ejected
             if ejected != self._believed_ejected(stream, server):
@@ -310,7 +310,7 @@
                 stream.ejected[server] = ejected
         return tuple(eject), tuple(restore)
 
-    def _may_use(self, stream: ProxyStream, server: Server) -> bool:
+    def _may_use(self, stream: ProxyStream, server: ServerId) -> bool:
         """Whether a proxy may use or avoid a server: one of its tables has it, or it has tables of another planner."""
         return (
             len(stream.table_by_class) < len(self.classes)
@@ -318,7 +318,7 @@
             or any(server in self.tables.get(table, {}) for table in stream.tables())
         )
 
-    def _believed_ejected(self, stream: ProxyStream, server: Server) -> bool:
+    def _believed_ejected(self, stream: ProxyStream, server: ServerId) -> bool:
         """Whether a proxy avoids a server as far as is known.
 
         Over a stream that has not named the server, a proxy that ran before may still avoid one that was ejected
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from stackwheel import interface as face
-from stackwheel.settings import Names
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
@@ -53,13 +53,13 @@
         is_listed: whether a server is in the endpoint list.
     """
 
-    names: Names
+    names: ConfiguredNames
     proxy_count: int
     post: Callable[[PlannerMessage], None]
     on_identified: Callable[[Connection, bool], None]
     limiter: Callable[[int], RateLimiter]
     buffer_budget: BufferBudget
-    is_listed: Callable[[face.Server], bool]
+    is_listed: Callable[[face.ServerId], bool]
 
 
 class Connection:
@@ -173,7 +173,7 @@
             self.dispatch(decode(line, self.context.names))
         except MalformedMessageError as error:
             if self.unidentified:
-                raise ProtocolViolationError(error.place, error.problem) from error
+                raise ProtocolViolationError(error.location, error.problem) from error
             self.skip_message(error)
         if self.unidentified and self.splitter.consumed_bytes > MAX_UNIDENTIFIED_BYTES:
             raise ProtocolViolationError("", f"over {MAX_UNIDENTIFIED_BYTES} bytes without identifying itself")
--- a/stackwheel/wire/discovery_protocol.py
+++ b/stackwheel/wire/discovery_protocol.py
@@ -83,7 +83,7 @@
             name = item.get("instanceId") if isinstance(item, dict) else None
             unreadable.add(name if isinstance(name, str) else "")
             place = f"list {generation}: entry {index} ({_shown(name)})"
-            place = f"{place}: {error.place}" if error.place else place
+            place = f"{place}: {error.location}" if error.location else place
             on_unreadable(InvalidInputError(place, error.problem))
     return EndpointList(generation, complete, tuple(instances), frozenset(unreadable))
 
--- a/stackwheel/wire/health_check_runner.py
+++ b/stackwheel/wire/health_check_runner.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from stackwheel.interface import HealthCheckOutcome, HealthCheckResult, Server
-from stackwheel.settings import Names
+from stackwheel.interface import HealthCheckOutcome, HealthCheckResult, ServerId
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.clock import Clock
 from stackwheel.state.messages import HealthCheckCompleted, HealthCheckTarget
 from stackwheel.wire.connection_table import ConnectionTable
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        names: Names,
+        names: ConfiguredNames,
         clock: Clock,
         connections: ConnectionTable,
         supervisor: TaskSupervisor,
@@ -31,7 +31,7 @@
         self.supervisor = supervisor
         self.post = post
 
-    def start(self, server: Server, target: HealthCheckTarget) -> None:
+    def start(self, server: ServerId, target: HealthCheckTarget) -> None:
         """Check a server; dropped where no descriptor is free, as incoming connections need them."""
         if self.connections.at_capacity():
             return
@@ -41,7 +41,7 @@
         else:  # no endpoint list has given its address
             self.post(HealthCheckCompleted(target, HealthCheckResult(server, HealthCheckOutcome.UNREACHABLE, 0.0)))
 
-    async def _check(self, server: Server, target: HealthCheckTarget) -> None:
+    async def _check(self, server: ServerId, target: HealthCheckTarget) -> None:
         call = health_check_call(target.address, self.names)
         try:
             result = await check_health(server, call, self.names, self.clock)
--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from stackwheel import interface as face
-from stackwheel.interface import HealthCheckOutcome, Server
-from stackwheel.settings import Names
+from stackwheel.interface import HealthCheckOutcome, ServerId
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.clock import Clock
 from stackwheel.wire import timing
 from stackwheel.wire.http import Call, CallError, Stage, exchange
@@ -16,12 +16,12 @@
 REJECTED_STATUS = 503  # the server is there, but admits no more requests
 
 
-def health_check_call(address: str, names: Names) -> Call:
+def health_check_call(address: str, names: ConfiguredNames) -> Call:
     """The call that checks the server at an address, not opened yet."""
     return Call(address, LOAD_REPORT_PATH if names.health_check_returns_load else LIVENESS_PATH)
 
 
-async def check_health(server: Server, call: Call, names: Names, clock: Clock) -> face.HealthCheckResult:
+async def check_health(server: ServerId, call: Call, names: ConfiguredNames, clock: Clock) -> face.HealthCheckResult:
     """Make the call; its outcome, its duration in ms and the load columns that the server reported."""
     started_at = clock.now()
     try:
--- a/stackwheel/wire/line_codec.py
+++ b/stackwheel/wire/line_codec.py
@@ -12,8 +12,8 @@
 from typing import Final
 
 from stackwheel.errors import InvalidInputError
-from stackwheel.interface import Server
-from stackwheel.settings import LOAD_COLUMN_NAMES, Names
+from stackwheel.interface import ServerId
+from stackwheel.settings import LOAD_COLUMN_ALIASES, ConfiguredNames
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 from stackwheel.wire.messages import (
@@ -83,7 +83,7 @@
 class MessageFields:
     """The fields of one message by name, each read as the type that it should have; FieldError where it has not."""
 
-    def __init__(self, kind: str, pairs: Sequence[str], names: Names) -> None:
+    def __init__(self, kind: str, pairs: Sequence[str], names: ConfiguredNames) -> None:
         """Split the fields of a line; ProtocolViolationError unless all are name=value, each name once.
 
         Messages that ran into each other look so.
@@ -147,7 +147,7 @@
 def read_load(text: str, separator: str) -> tuple[tuple[str, float], ...]:
     """A server's own figures by load column, in the settings' names; FieldError where one is no figure."""
     pairs = [pair.partition(separator) for pair in text.split(",") if pair]
-    return tuple((LOAD_COLUMN_NAMES.get(column, column), read_figure(column, value)) for column, _, value in pairs)
+    return tuple((LOAD_COLUMN_ALIASES.get(column, column), read_figure(column, value)) for column, _, value in pairs)
 
 
 def read_figure(name: str, text: str, maximum: float = MAX_COUNT) -> float:
@@ -219,7 +219,7 @@
 LONGEST_KIND_SEARCHED: Final = 64  # bytes of a partial line in which the end of its kind is looked for
 
 
-def decode(line: bytes, names: Names) -> Message:
+def decode(line: bytes, names: ConfiguredNames) -> Message:
     """Read one line.
 
     Raises:
@@ -236,7 +236,7 @@
     try:
         return READERS[kind](fields)
     except FieldError as error:
-        raise MalformedMessageError(f"{kind} {error.place}", error.problem) from error
+        raise MalformedMessageError(f"{kind} {error.location}", error.problem) from error
 
 
 def check_partial_line(pending: bytes | bytearray) -> None:
@@ -261,7 +261,7 @@
 class Encoder:
     """Writes updates as lines. Proxies share parts, so each part of a batch is encoded once."""
 
-    def __init__(self, names: Names, ids: ServerIds) -> None:
+    def __init__(self, names: ConfiguredNames, ids: ServerIds) -> None:
         """Write classes by the settings' names and servers by the names that discovery lists."""
         self.names = names
         self.ids = ids
@@ -299,7 +299,7 @@
             fields.append(f"admit={format_number(admitted)} policy={int(retry)}")
         return " ".join(fields)
 
-    def encode_servers(self, field: str, servers: tuple[Server, ...]) -> str:
+    def encode_servers(self, field: str, servers: tuple[ServerId, ...]) -> str:
         """A field that lists servers, with a leading space; empty if none of them has a name."""
         names = [name for server in servers if (name := self.ids.name(server)) is not None]
         return f" {field}=" + ",".join(names) if names else ""
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -10,8 +10,8 @@
 
 from loguru import logger
 
-from stackwheel.interface import Server, Settings
-from stackwheel.settings import Names
+from stackwheel.interface import ServerId, Settings
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.messages import HealthCheckTarget, PlannerMessage
@@ -77,7 +77,7 @@
         self,
         addresses: Addresses,
         settings: Settings,
-        names: Names,
+        names: ConfiguredNames,
         endpoints: EndpointCache,
         clock: Clock,
         listen_at: Callable[[str], socket.socket] = open_listener,
@@ -190,7 +190,7 @@
         await socket_closed(writer)
         self.connection_table.remove(connection)
 
-    def is_listed(self, server: Server) -> bool:
+    def is_listed(self, server: ServerId) -> bool:
         """Whether an endpoint list has named the server."""
         return self.endpoints.server_ids.name(server) is not None
 
@@ -217,7 +217,7 @@
         """Fetch the complete endpoint list once."""
         self.discovery.send(Command.FETCH)
 
-    def start_health_check(self, server: Server, target: HealthCheckTarget) -> None:
+    def start_health_check(self, server: ServerId, target: HealthCheckTarget) -> None:
         """Check a server; dropped where no descriptor is free."""
         self.health_checks.start(server, target)
 
--- a/tests/files/test_publisher.py
+++ b/tests/files/test_publisher.py
@@ -22,13 +22,13 @@
 from stackwheel.files.reader import FileReader, ReaderConfig, StatusReport
 from stackwheel.files.records import Incarnation, TableUpdate
 from stackwheel.interface import AdmissionLevel, Retry
-from stackwheel.settings import Names
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.messages import PlannerMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
-NAMES = Names(("read",), ("east",), ("small",), ("outstanding",))
+NAMES = ConfiguredNames(("read",), ("east",), ("small",), ("outstanding",))
 KEYS = KeyRing({"k1": b"k" * 32}, "k1")
 FIRST_REPORT = StatusReport(expected_rate=5.0, newly_started=True)
 
--- a/tests/files/test_publisher_state.py
+++ b/tests/files/test_publisher_state.py
@@ -16,13 +16,13 @@
     TableUpdate,
 )
 from stackwheel.interface import AdmissionLevel, Retry
-from stackwheel.settings import Names
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
-NAMES = Names(("read", "book"), ("east", "west"), ("small",), ("outstanding",))
+NAMES = ConfiguredNames(("read", "book"), ("east", "west"), ("small",), ("outstanding",))
 INCARNATION = Incarnation(0, 50, 1)
 NOW = 10_000.0
 
--- a/tests/large_fleet_harness.py
+++ b/tests/large_fleet_harness.py
@@ -14,7 +14,7 @@
 ZONES = 3
 LARGE = replace(
     SETTINGS,
-    zones=ZONES,
+    zone_count=ZONES,
     planner_count=2,
     proxy_count=2 * PROXIES,
     message_overhead=6.0,
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -8,7 +8,7 @@
 from policy_harness import SETTINGS
 
 from stackwheel.endpoints import EndpointList, Instance
-from stackwheel.interface import Action, AttachNonce, Availability, Event, Server, Settings
+from stackwheel.interface import Action, AttachNonce, Availability, Event, ServerId, Settings
 from stackwheel.policy.planner import Planner
 from stackwheel.state.clock import Clock
 from stackwheel.state.endpoint_cache import EndpointCache
@@ -50,7 +50,7 @@
     def fetch_endpoints(self) -> None:
         self.calls.append(("fetch",))
 
-    def start_health_check(self, server: Server, target: HealthCheckTarget) -> None:
+    def start_health_check(self, server: ServerId, target: HealthCheckTarget) -> None:
         self.calls.append(("health check", server, target))
 
     def send_gossip(self, payload: bytes, peer: int | None) -> None:
--- a/tests/policy/test_channel.py
+++ b/tests/policy/test_channel.py
@@ -139,7 +139,7 @@
     harness = PolicyHarness(
         servers=[entry(n, 0) for n in range(SERVERS)],
         proxies=[(n, 0) for n in range(200)],
-        zones=1,
+        zone_count=1,
         queue_limit=40_000.0,
     )
     for _ in range(30):
@@ -178,7 +178,7 @@
         proxies=[(n, 0) for n in range(80)],
         drain_grace=grace,
         channel_rate=825.0,
-        zones=1,
+        zone_count=1,
         queue_limit=7950.0,
         message_cap=12,
         message_overhead=4.0,
--- a/tests/policy/test_health_check_budget.py
+++ b/tests/policy/test_health_check_budget.py
@@ -12,7 +12,7 @@
         proxies=((0, 0),),
         load_columns=("outstanding",),
         health_checks_enabled=True,
-        zones=1,
+        zone_count=1,
     )
     spent: list[int] = []
 
@@ -51,7 +51,7 @@
         proxies=((0, 0),),
         load_columns=("outstanding",),
         health_checks_enabled=True,
-        zones=1,
+        zone_count=1,
     )
     for _ in range(20):
         checks = actions_of(
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -85,8 +85,8 @@
                 assert math.isfinite(action.weight)
                 assert action.weight >= 0
             if isinstance(action, face.SetAdmission):
-                assert math.isfinite(action.level)
-                assert action.level >= 0
+                assert math.isfinite(action.admitted)
+                assert action.admitted >= 0
                 assert action.retry in (face.Retry.NEVER, face.Retry.ONCE_IF_NOT_EXECUTED)
 
 
--- a/tests/policy/test_table_groups.py
+++ b/tests/policy/test_table_groups.py
@@ -17,7 +17,7 @@
 
 def test_a_short_table_never_becomes_empty() -> None:
     harness = PolicyHarness(
-        servers=[entry(n) for n in range(48)], proxies=(), zones=1, channel_rate=300.0, queue_limit=6000.0
+        servers=[entry(n) for n in range(48)], proxies=(), zone_count=1, channel_rate=300.0, queue_limit=6000.0
     )
     harness.zones = dict.fromkeys(range(200), 0)
     harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in harness.zones), wait=10.0)
@@ -48,7 +48,7 @@
 def test_tables_of_one_class_and_of_several_coexist_when_the_fleet_grows() -> None:
     """The zone's first table was of one class, its second of two: the next slot failed (austin-later big-1)."""
     harness = PolicyHarness(
-        replace(SETTINGS, zones=1, channel_rate=900.0, queue_limit=4000.0, proxy_count=60),
+        replace(SETTINGS, zone_count=1, channel_rate=900.0, queue_limit=4000.0, proxy_count=60),
         servers=[entry(0)],
         proxies=(),
     )
--- a/tests/policy/test_tables.py
+++ b/tests/policy/test_tables.py
@@ -19,7 +19,7 @@
 
 def test_a_fleet_of_a_thousand_servers_has_no_empty_table() -> None:
     """The least share of a line was the even share of 200 servers: of 1,024 every line was under it."""
-    harness = PolicyHarness(servers=[entry(n) for n in range(1024)], proxies=((0, 0), (1, 0)), zones=1)
+    harness = PolicyHarness(servers=[entry(n) for n in range(1024)], proxies=((0, 0), (1, 0)), zone_count=1)
     harness.send(*load_reports(harness), wait=1000.0)
     for proxy in (0, 1):
         lines = harness.shares(proxy)
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -15,7 +15,7 @@
 READ = face.RequestClass("read", 500.0, 1200.0, 1.0, "repeatable")
 WRITE = face.RequestClass("write", 1000.0, 3000.0, 5.0, "once")
 SETTINGS = face.Settings(
-    zones=2,
+    zone_count=2,
     classes=(READ, WRITE),
     load_columns=("utilization",),
     cross_zone_cost=0.1,
@@ -32,9 +32,9 @@
 )
 
 
-def server_id(number: int) -> face.Server:
+def server_id(number: int) -> face.ServerId:
     """The id of a server of a test; `server[3]` is its number below 256."""
-    return face.Server(bytes([10, 0, number // 256, number % 256, 1, 1]))
+    return face.ServerId(bytes([10, 0, number // 256, number % 256, 1, 1]))
 
 
 def entry(
@@ -70,7 +70,7 @@
         self.settings = replace(settings, **changed)  # type: ignore[arg-type]
         self.planner = Planner(self.settings, 7)
         self.now = now
-        self.tables: dict[int, dict[face.Server, float]] = {}
+        self.tables: dict[int, dict[face.ServerId, float]] = {}
         self.levels: dict[int, face.AdmissionLevel] = {}
         self.bindings: dict[int, dict[int, int]] = {}
         self.actions: list[face.Action] = []
@@ -119,7 +119,7 @@
             case face.SetAdmission(table, _, level, retry):
                 self.levels[table] = face.AdmissionLevel(level, retry)
 
-    def shares(self, proxy: int, request_class: int = 0) -> dict[face.Server, float]:
+    def shares(self, proxy: int, request_class: int = 0) -> dict[face.ServerId, float]:
         """The shares of a proxy's table for a class, by server."""
         lines = self.tables.get(self.bindings[proxy][request_class], {})
         total = sum(lines.values())
@@ -193,7 +193,7 @@
 
 def joined_fleet(proxies: int = 200, servers: int = 48) -> PolicyHarness:
     """A planner whose channel cannot carry a table for each class to all, some time after they joined."""
-    settings = replace(SETTINGS, zones=1, channel_rate=3000.0, queue_limit=9000.0, proxy_count=proxies)
+    settings = replace(SETTINGS, zone_count=1, channel_rate=3000.0, queue_limit=9000.0, proxy_count=proxies)
     harness = PolicyHarness(settings, servers=[entry(n) for n in range(servers)], proxies=())
     harness.zones = dict.fromkeys(range(proxies), 0)
     harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in harness.zones), wait=10.0)
--- a/tests/relay/test_watch_cache.py
+++ b/tests/relay/test_watch_cache.py
@@ -21,7 +21,7 @@
     watch_cache_of,
 )
 
-from stackwheel.endpoints import MAX_LIST_AGE, MIN_REMOVED_KEPT, latest_by_name
+from stackwheel.endpoints import MAX_LIST_AGE_MS, MIN_REMOVED_SERVER_LIMIT, latest_by_name
 from stackwheel.relay.cell_view import MAX_CACHED_DELTAS, MAX_NEWER_GENERATIONS
 from stackwheel.relay.encoding import encode_instance, encode_line
 from stackwheel.relay.messages import Delta, EndWatches, SnapshotDue, UnavailableError
@@ -93,13 +93,13 @@
 
 def test_removals_beyond_the_bound_are_forgotten_and_sent_by_a_snapshot() -> None:
     cache = watch_cache_of()
-    names = [f"a-{number}" for number in range(MIN_REMOVED_KEPT + 2)]
+    names = [f"a-{number}" for number in range(MIN_REMOVED_SERVER_LIMIT + 2)]
     cache.apply(snapshot_list(1, *map(instance, names)), 0.0)
     for generation, name in enumerate(names, 2):
         cache.apply(delta_list(generation, instance(name, REMOVED)), 1.0)
-    assert len(cache.views["a"].removed) == MIN_REMOVED_KEPT
+    assert len(cache.views["a"].removed) == MIN_REMOVED_SERVER_LIMIT
     assert cache.answer("a", 2, 2.0) == SnapshotDue()  # the removals of generations 2 and 3 are forgotten
-    assert len(resumed_delta(cache, "a", 3, 2.0).instances) == MIN_REMOVED_KEPT
+    assert len(resumed_delta(cache, "a", 3, 2.0).instances) == MIN_REMOVED_SERVER_LIMIT
 
 
 def test_each_delta_is_encoded_once_for_all_watchers() -> None:
@@ -230,12 +230,12 @@
 def test_a_relay_that_stays_behind_a_live_upstream_sends_a_snapshot() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
-    for now in range(0, int(MAX_LIST_AGE), 1000):
+    for now in range(0, int(MAX_LIST_AGE_MS), 1000):
         cache.mark_upstream_alive(now)
         assert is_unavailable(cache, "a", 900, now)
-    cache.mark_upstream_alive(MAX_LIST_AGE)
-    assert cache.answer("a", 900, MAX_LIST_AGE) == SnapshotDue()
-    assert is_unavailable(cache, "a", 901, MAX_LIST_AGE)  # each generation has its own clock
+    cache.mark_upstream_alive(MAX_LIST_AGE_MS)
+    assert cache.answer("a", 900, MAX_LIST_AGE_MS) == SnapshotDue()
+    assert is_unavailable(cache, "a", 901, MAX_LIST_AGE_MS)  # each generation has its own clock
 
 
 def test_time_without_the_upstream_does_not_count_for_being_behind() -> None:
@@ -243,10 +243,10 @@
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     assert is_unavailable(cache, "a", 900, 0.0)
     cache.tick(timing.WATCH_SILENCE_TIMEOUT_MS)
-    cache.mark_upstream_alive(MAX_LIST_AGE)
-    assert is_unavailable(cache, "a", 900, MAX_LIST_AGE)
-    cache.mark_upstream_alive(2 * MAX_LIST_AGE)
-    assert cache.answer("a", 900, 2 * MAX_LIST_AGE) == SnapshotDue()
+    cache.mark_upstream_alive(MAX_LIST_AGE_MS)
+    assert is_unavailable(cache, "a", 900, MAX_LIST_AGE_MS)
+    cache.mark_upstream_alive(2 * MAX_LIST_AGE_MS)
+    assert cache.answer("a", 900, 2 * MAX_LIST_AGE_MS) == SnapshotDue()
 
 
 def test_remembered_newer_generations_are_bounded() -> None:
@@ -308,10 +308,10 @@
     assert deltas_by_cell(cache.apply(delta_list(4, instance("a-2", DRAINING)), 1.0)) == {
         "a": {"a-2": DRAINING}
     }  # at once
-    cache.mark_upstream_alive(MAX_LIST_AGE - 1.0)
-    assert cache.tick(MAX_LIST_AGE - 1.0) == ()
+    cache.mark_upstream_alive(MAX_LIST_AGE_MS - 1.0)
+    assert cache.tick(MAX_LIST_AGE_MS - 1.0) == ()
     assert availability_by_name(cell_list(cache))["a-1"] is DRAINING
-    assert snapshot_cells(cache.tick(MAX_LIST_AGE)) == {"a", "b"}
+    assert snapshot_cells(cache.tick(MAX_LIST_AGE_MS)) == {"a", "b"}
     assert cell_list(cache).generation == 4
     assert availability_by_name(cell_list(cache)) == {"a-1": READY, "a-2": DRAINING}
 
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -9,14 +9,14 @@
 
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.proxies import HollowCollector, HollowProxy, ProxySettings
-from stackwheel.settings import Names
+from stackwheel.settings import ConfiguredNames
 from stackwheel.wire.line_codec import decode
 from stackwheel.wire.messages import AckMessage, CollectorMessage, DemandMessage, JoinMessage, LoadMessage
 
 TEST_TIMEOUT = 60.0  # s
 STEP_TIMEOUT = 20.0  # s of one step of a test
 
-NAMES = Names(classes=("read", "write"), zones=("east",), columns=("outstanding",))
+NAMES = ConfiguredNames(classes=("read", "write"), zones=("east",), columns=("outstanding",))
 SERVERS = ("s-0", "s-1")
 
 
--- a/tests/service/test_config.py
+++ b/tests/service/test_config.py
@@ -44,14 +44,14 @@
     del document[key]
     with pytest.raises(ConfigError) as caught:
         read_config(document)
-    assert (caught.value.place, caught.value.problem) == (key, "missing")
+    assert (caught.value.location, caught.value.problem) == (key, "missing")
 
 
 @pytest.mark.parametrize("known", [[], {"instances": []}, {"generation": 1, "reset": True, "instances": [{}]}])
 def test_a_cached_endpoint_list_with_an_unreadable_entry_is_rejected(known: object) -> None:
     with pytest.raises(ConfigError) as caught:
         read_config({**config(ADDRESS), "known": known})
-    assert caught.value.place == "known"
+    assert caught.value.location == "known"
 
 
 def test_an_error_begins_with_the_path_of_the_file(tmp_path: Path) -> None:
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -91,7 +91,7 @@
         for entry in event.entries
     ]
     reset = event.kind is not face.UpdateKind.DELTA
-    return json.dumps({"generation": event.version, "reset": reset, "instances": instances}).encode()
+    return json.dumps({"generation": event.generation, "reset": reset, "instances": instances}).encode()
 
 
 def protocol_line(event: Event) -> tuple[str, str]:
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -12,7 +12,7 @@
 from stackwheel.simulator.framing import Frame, encode_reply
 from stackwheel.simulator.wire import ActionCode, EventCode
 
-ADDRESS = face.Server(bytes.fromhex("0a9011f21b84"))
+ADDRESS = face.ServerId(bytes.fromhex("0a9011f21b84"))
 
 
 def decode(*records: bytes) -> list[tuple[int, object]]:
@@ -36,7 +36,7 @@
     [
         (
             "0a 00000027 0003 0000 0a124a07 1b5b 0000000e 00000001 4048200000000000 408f400000000000 01 40e00000",
-            face.LoadReport(0, face.Server(bytes.fromhex("0a124a071b5b")), 14, 1, 48.25, 1000.0, (7.0,)),
+            face.LoadReport(0, face.ServerId(bytes.fromhex("0a124a071b5b")), 14, 1, 48.25, 1000.0, (7.0,)),
         ),
         ("03 0000000a 0003 000000000000004d", face.TimerFired(77)),
         ("08 00000004 0003 0029", face.ProxyLeft(41)),
--- a/tests/state/test_endpoint_cache.py
+++ b/tests/state/test_endpoint_cache.py
@@ -5,7 +5,7 @@
 import pytest
 
 from stackwheel import interface as face
-from stackwheel.endpoints import MAX_LIST_AGE, EndpointList, Instance
+from stackwheel.endpoints import MAX_LIST_AGE_MS, EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds, server_id
@@ -32,7 +32,7 @@
 
     def __init__(self, *lists: EndpointList) -> None:
         self.cache = EndpointCache(("east", "west"), ("small",), ServerIds())
-        self.known: dict[face.Server, face.EndpointEntry] = {}
+        self.known: dict[face.ServerId, face.EndpointEntry] = {}
         self.apply(complete_list(40, instance("a"), instance("b"), instance("c")), *lists)
 
     def apply(self, *lists: EndpointList, now: float = 0.0) -> None:
@@ -57,7 +57,7 @@
     view.apply(OVERTAKEN_LIST, now=1000.0)
     assert view.ready() == {"a", "d"}
     assert view.cache.generation == 44
-    assert view.cache.confirmed_snapshot(1000.0 + MAX_LIST_AGE - 1.0) is None
+    assert view.cache.confirmed_snapshot(1000.0 + MAX_LIST_AGE_MS - 1.0) is None
     view.apply(delta(45, instance("e")), now=2000.0)  # generations go on from the known one: the list was stale
     assert view.cache.confirmed_snapshot(1e9) is None
     assert view.ready() == {"a", "d", "e"}
@@ -68,9 +68,9 @@
     view.apply(complete_list(1, instance("a"), instance("b"), instance("c")), now=1000.0)
     view.apply(delta(2, instance("f"), instance("a", DRAINING)), now=2000.0)
     assert view.ready() == {"d", "f"}  # drains count from any generation
-    confirmed = view.cache.confirmed_snapshot(1000.0 + MAX_LIST_AGE)
+    confirmed = view.cache.confirmed_snapshot(1000.0 + MAX_LIST_AGE_MS)
     assert confirmed is not None
-    view.apply(confirmed, now=1000.0 + MAX_LIST_AGE)
+    view.apply(confirmed, now=1000.0 + MAX_LIST_AGE_MS)
     assert view.ready() == {"b", "c", "f"}
     assert view.cache.generation == 2
     view.apply(delta(3, instance("g")))
@@ -195,7 +195,7 @@
     assert list(cache.restarted) == [server_id("a")]
 
 
-class LookupOnly(dict[face.Server, object]):
+class LookupOnly(dict[face.ServerId, object]):
     """A mapping that may be looked into and changed, but not iterated over."""
 
     def __iter__(self) -> NoReturn:
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -16,7 +16,7 @@
 )
 
 from stackwheel import interface as face
-from stackwheel.endpoints import MAX_LIST_AGE, EndpointList
+from stackwheel.endpoints import MAX_LIST_AGE_MS, EndpointList
 from stackwheel.interface import Availability
 from stackwheel.state.messages import (
     EndpointListFailed,
@@ -60,7 +60,7 @@
     harness = ActorHarness()
     (delta,) = harness.process(endpoint_list("s-2", complete=False, generation=4))
     assert isinstance(delta, face.EndpointUpdate)
-    assert (delta.kind, delta.version, [entry.server for entry in delta.entries]) == (
+    assert (delta.kind, delta.generation, [entry.server for entry in delta.entries]) == (
         face.UpdateKind.DELTA,
         4,
         [server_id("s-2")],
@@ -169,7 +169,7 @@
     (deferred,) = harness.process(endpoint_list("s-0", "s-1", generation=2))
     assert isinstance(deferred, face.EndpointUpdate)
     assert deferred.kind is face.UpdateKind.DELTA
-    clock.time += MAX_LIST_AGE - 1.0
+    clock.time += MAX_LIST_AGE_MS - 1.0
     assert harness.process() == []
     clock.time += 1.0
     (accepted,) = harness.process()
--- a/tests/state/test_server_ids.py
+++ b/tests/state/test_server_ids.py
@@ -11,8 +11,8 @@
 def test_ids_are_the_same_at_every_planner_and_collisions_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     assert server_id("s-5be2a07c") == bytes.fromhex("3178665d73ea")
     assert len(server_id("x")) == 6
-    monkeypatch.setattr("stackwheel.state.server_ids.server_id", lambda _name: face.Server(b"\0" * 6))
+    monkeypatch.setattr("stackwheel.state.server_ids.server_id", lambda _name: face.ServerId(b"\0" * 6))
     ids = ServerIds()
     assert ids.learn("s-1") == ids.learn("s-1") == b"\0" * 6
     assert ids.learn("s-2") is None
-    assert ids.name(face.Server(b"\0" * 6)) == "s-1"
+    assert ids.name(face.ServerId(b"\0" * 6)) == "s-1"
--- a/tests/state/test_state_bounds.py
+++ b/tests/state/test_state_bounds.py
@@ -17,7 +17,7 @@
 from policy_harness import SETTINGS
 
 from stackwheel import interface as face
-from stackwheel.endpoints import MIN_REMOVED_KEPT, EndpointList, Instance
+from stackwheel.endpoints import MIN_REMOVED_SERVER_LIMIT, EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.policy import gossip
 from stackwheel.state.endpoint_cache import EndpointCache
@@ -109,7 +109,7 @@
                 )
         assert sizes[0] == sizes[1]
         entries, addresses, removed, names, *_ = sizes[1]
-        assert (entries, addresses, removed, names) == (4, 4, MIN_REMOVED_KEPT, MIN_REMOVED_KEPT + 4)
+        assert (entries, addresses, removed, names) == (4, 4, MIN_REMOVED_SERVER_LIMIT, MIN_REMOVED_SERVER_LIMIT + 4)
 
     asyncio.run(run())
 
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -12,8 +12,8 @@
 
 from stackwheel import interface as face
 from stackwheel.endpoints import EndpointList, Instance
-from stackwheel.interface import Action, Availability, Retry, Server
-from stackwheel.settings import Names
+from stackwheel.interface import Action, Availability, Retry, ServerId
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.streams import ProxyStream, ProxyStreams
@@ -46,7 +46,7 @@
         EndpointCache(("a",), ("small",), self.ids).apply(endpoint_list(*restarted))
         self.streams = ProxyStreams()
         self.updates = TableUpdates(len(CLASSES), self.streams)
-        self.encoder = Encoder(Names(classes=CLASSES), self.ids)
+        self.encoder = Encoder(ConfiguredNames(classes=CLASSES), self.ids)
         self.proxies: dict[int, ProxyTables] = {}
 
     def join(self, proxy: int, newly_started: bool = True) -> None:
@@ -204,7 +204,7 @@
 )
 
 
-def expected(updates: TableUpdates, stream: ProxyStream, request_class: int) -> Iterator[tuple[Server, float]]:
+def expected(updates: TableUpdates, stream: ProxyStream, request_class: int) -> Iterator[tuple[ServerId, float]]:
     for server, weight in updates.tables.get(stream.table_by_class[request_class], {}).items():
         if server not in updates.ejected:
             yield server, weight
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 
 def test_every_setting_of_the_policy_is_read() -> None:
     got = parse(simulator_frames.SETTINGS)
-    assert (got.planner_count, got.planner_index, got.zones, got.endpoint_list_on_request) == (2, 0, 2, True)
+    assert (got.planner_count, got.planner_index, got.zone_count, got.endpoint_list_on_request) == (2, 0, 2, True)
     assert got.classes[0] == RequestClass("read", 500.0, 1200.0, 1.0, "repeatable", "all")
     assert got.classes[1].allowed_zones == (0, 1)
     assert (got.queue_limit, got.channel_rate, got.message_overhead, got.message_cap) == (4000.0, 3000.0, 4.0, 12)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "place", "problem"),
+    ("line", "location", "problem"),
     [
         ("nothing", "line 1", "not path=value"),
         ("instances=two", "instances", "not a number: 'two'"),
@@ -57,10 +57,10 @@
         ("services.count=1\nservices.0.only_zones=a", "services.0.only_zones", "not a list of integers: 'a'"),
     ],
 )
-def test_an_error_names_path_and_value(line: str, place: str, problem: str) -> None:
+def test_an_error_names_path_and_value(line: str, location: str, problem: str) -> None:
     with pytest.raises(SettingsError) as caught:
         parse(line)
-    assert (caught.value.place, caught.value.problem) == (place, problem)
+    assert (caught.value.location, caught.value.problem) == (location, problem)
 
 
 def test_settings_have_to_be_utf_8() -> None:
--- a/tests/wire/test_connection_races.py
+++ b/tests/wire/test_connection_races.py
@@ -221,7 +221,7 @@
         harness = TransportHarness()
         await harness.open()
         end, connection = await join(harness)
-        names = [face.Server(bytes([n // 256, n % 256, 1, 1, 1, 1])) for n in range(3000)]
+        names = [face.ServerId(bytes([n // 256, n % 256, 1, 1, 1, 1])) for n in range(3000)]
         for server in names:
             harness.transport.endpoints.server_ids.names[server] = f"server-of-a-long-name-{server.hex()}"
         parts = tuple(UpdatePart((index,), True, tuple((server, 1.0) for server in names)) for index in (0, 1))
--- a/tests/wire/test_health_checks.py
+++ b/tests/wire/test_health_checks.py
@@ -6,17 +6,17 @@
 from canned_server import OK_HEAD, UNAVAILABLE, After, Serve, canned, run_against
 from fake_services import free_port, toy
 
-from stackwheel.interface import HealthCheckOutcome, HealthCheckResult, Server
-from stackwheel.settings import Names
+from stackwheel.interface import HealthCheckOutcome, HealthCheckResult, ServerId
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.clock import Clock
 from stackwheel.wire.health_checks import check_health, health_check_call
 
-SERVER = Server(b"\0" * 6)
-LIVENESS = Names()
-LOAD_REPORTS = Names(columns=("backlog", "outstanding"), health_check_returns_load=True)
+SERVER = ServerId(b"\0" * 6)
+LIVENESS = ConfiguredNames()
+LOAD_REPORTS = ConfiguredNames(columns=("backlog", "outstanding"), health_check_returns_load=True)
 
 
-def check(serve: Serve, names: Names) -> HealthCheckResult:
+def check(serve: Serve, names: ConfiguredNames) -> HealthCheckResult:
     return run_against(serve, lambda address: check_health(SERVER, health_check_call(address, names), names, Clock()))
 
 
--- a/tests/wire/test_line_codec.py
+++ b/tests/wire/test_line_codec.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from proxy_model import ProxyTables
 
-from stackwheel.interface import Retry, Server
-from stackwheel.settings import Names
+from stackwheel.interface import Retry, ServerId
+from stackwheel.settings import ConfiguredNames
 from stackwheel.state.server_ids import ServerIds
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 from stackwheel.wire.line_codec import (
@@ -32,7 +32,9 @@
     columns_in_order,
 )
 
-NAMES = Names(classes=("read", "write"), zones=("a", "b"), kinds=("small",), columns=("outstanding", "utilization"))
+NAMES = ConfiguredNames(
+    classes=("read", "write"), zones=("a", "b"), kinds=("small",), columns=("outstanding", "utilization")
+)
 
 
 @pytest.mark.parametrize(
@@ -114,12 +116,12 @@
         if (name, value) != ("util", ""):
             with pytest.raises(MalformedMessageError) as caught:
                 decode(encode_fields(kind, {**fields, name: value}), NAMES)
-            assert caught.value.place.startswith(kind), value
+            assert caught.value.location.startswith(kind), value
     if name != "util":
         others = {other: value for other, value in fields.items() if other != name}
         with pytest.raises(MalformedMessageError) as caught:
             decode(encode_fields(kind, others), NAMES)
-        assert (caught.value.place, caught.value.problem) == (f"{kind} {name}", "missing")
+        assert (caught.value.location, caught.value.problem) == (f"{kind} {name}", "missing")
 
 
 @pytest.mark.parametrize(
@@ -242,7 +244,7 @@
     ]
 
 
-def register(*names: str) -> tuple[ServerIds, list[Server]]:
+def register(*names: str) -> tuple[ServerIds, list[ServerId]]:
     ids = ServerIds()
     return ids, [server for name in names if (server := ids.learn(name)) is not None]
 
