--- a/stackwheel/endpoints.py
+++ b/stackwheel/endpoints.py
@@ -1,7 +1,7 @@
-"""Endpoint lists as discovery sends them, and how an entry of an older list compares with what is known.
+"""Endpoint lists as sent by discovery, and the comparison of entries of an older generation with the known state.
 
-Values and pure functions only. Whoever keeps a list (`state`, `relay`), reads one (`wire`) or makes one (`scale`,
-`trials`) shares these types and rules.
+The module contains only value types and pure functions. It is shared by the packages that store endpoint lists
+(`state`, `relay`), parse them (`wire`) and generate them (`scale`, `trials`).
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from stackwheel.interface import Availability
 
 MAX_LIST_AGE_MS = 6000.0
-"""ms after which the protocol counts what discovery has sent as delivered; no list in transit is older."""
+"""Maximum age of a list in transit; the protocol treats older lists as delivered."""
 
 MIN_REMOVED_SERVER_LIMIT = 64
-"""Removed servers that are remembered whatever the size of the list."""
+"""Lower bound of the limit on remembered removed servers, which otherwise grows with the list."""
 
 REMOVED_SERVER_LIMIT_PER_LISTED = 2
-"""Removed servers remembered for each listed one, as the policy remembers them."""
+"""Maximum number of remembered removed servers per listed server."""
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One server as discovery lists it.
+    """One server in an endpoint list of discovery.
 
     Attributes:
-        name: the server's name, the same for each of its processes.
-        address: host and port, where this planner reaches it.
-        zone: name of its zone.
-        kind: name of its kind of machine.
-        cell: number of its cell in its zone.
+        name: name of the server, which stays the same when its process restarts.
+        address: host and port for connections from this planner.
+        zone: name of the server's zone.
+        kind: name of the server's machine kind.
+        cell: number of the server's cell within the zone.
         availability: ready, draining or removed.
-        weight: relative capacity that discovery states.
-        started_at: when its process started, Unix ms; 0: long ago.
+        weight: relative capacity according to discovery.
+        started_at: start time of the server's process, Unix ms; 0 if it started long ago.
     """
 
     name: str
@@ -50,15 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """An answer of discovery: the complete list, or what has changed.
+    """A response of discovery: the complete list, or the changes since an earlier generation.
 
     Attributes:
-        generation: number of the state that the answer leads to.
-        complete: whether it names every server; one that is missing has been removed.
-        instances: the entries, in the order of the answer.
-        unreadable: names of entries that were left out because they can't be read; "" for one without a name.
-        generations_restarted: whether the generation can't be compared with those known: discovery has moved or
-            started its numbering again.
+        generation: generation of the endpoint list after this response.
+        complete: whether the response lists every server; a server that is missing has been removed.
+        instances: the entries, in the order of the response.
+        unreadable: names of entries that were skipped because they are malformed; "" for an entry without a name.
+        generations_restarted: whether discovery has moved or restarted its numbering, so that the generation is
+            not comparable with earlier ones.
     """
 
     generation: int
@@ -69,13 +69,13 @@
 
 
 def merge(base: EndpointList, changes: EndpointList) -> EndpointList:
-    """Bring a complete list forward by what has changed since."""
+    """Apply later changes to a complete list."""
     by_name = {instance.name: instance for instance in (*base.instances, *changes.instances)}
     return EndpointList(changes.generation, True, tuple(by_name.values()), base.unreadable | changes.unreadable)
 
 
 def latest_by_name(instances: Iterable[Instance]) -> tuple[Instance, ...]:
-    """Keep one entry a server: that of the latest process, and of one process the last entry."""
+    """Keep one entry per server: that of the latest process, and the last entry if a process has several."""
     latest: dict[str, Instance] = {}
     for instance in instances:
         if instance.name not in latest or instance.started_at >= latest[instance.name].started_at:
@@ -84,27 +84,27 @@
 
 
 class KnownProcess(NamedTuple):
-    """The latest process known under a server's name; its availability is `REMOVED` once it has left the list."""
+    """The latest known process of a server; its availability is `REMOVED` once the server has left the list."""
 
     availability: Availability
     started_at: float
 
 
 class EntryFreshness(Enum):
-    """What an entry of an older generation says beside the latest process known under its name."""
+    """How an entry of an older generation relates to the latest known process of its server."""
 
     NEW = auto()
-    """It is of a process that is not known yet, or the known process drains or has left."""
+    """The entry has new information: a later process, or the draining or removal of the known process."""
 
     REVIVED = auto()
-    """It shows a process as before that has started to drain, or has left, since."""
+    """The entry is outdated: it lists a server that has since started to drain or has been removed."""
 
     KNOWN = auto()
-    """It says what is known already, or is of a process that a later one has replaced."""
+    """The entry has no new information: its state is known already or belongs to an earlier process."""
 
 
 def entry_freshness(instance: Instance, known: KnownProcess | None) -> EntryFreshness:
-    """Compare an entry of an older generation with the latest process known under its name, if any."""
+    """Compare an entry of an older generation with the latest known process of its server, if any."""
     if known is None or instance.started_at > known.started_at:
         return EntryFreshness.NEW
     if known.availability is Availability.REMOVED:
@@ -116,15 +116,17 @@
 
 @dataclass(slots=True)
 class StaleSnapshot:
-    """A complete list of an older generation that shows removed servers again, brought forward by later changes.
+    """A deferred complete list of an older generation that contradicts the known draining and removal of servers.
 
-    It is accepted only if nothing newer arrives: then discovery has started its generations again.
+    Later changes are merged into it. If no newer list arrives within `MAX_LIST_AGE_MS`, discovery has restarted its
+    generations, and the snapshot is accepted.
 
     Attributes:
-        first_received_at: ms, when the first such list arrived.
-        generation: the generation of the list, or of the last change that was merged into it.
-        instances: its entries by name; bounded by the list and the names in the changes of `MAX_LIST_AGE_MS`.
-        unreadable: names of entries that can't be read, as in `EndpointList`.
+        first_received_at: when the first such list was received, ms.
+        generation: generation of the list, or of the last changes merged into it.
+        instances: entries by server name; their number is limited by the size of the list and of the changes that
+            arrive within `MAX_LIST_AGE_MS`.
+        unreadable: names of malformed entries, as in `EndpointList`.
     """
 
     first_received_at: float
@@ -134,18 +136,18 @@
 
     @classmethod
     def from_list(cls, endpoint_list: EndpointList, first_received_at: float) -> StaleSnapshot:
-        """Defer a complete list."""
+        """Create a snapshot from a complete list."""
         by_name = {instance.name: instance for instance in endpoint_list.instances}
         return cls(first_received_at, endpoint_list.generation, by_name, set(endpoint_list.unreadable))
 
     def advance(self, changes: EndpointList) -> None:
-        """Merge what has changed since."""
+        """Merge later changes into the snapshot."""
         self.generation = changes.generation
         self.instances.update((instance.name, instance) for instance in changes.instances)
         self.unreadable |= changes.unreadable
 
     def endpoint_list(self) -> EndpointList:
-        """The complete list to apply, as one whose generations have started again."""
+        """Return the snapshot as a complete list with restarted generations."""
         return EndpointList(
             self.generation,
             True,
--- a/stackwheel/errors.py
+++ b/stackwheel/errors.py
@@ -1,16 +1,16 @@
-"""The base of all errors that this project raises on purpose."""
+"""Base classes of the exceptions that this package raises."""
 
 
 class StackwheelError(Exception):
-    """Anything that went wrong for a known reason; `str()` of it is one line that a person can act on."""
+    """Base class of all expected errors; `str()` returns a one-line message for the operator."""
 
 
 class InvalidInputError(StackwheelError, ValueError):
-    """Something read from outside can't be used: a setting, a file, a message.
+    """External input, such as a setting, a file or a message, is invalid.
 
     Attributes:
-        location: the field, line or byte where the fault was found, in the words of the format that was read.
-        problem: what is wrong there, with the offending value shortened.
+        location: the field, line or byte offset of the error, in the terms of the input format; empty if unknown.
+        problem: what is wrong with the input, with the invalid value truncated.
     """
 
     def __init__(self, location: str, problem: str) -> None:
--- a/stackwheel/interface/__init__.py
+++ b/stackwheel/interface/__init__.py
@@ -1,9 +1,11 @@
-"""The policy's interface: settings, events and actions in the terms of `docs/glossary.md`.
+"""The interface between the policy and its adapters: settings, events and actions.
 
-Types only. `policy/` decides on these; an adapter (`state`, `simulator`) translates them to and from a protocol.
-Where nothing else is said, times and durations are milliseconds, points in time are Unix milliseconds on the
-planner's clock, and rates are per second. Request classes, zones, kinds and load columns are named by their place
-in the settings, from 0.
+The package contains only types, in the terms of `docs/glossary.md`. The policy consumes settings and events and
+returns actions; an adapter (`state` or `simulator`) translates them to and from its protocol.
+
+Unless stated otherwise, durations are in milliseconds, points in time are Unix timestamps in milliseconds on the
+planner's clock, and rates are per second. Request classes, zones, machine kinds and load columns are identified by
+their zero-based index in the settings.
 """
 
 from stackwheel.interface.actions import (
--- a/stackwheel/interface/actions.py
+++ b/stackwheel/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: whatever the policy asks its adapter to do."""
+"""Actions that the policy returns for its adapter to execute."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetWeight:
-    """Action: set a server's weight in a table; 0 removes the line."""
+    """Action: set the weight of a server in a table; a weight of 0 removes the server's line."""
 
     table: int
     server: ServerId
@@ -20,12 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AssignTable:
-    """Action: send a joined proxy the complete table for some classes, and its changes from then on.
+    """Action: assign a table to a connected proxy for some request classes.
+
+    The proxy is sent the complete table, and after that each change of it.
 
     Attributes:
-        proxy: its number.
-        table: the table's number.
-        classes: the classes; empty: all of them.
+        proxy: number of the proxy.
+        table: number of the table.
+        classes: indexes of the request classes; empty for all classes.
     """
 
     proxy: int
@@ -35,25 +37,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTable:
-    """Action: remove a table's lines and admission levels."""
+    """Action: remove all lines and admission levels of a table."""
 
     table: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetEjection:
-    """Action: have all proxies avoid a server, or use it again, whatever their tables say."""
+    """Action: eject a server at all proxies, or restore it. An ejection overrides the weights in the tables."""
 
     server: ServerId
     ejected: bool
 
 
 class AdmissionLevel(NamedTuple):
-    """How much of a class is admitted, and when a failed attempt may be retried.
+    """How many requests of a class a proxy admits, and when it may retry a failed attempt.
 
     Attributes:
-        admitted: share of requests, or requests per second and proxy where the admission mode is "rate".
-        retry: the retry mode.
+        admitted: share of the requests, or requests per second and proxy if the admission mode is "rate".
+        retry: retry mode.
     """
 
     admitted: float
@@ -62,13 +64,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """Action: set the admission level of some classes of a table.
+    """Action: set the admission level of some request classes in a table.
 
     Attributes:
-        table: the table's number; 0xFFFF: all tables, standing ones included.
-        classes: the classes; empty: all of them.
-        admitted: as in `AdmissionLevel`.
-        retry: the retry mode.
+        table: number of the table; 0xFFFF for all tables, including standing tables.
+        classes: indexes of the request classes; empty for all classes.
+        admitted: see `AdmissionLevel.admitted`.
+        retry: retry mode.
     """
 
     table: int
@@ -79,11 +81,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttachNonce:
-    """Action: have the proxies acknowledge what these actions send.
+    """Action: request an acknowledgement for the updates that result from the same list of actions.
 
     Attributes:
-        nonce: what `Acknowledged` gives back.
-        to_all_proxies: whether proxies that are sent nothing else get a message with the nonce alone.
+        nonce: value that the proxy echoes in `Acknowledged`.
+        to_all_proxies: whether proxies without an update are sent a message that contains only the nonce.
     """
 
     nonce: int
@@ -92,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Action: give back `TimerFired` with this token after `delay` ms."""
+    """Action: start a timer that emits `TimerFired` with this token after `delay` ms."""
 
     delay: float
     token: int
@@ -100,26 +102,31 @@
 
 @dataclass(frozen=True, slots=True)
 class StartHealthCheck:
-    """Action: call a server; `HealthCheckResult` follows."""
+    """Action: start a health check of a server; its outcome is reported as `HealthCheckResult`."""
 
     server: ServerId
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Action: open the watch on the endpoint list, or close it."""
+    """Action: open or close the watch on the endpoint list."""
 
     enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Action: ask for the complete endpoint list once."""
+    """Action: fetch the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Action: send other planners a datagram; `peer` is one planner's place, None: all of them."""
+    """Action: send a datagram to other planners.
+
+    Attributes:
+        payload: content of the datagram.
+        peer: index of the receiving planner; None for all peer planners.
+    """
 
     payload: bytes
     peer: int | None = None
@@ -127,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Action: write a line to the log."""
+    """Action: write a message to the log."""
 
     text: str
 
@@ -146,4 +153,4 @@
     | SendGossip
     | Log
 )
-"""Whatever the policy asks its adapter to do, in order."""
+"""Any action; the adapter executes the actions of a list in order."""
--- a/stackwheel/interface/endpoints.py
+++ b/stackwheel/interface/endpoints.py
@@ -1,4 +1,4 @@
-"""Servers as the policy knows them: their ids, and the entries and updates of the endpoint list."""
+"""Server ids, and the entries and updates of the endpoint list as the policy receives them."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from typing import NewType
 
 ServerId = NewType("ServerId", bytes)
-"""An opaque id of a server: compare it, sort it, give it back unchanged."""
+"""Opaque id of a server; ids can be compared and sorted, but have no other meaning."""
 
 
 class Availability(IntEnum):
-    """Whether an endpoint list offers a server; the values are those of the wire."""
+    """Availability of a server in the endpoint list; the values are the codes on the wire."""
 
     REMOVED = 0
     READY = 1
@@ -19,33 +19,33 @@
 
 
 class UpdateKind(IntEnum):
-    """How much an endpoint update says."""
+    """What the entries of an endpoint update cover."""
 
     CACHED = 0
-    """The complete list as this planner last had it; it may be out of date."""
+    """The complete list as cached by this planner; it may be out of date."""
 
     DELTA = 1
-    """Only the entries that have changed."""
+    """Only entries that have changed."""
 
     FULL = 2
-    """The complete list: a server that is missing has been removed."""
+    """The complete list; servers that are not in it have been removed."""
 
     FAILED = 3
-    """A call failed or the watch ended; the list as known stays in force."""
+    """A call failed or the watch ended; the update has no entries, and the known list remains valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One server of the endpoint list.
+    """One server in the endpoint list.
 
     Attributes:
-        server: its id, the same for each of its processes.
-        zone: its zone.
-        kind: its kind of machine.
-        cell: number of its cell in its zone.
+        server: id of the server, which stays the same when its process restarts.
+        zone: index of the server's zone.
+        kind: index of the server's machine kind.
+        cell: number of the server's cell within the zone.
         availability: ready, draining or removed.
-        weight: relative capacity that discovery states.
-        started_at: when its process started, Unix ms; 0: long ago.
+        weight: relative capacity according to discovery.
+        started_at: start time of the server's process, Unix ms; 0 if it started long ago.
     """
 
     server: ServerId
@@ -59,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Event: the endpoint list is known, has changed, or could not be read.
+    """Event: the endpoint list was received, has changed, or could not be read.
 
     Attributes:
-        kind: how much the update says.
-        generation: generation of the list.
-        entries: the servers it names; none if the kind is `FAILED`.
+        kind: what the entries cover.
+        generation: generation of the endpoint list.
+        entries: the listed or changed servers; empty if the kind is `FAILED`.
     """
 
     kind: UpdateKind
--- a/stackwheel/interface/events.py
+++ b/stackwheel/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: whatever the policy is notified of."""
+"""Events that an adapter passes to the policy."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class HealthCheckOutcome(IntEnum):
-    """How a health check ended; other values that an adapter may give count as an error."""
+    """Outcome of a health check; any value that is not a member counts as `ERROR`."""
 
     ERROR = 0
     OK = 1
     REJECTED = 2
-    """By a server that is full, draining or has too many health checks at once."""
+    """The server is full, is draining or has too many concurrent health checks."""
 
     TIMEOUT = 3
-    """No answer in time."""
+    """The server did not answer before the timeout."""
 
     UNREACHABLE = 4
-    """No connection."""
+    """The connection to the server could not be established."""
 
     RESET = 5
     """The connection was reset."""
@@ -29,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """Event: a timer of the policy has elapsed; `token` is that of its `SetTimer`."""
+    """Event: a timer has expired; `token` is the token of its `SetTimer` action."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """Event: a health check has ended.
+    """Event: a health check has completed.
 
     Attributes:
-        server: the server that was called.
-        outcome: a value of `HealthCheckOutcome`, or another that counts as an error.
-        elapsed: ms from the call to its end.
-        load: the server's load by load column, where its answer stated it.
+        server: the server that was checked.
+        outcome: a value of `HealthCheckOutcome`; any other value counts as an error.
+        elapsed: duration of the health check, ms.
+        load: load figures of the server in the order of the load columns; empty if its answer has none.
     """
 
     server: ServerId
@@ -53,7 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """Event: another planner has sent a datagram; `sender` is its place among the planners."""
+    """Event: a datagram of another planner was received.
+
+    Attributes:
+        sender: index of the planner that sent the datagram.
+        payload: content of the datagram.
+    """
 
     sender: int
     payload: bytes
@@ -61,13 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyJoined:
-    """Event: a proxy has opened its stream.
+    """Event: a proxy has opened its stream to this planner.
 
     Attributes:
-        proxy: its number.
-        zone: its zone.
-        expected_rate: requests per second over all classes that it expects.
-        newly_started: whether it has only the standing tables that it started with.
+        proxy: number of the proxy.
+        zone: index of the proxy's zone.
+        expected_rate: requests per second, over all classes, that the proxy expects.
+        newly_started: whether the proxy still has only the standing tables that it started with.
     """
 
     proxy: int
@@ -78,19 +83,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyLeft:
-    """Event: a proxy's stream has ended, or the proxy no longer answers."""
+    """Event: the stream of a proxy has ended, or the proxy has stopped responding."""
 
     proxy: int
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """Event: a proxy has applied an update and echoes its nonce.
+    """Event: a proxy has acknowledged an update by echoing its nonce.
 
     Attributes:
-        proxy: its number.
-        nonce: that of `AttachNonce`.
-        elapsed: ms that the proxy states the update took.
+        proxy: number of the proxy.
+        nonce: nonce of the `AttachNonce` action.
+        elapsed: ms that applying the update took, as stated by the proxy.
     """
 
     proxy: int
@@ -100,16 +105,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Event: what the proxies of one zone that joined this planner measured at a server.
+    """Event: measurements of one server by the proxies of one zone that are connected to this planner.
 
     Attributes:
-        zone: the proxies' zone.
-        server: the server.
-        attempts: attempts that ended within the window.
-        failures: those that failed.
-        mean_latency: ms, mean over the successful attempts.
-        window: ms that the report covers.
-        load: the server's own figures by load column.
+        zone: index of the proxies' zone.
+        server: the measured server.
+        attempts: number of attempts that ended within the window.
+        failures: number of these attempts that failed.
+        mean_latency: mean latency of the successful attempts, ms.
+        window: length of the time window that the report covers, ms.
+        load: load figures reported by the server, in the order of the load columns.
     """
 
     zone: int
@@ -123,14 +128,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """Event: requests of a class that reached a proxy.
+    """Event: number of requests of one class that a proxy received.
 
     Attributes:
-        proxy: its number.
-        request_class: the class.
-        requests: requests within the window.
-        unanswered: those that got no answer.
-        window: ms that the report covers.
+        proxy: number of the proxy.
+        request_class: index of the request class.
+        requests: number of requests within the window.
+        unanswered: number of these requests that were not answered.
+        window: length of the time window that the report covers, ms.
     """
 
     proxy: int
@@ -142,7 +147,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRangeDemand:
-    """Event: as `DemandReport`, for the slice of the key space that has this table."""
+    """Event: number of requests of one class for one key range, with the fields of `DemandReport`.
+
+    The key range is identified by the number of its table.
+    """
 
     table: int
     request_class: int
@@ -153,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRangeGranted:
-    """Event: this planner has been granted a slice of the key space, or it has been revoked."""
+    """Event: a key range, identified by its table, was granted to this planner or revoked."""
 
     table: int
     granted: bool
@@ -161,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRangeWeight:
-    """Event: a line that the table of a granted slice has; `weight` is relative to the others."""
+    """Event: an existing line of a granted key range's table; weights are relative to those of the other lines."""
 
     table: int
     server: ServerId
@@ -182,4 +190,4 @@
     | KeyRangeGranted
     | KeyRangeWeight
 )
-"""Whatever the policy is notified of."""
+"""Any event that an adapter passes to the policy."""
--- a/stackwheel/interface/settings.py
+++ b/stackwheel/interface/settings.py
@@ -1,4 +1,4 @@
-"""What the planner is configured with: the request classes and the retry modes, and settings in groups."""
+"""The settings of the policy, with request classes and retry modes."""
 
 from __future__ import annotations
 
@@ -8,44 +8,44 @@
 
 
 class Retry(IntEnum):
-    """When a proxy may retry a failed attempt; the values are those of the wire."""
+    """When a proxy may retry a failed attempt; the values are the codes on the wire."""
 
     NEVER = 0
     ONCE_IF_NOT_EXECUTED = 1
-    """Only after proof that the first attempt never ran."""
+    """Retry once, and only if the first attempt is known not to have been executed."""
 
     ONCE = 2
     TWICE = 3
 
 
 Idempotency: TypeAlias = Literal["repeatable", "by_key", "once"]
-"""Of a request class: idempotent, idempotent with a key, or not idempotent."""
+"""Idempotency of a request class: idempotent, idempotent with an idempotency key, or not idempotent."""
 
 DeduplicationScope: TypeAlias = Literal["all", "zone", "cell"]
-"""Which servers drop a repeated key among themselves: all, those of a zone, or those of a cell."""
+"""Scope within which servers deduplicate requests by idempotency key: all servers, a zone or a cell."""
 
 AdmissionMode: TypeAlias = Literal["share", "rate", "off"]
-"""What an admission level states: a share of requests, requests per second and proxy, or nothing."""
+"""Unit of admission levels: a share of requests, requests per second and proxy, or no admission control."""
 
 LoadBalancingPolicy: TypeAlias = Literal["weighted", "round", "two"]
-"""How a proxy chooses a server: at random by weight, round robin by weight, or the less loaded of two drawn so."""
+"""How a proxy chooses a server: weighted random, weighted round robin, or power of two choices by weight."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What a class of requests needs, and which servers may serve it.
+    """Requirements of a request class, and the servers that may serve it.
 
     Attributes:
-        name: its name in the settings and on the wire.
-        latency_objective: ms within which an answer has its full value.
-        deadline: ms after which an answer has no value.
-        priority_weight: value of one request; the lowest is shed first.
-        idempotency: whether an attempt may run twice.
-        deduplication_scope: the servers that drop a repeated key among themselves.
-        idempotency_key_ttl: ms for which a server remembers a key.
-        allowed_zones: zones whose servers may serve it; empty: every zone.
-        allowed_kinds: kinds of server that may serve it; empty: every kind.
-        zone_local: whether only servers in the proxy's own zone may serve it.
+        name: name of the class in the settings and on the wire.
+        latency_objective: latency up to which an answer has its full value, ms.
+        deadline: latency beyond which an answer has no value, ms.
+        priority_weight: value of one request; classes with the lowest value are shed first.
+        idempotency: whether a request may be executed more than once.
+        deduplication_scope: the servers that share their idempotency keys.
+        idempotency_key_ttl: time for which a server remembers an idempotency key, ms.
+        allowed_zones: indexes of the zones whose servers may serve the class; empty for all zones.
+        allowed_kinds: indexes of the machine kinds that may serve the class; empty for all kinds.
+        zone_local: whether only servers in the proxy's own zone may serve the class.
     """
 
     name: str = ""
@@ -62,49 +62,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the planner is configured with, in groups.
+    """The settings of the policy.
 
     Attributes:
-        planner_index: this planner's index among the planners.
-        planner_count: planners of the deployment.
-        home_zone: the zone that this planner runs in.
+        planner_index: index of this planner among all planners.
+        planner_count: number of planners in the deployment.
+        home_zone: index of the zone that this planner runs in.
         zone_count: number of zones.
         classes: the request classes.
-        load_columns: the figures of a server's own load, in the order in which reports give them.
+        load_columns: names of the load figures that servers report, in the order of the reports.
 
-        endpoint_weights_enabled: whether discovery states weights.
-        endpoint_list_on_request: whether the planner has to ask for the endpoint list.
-        list_poll_deadline: ms within which a planner without a watch has to ask for the list again.
-        removal_is_advisory: whether only draining obliges the planner: a server dropped from the list may still
-            be used.
+        endpoint_weights_enabled: whether discovery provides server weights.
+        endpoint_list_on_request: whether the planner has to fetch the endpoint list; otherwise it is pushed.
+        list_poll_deadline: maximum time between two fetches of the endpoint list without a watch, ms.
+        removal_is_advisory: whether a server that was removed from the endpoint list may still be used; only
+            draining is binding then.
 
         gossip_enabled: whether planners send each other gossip.
-        health_checks_enabled: whether the planner may call servers.
+        health_checks_enabled: whether the planner may send health checks to servers.
 
-        proxy_count: proxies of the deployment.
-        report_interval: ms between two reports of a proxy, and the length of a slot.
+        proxy_count: number of proxies in the deployment.
+        report_interval: time between two reports of a proxy, and the length of a slot, ms.
         load_balancing_policy: how proxies choose among the lines of a table.
-        default_retry: the retry mode where a table says nothing.
-        attempt_duration_factor: time of one attempt as a multiple of the latency objective; the policy does not use it.
-        consecutive_failure_limit: failures in a row after which a proxy avoids a server for a while; 0: never.
-        admission_mode: what an admission level states.
-        key_range_count: slices of the key space that have a table each; 0: tables are assigned to proxies.
-        exclusive_key_ranges: whether one planner at a time owns a slice.
-
-        message_overhead: lines that a message costs besides its own.
-        channel_rate: lines per second that the channel to the proxies carries.
-        queue_limit: lines that may wait in the channel; 0: no limit.
-        message_cap: messages to one proxy within `message_window`; 0: no limit.
-        message_window: ms over which `message_cap` counts.
-        transit_time: ms that an update takes to a proxy.
-
-        max_unserved_time: ms for which a proxy may have no server for a class.
-        drain_grace: ms within which proxies have to stop sending to a draining server.
-        slow_start_min_share: share of its capacity that a server has when it starts.
-        slow_start_duration: ms until a started server has its full capacity.
-        overload_multiple: multiple of its present capacity over which a server that warms up is overloaded.
-        overload_duration: ms of such an overload after which the server fails.
-        cross_zone_cost: price of a request that is served in another zone.
+        default_retry: retry mode if a table does not set one.
+        attempt_duration_factor: duration of one attempt as a multiple of the latency objective; not used by the policy.
+        consecutive_failure_limit: consecutive failures after which a proxy temporarily avoids a server; 0 for never.
+        admission_mode: unit of the admission levels.
+        key_range_count: number of key ranges, each with its own table; 0 if tables are assigned to proxies.
+        exclusive_key_ranges: whether a key range is owned by one planner at a time.
+
+        message_overhead: fixed cost of a message, in lines, added to the lines that it contains.
+        channel_rate: capacity of the channel to the proxies, lines per second.
+        queue_limit: maximum number of lines queued in the channel; 0 for no limit.
+        message_cap: maximum number of messages to one proxy within `message_window`; 0 for no limit.
+        message_window: time window of `message_cap`, ms.
+        transit_time: time that an update takes to reach a proxy, ms.
+
+        max_unserved_time: maximum time for which a proxy may have no server for a request class, ms.
+        drain_grace: time within which proxies have to stop sending to a draining server, ms.
+        slow_start_min_share: share of its full capacity that a server has when it starts.
+        slow_start_duration: time until a started server has its full capacity, ms.
+        overload_multiple: load, as a multiple of its present capacity, above which a warming server is overloaded.
+        overload_duration: duration of such an overload after which the server fails, ms.
+        cross_zone_cost: cost of serving a request in a zone other than the proxy's, for allocation.
     """
 
     planner_index: int = 0
@@ -114,17 +114,17 @@
     classes: tuple[RequestClass, ...] = ()
     load_columns: tuple[str, ...] = ()
 
-    # The endpoint list.
+    # Endpoint list
     endpoint_weights_enabled: bool = False
     endpoint_list_on_request: bool = False
     list_poll_deadline: float = 10000.0
     removal_is_advisory: bool = False
 
-    # What the planner may use besides reports.
+    # Additional sources of load information
     gossip_enabled: bool = False
     health_checks_enabled: bool = False
 
-    # The proxies.
+    # Proxies
     proxy_count: int = 1
     report_interval: float = 1000.0
     load_balancing_policy: LoadBalancingPolicy = "weighted"
@@ -135,7 +135,7 @@
     key_range_count: int = 0
     exclusive_key_ranges: bool = False
 
-    # The channel to the proxies.
+    # Channel to the proxies
     message_overhead: float = 0.0
     channel_rate: float = 1000.0
     queue_limit: float = 1000.0
@@ -143,7 +143,7 @@
     message_window: float = 10000.0
     transit_time: float = 300.0
 
-    # What the planner is held to.
+    # Service levels, server lifecycle and costs
     max_unserved_time: float = 5000.0
     drain_grace: float = 2000.0
     slow_start_min_share: float = 0.2
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Values of endpoint lists: one entry a server, and how an older entry compares with the process known."""
+"""Endpoint lists: deduplication of entries, merging, and comparison of older entries with the known process."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         (REMOVED, REMOVED, KNOWN),
     ],
 )
-def test_an_older_entry_of_the_known_process(
+def test_freshness_of_an_older_entry_of_the_known_process(
     known: Availability, entry: Availability, freshness: EntryFreshness
 ) -> None:
     assert entry_freshness(instance("s-0", entry, 5.0), KnownProcess(known, 5.0)) is freshness
@@ -65,18 +65,18 @@
         (REMOVED, REMOVED, KNOWN),
     ],
 )
-def test_an_older_entry_of_an_earlier_process(
+def test_freshness_of_an_older_entry_of_an_earlier_process(
     known: Availability, entry: Availability, freshness: EntryFreshness
 ) -> None:
     assert entry_freshness(instance("s-0", entry, 3.0), KnownProcess(known, 5.0)) is freshness
 
 
-def test_of_repeated_entries_the_latest_process_counts_and_of_one_process_the_last_entry() -> None:
+def test_latest_process_and_its_last_entry_are_kept_of_repeated_entries() -> None:
     repeated = (instance("a", READY, 2.0), instance("a", DRAINING, 2.0), instance("a", READY, 1.0), instance("b"))
     assert latest_by_name(repeated) == (repeated[1], repeated[3])
 
 
-def test_a_stale_snapshot_goes_forward_as_a_merged_list_does() -> None:
+def test_stale_snapshot_and_merged_list_apply_changes_alike() -> None:
     base = EndpointList(3, True, (instance("a"), instance("b")), frozenset({"x"}))
     changes = EndpointList(4, False, (instance("b", DRAINING), instance("c")), frozenset({"y"}))
     snapshot = StaleSnapshot.from_list(base, 1000.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: unknown paths are ignored, absent ones have defaults, values that can't be used are named errors."""
+"""Reading of settings: unknown and absent paths, defaults, and the errors for invalid values."""
 
 import pytest
 import simulator_frames
@@ -27,7 +27,7 @@
     assert parse("\nfuture.key=1,2\n") == Settings()
 
 
-def test_zero_means_no_limit_but_is_no_duration() -> None:
+def test_zero_disables_limits_but_is_no_valid_interval_or_rate() -> None:
     got = parse("family_info.backlog=0\nfamily_info.update_cap=0\nfamily_info.cycle=0\nfamily_info.channel_rate=0")
     assert (got.queue_limit, got.message_cap) == (0.0, 0)
     assert got.report_interval > 0
@@ -44,32 +44,32 @@
 @pytest.mark.parametrize(
     ("line", "location", "problem"),
     [
-        ("nothing", "line 1", "not path=value"),
+        ("nothing", "line 1", "not of the form path=value: 'nothing'"),
         ("instances=two", "instances", "not a number: 'two'"),
         ("instances=1.5", "instances", "not an integer: '1.5'"),
-        ("obligations.cold=nan", "obligations.cold", "not a finite number from 0 up: 'nan'"),
-        ("obligations.cold=-1", "obligations.cold", "not a finite number from 0 up: '-1'"),
+        ("obligations.cold=nan", "obligations.cold", "not a finite, non-negative number: 'nan'"),
+        ("obligations.cold=-1", "obligations.cold", "not a finite, non-negative number: '-1'"),
         ("bounds.peers=yes", "bounds.peers", "neither true nor false: 'yes'"),
-        ("discovery=sometimes", "discovery", "none of pushed, on_request: 'sometimes'"),
-        ("services.count=40", "services.count", "over the 32 that an update can name: '40'"),
-        ("family_info.usual_how=9", "family_info.usual_how", "over 3: '9'"),
-        ("services.count=1\nservices.0.effect=x", "services.0.effect", "none of repeatable, by_key, once: 'x'"),
+        ("discovery=sometimes", "discovery", "not one of pushed, on_request: 'sometimes'"),
+        ("services.count=40", "services.count", "over the maximum of 32 request classes: '40'"),
+        ("family_info.usual_how=9", "family_info.usual_how", "over the maximum of 3: '9'"),
+        ("services.count=1\nservices.0.effect=x", "services.0.effect", "not one of repeatable, by_key, once: 'x'"),
         ("services.count=1\nservices.0.only_zones=a", "services.0.only_zones", "not a list of integers: 'a'"),
     ],
 )
-def test_an_error_names_path_and_value(line: str, location: str, problem: str) -> None:
+def test_error_contains_location_and_value(line: str, location: str, problem: str) -> None:
     with pytest.raises(SettingsError) as caught:
         parse(line)
     assert (caught.value.location, caught.value.problem) == (location, problem)
 
 
-def test_settings_have_to_be_utf_8() -> None:
+def test_settings_that_are_not_utf_8_are_rejected() -> None:
     with pytest.raises(SettingsError, match="UTF-8"):
         parse_settings(b"a=\xff")
 
 
 def test_absent_paths_are_reported() -> None:
-    """A misspelt path quietly becomes a default, so the service logs at its start what it was not given."""
+    """Absent paths are logged when the service starts, so that a misspelt path does not go unnoticed."""
     nested = {
         "zones": ["a b", "c,d"],
         "services": [{"name": "read"}],
