--- a/stackwheel/cells/check.py
+++ b/stackwheel/cells/check.py
@@ -41,7 +41,7 @@
     """One fault: the document, the place in it, and the reason."""
 
     document: Document
-    place: str
+    location: str
     reason: str
 
 
--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -17,9 +17,9 @@
 from stackwheel.cells.demand import Demand
 from stackwheel.cells.part_count import parts_needed
 from stackwheel.cells.plan import (
-    FORMAT_VERSION,
     MAX_PARTS,
     MAX_PORT,
+    PLAN_FORMAT_VERSION,
     Cell,
     CellPlanError,
     Limits,
@@ -31,7 +31,8 @@
 MIN_PLANNERS_PER_PART = 2  # of a service that is cut: one may fail
 SHRINK_FACTOR = 2  # parts go only once fewer would do for this times the demand, so that what comes and goes with
 # the day or with a release (servers doubled for a while) doesn't move servers each time
-FIRST_PORT = 20_001  # above the ports of common services, and 12,767 below the first that Linux hands out by itself
+DEFAULT_FIRST_PORT = 20_001
+"""Default of the lowest cell port, between the ports of common services and the ephemeral ports of Linux."""
 
 Scope = tuple[str, ...]  # the regions of a group of cells; empty: all
 
@@ -55,7 +56,7 @@
     regions: Mapping[str, str],
     relays: Iterable[Relay],
     former: Plan | None = None,
-    first_port: int = FIRST_PORT,
+    first_port: int = DEFAULT_FIRST_PORT,
 ) -> Plan:
     """A valid plan for a demand, which keeps names, ports and parts of the former one where they still hold.
 
@@ -79,7 +80,7 @@
         for scope, parts in parts_by_scope.items():
             groups[service, scope] = parts
     cells = _name_cells(groups, former, first_port)
-    plan = Plan(FORMAT_VERSION, limits, dict(sorted(regions.items())), tuple(relays), cells)
+    plan = Plan(PLAN_FORMAT_VERSION, limits, dict(sorted(regions.items())), tuple(relays), cells)
     encode_valid_plan(plan)
     return plan
 
--- a/stackwheel/cells/plan.py
+++ b/stackwheel/cells/plan.py
@@ -8,7 +8,7 @@
 
 from stackwheel.errors import InvalidInputError
 
-FORMAT_VERSION = 1  # of the plan file
+PLAN_FORMAT_VERSION = 1  # of the plan file
 REPLICAS = 2  # relays that serve each cell: one may fail
 MAX_PARTS = 1_024  # of one service and set of regions; at 512 servers each that is 524,288 servers
 MAX_CELL_LIMIT = 65_536  # servers or planners a cell; over this a limit limits nothing in a fleet of 48,000 servers
--- a/stackwheel/cells/plan_validation.py
+++ b/stackwheel/cells/plan_validation.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from typing import TypeVar
 
-from stackwheel.cells.plan import FORMAT_VERSION, REPLICAS, Cell, CellPlanError, Plan, Relay
+from stackwheel.cells.plan import PLAN_FORMAT_VERSION, REPLICAS, Cell, CellPlanError, Plan, Relay
 
 Key = TypeVar("Key", str, int)
 
@@ -16,8 +16,8 @@
     Raises:
         CellPlanError: it can't; the place follows `source`.
     """
-    if plan.version != FORMAT_VERSION:
-        raise CellPlanError(f"{source}: version", f"{plan.version} is unknown, {FORMAT_VERSION} is known")
+    if plan.version != PLAN_FORMAT_VERSION:
+        raise CellPlanError(f"{source}: version", f"{plan.version} is unknown, {PLAN_FORMAT_VERSION} is known")
     _validate_relays(plan.relays, source)
     _validate_cells(plan, source)
     _validate_groups(plan.cells, source)
--- a/stackwheel/cli/cells.py
+++ b/stackwheel/cli/cells.py
@@ -11,7 +11,7 @@
 
 from stackwheel.cells.check import Document, ListedServer, check_plan_against_fleet
 from stackwheel.cells.demand import demand_from_servers
-from stackwheel.cells.design import FIRST_PORT, design
+from stackwheel.cells.design import DEFAULT_FIRST_PORT, design
 from stackwheel.cells.movement import compare_plans, measure_spread
 from stackwheel.cells.plan import MAX_CELL_LIMIT, MAX_PORT, CellPlanError, Limits, Plan, Relay
 from stackwheel.cells.plan_file import load_plan, load_regions, save_plan
@@ -78,7 +78,7 @@
     type=click.IntRange(1, MAX_CELL_LIMIT),
     help="Of a cell; else the former plan's, or 16.",
 )
-@click.option("--first-port", type=click.IntRange(1, MAX_PORT), default=FIRST_PORT, show_default=True)
+@click.option("--first-port", type=click.IntRange(1, MAX_PORT), default=DEFAULT_FIRST_PORT, show_default=True)
 @click.option("--out", type=FILE_PATH, required=True, help="Replaced atomically, or left as it is.")
 @json_option
 def plan(out: Path, as_json: bool, **options: object) -> None:
@@ -117,7 +117,7 @@
         servers = load_servers(servers_file)
         files = {Document.PLAN: path, Document.SERVERS: servers_file}
         findings = check_plan_against_fleet(checked_plan, servers)
-        lines = [f"{files[finding.document]}: {finding.place}: {finding.reason}" for finding in findings]
+        lines = [f"{files[finding.document]}: {finding.location}: {finding.reason}" for finding in findings]
         fleet = f" for {len(servers)} servers"
     if as_json:
         click.echo(json.dumps({"ok": not lines, "cells": len(checked_plan.cells), "findings": lines}))
--- a/stackwheel/relay/messages.py
+++ b/stackwheel/relay/messages.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SnapshotDue:
+class SnapshotRequired:
     """The caller needs the cell's snapshot, as `WatchCache.snapshot` gives it at the moment it is written."""
 
 
@@ -26,7 +26,7 @@
     line: bytes
 
 
-Answer = SnapshotDue | Delta
+Answer = SnapshotRequired | Delta
 
 
 @dataclass(frozen=True, slots=True)
--- a/stackwheel/relay/watch_cache.py
+++ b/stackwheel/relay/watch_cache.py
@@ -30,7 +30,7 @@
     EndWatches,
     SendDelta,
     SendSnapshot,
-    SnapshotDue,
+    SnapshotRequired,
     UnavailableError,
 )
 from stackwheel.relay.upstream_liveness import UpstreamLiveness
@@ -190,13 +190,13 @@
         if not self.is_current(now):
             raise UnavailableError(UPSTREAM_LOST)
         if since is None:
-            return SnapshotDue()
+            return SnapshotRequired()
         if since > self.generation:
             if view.may_catch_up(since, now):
                 raise UnavailableError(BEHIND_CALLER)
-            return SnapshotDue()
+            return SnapshotRequired()
         if now < self.plan_propagated_at or self._is_unknown(since) or not view.can_resume(since):
-            return SnapshotDue()
+            return SnapshotRequired()
         return Delta(view.delta(since, self.generation))
 
     def snapshot(self, cell: str) -> bytes | None:
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple, cast
 
 from stackwheel.cells.assignment import discovery_addresses, service_of
-from stackwheel.cells.plan import FORMAT_VERSION, Cell, Limits, Plan, Relay
+from stackwheel.cells.plan import PLAN_FORMAT_VERSION, Cell, Limits, Plan, Relay
 from stackwheel.interface import Availability
 from stackwheel.rules.violations import Rule
 from stackwheel.service.relay import RelayEnvironment, RelayService
@@ -152,7 +152,7 @@
         """The cell plan as it is now."""
         relays = tuple(Relay(f"relay-{number}", relay_host(number)) for number in range(self.context.shape.relays))
         cells = tuple(Cell(name, name, (), 0, 1, port + self.port_offset) for name, port in CELL_PORTS.items())
-        return Plan(FORMAT_VERSION, Limits(), dict.fromkeys(self.context.zones, "region-0"), relays, cells)
+        return Plan(PLAN_FORMAT_VERSION, Limits(), dict.fromkeys(self.context.zones, "region-0"), relays, cells)
 
     def addresses_of(self, planner: int) -> str:
         """Where a planner calls for its endpoint list, the preferred relay first."""
--- a/stackwheel/wire/endpoint_list_server.py
+++ b/stackwheel/wire/endpoint_list_server.py
@@ -14,7 +14,15 @@
 import h11
 from loguru import logger
 
-from stackwheel.relay.messages import Action, Delta, EndWatches, SendDelta, SendSnapshot, SnapshotDue, UnavailableError
+from stackwheel.relay.messages import (
+    Action,
+    Delta,
+    EndWatches,
+    SendDelta,
+    SendSnapshot,
+    SnapshotRequired,
+    UnavailableError,
+)
 from stackwheel.relay.watch_cache import CELL_SERVED_ELSEWHERE, WatchCache
 from stackwheel.wire import timing
 from stackwheel.wire.byte_budget import ByteBudget
@@ -208,7 +216,7 @@
             answer = self.cache.answer(cell, request.since if request.follow else None, self.now())
         except UnavailableError as error:
             raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, str(error)) from error
-        if isinstance(answer, SnapshotDue) and not self.budget.has_capacity(len(self.cache.snapshot(cell) or b"")):
+        if isinstance(answer, SnapshotRequired) and not self.budget.has_capacity(len(self.cache.snapshot(cell) or b"")):
             raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, TOO_MANY_SNAPSHOTS)
         if request.follow:
             await self._watch(cell, answer.line if isinstance(answer, Delta) else None, reader, writer)
--- a/tests/relay/test_watch_cache.py
+++ b/tests/relay/test_watch_cache.py
@@ -24,7 +24,7 @@
 from stackwheel.endpoints import MAX_LIST_AGE_MS, MIN_REMOVED_SERVER_LIMIT, latest_by_name
 from stackwheel.relay.cell_view import MAX_CACHED_DELTAS, MAX_NEWER_GENERATIONS
 from stackwheel.relay.encoding import encode_instance, encode_line
-from stackwheel.relay.messages import Delta, EndWatches, SnapshotDue, UnavailableError
+from stackwheel.relay.messages import Delta, EndWatches, SnapshotRequired, UnavailableError
 from stackwheel.relay.watch_cache import MAX_UNREADABLE_NAMES, PLAN_PROPAGATION_MS, WatchCache
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_protocol import parse_endpoint_list
@@ -76,11 +76,11 @@
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     cache.apply(snapshot_list(9, instance("a-1", DRAINING)), 1.0)
-    assert cache.answer("a", 7, 2.0) == SnapshotDue()
+    assert cache.answer("a", 7, 2.0) == SnapshotRequired()
     assert availability_by_name(resumed_delta(cache, "a", 5, 2.0)) == {"a-1": DRAINING}
     assert resumed_delta(cache, "a", 9, 2.0) == delta_list(9)
     cache.apply(snapshot_list(12, instance("a-1", DRAINING)), 3.0)
-    assert cache.answer("a", 7, 4.0) == cache.answer("a", 11, 4.0) == cache.answer("a", 5, 4.0) == SnapshotDue()
+    assert cache.answer("a", 7, 4.0) == cache.answer("a", 11, 4.0) == cache.answer("a", 5, 4.0) == SnapshotRequired()
     assert resumed_delta(cache, "a", 9, 4.0) == delta_list(12)
 
 
@@ -88,7 +88,7 @@
 def test_a_watch_that_cannot_be_resumed_gets_a_snapshot(since: int | None) -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
-    assert cache.answer("a", since, 1.0) == SnapshotDue()
+    assert cache.answer("a", since, 1.0) == SnapshotRequired()
 
 
 def test_removals_beyond_the_bound_are_forgotten_and_sent_by_a_snapshot() -> None:
@@ -98,7 +98,7 @@
     for generation, name in enumerate(names, 2):
         cache.apply(delta_list(generation, instance(name, REMOVED)), 1.0)
     assert len(cache.views["a"].removed) == MIN_REMOVED_SERVER_LIMIT
-    assert cache.answer("a", 2, 2.0) == SnapshotDue()  # the removals of generations 2 and 3 are forgotten
+    assert cache.answer("a", 2, 2.0) == SnapshotRequired()  # the removals of generations 2 and 3 are forgotten
     assert len(resumed_delta(cache, "a", 3, 2.0).instances) == MIN_REMOVED_SERVER_LIMIT
 
 
@@ -234,7 +234,7 @@
         cache.mark_upstream_alive(now)
         assert is_unavailable(cache, "a", 900, now)
     cache.mark_upstream_alive(MAX_LIST_AGE_MS)
-    assert cache.answer("a", 900, MAX_LIST_AGE_MS) == SnapshotDue()
+    assert cache.answer("a", 900, MAX_LIST_AGE_MS) == SnapshotRequired()
     assert is_unavailable(cache, "a", 901, MAX_LIST_AGE_MS)  # each generation has its own clock
 
 
@@ -246,7 +246,7 @@
     cache.mark_upstream_alive(MAX_LIST_AGE_MS)
     assert is_unavailable(cache, "a", 900, MAX_LIST_AGE_MS)
     cache.mark_upstream_alive(2 * MAX_LIST_AGE_MS)
-    assert cache.answer("a", 900, 2 * MAX_LIST_AGE_MS) == SnapshotDue()
+    assert cache.answer("a", 900, 2 * MAX_LIST_AGE_MS) == SnapshotRequired()
 
 
 def test_remembered_newer_generations_are_bounded() -> None:
@@ -274,7 +274,7 @@
     cache.apply(snapshot_list(3, instance("a-2"), generations_restarted=True), 1.0)
     for generation in range(4, 9):
         cache.apply(delta_list(generation, instance("a-2", weight=float(generation))), 2.0)
-    assert cache.answer("a", 5, 3.0) == SnapshotDue()  # in the retired numbering a-1 was listed at 5
+    assert cache.answer("a", 5, 3.0) == SnapshotRequired()  # in the retired numbering a-1 was listed at 5
     assert resumed_delta(cache, "a", 6, 3.0).generation == 8
 
 
@@ -382,6 +382,6 @@
         "a": {"a-2": REMOVED},
         "a.west": {"a-2": READY},
     }
-    assert cache.answer("a", 5, 2.0) == SnapshotDue()  # the other replica may not have read the plan yet
+    assert cache.answer("a", 5, 2.0) == SnapshotRequired()  # the other replica may not have read the plan yet
     cache.mark_upstream_alive(1.0 + PLAN_PROPAGATION_MS)
     assert availability_by_name(resumed_delta(cache, "a", 5, 1.0 + PLAN_PROPAGATION_MS)) == {"a-2": REMOVED}
--- a/tests/relay_server_harness.py
+++ b/tests/relay_server_harness.py
@@ -15,7 +15,7 @@
 from stackwheel.wire.endpoint_watch import EndpointWatch
 
 LIST_PATH = "/registry/instances"
-FILLER = "x" * 200  # makes names long
+NAME_PADDING = "x" * 200  # makes names long
 TEST_TIMEOUT_S = 15
 
 
@@ -127,7 +127,7 @@
         resume = "" if since is None else f"&since={since}"
         return Watcher(await Caller.open(self.address, f"GET {LIST_PATH}?follow=1{resume}", receive_buffer))
 
-    async def watches(self, count: int) -> list[EndpointWatch]:
+    async def wait_for_watches(self, count: int) -> list[EndpointWatch]:
         """The open watches, once there are so many."""
         while len(self.server.watches.get("a", ())) != count:
             await asyncio.sleep(0)
@@ -160,7 +160,7 @@
     asyncio.run(run_and_clean_up())
 
 
-async def started_relay(*listed: Instance, **options: Any) -> RelayServer:
+async def start_relay(*listed: Instance, **options: Any) -> RelayServer:
     """A server that lists these instances in generation 5; without any it has no list yet."""
     relay = await RelayServer(watch_cache_of("a"), **options).start()
     if listed:
@@ -170,7 +170,7 @@
 
 def large_delta(generation: int) -> EndpointList:
     """Changes of some 30 KB."""
-    return delta_list(generation, *(instance(f"a-{n}{FILLER}", weight=float(generation)) for n in range(80)))
+    return delta_list(generation, *(instance(f"a-{n}{NAME_PADDING}", weight=float(generation)) for n in range(80)))
 
 
 def merge_lists(received: list[EndpointList]) -> dict[str, Instance]:
@@ -182,13 +182,13 @@
     return {name: entry for name, entry in listed.items() if entry.availability is not REMOVED}
 
 
-async def until_idle(watch: EndpointWatch) -> None:
+async def wait_until_idle(watch: EndpointWatch) -> None:
     """Wait until everything is written."""
     while watch.writing or watch.pending or watch.snapshot_due:
         await asyncio.sleep(0)
 
 
-async def until_blocked(watch: EndpointWatch) -> None:
+async def wait_until_blocked(watch: EndpointWatch) -> None:
     """Wait until a write of the watch waits for the caller to read."""
     while not (watch.writing and watch.writer.transport.get_write_buffer_size()):
         await asyncio.sleep(0)
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -29,9 +29,9 @@
 SEED = 40  # of the only instance
 
 
-def short_day() -> list[bytes]:
+def scripted_batches() -> list[bytes]:
     """The simulator's short day, with the ids that the service gives these servers."""
-    batches = simulator_frames.short_day(0)
+    batches = simulator_frames.scripted_batches(0)
     for number in range(simulator_frames.SERVERS):
         id_on_wire = simulator_frames.server_id(number)
         batches = [data.replace(id_on_wire, server_id(f"s-{number}")) for data in batches]
@@ -197,7 +197,7 @@
     host = Host()
     decoder = Decoder()
     records = []
-    for data in short_day():
+    for data in scripted_batches():
         frame = simulator_frames.frame_of(data)
         (reply,) = simulator_frames.split_replies(host.reply_to(frame))
         if decoder.decode_batch(frame).items:
@@ -207,7 +207,7 @@
 
 def test_same_decisions() -> None:
     decoder = Decoder()
-    batches = [decoder.decode_batch(simulator_frames.frame_of(data)) for data in short_day()]
+    batches = [decoder.decode_batch(simulator_frames.frame_of(data)) for data in scripted_batches()]
 
     async def run_service() -> list[list[Action]]:
         discovery = Discovery()
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -30,7 +30,7 @@
 
 
 def test_each_batch_gets_one_reply() -> None:
-    done = run(b"".join(simulator_frames.short_day(0)))
+    done = run(b"".join(simulator_frames.scripted_batches(0)))
     assert done.returncode == 0
     assert done.stderr == b""
     replies = simulator_frames.split_replies(done.stdout)
@@ -52,7 +52,7 @@
 
 
 def test_same_actions_with_any_hash_seed() -> None:
-    data = b"".join(simulator_frames.short_day(0, 1, 2))
+    data = b"".join(simulator_frames.scripted_batches(0, 1, 2))
     assert run(data, "1").stdout == run(data, "4711").stdout
 
 
@@ -63,9 +63,9 @@
 
 def test_instances_share_nothing() -> None:
     """Each instance acts in company as it acts alone."""
-    together = simulator_frames.split_replies(run(b"".join(simulator_frames.short_day(0, 1, 2))).stdout)
+    together = simulator_frames.split_replies(run(b"".join(simulator_frames.scripted_batches(0, 1, 2))).stdout)
     for instance in (0, 1, 2):
-        alone = simulator_frames.split_replies(run(b"".join(simulator_frames.short_day(instance))).stdout)
+        alone = simulator_frames.split_replies(run(b"".join(simulator_frames.scripted_batches(instance))).stdout)
         selected = [(number, [r for r in records if instance_of(r) == instance]) for number, records in together]
         assert selected == alone
         assert any(records for _, records in selected)
@@ -79,7 +79,7 @@
         ),
         simulator_frames.batch(20100.0, 51),
     ]
-    replies = dict(simulator_frames.split_replies(run(b"".join(simulator_frames.short_day(0) + tail)).stdout))
+    replies = dict(simulator_frames.split_replies(run(b"".join(simulator_frames.scripted_batches(0) + tail)).stdout))
     codes = [record[0] for record in replies[50]]
     assert codes == [ActionCode.WATCH_ENDPOINTS, ActionCode.SEND_GOSSIP, ActionCode.SET_TIMER]
     assert replies[51] == []
--- a/tests/simulator_frames.py
+++ b/tests/simulator_frames.py
@@ -121,7 +121,7 @@
     return record(3, struct.pack(">HQ", instance, token))
 
 
-def short_day(*instances: int) -> list[bytes]:
+def scripted_batches(*instances: int) -> list[bytes]:
     """A short scripted day: start, joins, reports, a drain and a restart."""
     batches = [batch(0.0, 1)]
     starts = [endpoint_page(0, *(entry(number, zone=number % 2) for number in range(SERVERS)))]
--- a/tests/wire/test_endpoint_list_server.py
+++ b/tests/wire/test_endpoint_list_server.py
@@ -18,16 +18,16 @@
     snapshot_list,
 )
 from relay_server_harness import (
-    FILLER,
     LIST_PATH,
+    NAME_PADDING,
     Caller,
     RelayServer,
     large_delta,
     merge_lists,
     run,
-    started_relay,
-    until_blocked,
-    until_idle,
+    start_relay,
+    wait_until_blocked,
+    wait_until_idle,
 )
 
 from stackwheel.relay.watch_cache import WatchCache
@@ -37,7 +37,7 @@
 
 def test_a_list_and_a_watch_send_the_entries_of_the_cell_and_their_changes() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"), instance("b-1"))
+        relay = await start_relay(instance("a-1"), instance("b-1"))
         head, _, body = (await (await relay.get_list()).receive_all()).partition(b"\r\n\r\n")
         assert b"200 OK" in head
         assert decode_line(body) == snapshot_list(5, instance("a-1"))
@@ -65,7 +65,7 @@
 )
 def test_bad_requests_are_rejected(request_line: str, status: int) -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"))
+        relay = await start_relay(instance("a-1"))
         assert await (await Caller.open(relay.address, request_line)).status() == status
 
     run(scenario)
@@ -73,7 +73,7 @@
 
 def test_calls_are_rejected_before_the_first_list_and_without_the_upstream() -> None:
     async def scenario() -> None:
-        relay = await started_relay()
+        relay = await start_relay()
         for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1"):
             assert await (await Caller.open(relay.address, request)).status() == 503
         relay.apply(snapshot_list(5, instance("a-1")))
@@ -88,7 +88,7 @@
     monkeypatch.setattr(endpoint_requests, "REQUEST_TIMEOUT_MS", 50.0)
 
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"))
+        relay = await start_relay(instance("a-1"))
         silent = await Caller.open(relay.address)
         slow = await Caller.open(relay.address)
         await slow.send(f"GET {LIST_PATH} HT")
@@ -101,12 +101,12 @@
 
 def test_connections_are_bounded() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"), max_connections=2)
+        relay = await start_relay(instance("a-1"), max_connections=2)
         watchers = [await relay.watch(), await relay.watch()]
-        await relay.watches(2)
+        await relay.wait_for_watches(2)
         assert await (await relay.get_list()).status() == 503
         watchers.pop().caller.socket.close()
-        await relay.watches(1)
+        await relay.wait_for_watches(1)
         while relay.server.connections > 1:
             await asyncio.sleep(0)
         assert await (await relay.get_list()).status() == 200
@@ -119,13 +119,13 @@
 
 def test_a_drain_while_the_first_delta_is_being_written_is_sent_after_it() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"))
+        relay = await start_relay(instance("a-1"))
         for generation in range(6, 30):
             relay.apply(large_delta(generation))
-        relay.apply(delta_list(30, *(instance(f"a-{n}{FILLER * 40}") for n in range(400))))  # beyond all buffers
+        relay.apply(delta_list(30, *(instance(f"a-{n}{NAME_PADDING * 40}") for n in range(400))))  # beyond all buffers
         watcher = await relay.watch(since=5, receive_buffer=4096)
-        (watch,) = await relay.watches(1)
-        await until_blocked(watch)
+        (watch,) = await relay.wait_for_watches(1)
+        await wait_until_blocked(watch)
         relay.apply(delta_list(31, instance("a-1", DRAINING)))
         first = await watcher.next_list()
         assert not first.complete
@@ -138,12 +138,12 @@
 
 def test_a_drain_before_the_snapshot_is_written_is_in_it() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"), instance("a-2"), max_snapshot_bytes=1)
+        relay = await start_relay(instance("a-1"), instance("a-2"), max_snapshot_bytes=1)
         watcher = await relay.watch()
         assert (await watcher.next_list()).complete
         other = relay.server.budget.reserve(1)  # the snapshot that is due has to wait
         await other.__aenter__()
-        (watch,) = await relay.watches(1)
+        (watch,) = await relay.wait_for_watches(1)
         watch.request_snapshot()
         while watch.wakeup.is_set():  # until it waits for its turn
             await asyncio.sleep(0)
@@ -161,21 +161,21 @@
 
 def test_heartbeats_stop_and_watches_end_when_the_upstream_is_lost() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"))
+        relay = await start_relay(instance("a-1"))
         watcher = await relay.watch()
         await watcher.next_list()
-        (watch,) = await relay.watches(1)
-        await until_idle(watch)
+        (watch,) = await relay.wait_for_watches(1)
+        await wait_until_idle(watch)
         relay.send_heartbeats()
         assert await watcher.next_line() == b""
-        await until_idle(watch)
+        await wait_until_idle(watch)
         relay.lose_upstream(timing.WATCH_SILENCE_TIMEOUT_MS)
         relay.send_heartbeats()
         assert not watch.pending  # nothing was sent
         relay.server.perform(relay.cache.tick(relay.server.now()))
         with pytest.raises(EOFError):
             await watcher.next_line()
-        await relay.watches(0)
+        await relay.wait_for_watches(0)
 
     run(scenario)
 
@@ -184,7 +184,7 @@
     monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 80.0)
 
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"))
+        relay = await start_relay(instance("a-1"))
         watcher = await relay.watch()
         await watcher.next_list()
         timers = asyncio.create_task(relay.server.run_timers())
@@ -199,7 +199,7 @@
 
 def test_restarted_generations_are_sent_to_all_watchers_as_a_snapshot() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"), max_snapshot_bytes=1)
+        relay = await start_relay(instance("a-1"), max_snapshot_bytes=1)
         watchers = [await relay.watch(since=5) for _ in range(5)]
         for watcher in watchers:
             await watcher.next_list()
@@ -215,10 +215,10 @@
 
 def test_what_a_slow_reader_leaves_unread_is_bounded_and_it_gets_a_snapshot() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"))
+        relay = await start_relay(instance("a-1"))
         watcher = await relay.watch(since=5, receive_buffer=4096)
         await watcher.next_list()
-        (watch,) = await relay.watches(1)
+        (watch,) = await relay.wait_for_watches(1)
         generation = 5
         while not watch.snapshot_due:
             generation += 1
@@ -256,13 +256,13 @@
         relay.apply(snapshot_list(5, instance("a-1")))
         watcher = await relay.watch(since=5, receive_buffer=4096)
         await watcher.next_list()
-        (watch,) = await relay.watches(1)
+        (watch,) = await relay.wait_for_watches(1)
         generation = 5
         while not watch.writer.transport.get_write_buffer_size():
             generation += 1
             relay.apply(large_delta(generation))
             await asyncio.sleep(0)
-        await relay.watches(0)
+        await relay.wait_for_watches(0)
         assert watch.end_reason.startswith("not read for")
 
     run(scenario)
@@ -270,12 +270,12 @@
 
 def test_snapshots_being_sent_are_bounded() -> None:
     async def scenario() -> None:
-        relay = await started_relay(
-            *(instance(f"a-{n}{FILLER * 40}") for n in range(400)), max_snapshot_bytes=7_000_000
+        relay = await start_relay(
+            *(instance(f"a-{n}{NAME_PADDING * 40}") for n in range(400)), max_snapshot_bytes=7_000_000
         )
         slow = [await relay.watch(receive_buffer=4096), await relay.watch(receive_buffer=4096)]
-        for watch in await relay.watches(2):
-            await until_blocked(watch)
+        for watch in await relay.wait_for_watches(2):
+            await wait_until_blocked(watch)
         relay.cache.mark_upstream_alive(relay.server.now())
         for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1", f"GET {LIST_PATH}?follow=1&since=4"):
             assert await (await Caller.open(relay.address, request)).status() == 503
@@ -295,8 +295,8 @@
 
 def test_listeners_follow_the_plan_or_stay_as_they_were() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"))
-        other = await started_relay(instance("a-1"))
+        relay = await start_relay(instance("a-1"))
+        other = await start_relay(instance("a-1"))
         with pytest.raises(OSError, match="already in use"):
             await relay.server.listen({other.address: "a"})  # taken
         assert await (await relay.get_list()).status() == 200
@@ -310,12 +310,12 @@
 
 def test_the_watch_of_a_disconnected_watcher_is_removed() -> None:
     async def scenario() -> None:
-        relay = await started_relay(instance("a-1"))
+        relay = await start_relay(instance("a-1"))
         watcher = await relay.watch()
         assert availability_by_name(await watcher.next_list()) == {"a-1": READY}
-        await relay.watches(1)
+        await relay.wait_for_watches(1)
         watcher.caller.socket.close()
-        await relay.watches(0)
+        await relay.wait_for_watches(0)
         assert relay.server.watches == {}
 
     run(scenario)
