--- a/stackwheel/relay/__init__.py
+++ b/stackwheel/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relay: serves each cell its endpoint list as a resumable watch; decided without I/O or a clock of its own."""
+"""Relay: serves each cell its endpoint list as a resumable watch, with I/O and the clock left to the caller."""
--- a/stackwheel/relay/cell_view.py
+++ b/stackwheel/relay/cell_view.py
@@ -1,8 +1,8 @@
-"""One cell's share of the endpoint list: its entries, and a compacted log of their changes.
+"""The endpoint list of one cell and a compacted log of its changes.
 
-The log keeps the last change of each server, not every change: a watcher that resumes after a generation needs to
-know the present state, not how it came about. The change of a listed server is its entry. Those of removed servers
-are kept up to a bound.
+The log contains only the last change of each server, because a watcher that resumes after a generation needs the
+current state and not the history. The last change of a listed server is its entry. The changes of removed servers
+are limited in number.
 """
 
 from __future__ import annotations
@@ -14,9 +14,14 @@
 from stackwheel.interface import Availability
 from stackwheel.relay.encoding import encode_instance, encode_line, encode_unreadable
 
-MAX_NEWER_GENERATIONS = 64  # generations ahead of this relay that are remembered: four a planner of a cell of 16
-MAX_CACHED_DELTAS = 16  # encoded deltas, one a generation that is resumed after: one a planner of the cell
-NO_GENERATION = -1  # below every generation
+MAX_NEWER_GENERATIONS = 64
+"""Maximum number of remembered generations that clients know and this relay does not."""
+
+MAX_CACHED_DELTAS = 16
+"""Maximum number of cached encoded deltas, each of which starts at another generation."""
+
+NO_GENERATION = -1
+"""A value below every generation."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,11 +29,11 @@
     """The last change of a server.
 
     Attributes:
-        instance: the entry since then.
-        encoded: the entry, encoded.
-        generation: the generation that brought the change.
-        generation_already_sent: whether the generation had been sent to watchers before: a watcher that has it may
-            lack this change.
+        instance: the entry after the change.
+        encoded: the encoded entry.
+        generation: the generation of the endpoint list that contains the change.
+        generation_already_sent: whether watchers had received this generation before the change was recorded, so that
+            they need the change although they know the generation.
     """
 
     instance: Instance
@@ -38,17 +43,19 @@
 
 
 class CellView:
-    """Entries and log of one cell. Generations are the discovery service's, times are ms.
+    """The entries and the change log of one cell, with the generations of the discovery service.
 
     Attributes:
-        listed: the change of each listed server, by name.
-        removed: the change of each removed server that is remembered, the oldest first.
-        log_start: the log has all changes after this generation.
-        retired_generation: the highest generation of a numbering that the discovery service has given up.
-        newer_generations: generations that callers know and this relay does not, with the time (ms) of the first call.
-        encoded_entries: the listed entries, encoded; None after a change.
-        deltas: encoded deltas by the generation that they begin after.
-        deltas_generation: the generation that `deltas` lead to.
+        listed: the last change of each listed server, by server name.
+        removed: the last change of each remembered removed server, by server name, oldest first.
+        log_start: the generation after which the log contains all changes.
+        retired_generation: the highest generation that the discovery service reached before a restart of its
+            numbering; `NO_GENERATION` without a restart.
+        newer_generations: the generations that clients know and this relay does not, each with the time of its first
+            request, ms.
+        encoded_entries: the cached encoding of all listed entries; None if it is outdated.
+        cached_deltas: the cached encoded deltas, by the generation after which they start.
+        cached_deltas_generation: the generation up to which the cached deltas lead.
     """
 
     def __init__(self, generation: int) -> None:
@@ -58,30 +65,30 @@
         self.retired_generation = NO_GENERATION
         self.newer_generations: dict[int, float] = {}
         self.encoded_entries: bytes | None = None
-        self.deltas: dict[int, bytes] = {}
-        self.deltas_generation = generation
+        self.cached_deltas: dict[int, bytes] = {}
+        self.cached_deltas_generation = generation
 
     def record(self, instance: Instance, generation: int, generation_already_sent: bool) -> bytes:
-        """Record a change, a removal if the instance is removed; the encoded entry."""
+        """Record a new state of a server, which may be its removal, and return the encoded entry."""
         name = instance.name
         change = EntryChange(instance, encode_instance(instance), generation, generation_already_sent)
         self.listed.pop(name, None)
         self.removed.pop(name, None)
         changes = self.removed if instance.availability is Availability.REMOVED else self.listed
         changes[name] = change
-        self._forget_removed()
+        self._evict_removed()
         self._invalidate_encodings()
         return change.encoded
 
     def record_removal(self, name: str, generation: int, generation_already_sent: bool) -> bytes | None:
-        """Record that a server has left the cell; the encoded entry, None if it was not in it."""
+        """Record that a server has left the cell and return the encoded entry, or None if the server is not listed."""
         if name not in self.listed:
             return None
         instance = replace(self.listed[name].instance, availability=Availability.REMOVED)
         return self.record(instance, generation, generation_already_sent)
 
     def reset(self, instances: Iterable[Instance], generation: int, retired_generation: int = NO_GENERATION) -> None:
-        """Replace all entries, with a log that starts here."""
+        """Replace all entries and start the change log at a generation."""
         self.listed = {
             instance.name: EntryChange(instance, encode_instance(instance), generation, False) for instance in instances
         }
@@ -92,43 +99,44 @@
         self._invalidate_encodings()
 
     def can_resume(self, since: int) -> bool:
-        """Whether the log has all changes after a generation.
+        """Return whether the log contains all changes after a generation.
 
-        A generation that may be of a numbering which the discovery service has given up says nothing.
+        Generations up to `retired_generation` are ambiguous, because they may belong to an earlier numbering.
         """
         return since >= self.log_start and since > max(0, self.retired_generation)
 
     def delta(self, since: int, generation: int) -> bytes:
-        """The line with what changed after a generation that can be resumed, up to the present one."""
-        if generation != self.deltas_generation:
-            self.deltas.clear()
-            self.deltas_generation = generation
-        line = self.deltas.get(since)
+        """Return the encoded changes after a resumable generation, up to the current generation."""
+        if generation != self.cached_deltas_generation:
+            self.cached_deltas.clear()
+            self.cached_deltas_generation = generation
+        line = self.cached_deltas.get(since)
         if line is None:
             line = encode_line(generation, False, self._changed_after(since))
-            if len(self.deltas) < MAX_CACHED_DELTAS:
-                self.deltas[since] = line
+            if len(self.cached_deltas) < MAX_CACHED_DELTAS:
+                self.cached_deltas[since] = line
         return line
 
     def snapshot(self, generation: int, unreadable: Iterable[str]) -> bytes:
-        """The line with all entries, and with those that could not be read."""
+        """Return the encoded complete list, including placeholders for unreadable entries."""
         if self.encoded_entries is None:
             self.encoded_entries = b",".join(change.encoded for change in self.listed.values())
         entries = [self.encoded_entries] if self.encoded_entries else []
         return encode_line(generation, True, entries + [encode_unreadable(name) for name in unreadable])
 
     def may_catch_up(self, since: int, now: float) -> bool:
-        """Whether a generation ahead of this relay may still reach it: the other replica may be ahead.
+        """Return whether this relay may still reach a newer generation, which a client got from the other replica.
 
-        Where it does not arrive while a list can be that old, the discovery service has restarted its generations.
+        If the relay does not reach it within the maximum age of a list, the discovery service has restarted its
+        generations.
         """
-        first_call = self.newer_generations.get(since)
-        if first_call is None:
+        first_requested_at = self.newer_generations.get(since)
+        if first_requested_at is None:
             if len(self.newer_generations) >= MAX_NEWER_GENERATIONS:
                 self.newer_generations.pop(next(iter(self.newer_generations)))
-            first_call = now
-            self.newer_generations[since] = first_call
-        return now < first_call + MAX_LIST_AGE_MS
+            first_requested_at = now
+            self.newer_generations[since] = first_requested_at
+        return now < first_requested_at + MAX_LIST_AGE_MS
 
     def _changed_after(self, since: int) -> list[bytes]:
         return [
@@ -138,15 +146,16 @@
             if change.generation > since or (change.generation_already_sent and change.generation == since)
         ]
 
-    def _forget_removed(self) -> None:
+    def _evict_removed(self) -> None:
         limit = max(MIN_REMOVED_SERVER_LIMIT, REMOVED_SERVER_LIMIT_PER_LISTED * len(self.listed))
         while len(self.removed) > limit:
             name = next(iter(self.removed))
-            forgotten = self.removed.pop(name)
-            # a watcher that has this generation may lack a change that was recorded after the generation was sent
-            complete_after = forgotten.generation + forgotten.generation_already_sent
+            evicted = self.removed.pop(name)
+            # A watcher that knows this generation may not have received a change that was recorded after the
+            # generation was sent.
+            complete_after = evicted.generation + evicted.generation_already_sent
             self.log_start = max(self.log_start, complete_after)
 
     def _invalidate_encodings(self) -> None:
         self.encoded_entries = None
-        self.deltas.clear()
+        self.cached_deltas.clear()
--- a/stackwheel/relay/encoding.py
+++ b/stackwheel/relay/encoding.py
@@ -1,4 +1,4 @@
-"""The published list format, as a relay writes it."""
+"""Encodes endpoint lists in the published format of the discovery service."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def encode_instance(instance: Instance) -> bytes:
-    """One entry of a list, a JSON object."""
+    """Encode one entry of a list as a JSON object."""
     return _compact_json(
         {
             "instanceId": instance.name,
@@ -33,12 +33,16 @@
 
 
 def encode_unreadable(name: str) -> bytes:
-    """An entry that no client can read, so that none takes its absence for a removal; "" for one without a name."""
+    """Encode a placeholder for an unreadable entry, so that clients do not treat the server as removed.
+
+    Args:
+        name: name of the server; empty if the entry has no readable name.
+    """
     return _compact_json({"instanceId": name} if name else {})
 
 
 def encode_line(generation: int, complete: bool, entries: Iterable[bytes]) -> bytes:
-    """A list as one line: a snapshot if it is complete, otherwise a delta."""
+    """Encode a list as one line, which is a snapshot if the list is complete and a delta otherwise."""
     reset = b"true" if complete else b"false"
     return b'{"generation":%d,"reset":%b,"instances":[%b]}\n' % (generation, reset, b",".join(entries))
 
--- a/stackwheel/relay/messages.py
+++ b/stackwheel/relay/messages.py
@@ -1,4 +1,4 @@
-"""What a relay answers to a call for a cell's list, and what it has to do after an event."""
+"""Responses of a relay to requests for the list of a cell, and the actions that its server has to perform."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class UnavailableError(StackwheelError):
-    """The call can't be answered now (503): the caller goes on at another replica, or tries again later.
+    """The relay cannot answer a request at present (503); the client retries later or at another replica.
 
-    Its text is the body of the response.
+    `str()` returns the body of the response.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequired:
-    """The caller needs the cell's snapshot, as `WatchCache.snapshot` gives it at the moment it is written."""
+    """The client needs the snapshot of the cell; it is read from `WatchCache.snapshot` when it is written."""
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """What changed after the generation that the caller knows, as one encoded line."""
+    """The changes after the generation that the client knows, as one encoded line."""
 
     line: bytes
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDelta:
-    """Send this encoded line to all watchers of a cell."""
+    """Send an encoded line to all watchers of a cell."""
 
     cell: str
     line: bytes
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendSnapshot:
-    """Send the cell's snapshot to all its watchers."""
+    """Send the snapshot of a cell to all its watchers."""
 
     cell: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndWatches:
-    """End the watches of these cells, so that callers go on at another replica."""
+    """End all watches of some cells, so that their clients connect to another replica."""
 
     cells: tuple[str, ...]
     reason: str
--- a/stackwheel/relay/upstream_liveness.py
+++ b/stackwheel/relay/upstream_liveness.py
@@ -1,14 +1,15 @@
-"""Whether a relay may serve its list as the present one: only while it hears from the discovery service."""
+"""Liveness of the discovery service; a relay serves its list as current only while the discovery service is alive."""
 
 from __future__ import annotations
 
 
 class UpstreamLiveness:
-    """When the discovery service was last heard from; times in ms, one clock throughout.
+    """Detects the loss of the discovery service; all times are ms of the same clock.
 
     Attributes:
-        timeout: ms without a line or heartbeat after which the discovery service counts as lost.
-        last_seen_at: when it last sent anything; None: never, or lost and not seen since.
+        timeout: time without a line or heartbeat after which the discovery service counts as lost, ms.
+        last_seen_at: when the last line or heartbeat was received; None if none was received, or none since the
+            last loss.
     """
 
     def __init__(self, timeout: float) -> None:
@@ -16,15 +17,15 @@
         self.last_seen_at: float | None = None
 
     def mark_alive(self, now: float) -> None:
-        """The discovery service has sent something."""
+        """Record that a line or heartbeat was received from the discovery service."""
         self.last_seen_at = now
 
     def is_alive(self, now: float) -> bool:
-        """Whether it has sent something within the timeout."""
+        """Return whether a line or heartbeat was received within the timeout."""
         return self.last_seen_at is not None and now < self.last_seen_at + self.timeout
 
     def detect_loss(self, now: float) -> bool:
-        """Whether it has been lost since the last call; True once for each loss."""
+        """Return True once for each loss of the discovery service, at the first call after the timeout."""
         if self.last_seen_at is None or self.is_alive(now):
             return False
         self.last_seen_at = None
--- a/stackwheel/relay/watch_cache.py
+++ b/stackwheel/relay/watch_cache.py
@@ -1,7 +1,7 @@
-"""The core of a relay: the discovery service's list in, lines for the watchers of each cell out.
+"""The state machine of a relay: turns the endpoint lists of the discovery service into lines for watchers of cells.
 
-`WatchCache` is a state machine over values. Each method takes an event and the time (ms, of one clock that never
-goes back) and returns what is to be done; it does no I/O. Generations are the discovery service's.
+`WatchCache` does no I/O. Its methods take events with the time of a monotonic clock in ms, and return the actions to
+perform. Generations are those of the discovery service.
 """
 
 from __future__ import annotations
@@ -35,12 +35,16 @@
 )
 from stackwheel.relay.upstream_liveness import UpstreamLiveness
 
-Locate = Callable[[str, str], str | None]  # name and zone of a server: the cell of the plan that it belongs to
+CellLocator = Callable[[str, str], str | None]
+"""Maps the name and zone of a server to its cell in the cell plan; None if the plan has no cell for it."""
 
-MAX_UNREADABLE_NAMES = 64  # of entries that can't be read; beyond it any server may be one of them
-PLAN_PROPAGATION_MS = 60_000.0  # all relays have read a new plan by then, see docs/relay.md
+MAX_UNREADABLE_NAMES = 64
+"""Maximum number of remembered names of unreadable entries; above it, any server may have an unreadable entry."""
 
-# Bodies of 503 responses: part of what is on the wire.
+PLAN_PROPAGATION_MS = 60_000.0
+"""Time within which all relays have read a new cell plan, see docs/relay.md."""
+
+# Bodies of 503 responses, which are part of the wire format.
 CELL_SERVED_ELSEWHERE = "the cell is served elsewhere"
 NO_LIST_YET = "no list yet"
 UPSTREAM_LOST = "the registry is lost"
@@ -49,11 +53,11 @@
 
 @dataclass(slots=True)
 class PendingRestart:
-    """A complete list of an older generation: a restart of the generations, if nothing newer follows.
+    """A possible restart of the generations, after a complete list of an older generation was received.
 
     Attributes:
-        snapshot: the list, with the changes that followed it.
-        confirmation_time: ms without anything newer after which the generations count as restarted.
+        snapshot: the list, merged with the changes that followed it.
+        confirmation_time: time without a newer list after which the generations count as restarted, ms.
     """
 
     snapshot: StaleSnapshot
@@ -62,9 +66,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationGap:
-    """Generations between two, both excluded, whose changes this relay does not know.
+    """A range of generations, both ends excluded, whose changes this relay has not received.
 
-    A complete list came in their place, which names no server that came and went in between.
+    It received a complete list instead, which does not contain servers that were added and removed within the range.
     """
 
     begin: int
@@ -78,33 +82,35 @@
 
 
 class CellEntry(NamedTuple):
-    """An encoded entry, and the cell whose watchers it is for."""
+    """An encoded entry and the cell whose watchers receive it."""
 
     cell: str
     encoded: bytes
 
 
 class WatchCache:
-    """All servers that the discovery service lists, and a view for each cell that this relay serves.
+    """All servers listed by the discovery service, and a view of each cell that this relay serves.
 
     Attributes:
-        locate: the cell of a server by the present plan.
-        heartbeat_interval: ms between two heartbeats of a watch.
-        upstream: whether the discovery service is heard from.
-        generation: of the list; None: no list yet.
-        instances: the listed servers of all cells by name, so that a new plan needs no new list.
-        cell_by_server: the cell of each listed server that is in a served one.
-        views: the view of each served cell.
-        unreadable: names of unknown servers that the list may contain; "" stands for any.
-        pending_restart: an older complete list that is not accepted yet.
-        retired_generation: the highest generation of a numbering that the discovery service has given up.
-        gap: the last generation gap.
-        resume_floor: the end of the gap before it: no watch is resumed from below.
-        plan_propagated_at: ms; until then the other replica may have served by another plan.
+        locate: maps a server to its cell in the current cell plan.
+        heartbeat_interval: time between two heartbeats of a watch, ms.
+        upstream: liveness of the discovery service.
+        generation: generation of the list; None before the first list.
+        instances: the listed servers of all cells by name, from which the views are filled after a change of plan.
+        cell_by_server: the cell of each listed server in a served cell, by server name.
+        views: the view of each served cell, by cell name.
+        unreadable: names of unknown servers that have unreadable entries in the list; "" for an unknown name.
+        pending_restart: a possible restart of the generations that is not confirmed yet.
+        retired_generation: the highest generation that the discovery service reached before a restart of its
+            numbering; `NO_GENERATION` without a restart.
+        last_gap: the last gap in the received generations.
+        min_resumable_generation: the end of the gap before the last one; watches of earlier generations are not
+            resumed.
+        plan_propagated_at: time until which the other replica may serve cells by the previous plan, ms.
     """
 
     def __init__(
-        self, locate: Locate, cells: Iterable[str], upstream_timeout: float, heartbeat_interval: float
+        self, locate: CellLocator, cells: Iterable[str], upstream_timeout: float, heartbeat_interval: float
     ) -> None:
         self.locate = locate
         self.heartbeat_interval = heartbeat_interval
@@ -116,14 +122,14 @@
         self.unreadable: tuple[str, ...] = ()
         self.pending_restart: PendingRestart | None = None
         self.retired_generation = NO_GENERATION
-        self.gap = NO_GAP
-        self.resume_floor = 0
+        self.last_gap = NO_GAP
+        self.min_resumable_generation = 0
         self.plan_propagated_at = 0.0
 
     # Events
 
     def apply(self, endpoint_list: EndpointList, now: float) -> tuple[Action, ...]:
-        """The discovery service has sent a complete list or changes. It counts as heard from."""
+        """Apply a complete list or changes received from the discovery service, and mark it as alive."""
         self.upstream.mark_alive(now)
         endpoint_list = replace(endpoint_list, instances=latest_by_name(endpoint_list.instances))
         if self.generation is None:
@@ -136,11 +142,11 @@
         return self._apply_newer(endpoint_list, self.generation)
 
     def mark_upstream_alive(self, now: float) -> None:
-        """The discovery service has sent a heartbeat: the list is still the present one."""
+        """Process a heartbeat of the discovery service, which confirms that the list is current."""
         self.upstream.mark_alive(now)
 
     def tick(self, now: float) -> tuple[Action, ...]:
-        """Time has passed; to be called several times a heartbeat interval."""
+        """Process the passage of time; to be called several times per heartbeat interval."""
         if self.upstream.detect_loss(now):
             for view in self.views.values():
                 view.newer_generations.clear()
@@ -152,35 +158,40 @@
             return ()
         return self._restart_generations(pending.snapshot.endpoint_list())
 
-    def apply_plan(self, locate: Locate, cells: Iterable[str], now: float) -> tuple[Action, ...]:
-        """Serve by another plan: the cells that this relay serves now, and the cell of each server."""
+    def apply_plan(self, locate: CellLocator, cells: Iterable[str], now: float) -> tuple[Action, ...]:
+        """Replace the cell plan, which determines the cells that this relay serves and the cell of each server."""
         cells = tuple(cells)
-        ended = tuple(cell for cell in self.views if cell not in cells)
-        # a view that starts here knows no removals: no watch from elsewhere may be resumed from before
+        removed_cells = tuple(cell for cell in self.views if cell not in cells)
+        # The view of an added cell contains no removals, so it cannot resume watches of this or an earlier generation.
         log_start = (self.generation or 0) + 1
         self.views = {cell: self.views.get(cell) or CellView(log_start) for cell in cells}
         self.locate = locate
         self.plan_propagated_at = now + PLAN_PROPAGATION_MS
         self.cell_by_server = {name: cell for name, cell in self.cell_by_server.items() if cell in self.views}
-        moved = [
+        reassigned = [
             instance
             for instance in self.instances.values()
             if self._served_cell(instance) != self.cell_by_server.get(instance.name)
         ]
-        actions = self._record_changes(moved, generation_already_sent=True)
-        return (EndWatches(ended, "cell served elsewhere"), *actions) if ended else actions
+        actions = self._record_changes(reassigned, generation_already_sent=True)
+        return (EndWatches(removed_cells, "cell served elsewhere"), *actions) if removed_cells else actions
 
     # Queries
 
     def is_current(self, now: float) -> bool:
-        """Whether the list may be served as the present one."""
+        """Return whether the list is known to be current and may be served."""
         return self.generation is not None and self.upstream.is_alive(now)
 
     def answer(self, cell: str, since: int | None, now: float) -> Answer:
-        """Answer a call for a cell's list, or for what changed after a generation that the caller knows.
+        """Answer a request for the list of a cell.
+
+        Args:
+            cell: name of the cell.
+            since: the generation that the client knows; None if it has no list.
+            now: current time, ms.
 
         Raises:
-            UnavailableError: this relay can't answer now.
+            UnavailableError: this relay cannot answer the request at present.
         """
         view = self.views.get(cell)
         if view is None:
@@ -195,44 +206,44 @@
             if view.may_catch_up(since, now):
                 raise UnavailableError(BEHIND_CALLER)
             return SnapshotRequired()
-        if now < self.plan_propagated_at or self._is_unknown(since) or not view.can_resume(since):
+        if now < self.plan_propagated_at or self._is_in_gap(since) or not view.can_resume(since):
             return SnapshotRequired()
         return Delta(view.delta(since, self.generation))
 
     def snapshot(self, cell: str) -> bytes | None:
-        """The line with a cell's complete list as it is now; None if the cell is not served here."""
+        """Return the encoded complete list of a cell, or None if this relay does not serve the cell."""
         view = self.views.get(cell)
         return None if view is None else view.snapshot(self.generation or 0, self.unreadable)
 
-    def _is_unknown(self, generation: int) -> bool:
-        return generation < self.resume_floor or generation in self.gap
+    def _is_in_gap(self, generation: int) -> bool:
+        return generation < self.min_resumable_generation or generation in self.last_gap
 
     # Lists
 
     def _apply_first(self, endpoint_list: EndpointList) -> tuple[Action, ...]:
-        """The first list: the discovery client asked for it without a generation, so it is complete in any form."""
+        """Apply the first list, which is complete even as a delta because it was requested without a generation."""
         self._replace_all(endpoint_list, _not_removed(endpoint_list))
         return ()
 
     def _restart_generations(self, endpoint_list: EndpointList) -> tuple[Action, ...]:
-        """The generations can't be compared with those known: all watchers get a snapshot."""
+        """Replace the list and send a snapshot to all watchers, because the known generations are not comparable."""
         self.pending_restart = None
         self.retired_generation = max(self.retired_generation, self.generation or 0)
         names = {instance.name for instance in endpoint_list.instances}
-        kept = [
+        possibly_unreadable = [
             instance
             for name, instance in self.instances.items()
             if name not in names and may_be_unreadable(name, endpoint_list.unreadable)
         ]
-        self._replace_all(endpoint_list, kept + _not_removed(endpoint_list))
+        self._replace_all(endpoint_list, possibly_unreadable + _not_removed(endpoint_list))
         return tuple(SendSnapshot(cell) for cell in self.views)
 
     def _replace_all(self, endpoint_list: EndpointList, listed: Iterable[Instance]) -> None:
         self.generation = endpoint_list.generation
         self.instances = {instance.name: instance for instance in listed}
         self.unreadable = ()
-        self.resume_floor = 0
-        self.gap = NO_GAP
+        self.min_resumable_generation = 0
+        self.last_gap = NO_GAP
         self._remember_unreadable(endpoint_list)
         self.cell_by_server = {}
         instances_by_cell: dict[str, list[Instance]] = {cell: [] for cell in self.views}
@@ -244,21 +255,21 @@
         for cell, view in self.views.items():
             view.reset(instances_by_cell[cell], self.generation, self.retired_generation)
 
-    def _apply_newer(self, endpoint_list: EndpointList, former_generation: int) -> tuple[Action, ...]:
+    def _apply_newer(self, endpoint_list: EndpointList, previous_generation: int) -> tuple[Action, ...]:
         self.generation = endpoint_list.generation
         changed = [instance for instance in endpoint_list.instances if self.instances.get(instance.name) != instance]
         if endpoint_list.complete:
-            changed += self._missing_in(endpoint_list)
+            changed += self._removals_by_absence(endpoint_list)
             self.unreadable = ()
-            if self.generation > former_generation + 1:
-                self.resume_floor = self.gap.end
-                self.gap = GenerationGap(former_generation, self.generation)
-        actions = self._record_changes(changed, generation_already_sent=self.generation == former_generation)
+            if self.generation > previous_generation + 1:
+                self.min_resumable_generation = self.last_gap.end
+                self.last_gap = GenerationGap(previous_generation, self.generation)
+        actions = self._record_changes(changed, generation_already_sent=self.generation == previous_generation)
         self._remember_unreadable(endpoint_list)
         return actions
 
-    def _missing_in(self, endpoint_list: EndpointList) -> list[Instance]:
-        """The listed servers that a complete list lacks, as removed."""
+    def _removals_by_absence(self, endpoint_list: EndpointList) -> list[Instance]:
+        """Return the listed servers that are missing from a complete list, marked as removed."""
         names = {instance.name for instance in endpoint_list.instances}
         return [
             replace(instance, availability=Availability.REMOVED)
@@ -267,11 +278,11 @@
         ]
 
     def _apply_older(self, endpoint_list: EndpointList, now: float) -> tuple[Action, ...]:
-        """Apply at once what a list of an older generation says that is new, and keep it if it is complete.
+        """Apply the new information in a list of an older generation, and defer the list itself if it is complete.
 
-        A complete list may come from a discovery service that has restarted its generations: it is accepted once
-        nothing newer follows. Two watches may cross within a heartbeat interval; a list that revives removed or
-        draining processes has to wait for the longest time that any list can be old.
+        A complete list may come from a discovery service that has restarted its generations, and is accepted if no
+        newer list follows. The waiting time is one heartbeat interval, within which lists of two watches may arrive
+        out of order. It is the maximum age of a list if the list would revive draining or removed processes.
         """
         pending = self.pending_restart
         if endpoint_list.complete:
@@ -281,36 +292,36 @@
             self.pending_restart = PendingRestart(snapshot, MAX_LIST_AGE_MS if revives else self.heartbeat_interval)
         elif pending is not None:
             pending.snapshot.advance(endpoint_list)
-        new_entries = [instance for instance in endpoint_list.instances if self._is_new(instance)]
-        return self._record_changes(new_entries, generation_already_sent=True)
+        new_instances = [instance for instance in endpoint_list.instances if self._is_new(instance)]
+        return self._record_changes(new_instances, generation_already_sent=True)
 
     def _is_new(self, instance: Instance) -> bool:
-        """Whether an entry of an older generation changes what is known; one that repeats it does not."""
+        """Return whether an entry of an older generation has information that differs from the known state."""
         known = self._known_process(instance)
         if entry_freshness(instance, known) is not EntryFreshness.NEW:
             return False
         return known != KnownProcess(instance.availability, instance.started_at)
 
     def _revives_any(self, endpoint_list: EndpointList) -> bool:
-        """Whether a list shows a process as ready that drains, or as listed that is removed."""
+        """Return whether a list contains a draining process as ready, or a removed one as listed."""
         return any(
             entry_freshness(instance, self._known_process(instance)) is EntryFreshness.REVIVED
             for instance in endpoint_list.instances
         )
 
     def _known_process(self, instance: Instance) -> KnownProcess | None:
-        """The latest process known under the name of an entry, listed or removed."""
+        """Return the latest known process of a server, which may have been removed."""
         listed = self.instances.get(instance.name)
         if listed is not None:
             return KnownProcess(listed.availability, listed.started_at)
         cell = self._served_cell(instance)
-        removal = None if cell is None else self.views[cell].removed.get(instance.name)
-        return None if removal is None else KnownProcess(Availability.REMOVED, removal.instance.started_at)
+        last_removal = None if cell is None else self.views[cell].removed.get(instance.name)
+        return None if last_removal is None else KnownProcess(Availability.REMOVED, last_removal.instance.started_at)
 
     # Changes
 
     def _record_changes(self, changed: Iterable[Instance], generation_already_sent: bool) -> tuple[Action, ...]:
-        """Record changes in the cells that they concern; one delta for each of these."""
+        """Record changes of servers in the views of their cells, and return one delta per affected cell."""
         entries_by_cell: dict[str, list[bytes]] = {}
         for instance in changed:
             for entry in self._record_change(instance, generation_already_sent):
@@ -321,31 +332,35 @@
         )
 
     def _record_change(self, instance: Instance, generation_already_sent: bool) -> list[CellEntry]:
-        """Record a change; an entry for each cell that it concerns."""
+        """Record a change of a server, and return an entry for each affected cell."""
         generation = self.generation or 0
         name = instance.name
         is_listed = instance.availability is not Availability.REMOVED
-        former_cell = self.cell_by_server.pop(name, None)
+        previous_cell = self.cell_by_server.pop(name, None)
         cell = self._served_cell(instance)
         if is_listed:
             self.instances[name] = instance
         else:
             self.instances.pop(name, None)
         entries: list[CellEntry] = []
-        if former_cell is not None and former_cell != cell:
-            removal = self.views[former_cell].record_removal(name, generation, generation_already_sent)
+        if previous_cell is not None and previous_cell != cell:
+            removal = self.views[previous_cell].record_removal(name, generation, generation_already_sent)
             if removal is not None:
-                entries.append(CellEntry(former_cell, removal))
-        if cell is not None and (is_listed or self._removal_concerns(cell, former_cell, instance)):
+                entries.append(CellEntry(previous_cell, removal))
+        if cell is not None and (is_listed or self._must_send_removal(cell, previous_cell, instance)):
             if is_listed:
                 self.cell_by_server[name] = cell
             entries.append(CellEntry(cell, self.views[cell].record(instance, generation, generation_already_sent)))
         return entries
 
-    def _removal_concerns(self, cell: str, former_cell: str | None, instance: Instance) -> bool:
-        """Whether the watchers of a cell are sent a removal: of its servers, or the first time of one not known."""
-        if former_cell is not None:
-            return former_cell == cell
+    def _must_send_removal(self, cell: str, previous_cell: str | None, instance: Instance) -> bool:
+        """Return whether the watchers of a cell need a removal.
+
+        They need it if the server was listed in the cell, or if it was listed in no cell and the same removal is not
+        recorded yet.
+        """
+        if previous_cell is not None:
+            return previous_cell == cell
         last_removal = self.views[cell].removed.get(instance.name)
         return last_removal is None or last_removal.instance != instance
 
@@ -354,7 +369,7 @@
         return cell if cell in self.views else None
 
     def _remember_unreadable(self, endpoint_list: EndpointList) -> None:
-        """Keep the names of entries that could not be read and are of no known server."""
+        """Remember the names of unreadable entries that do not belong to known servers."""
         names = {*self.unreadable, *endpoint_list.unreadable}
         if not names:
             return
@@ -363,7 +378,7 @@
 
 
 def may_be_unreadable(name: str, unreadable: frozenset[str]) -> bool:
-    """Whether an entry that could not be read may be this server's."""
+    """Return whether one of the unreadable entries may belong to a server."""
     return name in unreadable or "" in unreadable
 
 
--- a/tests/relay/test_random_histories.py
+++ b/tests/relay/test_random_histories.py
@@ -1,4 +1,4 @@
-"""Random histories: two relays that lag, die, lose discovery and come back, and planners that go between them."""
+"""Random histories of two relays with delays, restarts and disconnections, and of planners that switch between them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Discovery:
-    """The true list, each change of it a generation."""
+    """The discovery service, with the complete list of each generation."""
 
     def __init__(self) -> None:
         self.history: list[dict[str, Instance]] = [{}]
@@ -40,9 +40,9 @@
         return snapshot_list(self.generation, *self.history[-1].values())
 
     def delta(self, since: int, up_to: int) -> EndpointList:
-        former = self.history[since]
+        previous = self.history[since]
         listed = self.history[up_to]
-        changed = [entry for name, entry in listed.items() if former.get(name) != entry]
+        changed = [entry for name, entry in listed.items() if previous.get(name) != entry]
         for generation in range(since, up_to):
             for name, entry in self.history[generation].items():
                 if name not in listed and name not in {known.name for known in changed}:
@@ -51,7 +51,7 @@
 
 
 class Relay:
-    """A cache behind a watch that may lag, and the planners that watch it."""
+    """A watch cache that receives lists with delays, and the planners that watch it."""
 
     def __init__(self, discovery: Discovery) -> None:
         self.discovery = discovery
@@ -69,7 +69,7 @@
         self.watchers.clear()
 
     def receive(self, random: Random, now: float) -> None:
-        """The next of what discovery has to send, whether all of it at once or not."""
+        """Receive a complete list, some or all of the missing changes, or a heartbeat."""
         known = self.cache.generation
         if known is None or (not self.connected and random.random() < 0.3):
             self.perform(self.cache.apply(self.discovery.snapshot(), now))
@@ -99,25 +99,25 @@
     def __init__(self) -> None:
         self.view = PlannerView()
         self.relay: Relay | None = None
-        self.newest: dict[str, tuple[float, int]] = {}
+        self.latest_progress: dict[str, tuple[float, int]] = {}
 
     def open_watch(self, relay: Relay, now: float) -> None:
         if self.view.open_watch(relay.cache, "a", now):
             self.relay = relay
             relay.watchers.append(self)
 
-    def check(self) -> None:
-        """No server goes back from draining to ready, or from a newer process to an older one."""
+    def check_no_reversal(self) -> None:
+        """Check that no server returns from draining to ready, or from a newer process to an older one."""
         order = {READY: 0, DRAINING: 1}
         for server, entry in self.view.endpoints.entries.items():
             name = self.view.endpoints.server_ids.name(server) or "?"
             progress = entry.started_at, order[entry.availability]
-            assert progress >= self.newest.get(name, progress), f"{name} went backwards"
-            self.newest[name] = progress
+            assert progress >= self.latest_progress.get(name, progress), f"{name} returned to an earlier state"
+            self.latest_progress[name] = progress
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_no_change_is_lost_duplicated_or_reverted(seed: int) -> None:
+def test_planners_reach_the_current_list_without_reverted_states(seed: int) -> None:
     random = Random(seed)
     discovery = Discovery()
     now = 0.0
@@ -144,12 +144,12 @@
         for relay in relays:
             relay.perform(relay.cache.tick(now))
         for planner in planners:
-            planner.check()
+            planner.check_no_reversal()
     for _ in range(STEPS):
         for relay in relays:
             relay.receive(random, now)
     for planner in planners:
         if planner.relay is None:
             planner.open_watch(relays[0], now)
-        planner.check()
+        planner.check_no_reversal()
         assert planner.view.listed() == {entry.name: entry.availability for entry in discovery.history[-1].values()}
--- a/tests/relay/test_watch_cache.py
+++ b/tests/relay/test_watch_cache.py
@@ -1,4 +1,4 @@
-"""The relay's watch cache, event by event: what each cell is sent, and what a caller gets."""
+"""Tests of the relay's watch cache: the lines sent to the watchers of each cell and the answers to requests."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def is_unavailable(cache: WatchCache, cell: str, since: int | None, now: float) -> bool:
-    """Whether a call is answered with 503."""
+    """Return whether a request is answered with 503."""
     try:
         cache.answer(cell, since, now)
     except UnavailableError:
@@ -48,7 +48,7 @@
     assert parsed == delta_list(7, *listed)
 
 
-def test_a_cell_is_sent_its_own_entries_and_changes_alone() -> None:
+def test_a_cell_receives_only_its_own_entries_and_changes() -> None:
     cache = watch_cache_of()
     assert cache.apply(snapshot_list(5, instance("a-1"), instance("b-1"), instance("c-1")), 0.0) == ()
     assert cell_list(cache) == snapshot_list(5, instance("a-1"))
@@ -72,7 +72,7 @@
 
 
 def test_no_watch_is_resumed_within_a_generation_gap() -> None:
-    """A complete list in place of changes names no server that came and went; the other replica may have sent it."""
+    """A complete list lacks servers added and removed within the gap, which the other replica may have sent."""
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     cache.apply(snapshot_list(9, instance("a-1", DRAINING)), 1.0)
@@ -91,14 +91,14 @@
     assert cache.answer("a", since, 1.0) == SnapshotRequired()
 
 
-def test_removals_beyond_the_bound_are_forgotten_and_sent_by_a_snapshot() -> None:
+def test_removals_above_the_limit_are_evicted_and_earlier_watches_get_a_snapshot() -> None:
     cache = watch_cache_of()
     names = [f"a-{number}" for number in range(MIN_REMOVED_SERVER_LIMIT + 2)]
     cache.apply(snapshot_list(1, *map(instance, names)), 0.0)
     for generation, name in enumerate(names, 2):
         cache.apply(delta_list(generation, instance(name, REMOVED)), 1.0)
     assert len(cache.views["a"].removed) == MIN_REMOVED_SERVER_LIMIT
-    assert cache.answer("a", 2, 2.0) == SnapshotRequired()  # the removals of generations 2 and 3 are forgotten
+    assert cache.answer("a", 2, 2.0) == SnapshotRequired()  # the removals of generations 2 and 3 are evicted
     assert len(resumed_delta(cache, "a", 3, 2.0).instances) == MIN_REMOVED_SERVER_LIMIT
 
 
@@ -111,16 +111,16 @@
     assert isinstance(second, Delta)
     assert first.line is second.line
     cache.apply(delta_list(7, instance("b-1")), 2.0)
-    assert resumed_delta(cache, "a", 5, 3.0).generation == 7  # not the old generation
+    assert resumed_delta(cache, "a", 5, 3.0).generation == 7
     for since in range(5, 8):
         cache.answer("a", since, 3.0)
-    assert len(cache.views["a"].deltas) <= MAX_CACHED_DELTAS
+    assert len(cache.views["a"].cached_deltas) <= MAX_CACHED_DELTAS
 
 
 # Removals
 
 
-def test_a_server_missing_in_a_newer_complete_list_is_removed() -> None:
+def test_a_server_missing_from_a_newer_complete_list_is_removed() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1"), instance("a-2"), instance("b-1")), 0.0)
     assert deltas_by_cell(cache.apply(snapshot_list(9, instance("a-2")), 1.0)) == {
@@ -132,7 +132,7 @@
     assert availability_by_name(resumed_delta(cache, "a", 5, 1.0)) == {"a-1": REMOVED}
 
 
-def test_a_server_that_moves_to_another_cell_is_removed_from_the_old_one() -> None:
+def test_a_server_that_moves_to_another_cell_is_removed_from_the_previous_one() -> None:
     cache = watch_cache_of("a.east", "a.west", locate=by_service_and_zone)
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     assert deltas_by_cell(cache.apply(delta_list(6, instance("a-1", zone="west")), 1.0)) == {
@@ -145,7 +145,7 @@
     assert availability_by_name(resumed_delta(cache, "a.east", 5, 2.0)) == {"a-1": REMOVED}
 
 
-def test_a_removal_under_another_zone_is_sent_to_the_former_cell() -> None:
+def test_a_removal_with_another_zone_is_sent_to_the_cell_that_lists_the_server() -> None:
     cache = watch_cache_of("a.east", "a.west", locate=by_service_and_zone)
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     assert deltas_by_cell(cache.apply(delta_list(6, instance("a-1", REMOVED, "west")), 1.0)) == {
@@ -153,25 +153,25 @@
     }
 
 
-def test_of_repeated_entries_the_later_process_counts_and_of_one_process_the_last_entry() -> None:
+def test_repeated_entries_resolve_to_the_latest_process_and_its_last_entry() -> None:
     cache = watch_cache_of()
-    doubled = (
+    repeated = (
         instance("a-1", started=9.0),
         instance("a-1", REMOVED, started=3.0),
         instance("a-2"),
         instance("a-2", DRAINING),
     )
-    assert {one.name: one for one in latest_by_name(doubled)} == {one.name: one for one in (doubled[0], doubled[3])}
-    cache.apply(snapshot_list(5, *doubled), 0.0)
+    assert {one.name: one for one in latest_by_name(repeated)} == {one.name: one for one in (repeated[0], repeated[3])}
+    cache.apply(snapshot_list(5, *repeated), 0.0)
     assert availability_by_name(cell_list(cache)) == {"a-1": READY, "a-2": DRAINING}
-    assert deltas_by_cell(cache.apply(delta_list(6, *doubled), 1.0)) == {}
+    assert deltas_by_cell(cache.apply(delta_list(6, *repeated), 1.0)) == {}
 
 
-# Entries that can't be read
+# Unreadable entries
 
 
 @pytest.mark.parametrize("name", ["a-1", ""])
-def test_an_unreadable_entry_is_no_removal(name: str) -> None:
+def test_an_unreadable_entry_is_not_treated_as_a_removal(name: str) -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1"), instance("a-2")), 0.0)
     assert "a-1" not in deltas_by_cell(
@@ -186,8 +186,8 @@
 
 
 @pytest.mark.parametrize("name", ["a-1", ""])
-def test_a_relay_that_never_read_an_entry_sends_no_removal_either(name: str) -> None:
-    """It began with a list whose entry it could not read; a planner knows the server from before."""
+def test_a_server_with_an_unreadable_entry_in_the_first_list_is_not_sent_as_removed(name: str) -> None:
+    """A planner that knows the server from another relay must not take the unreadable entry for a removal."""
     planner = PlannerView()
     before = watch_cache_of()
     after = watch_cache_of()
@@ -200,18 +200,18 @@
     after.apply(delta_list(7, instance("a-1", REMOVED)), 1.0)
     assert planner.open_watch(after, "a", 1.0)
     assert planner.listed() == {"a-2": READY}
-    after.apply(snapshot_list(8, instance("a-2")), 2.0)  # it has been read again: what is missing now is removed
+    after.apply(snapshot_list(8, instance("a-2")), 2.0)  # a complete list without unreadable entries
     assert cell_list(after).unreadable == frozenset()
 
 
-def test_unreadable_names_are_bounded_and_beyond_any_server_may_be_one() -> None:
+def test_above_the_limit_of_unreadable_names_any_server_may_be_unreadable() -> None:
     cache = watch_cache_of()
     cache.apply(
         snapshot_list(5, instance("a-1"), unreadable=frozenset(f"a-x{n}" for n in range(MAX_UNREADABLE_NAMES))), 0.0
     )
     assert len(cell_list(cache).unreadable) == MAX_UNREADABLE_NAMES
     cache.apply(delta_list(6, instance("a-x0"), unreadable=frozenset({"a-y"})), 1.0)
-    assert len(cell_list(cache).unreadable) == MAX_UNREADABLE_NAMES  # one was read, one came
+    assert len(cell_list(cache).unreadable) == MAX_UNREADABLE_NAMES  # one name was resolved and one added
     cache.apply(delta_list(7, unreadable=frozenset({"a-z"})), 2.0)
     assert cell_list(cache).unreadable == frozenset({""})
 
@@ -219,7 +219,7 @@
 # Replicas of a cell
 
 
-def test_a_caller_that_is_ahead_is_rejected_until_this_relay_has_caught_up() -> None:
+def test_a_client_with_a_newer_generation_is_rejected_until_the_relay_has_caught_up() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     assert is_unavailable(cache, "a", 6, 1.0)
@@ -227,7 +227,7 @@
     assert resumed_delta(cache, "a", 6, 3.0) == delta_list(6)
 
 
-def test_a_relay_that_stays_behind_a_live_upstream_sends_a_snapshot() -> None:
+def test_a_relay_that_does_not_catch_up_in_time_sends_a_snapshot() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     for now in range(0, int(MAX_LIST_AGE_MS), 1000):
@@ -235,10 +235,10 @@
         assert is_unavailable(cache, "a", 900, now)
     cache.mark_upstream_alive(MAX_LIST_AGE_MS)
     assert cache.answer("a", 900, MAX_LIST_AGE_MS) == SnapshotRequired()
-    assert is_unavailable(cache, "a", 901, MAX_LIST_AGE_MS)  # each generation has its own clock
+    assert is_unavailable(cache, "a", 901, MAX_LIST_AGE_MS)  # the time to catch up is counted per generation
 
 
-def test_time_without_the_upstream_does_not_count_for_being_behind() -> None:
+def test_the_time_to_catch_up_starts_again_after_a_loss_of_the_upstream() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     assert is_unavailable(cache, "a", 900, 0.0)
@@ -249,7 +249,7 @@
     assert cache.answer("a", 900, 2 * MAX_LIST_AGE_MS) == SnapshotRequired()
 
 
-def test_remembered_newer_generations_are_bounded() -> None:
+def test_the_number_of_remembered_newer_generations_is_limited() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5), 0.0)
     for since in range(6, 6 + 2 * MAX_NEWER_GENERATIONS):
@@ -260,7 +260,7 @@
 # Restarted generations
 
 
-def test_restarted_generations_are_passed_on_by_snapshots() -> None:
+def test_restarted_generations_are_sent_as_snapshots() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(50, instance("a-1"), instance("b-1")), 0.0)
     assert snapshot_cells(cache.apply(snapshot_list(3, instance("a-2"), generations_restarted=True), 1.0)) == {"a", "b"}
@@ -268,17 +268,17 @@
     assert deltas_by_cell(cache.apply(delta_list(4, instance("a-3")), 2.0)) == {"a": {"a-3": READY}}
 
 
-def test_no_watch_is_resumed_after_a_generation_of_a_retired_numbering() -> None:
+def test_no_watch_is_resumed_from_a_generation_of_a_retired_numbering() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1"), instance("a-2")), 0.0)
     cache.apply(snapshot_list(3, instance("a-2"), generations_restarted=True), 1.0)
     for generation in range(4, 9):
         cache.apply(delta_list(generation, instance("a-2", weight=float(generation))), 2.0)
-    assert cache.answer("a", 5, 3.0) == SnapshotRequired()  # in the retired numbering a-1 was listed at 5
+    assert cache.answer("a", 5, 3.0) == SnapshotRequired()  # generation 5 of the retired numbering lists a-1
     assert resumed_delta(cache, "a", 6, 3.0).generation == 8
 
 
-def test_an_older_complete_list_is_accepted_after_a_heartbeat_interval_without_a_newer_one() -> None:
+def test_an_older_complete_list_is_accepted_after_one_heartbeat_interval_without_a_newer_list() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(50, instance("a-1"), instance("a-2")), 0.0)
     assert cache.apply(snapshot_list(3, instance("a-2")), 1.0) == ()
@@ -288,8 +288,8 @@
     assert cell_list(cache) == snapshot_list(3, instance("a-2"))
 
 
-def test_an_older_complete_list_followed_by_a_newer_one_reverts_nothing() -> None:
-    """Two watches cross: the one that is renewed was answered before the other sent more."""
+def test_an_older_complete_list_is_discarded_if_a_newer_list_follows() -> None:
+    """A renewed watch may be answered with an older list than the last one that the previous watch received."""
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     cache.apply(delta_list(6, instance("a-2")), 1.0)
@@ -305,9 +305,7 @@
     cache.apply(snapshot_list(50, instance("a-1"), instance("a-2")), 0.0)
     cache.apply(delta_list(51, instance("a-1", DRAINING)), 0.0)
     cache.apply(snapshot_list(3, instance("a-1"), instance("a-2")), 0.0)
-    assert deltas_by_cell(cache.apply(delta_list(4, instance("a-2", DRAINING)), 1.0)) == {
-        "a": {"a-2": DRAINING}
-    }  # at once
+    assert deltas_by_cell(cache.apply(delta_list(4, instance("a-2", DRAINING)), 1.0)) == {"a": {"a-2": DRAINING}}
     cache.mark_upstream_alive(MAX_LIST_AGE_MS - 1.0)
     assert cache.tick(MAX_LIST_AGE_MS - 1.0) == ()
     assert availability_by_name(cell_list(cache))["a-1"] is DRAINING
@@ -316,7 +314,7 @@
     assert availability_by_name(cell_list(cache)) == {"a-1": READY, "a-2": DRAINING}
 
 
-def test_a_new_entry_of_an_older_generation_reaches_watches_resumed_after_the_present_one() -> None:
+def test_a_new_entry_of_an_older_generation_reaches_watches_resumed_from_the_current_one() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(50, instance("a-1"), instance("a-2", started=5.0), instance("a-3")), 0.0)
     cache.apply(delta_list(51, instance("a-3", REMOVED)), 0.0)
@@ -329,40 +327,40 @@
 # Upstream liveness
 
 
-def test_no_call_is_answered_before_the_first_list() -> None:
+def test_requests_before_the_first_list_are_rejected() -> None:
     cache = watch_cache_of()
     cache.mark_upstream_alive(0.0)
     assert is_unavailable(cache, "a", None, 1.0)
     assert not cache.is_current(1.0)
 
 
-def test_a_relay_that_lost_its_upstream_is_unavailable_until_it_is_back() -> None:
+def test_a_relay_that_lost_its_upstream_is_unavailable_until_the_next_list() -> None:
     cache = watch_cache_of()
     cache.apply(snapshot_list(5, instance("a-1")), 0.0)
     cache.mark_upstream_alive(1000.0)
     assert cache.tick(999.0 + timing.WATCH_SILENCE_TIMEOUT_MS) == ()
     assert cache.is_current(999.0 + timing.WATCH_SILENCE_TIMEOUT_MS)
-    lost = 1000.0 + timing.WATCH_SILENCE_TIMEOUT_MS
-    assert is_unavailable(cache, "a", 5, lost)
-    assert is_unavailable(cache, "a", None, lost)
-    (ended,) = cache.tick(lost)
-    assert isinstance(ended, EndWatches)
-    assert set(ended.cells) == {"a", "b"}
-    assert cache.tick(lost + 1.0) == ()
-    assert not cache.is_current(lost + 1.0)
-    cache.apply(delta_list(6, instance("a-2")), lost + 9000.0)
-    assert resumed_delta(cache, "a", 5, lost + 9000.0) == delta_list(6, instance("a-2"))  # it has kept its entries
+    lost_at = 1000.0 + timing.WATCH_SILENCE_TIMEOUT_MS
+    assert is_unavailable(cache, "a", 5, lost_at)
+    assert is_unavailable(cache, "a", None, lost_at)
+    (end_watches,) = cache.tick(lost_at)
+    assert isinstance(end_watches, EndWatches)
+    assert set(end_watches.cells) == {"a", "b"}
+    assert cache.tick(lost_at + 1.0) == ()
+    assert not cache.is_current(lost_at + 1.0)
+    cache.apply(delta_list(6, instance("a-2")), lost_at + 9000.0)
+    assert resumed_delta(cache, "a", 5, lost_at + 9000.0) == delta_list(6, instance("a-2"))  # a-1 is still listed
 
 
 # Plans
 
 
-def test_a_new_plan_ends_watches_of_removed_cells_and_fills_added_ones() -> None:
+def test_a_new_plan_ends_watches_of_removed_cells_and_fills_added_cells() -> None:
     cache = watch_cache_of("a", "b")
     cache.apply(snapshot_list(5, instance("a-1"), instance("b-1"), instance("c-1")), 0.0)
-    ended, *others = cache.apply_plan(by_service, ["b", "c"], 1.0)
-    assert deltas_by_cell(tuple(others)) == {"c": {"c-1": READY}}  # to no watcher: none is open yet
-    assert ended == EndWatches(("a",), ended.reason)  # type: ignore[union-attr]
+    end_watches, *others = cache.apply_plan(by_service, ["b", "c"], 1.0)
+    assert deltas_by_cell(tuple(others)) == {"c": {"c-1": READY}}
+    assert end_watches == EndWatches(("a",), end_watches.reason)  # type: ignore[union-attr]
     assert is_unavailable(cache, "a", 5, 2.0)
     assert cell_list(cache, "c") == snapshot_list(5, instance("c-1"))
     assert cell_list(cache, "b") == snapshot_list(5, instance("b-1"))
@@ -371,7 +369,7 @@
     }
 
 
-def test_a_cell_that_a_new_plan_shrinks_sends_its_removals() -> None:
+def test_a_cell_that_loses_servers_to_another_cell_by_a_new_plan_sends_their_removals() -> None:
     cache = watch_cache_of("a", "a.west")
     cache.apply(snapshot_list(5, instance("a-1"), instance("a-2", zone="west")), 0.0)
 
