--- a/stackwheel/cells/assignment.py
+++ b/stackwheel/cells/assignment.py
@@ -71,7 +71,7 @@
 
 def _check_part_count(parts: int) -> None:
     if not 1 <= parts <= MAX_PARTS:
-        raise ValueError(f"{parts} parts, 1 to {MAX_PARTS} are possible")
+        raise ValueError(f"part count {parts} is not between 1 and {MAX_PARTS}")
 
 
 def _hash_key(name: str) -> bytes:
--- a/stackwheel/cells/check.py
+++ b/stackwheel/cells/check.py
@@ -75,18 +75,18 @@
     for position, server in enumerate(servers):
         place = f"instances[{position}]"
         if server.name in first_positions:
-            reason = f"{server.name!r} is also instances[{first_positions[server.name]}]"
+            reason = f"duplicate server {server.name!r}, first listed at instances[{first_positions[server.name]}]"
             findings.append(Finding(Document.SERVERS, place, reason))
             continue
         first_positions[server.name] = position
         if server.zone not in plan.regions:
-            reason = f"{server.name!r} is in unknown zone {server.zone!r}"
+            reason = f"server {server.name!r} is in unknown zone {server.zone!r}"
             findings.append(Finding(Document.SERVERS, place, reason))
         cell = index.cell_of(server.name, server.zone)
         if cell is not None:
             cell_sizes[cell.name] += 1
         elif server.zone in plan.regions:
-            reason = f"no cell holds {server.name!r} in zone {server.zone!r}"
+            reason = f"no cell for server {server.name!r} in zone {server.zone!r}"
             findings.append(Finding(Document.SERVERS, place, reason))
     return _Census(findings, cell_sizes)
 
@@ -111,7 +111,7 @@
     for position, planner in enumerate(planners):
         place = f"planners[{position}]"
         if planner.name in first_positions:
-            reason = f"{planner.name!r} is also planners[{first_positions[planner.name]}]"
+            reason = f"duplicate planner {planner.name!r}, first listed at planners[{first_positions[planner.name]}]"
             findings.append(Finding(Document.PLANNERS, place, reason))
             continue
         first_positions[planner.name] = position
@@ -119,7 +119,7 @@
         if (planner.service, region) in index.groups:
             names_by_group[planner.service, region].append(planner.name)
         else:
-            reason = f"no cell of service {planner.service!r} in region {planner.region!r} for {planner.name!r}"
+            reason = f"no cell of service {planner.service!r} in region {planner.region!r} for planner {planner.name!r}"
             findings.append(Finding(Document.PLANNERS, place, reason))
     cell_sizes: Counter[str] = Counter()
     for (service, region), names in names_by_group.items():
--- a/stackwheel/cells/demand.py
+++ b/stackwheel/cells/demand.py
@@ -43,9 +43,9 @@
     """
     names = _names_by_service(servers, regions, source)
     if not names:
-        raise CellPlanError(source, "no server is listed")
+        raise CellPlanError(source, "the list contains no server")
     if planners < len(names):
-        raise CellPlanError("planners", f"{planners} for {len(names)} services, each needs one at least")
+        raise CellPlanError("planners", f"{planners} for {len(names)} services, expected at least one per service")
     service_sizes = {service: sum(map(len, by_region.values())) for service, by_region in names.items()}
     planners_by_service = apportion(planners, service_sizes, 1)
     demand: list[Demand] = []
@@ -64,9 +64,11 @@
     for position, server in enumerate(servers):
         place = f"{source}: instances[{position}]"
         if server.zone not in regions:
-            raise CellPlanError(f"{place}.zone", f"unknown zone {server.zone!r} of {server.name!r}")
+            raise CellPlanError(f"{place}.zone", f"unknown zone {server.zone!r} of server {server.name!r}")
         if server.name in first_positions:
-            raise CellPlanError(place, f"{server.name!r} is also instances[{first_positions[server.name]}]")
+            raise CellPlanError(
+                place, f"duplicate server {server.name!r}, first listed at instances[{first_positions[server.name]}]"
+            )
         first_positions[server.name] = position
         names[service_of(server.name)][regions[server.zone]].append(server.name)
     return names
--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -90,11 +90,11 @@
     for position, item in enumerate(demand):
         place = f"demand[{position}]"
         if item.servers < 0 or item.planners < 0:
-            raise CellPlanError(place, f"{item.servers} servers, {item.planners} planners")
+            raise CellPlanError(place, f"negative count: {item.servers} servers, {item.planners} planners")
         if item.server_names and len(item.server_names) != item.servers:
-            raise CellPlanError(place, f"{len(item.server_names)} names of {item.servers} servers")
+            raise CellPlanError(place, f"{len(item.server_names)} server names for {item.servers} servers")
         if item.region in needs[item.service]:
-            raise CellPlanError(place, f"service {item.service!r} in region {item.region!r} twice")
+            raise CellPlanError(place, f"duplicate demand of service {item.service!r} in region {item.region!r}")
         if item.servers or item.planners:
             needs[item.service][item.region] = _Need(item.servers, item.planners, item.server_names)
     return {service: by_region for service, by_region in needs.items() if by_region}
@@ -128,8 +128,8 @@
     if overall_parts > min(MAX_PARTS, overall.planners):
         raise CellPlanError(
             f"service {service!r}",
-            f"{overall.servers} servers need {overall_parts} parts, {overall.planners} planners and at most "
-            f"{MAX_PARTS} parts are possible",
+            f"{overall.servers} servers need {overall_parts} parts, {overall.planners} planners allow one part each, "
+            f"and the limit is {MAX_PARTS} parts",
         )
     return {(): overall_parts}
 
@@ -200,7 +200,7 @@
                 name = _new_cell_name(service, scope, part, used_names)
                 port = next((port for port in candidate_ports if port not in used_ports), 0)
             if port == 0:
-                raise CellPlanError(f"service {service!r}", f"no port is left from {first_port} to {MAX_PORT}")
+                raise CellPlanError(f"service {service!r}", f"no free port from {first_port} to {MAX_PORT}")
             used_names.add(name)
             used_ports.add(port)
             cells.append(Cell(name, service, scope, part, parts, port))
--- a/stackwheel/cells/plan_file.py
+++ b/stackwheel/cells/plan_file.py
@@ -51,7 +51,7 @@
     """
     regions = _decode(REGIONS_DECODER, _read(path), str(path))
     if not regions:
-        raise CellPlanError(str(path), "no zone is given")
+        raise CellPlanError(str(path), "expected at least one zone")
     return regions
 
 
@@ -69,7 +69,7 @@
     except msgspec.ValidationError as error:
         raise _validation_failure(source, str(error)) from error
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise CellPlanError(source, f"no JSON: {error}") from error
+        raise CellPlanError(source, f"invalid JSON: {error}") from error
     except _RepeatedKeyError as error:
         raise CellPlanError(source, str(error)) from error
     return decoded
@@ -91,7 +91,7 @@
     keys: set[str] = set()
     for key, _ in pairs:
         if key in keys:
-            raise _RepeatedKeyError(f"key {key!r} is given twice")
+            raise _RepeatedKeyError(f"duplicate key {key!r}")
         keys.add(key)
 
 
@@ -111,7 +111,7 @@
     try:
         data = encode_plan(plan)
     except UnicodeEncodeError as error:
-        raise CellPlanError(source, f"a name is no text: {error.object!r}") from error
+        raise CellPlanError(source, f"text cannot be encoded as UTF-8: {error.object!r}") from error
     decode_plan(data, source)
     return data
 
--- a/stackwheel/cells/plan_validation.py
+++ b/stackwheel/cells/plan_validation.py
@@ -17,7 +17,7 @@
         CellPlanError: it can't; the place follows `source`.
     """
     if plan.version != PLAN_FORMAT_VERSION:
-        raise CellPlanError(f"{source}: version", f"{plan.version} is unknown, {PLAN_FORMAT_VERSION} is known")
+        raise CellPlanError(f"{source}: version", f"unsupported version {plan.version}, expected {PLAN_FORMAT_VERSION}")
     _validate_relays(plan.relays, source)
     _validate_cells(plan, source)
     _validate_groups(plan.cells, source)
@@ -25,7 +25,7 @@
 
 def _validate_relays(relays: tuple[Relay, ...], source: str) -> None:
     if len(relays) < REPLICAS:
-        raise CellPlanError(f"{source}: relays", f"{len(relays)} given, at least {REPLICAS} needed")
+        raise CellPlanError(f"{source}: relays", f"{len(relays)} relays, expected at least {REPLICAS}")
     names: dict[str, int] = {}
     hosts: dict[str, int] = {}
     for position, relay in enumerate(relays):
@@ -45,14 +45,16 @@
             if region not in known_regions:
                 raise CellPlanError(f"{place}.regions[{index}]", f"unknown region {region!r}")
             if region in cell.regions[:index]:
-                raise CellPlanError(f"{place}.regions[{index}]", f"region {region!r} twice")
+                raise CellPlanError(f"{place}.regions[{index}]", f"duplicate region {region!r}")
         if cell.part >= cell.parts:
-            raise CellPlanError(f"{place}.part", f"{cell.part} of {cell.parts} parts")
+            raise CellPlanError(f"{place}.part", f"{cell.part} is not less than the number of parts, {cell.parts}")
 
 
 def _check_unique(first_positions: dict[Key, int], key: Key, position: int, source: str, field: str) -> None:
     if key in first_positions:
-        raise CellPlanError(f"{source}[{position}].{field}", f"{key!r} is also that of [{first_positions[key]}]")
+        raise CellPlanError(
+            f"{source}[{position}].{field}", f"duplicate value {key!r}, first used at index {first_positions[key]}"
+        )
     first_positions[key] = position
 
 
@@ -76,10 +78,12 @@
         service = cells[position].service
         if not regions:
             other = next(positions[0] for key, positions in groups.items() if key)
-            raise CellPlanError(place, f"all regions of service {service!r} include those of cells[{other}]")
+            raise CellPlanError(place, f"all regions of service {service!r}, which overlaps with cells[{other}]")
         for region in sorted(regions):
             if region in owners:
-                raise CellPlanError(place, f"{region!r} of service {service!r} is also that of cells[{owners[region]}]")
+                raise CellPlanError(
+                    place, f"region {region!r} of service {service!r} is already in cells[{owners[region]}]"
+                )
             owners[region] = position
 
 
@@ -91,9 +95,9 @@
         cell = cells[position]
         place = f"{source}: cells[{position}]"
         if cell.parts != parts:
-            raise CellPlanError(f"{place}.parts", f"{cell.parts}, but cells[{first}] says {parts}")
+            raise CellPlanError(f"{place}.parts", f"{cell.parts} parts, expected {parts} as in cells[{first}]")
         if cell.part in first_positions:
-            reason = f"part {cell.part} is also that of cells[{first_positions[cell.part]}]"
+            reason = f"duplicate part {cell.part}, first used by cells[{first_positions[cell.part]}]"
             raise CellPlanError(f"{place}.part", reason)
         first_positions[cell.part] = position
     if len(first_positions) < parts:
--- a/tests/cells/test_cell_assignment.py
+++ b/tests/cells/test_cell_assignment.py
@@ -153,9 +153,9 @@
 
 @pytest.mark.parametrize("parts", [0, -1, MAX_PARTS + 1])
 def test_part_counts_out_of_range_are_rejected(parts: int) -> None:
-    with pytest.raises(ValueError, match="parts, 1 to 1024"):
+    with pytest.raises(ValueError, match="is not between 1 and 1024"):
         part_of("a", parts)
-    with pytest.raises(ValueError, match="parts, 1 to 1024"):
+    with pytest.raises(ValueError, match="is not between 1 and 1024"):
         assign_planners(["a"], parts)
 
 
--- a/tests/cells/test_cell_check.py
+++ b/tests/cells/test_cell_check.py
@@ -32,10 +32,10 @@
         ListedServer("b-1", "zone-0"),
     ]
     assert check_plan_against_fleet(PLAN, servers) == (
-        Finding(Document.SERVERS, "instances[3]", "no cell holds 'b-2' in zone 'zone-1'"),
-        Finding(Document.SERVERS, "instances[4]", "no cell holds 'c-1' in zone 'zone-0'"),
-        Finding(Document.SERVERS, "instances[5]", "'b-3' is in unknown zone 'zone-7'"),
-        Finding(Document.SERVERS, "instances[6]", "'b-1' is also instances[2]"),
+        Finding(Document.SERVERS, "instances[3]", "no cell for server 'b-2' in zone 'zone-1'"),
+        Finding(Document.SERVERS, "instances[4]", "no cell for server 'c-1' in zone 'zone-0'"),
+        Finding(Document.SERVERS, "instances[5]", "server 'b-3' is in unknown zone 'zone-7'"),
+        Finding(Document.SERVERS, "instances[6]", "duplicate server 'b-1', first listed at instances[2]"),
     )
 
 
@@ -51,8 +51,8 @@
     planners = [NamedPlanner(f"p{number}", "a", "east") for number in range(3)]
     planners += [NamedPlanner("p9", "b", "west"), NamedPlanner("p0", "a", "east")]
     assert check_plan_against_fleet(PLAN, FITTING_SERVERS, planners) == (
-        Finding(Document.PLANNERS, "planners[3]", "no cell of service 'b' in region 'west' for 'p9'"),
-        Finding(Document.PLANNERS, "planners[4]", "'p0' is also planners[0]"),
+        Finding(Document.PLANNERS, "planners[3]", "no cell of service 'b' in region 'west' for planner 'p9'"),
+        Finding(Document.PLANNERS, "planners[4]", "duplicate planner 'p0', first listed at planners[0]"),
         Finding(Document.PLAN, "cells[0]", "cell 'a' has 3 planners, at most 2 are allowed"),
         Finding(Document.PLAN, "cells[1]", "cell 'b.east.0' has no planner"),
     )
--- a/tests/cells/test_cell_design.py
+++ b/tests/cells/test_cell_design.py
@@ -54,7 +54,7 @@
 def test_a_service_without_planners_for_its_parts_is_rejected() -> None:
     with pytest.raises(CellPlanError, match="service 'a': no planner for 5 servers"):
         plan_for(Demand("a", "east", 5, 0))
-    with pytest.raises(CellPlanError, match="service 'a': 1000 servers need 16 parts, 3 planners"):
+    with pytest.raises(CellPlanError, match="service 'a': 1000 servers need 16 parts, 3 planners allow one part each"):
         plan_for(Demand("a", "east", 1000, 3))
 
 
@@ -62,11 +62,14 @@
     ("demand", "message"),
     [
         ([Demand("a", "north", 101, 9)], r"plan: cells\[0\].regions\[0\]: unknown region 'north'"),
-        ([Demand("a", "east", 1, 1), Demand("a", "east", 1, 1)], r"demand\[1\]: service 'a' in region 'east' twice"),
+        (
+            [Demand("a", "east", 1, 1), Demand("a", "east", 1, 1)],
+            r"demand\[1\]: duplicate demand of service 'a' in region 'east'",
+        ),
         ([Demand("a b", "east", 1, 1)], r"plan: cells\[0\].name: Expected `str` matching regex"),
-        ([Demand("\ud800", "east", 1, 1)], "plan: a name is no text"),
-        ([Demand("a", "east", -1, 1)], r"demand\[0\]: -1 servers, 1 planners"),
-        ([Demand("a", "east", 2, 1, ("a-1",))], r"demand\[0\]: 1 names of 2 servers"),
+        ([Demand("\ud800", "east", 1, 1)], "plan: text cannot be encoded as UTF-8"),
+        ([Demand("a", "east", -1, 1)], r"demand\[0\]: negative count: -1 servers, 1 planners"),
+        ([Demand("a", "east", 2, 1, ("a-1",))], r"demand\[0\]: 1 server names for 2 servers"),
     ],
 )
 def test_invalid_demand_is_rejected(demand: list[Demand], message: str) -> None:
@@ -76,7 +79,7 @@
 
 def test_running_out_of_ports_is_reported() -> None:
     demand = [Demand(f"s{number}", "east", 1, 1) for number in range(12)]
-    with pytest.raises(CellPlanError, match="no port is left from 65525 to 65535"):
+    with pytest.raises(CellPlanError, match="no free port from 65525 to 65535"):
         design(demand, Limits(), REGIONS, RELAYS, first_port=65_525)
     assert len(design(demand, Limits(), REGIONS, RELAYS, first_port=65_524).cells) == 12
 
@@ -202,8 +205,12 @@
 @pytest.mark.parametrize(
     ("servers", "planners", "message"),
     [
-        ([ListedServer("a-1", "zone-9")], 5, r"instances\[0\].zone: unknown zone 'zone-9' of 'a-1'"),
-        ([ListedServer("a-1", "zone-0")] * 2, 5, r"instances\[1\]: 'a-1' is also instances\[0\]"),
+        ([ListedServer("a-1", "zone-9")], 5, r"instances\[0\].zone: unknown zone 'zone-9' of server 'a-1'"),
+        (
+            [ListedServer("a-1", "zone-0")] * 2,
+            5,
+            r"instances\[1\]: duplicate server 'a-1', first listed at instances\[0\]",
+        ),
         ([ListedServer("a-1", "zone-0"), ListedServer("b-1", "zone-0")], 1, "planners: 1 for 2 services"),
     ],
 )
--- a/tests/cells/test_cell_plan.py
+++ b/tests/cells/test_cell_plan.py
@@ -56,15 +56,15 @@
 
 
 BAD = [
-    (b"", "plan.json: no JSON: Input data was truncated"),
-    (json.dumps(VALID_PLAN).encode()[:-40], "plan.json: no JSON: Input data was truncated"),
-    (b"\xff\xfe", "plan.json: no JSON: "),
+    (b"", "plan.json: invalid JSON: Input data was truncated"),
+    (json.dumps(VALID_PLAN).encode()[:-40], "plan.json: invalid JSON: Input data was truncated"),
+    (b"\xff\xfe", "plan.json: invalid JSON: "),
     (b"[" * 100_000, "plan.json: "),
     (b"[]", "plan.json: Expected `object`, got `array`"),
-    (json.dumps(VALID_PLAN).encode() + b"{}", "plan.json: no JSON: "),
-    (changed("version", value=2), "plan.json: version: 2 is unknown, 1 is known"),
+    (json.dumps(VALID_PLAN).encode() + b"{}", "plan.json: invalid JSON: "),
+    (changed("version", value=2), "plan.json: version: unsupported version 2, expected 1"),
     (changed("version", value="1"), "plan.json: version: Expected `int`, got `str`"),
-    (changed("limits", "servers", value=float("nan")), "plan.json: no JSON: "),
+    (changed("limits", "servers", value=float("nan")), "plan.json: invalid JSON: "),
     (changed("limits", "servers", value=0), "plan.json: limits.servers: Expected `int` >= 1"),
     (changed("limits", "servers", value=1.5), "plan.json: limits.servers: Expected `int`, got `float`"),
     (changed("limits", "planners", value=65_537), "plan.json: limits.planners: Expected `int` <= 65536"),
@@ -75,35 +75,47 @@
     (changed("regions", "zone-2", value=3), "plan.json: regions[...]: Expected `str`, got `int`"),
     (
         json.dumps(VALID_PLAN).replace('"zone-1": "west"', '"zone-1": "west", "zone-0": "west"').encode(),
-        "plan.json: key 'zone-0' is given twice",
+        "plan.json: duplicate key 'zone-0'",
+    ),
+    (changed("relays", value=VALID_PLAN["relays"][:1]), "plan.json: relays: 1 relays, expected at least 2"),
+    (
+        changed("relays", 1, "name", value="relay-0"),
+        "plan.json: relays[1].name: duplicate value 'relay-0', first used at index 0",
+    ),
+    (
+        changed("relays", 1, "host", value="127.0.1.1"),
+        "plan.json: relays[1].host: duplicate value '127.0.1.1', first used at index 0",
     ),
-    (changed("relays", value=VALID_PLAN["relays"][:1]), "plan.json: relays: 1 given, at least 2 needed"),
-    (changed("relays", 1, "name", value="relay-0"), "plan.json: relays[1].name: 'relay-0' is also that of [0]"),
-    (changed("relays", 1, "host", value="127.0.1.1"), "plan.json: relays[1].host: '127.0.1.1' is also that of [0]"),
     (changed("relays", 1, "host", value="h:80"), "plan.json: relays[1].host: Expected `str` matching regex"),
     (changed("relays", 1, "host", value="h1,h2"), "plan.json: relays[1].host: Expected `str` matching regex"),
     (changed("cells", 0, "name", value=""), "plan.json: cells[0].name: Expected `str` of length >= 1"),
     (changed("cells", 0, "name", value="a\n"), "plan.json: cells[0].name: Expected `str` matching regex"),
     (changed("cells", 0, "port", value=0), "plan.json: cells[0].port: Expected `int` >= 1"),
     (changed("cells", 0, "port", value=65_536), "plan.json: cells[0].port: Expected `int` <= 65535"),
-    (changed("cells", 2, "port", value=20001), "plan.json: cells[2].port: 20001 is also that of [0]"),
-    (changed("cells", 2, "name", value="small"), "plan.json: cells[2].name: 'small' is also that of [0]"),
+    (
+        changed("cells", 2, "port", value=20001),
+        "plan.json: cells[2].port: duplicate value 20001, first used at index 0",
+    ),
+    (
+        changed("cells", 2, "name", value="small"),
+        "plan.json: cells[2].name: duplicate value 'small', first used at index 0",
+    ),
     (changed("cells", 1, "regions", 0, value="north"), "plan.json: cells[1].regions[0]: unknown region 'north'"),
-    (changed("cells", 1, "regions", value=["east", "east"]), "plan.json: cells[1].regions[1]: region 'east' twice"),
+    (changed("cells", 1, "regions", value=["east", "east"]), "plan.json: cells[1].regions[1]: duplicate region 'east'"),
     (changed("cells", 1, "parts", value=0), "plan.json: cells[1].parts: Expected `int` >= 1"),
     (changed("cells", 1, "parts", value=1_025), "plan.json: cells[1].parts: Expected `int` <= 1024"),
-    (changed("cells", 2, "part", value=2), "plan.json: cells[2].part: 2 of 2 parts"),
-    (changed("cells", 2, "part", value=0), "plan.json: cells[2].part: part 0 is also that of cells[1]"),
-    (changed("cells", 2, "parts", value=3), "plan.json: cells[2].parts: 3, but cells[1] says 2"),
+    (changed("cells", 2, "part", value=2), "plan.json: cells[2].part: 2 is not less than the number of parts, 2"),
+    (changed("cells", 2, "part", value=0), "plan.json: cells[2].part: duplicate part 0, first used by cells[1]"),
+    (changed("cells", 2, "parts", value=3), "plan.json: cells[2].parts: 3 parts, expected 2 as in cells[1]"),
     (changed("cells", value=VALID_PLAN["cells"][:2]), "plan.json: cells[1].parts: part 1 of 2 is missing"),
-    (with_cells(cell("x", "small", [])), "plan.json: cells[3].part: part 0 is also that of cells[0]"),
+    (with_cells(cell("x", "small", [])), "plan.json: cells[3].part: duplicate part 0, first used by cells[0]"),
     (
         with_cells(cell("x", "small", ["east"])),
-        "plan.json: cells[0].regions: all regions of service 'small' include those of cells[3]",
+        "plan.json: cells[0].regions: all regions of service 'small', which overlaps with cells[3]",
     ),
     (
         with_cells(cell("x", "large", ["west", "east"])),
-        "plan.json: cells[3].regions: 'east' of service 'large' is also that of cells[1]",
+        "plan.json: cells[3].regions: region 'east' of service 'large' is already in cells[1]",
     ),
     (with_cells({"name": "x"}), "plan.json: cells[3]: Object missing required field `service`"),
 ]
@@ -136,7 +148,7 @@
 def test_an_invalid_plan_is_not_written(tmp_path: Path) -> None:
     path = tmp_path / "plan.json"
     path.write_bytes(b"former")
-    with pytest.raises(CellPlanError, match="relays: 0 given"):
+    with pytest.raises(CellPlanError, match="relays: 0 relays, expected"):
         save_plan(Plan(1, Limits(), {}, (), ()), path)
     assert path.read_bytes() == b"former"
     assert os.listdir(tmp_path) == ["plan.json"]
@@ -161,10 +173,10 @@
 @pytest.mark.parametrize(
     ("data", "message"),
     [
-        (b"{}", "no zone is given"),
-        (b'{"zone-0":"east","zone-0":"west"}', "key 'zone-0' is given twice"),
+        (b"{}", "expected at least one zone"),
+        (b'{"zone-0":"east","zone-0":"west"}', "duplicate key 'zone-0'"),
         (b'{"zone-0":null}', "Expected `str`, got `null`"),
-        (b'{"zone-0":"ea', "no JSON"),
+        (b'{"zone-0":"ea', "invalid JSON"),
     ],
 )
 def test_malformed_regions_are_rejected(data: bytes, message: str, tmp_path: Path) -> None:
--- a/tests/cli/test_cells_command.py
+++ b/tests/cli/test_cells_command.py
@@ -102,7 +102,7 @@
     exit_code, out, err = call("check", path, "--list", other)
     lines = out.splitlines()
     assert (exit_code, err) == (1, "")
-    assert lines[0] == f"{other}: instances[1]: 'new-1' is in unknown zone 'zone-99'"
+    assert lines[0] == f"{other}: instances[1]: server 'new-1' is in unknown zone 'zone-99'"
     assert lines[-1].endswith("faults for 2 servers")
     assert any(line.startswith(f"{path}: cells[") and line.endswith("has no server") for line in lines)
     exit_code, out, _ = call("check", path, "--list", other, "--json")
@@ -127,13 +127,13 @@
         (b"[]", "no list of servers: no list of instances"),
         (b"\xff", "no list of servers: "),
         (b'{"instances":[]}', "no list of servers: generation: missing"),
-        (generated_fleet.encode_endpoint_list([]), "no server is listed"),
+        (generated_fleet.encode_endpoint_list([]), "the list contains no server"),
         (list_document(reset=False), "reset: false"),
         (list_document(entry(), {}), "entry 1 ("),
         (list_document(entry(weight=float("nan"))), "entry 0 ("),
         (list_document(entry(zone=3)), "entry 0 ("),
         (list_document(entry(zone="z")), "unknown zone 'z'"),
-        (list_document(entry(), entry()), "also instances[0]"),
+        (list_document(entry(), entry()), "duplicate server 'a-1', first listed at instances[0]"),
     ],
 )
 def test_an_unusable_list_is_one_line_and_exits_two(data: bytes, message: str, folder: Path, call: RunCommand) -> None:
@@ -150,15 +150,15 @@
 @pytest.mark.parametrize(
     ("change", "message"),
     [
-        ({"relays": 1}, "stackwheel: plan: relays: 1 given, at least 2 needed"),
+        ({"relays": 1}, "stackwheel: plan: relays: 1 relays, expected at least 2"),
         ({"relays": 0}, "Missing option '--relay'"),
-        ({"more": ("--relay", "relay-0=h")}, "relays[3].name: 'relay-0' is also that of [0]"),
-        ({"more": ("--relay", "r9=127.0.1.1")}, "relays[3].host: '127.0.1.1' is also that of [0]"),
+        ({"more": ("--relay", "relay-0=h")}, "relays[3].name: duplicate value 'relay-0', first used at index 0"),
+        ({"more": ("--relay", "r9=127.0.1.1")}, "relays[3].host: duplicate value '127.0.1.1', first used at index 0"),
         ({"more": ("--relay", "r9=a b")}, "relays[3].host: Expected `str` matching regex"),
         ({"more": ("--relay", "r9")}, "'r9' is not name=host"),
         ({"more": ("--most-servers", 0)}, "--most-servers"),
         ({"more": ("--first-port", 70_000)}, "--first-port"),
-        ({"more": ("--first-port", 65_535)}, "no port is left from 65535 to 65535"),
+        ({"more": ("--first-port", 65_535)}, "no free port from 65535 to 65535"),
         ({"more": ("--former", "none.json")}, "none.json: No such file"),
         ({"more": ("--regions", "none.json")}, "none.json: No such file"),
         ({"more": ("--servers-file", "none.json")}, "none.json: No such file"),
@@ -183,11 +183,11 @@
     call(*plan_words(folder))
     path = folder / "plan.json"
     path.write_bytes(path.read_bytes().replace(b'"version": 1', b'"version": 3'))
-    line = f"stackwheel: {path}: version: 3 is unknown, 1 is known\n"
+    line = f"stackwheel: {path}: version: unsupported version 3, expected 1\n"
     assert call("check", path) == (2, "", line)
     assert call("show", path) == (2, "", line)
     path.write_bytes(path.read_bytes()[:100])
-    assert call("check", path).err.startswith(f"stackwheel: {path}: no JSON: Input data was truncated")
+    assert call("check", path).err.startswith(f"stackwheel: {path}: invalid JSON: Input data was truncated")
 
 
 def test_an_unknown_cell_is_named(folder: Path, call: RunCommand) -> None:
