--- a/stackwheel/cells/__init__.py
+++ b/stackwheel/cells/__init__.py
@@ -1,1 +1,4 @@
-"""Cells: which planners share which part of the endpoint list, computed without I/O from a plan file."""
+"""Cells: the planners that share a part of the endpoint list, computed from a plan file.
+
+Apart from reading and writing the plan file, the package does no I/O.
+"""
--- a/stackwheel/cells/assignment.py
+++ b/stackwheel/cells/assignment.py
@@ -1,8 +1,9 @@
-"""Which cell a server or planner belongs to, and which relays serve a cell: rendezvous hashing, without state.
+"""Assigns servers and planners to cells, and cells to relays, by stateless rendezvous hashing.
 
-Every hash is XXH3 (64 bits) of the xxhash library, which is the same on every machine and in every process. In
-rendezvous hashing each candidate gets a score from its own name and the key; the highest wins. So a candidate that
-is added takes only keys that it wins, and one that is removed gives away only its own.
+All hashes are 64-bit XXH3, which is the same on every machine and in every process. In rendezvous hashing, each
+candidate gets a score from a hash of the key and the candidate, and the candidate with the highest score is chosen.
+An added candidate therefore takes over only the keys for which it has the highest score, and the removal of a
+candidate moves only its own keys.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 
 
 def service_of(instance_name: str) -> str:
-    """The service of a server: its name up to the last `-`.
+    """Return the service of a server, which is the server's name up to the last `-`.
 
-    A name without a `-`, or with a single one at its start, is its own service.
+    If there is no text before the last `-`, or no `-`, it is the whole name.
     """
     service, _, _ = instance_name.rpartition("-")
     return service or instance_name
 
 
 def part_of(instance_name: str, parts: int) -> int:
-    """The part, from 0 to `parts` - 1, that a server belongs to; O(parts).
+    """Return the part of a server, from 0 to `parts` - 1, in O(parts).
 
     Raises:
         ValueError: `parts` is not between 1 and MAX_PARTS.
@@ -44,11 +45,11 @@
 
 
 def assign_planners(planner_names: Iterable[str], parts: int) -> dict[str, int]:
-    """The part of each planner of a service, so that no part has more than one planner more than another.
+    """Return the part of each planner of a service; the numbers of planners per part differ by one at most.
 
-    Each planner, in the order of its hash, takes the part that it scores highest of those with capacity left
-    (rendezvous hashing with bounded loads). It needs all names, unlike `part_of`, because few planners hashed one by
-    one leave parts without any: of 6 a part on average, one part in 400. Equal names count once.
+    The planners are assigned in the order of their hashes, each to the part with the highest score among those with
+    spare capacity (rendezvous hashing with bounded loads). In contrast to `part_of`, this requires the names of all
+    planners: independent hashing of a few planners would leave some parts without any. Duplicate names are ignored.
 
     Raises:
         ValueError: `parts` is not between 1 and MAX_PARTS.
@@ -56,15 +57,15 @@
     _check_part_count(parts)
     keys = {name: _hash_key(name) for name in planner_names}
     order = sorted(keys, key=lambda name: (xxh3_64_intdigest(keys[name], ORDER_SEED), name))
-    base_count, larger_parts_left = divmod(len(order), parts)  # that many parts get one planner more than the base
+    base_count, larger_parts_remaining = divmod(len(order), parts)  # the larger parts get base_count + 1 planners
     planner_counts = [0] * parts
     assigned: dict[str, int] = {}
     for name in order:
-        limit = base_count + (larger_parts_left > 0)
-        open_parts = [part for part in range(parts) if planner_counts[part] < limit]
-        part = max(open_parts, key=lambda part: xxh3_64_intdigest(keys[name], PLANNER_SEEDS[part]))
+        limit = base_count + (larger_parts_remaining > 0)
+        available_parts = [part for part in range(parts) if planner_counts[part] < limit]
+        part = max(available_parts, key=lambda part: xxh3_64_intdigest(keys[name], PLANNER_SEEDS[part]))
         planner_counts[part] += 1
-        larger_parts_left -= planner_counts[part] > base_count
+        larger_parts_remaining -= planner_counts[part] > base_count
         assigned[name] = part
     return assigned
 
@@ -75,24 +76,25 @@
 
 
 def _hash_key(name: str) -> bytes:
-    return name.encode("utf-8", "surrogatepass")  # JSON may hold half of a pair; a name is hashed whatever it is
+    return name.encode("utf-8", "surrogatepass")  # JSON strings may contain unpaired surrogates
 
 
 def relays_for_cell(cell_name: str, relays: Iterable[Relay], count: int = REPLICAS) -> tuple[Relay, ...]:
-    """The `count` relays that serve a cell, the first choice first; the order of `relays` doesn't matter."""
+    """Return the `count` relays that serve a cell, by descending score, for any order of `relays`."""
     key = _hash_key(cell_name)
 
     def score(relay: Relay) -> tuple[int, str]:
-        """The relay's weight for this cell; equal weights are ordered by name."""
+        """Return the score of a relay for this cell, with its name to break ties."""
         return xxh3_64_intdigest(key, xxh3_64_intdigest(_hash_key(relay.name))), relay.name
 
     return tuple(sorted(relays, key=score, reverse=True)[:count])
 
 
 def discovery_addresses(plan: Plan, cell: Cell, planner_name: str = "") -> str:
-    """What a planner of a cell is given as its discovery: "host:port,host:port", the relay to try first first.
+    """Return the discovery setting of a planner of a cell, in the format "host:port,host:port".
 
-    Which replica is first follows from the planner's name, so that a cell's planners spread over both.
+    The hash of the planner's name determines which relay is tried first, so that the planners of a cell are
+    distributed over its relays.
     """
     replicas = relays_for_cell(cell.name, plan.relays)
     first = xxh3_64_intdigest(_hash_key(planner_name), ORDER_SEED) % len(replicas)
@@ -100,32 +102,36 @@
 
 
 class CellIndex:
-    """The cells of a valid plan by service and region, with one entry a cell and one a zone.
+    """An index of the cells of a valid plan by service and region.
 
     Attributes:
         regions: the region of each zone.
-        groups: the cells of each service and region, in the order of their parts; region None means all regions.
+        groups: the cells of each service and region, ordered by part; the region is None for cells of all regions.
     """
 
     def __init__(self, plan: Plan) -> None:
         self.regions = plan.regions
         self.groups: dict[tuple[str, str | None], Sequence[Cell]] = {}
-        collected: defaultdict[tuple[str, str | None], list[Cell]] = defaultdict(list)
+        cells_by_group: defaultdict[tuple[str, str | None], list[Cell]] = defaultdict(list)
         for cell in plan.cells:
             for region in cell.regions or (None,):
-                collected[cell.service, region].append(cell)
-        for key, group in collected.items():
+                cells_by_group[cell.service, region].append(cell)
+        for key, group in cells_by_group.items():
             self.groups[key] = tuple(sorted(group, key=lambda cell: cell.part))
 
     def cell_of(self, instance_name: str, zone: str) -> Cell | None:
-        """The cell of a server, or None where the plan has none; O(parts)."""
+        """Return the cell of a server, or None if the plan has no cell for it, in O(parts)."""
         group = self._cells_of(service_of(instance_name), zone)
         return group[part_of(instance_name, len(group))] if group else None
 
     def cells_of_planners(self, planner_names: Iterable[str], service: str, region: str | None) -> dict[str, Cell]:
-        """The cell of each planner of a service, or of its planners in a region where the plan cuts it by regions.
+        """Return the cell of each planner, by planner name; empty if the plan has no cell for the planners.
 
-        Empty where the plan has no such cell. `region` doesn't matter for a service with cells of all regions.
+        Args:
+            planner_names: names of all planners of the service, or of those in the region if the service is divided
+                by region.
+            service: name of the service.
+            region: name of the region; ignored if the service has cells of all regions.
         """
         group = self.groups.get((service, None)) or self.groups.get((service, region), ())
         if not group:
@@ -133,5 +139,5 @@
         return {name: group[part] for name, part in assign_planners(planner_names, len(group)).items()}
 
     def _cells_of(self, service: str, zone: str) -> Sequence[Cell]:
-        all_regions = self.groups.get((service, None))  # these also cover a zone that the plan doesn't know
+        all_regions = self.groups.get((service, None))  # covers zones that are not in the plan, too
         return all_regions or self.groups.get((service, self.regions.get(zone)), ())
--- a/stackwheel/cells/check.py
+++ b/stackwheel/cells/check.py
@@ -1,4 +1,4 @@
-"""Checks a valid plan against its fleet: servers and planners without a cell, cells that are empty or over a limit."""
+"""Checks a valid plan against a fleet: servers and planners without a cell, and empty or oversized cells."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server of the endpoint list, as far as cells are concerned."""
+    """The properties of a listed server that determine its cell."""
 
     name: str
     zone: str
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedPlanner:
-    """A planner, the service that it plans for and the region that it runs in."""
+    """The properties of a planner that determine its cell: its name, the service that it plans and its region."""
 
     name: str
     service: str
@@ -29,7 +29,7 @@
 
 
 class Document(StrEnum):
-    """The document that a finding is about."""
+    """The input document to which a finding refers."""
 
     PLAN = "plan"
     SERVERS = "servers"
@@ -38,7 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One fault: the document, the place in it, and the reason."""
+    """A mismatch between a plan and its fleet.
+
+    Attributes:
+        document: the input document to which `location` refers.
+        location: the record in the document.
+        reason: description of the mismatch.
+    """
 
     document: Document
     location: str
@@ -46,8 +52,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Census:
-    """What one document holds for the cells: the faults found in it and the members of each cell by name."""
+class _DocumentCheck:
+    """The findings in one document, and the number of members of each cell by cell name."""
 
     findings: list[Finding]
     cell_sizes: Counter[str]
@@ -56,63 +62,63 @@
 def check_plan_against_fleet(
     plan: Plan, servers: Sequence[ListedServer], planners: Sequence[NamedPlanner] | None = None
 ) -> tuple[Finding, ...]:
-    """All faults of a valid plan for these servers, and for these planners where they are given."""
+    """Return all mismatches between a valid plan and the servers, and the planners unless they are None."""
     index = CellIndex(plan)
-    server_census = _check_servers(plan, index, servers)
-    findings = server_census.findings
-    findings += _check_cell_sizes(plan, server_census.cell_sizes, "server", plan.limits.servers)
+    server_check = _check_servers(plan, index, servers)
+    findings = server_check.findings
+    findings += _check_cell_sizes(plan, server_check.cell_sizes, "server", plan.limits.servers)
     if planners is not None:
-        planner_census = _check_planners(index, planners)
-        findings += planner_census.findings
-        findings += _check_cell_sizes(plan, planner_census.cell_sizes, "planner", plan.limits.planners)
+        planner_check = _check_planners(index, planners)
+        findings += planner_check.findings
+        findings += _check_cell_sizes(plan, planner_check.cell_sizes, "planner", plan.limits.planners)
     return tuple(findings)
 
 
-def _check_servers(plan: Plan, index: CellIndex, servers: Iterable[ListedServer]) -> _Census:
+def _check_servers(plan: Plan, index: CellIndex, servers: Iterable[ListedServer]) -> _DocumentCheck:
     findings: list[Finding] = []
     cell_sizes: Counter[str] = Counter()
     first_positions: dict[str, int] = {}
     for position, server in enumerate(servers):
-        place = f"instances[{position}]"
+        location = f"instances[{position}]"
         if server.name in first_positions:
             reason = f"duplicate server {server.name!r}, first listed at instances[{first_positions[server.name]}]"
-            findings.append(Finding(Document.SERVERS, place, reason))
+            findings.append(Finding(Document.SERVERS, location, reason))
             continue
         first_positions[server.name] = position
         if server.zone not in plan.regions:
             reason = f"server {server.name!r} is in unknown zone {server.zone!r}"
-            findings.append(Finding(Document.SERVERS, place, reason))
+            findings.append(Finding(Document.SERVERS, location, reason))
         cell = index.cell_of(server.name, server.zone)
         if cell is not None:
             cell_sizes[cell.name] += 1
         elif server.zone in plan.regions:
             reason = f"no cell for server {server.name!r} in zone {server.zone!r}"
-            findings.append(Finding(Document.SERVERS, place, reason))
-    return _Census(findings, cell_sizes)
+            findings.append(Finding(Document.SERVERS, location, reason))
+    return _DocumentCheck(findings, cell_sizes)
 
 
 def _check_cell_sizes(plan: Plan, cell_sizes: Counter[str], member: str, limit: int) -> list[Finding]:
     findings: list[Finding] = []
     for position, cell in enumerate(plan.cells):
         size = cell_sizes[cell.name]
-        place = f"cells[{position}]"
+        location = f"cells[{position}]"
         if size == 0:
-            findings.append(Finding(Document.PLAN, place, f"cell {cell.name!r} has no {member}"))
+            findings.append(Finding(Document.PLAN, location, f"cell {cell.name!r} has no {member}"))
         elif size > limit:
             reason = f"cell {cell.name!r} has {size} {member}s, at most {limit} are allowed"
-            findings.append(Finding(Document.PLAN, place, reason))
+            findings.append(Finding(Document.PLAN, location, reason))
     return findings
 
 
-def _check_planners(index: CellIndex, planners: Sequence[NamedPlanner]) -> _Census:
+def _check_planners(index: CellIndex, planners: Sequence[NamedPlanner]) -> _DocumentCheck:
     findings: list[Finding] = []
     names_by_group: defaultdict[tuple[str, str | None], list[str]] = defaultdict(list)
     first_positions: dict[str, int] = {}
     for position, planner in enumerate(planners):
-        place = f"planners[{position}]"
+        location = f"planners[{position}]"
         if planner.name in first_positions:
             reason = f"duplicate planner {planner.name!r}, first listed at planners[{first_positions[planner.name]}]"
-            findings.append(Finding(Document.PLANNERS, place, reason))
+            findings.append(Finding(Document.PLANNERS, location, reason))
             continue
         first_positions[planner.name] = position
         region = None if (planner.service, None) in index.groups else planner.region
@@ -120,8 +126,8 @@
             names_by_group[planner.service, region].append(planner.name)
         else:
             reason = f"no cell of service {planner.service!r} in region {planner.region!r} for planner {planner.name!r}"
-            findings.append(Finding(Document.PLANNERS, place, reason))
+            findings.append(Finding(Document.PLANNERS, location, reason))
     cell_sizes: Counter[str] = Counter()
     for (service, region), names in names_by_group.items():
         cell_sizes.update(cell.name for cell in index.cells_of_planners(names, service, region).values())
-    return _Census(findings, cell_sizes)
+    return _DocumentCheck(findings, cell_sizes)
--- a/stackwheel/cells/demand.py
+++ b/stackwheel/cells/demand.py
@@ -1,4 +1,4 @@
-"""How many servers and planners each service has in each region: what a cell plan has to hold."""
+"""The demand that a cell plan has to cover: the servers and planners of each service in each region."""
 
 from __future__ import annotations
 
@@ -10,12 +10,22 @@
 from stackwheel.cells.check import ListedServer
 from stackwheel.cells.plan import CellPlanError
 
-ServerNames = Mapping[str, Mapping[str, list[str]]]  # by service and region
+ServerNames = Mapping[str, Mapping[str, list[str]]]
+"""Names of servers, by service and region."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a service has in a region. With its servers' names, parts grow until none is over a limit."""
+    """The servers and planners of a service in one region.
+
+    Attributes:
+        service: name of the service.
+        region: name of the region.
+        servers: number of servers.
+        planners: number of planners.
+        server_names: names of the servers, with which the sizes of parts are exact instead of estimated; empty if
+            unknown.
+    """
 
     service: str
     region: str
@@ -27,18 +37,18 @@
 def demand_from_servers(
     servers: Iterable[ListedServer], regions: Mapping[str, str], planners: int, source: str = "servers"
 ) -> tuple[Demand, ...]:
-    """The demand of listed servers, with a number of planners shared out in proportion to them.
+    """Compute the demand of listed servers, with planners distributed in proportion to the servers.
 
-    Each service gets one planner at least.
+    Each service gets at least one planner.
 
     Args:
-        servers: the endpoint list.
+        servers: the servers of the endpoint list.
         regions: the region of each zone.
-        planners: how many planners there are in all.
-        source: what errors of the endpoint list begin with.
+        planners: total number of planners.
+        source: name of the endpoint list, the start of the location in errors.
 
     Raises:
-        CellPlanError: no server is listed, one is listed twice or in an unknown zone, or there are fewer planners
+        CellPlanError: the list is empty, contains a duplicate server or an unknown zone, or there are fewer planners
             than services.
     """
     names = _names_by_service(servers, regions, source)
@@ -62,12 +72,12 @@
     names: defaultdict[str, defaultdict[str, list[str]]] = defaultdict(lambda: defaultdict(list))
     first_positions: dict[str, int] = {}
     for position, server in enumerate(servers):
-        place = f"{source}: instances[{position}]"
+        location = f"{source}: instances[{position}]"
         if server.zone not in regions:
-            raise CellPlanError(f"{place}.zone", f"unknown zone {server.zone!r} of server {server.name!r}")
+            raise CellPlanError(f"{location}.zone", f"unknown zone {server.zone!r} of server {server.name!r}")
         if server.name in first_positions:
             raise CellPlanError(
-                place, f"duplicate server {server.name!r}, first listed at instances[{first_positions[server.name]}]"
+                location, f"duplicate server {server.name!r}, first listed at instances[{first_positions[server.name]}]"
             )
         first_positions[server.name] = position
         names[service_of(server.name)][regions[server.zone]].append(server.name)
@@ -75,12 +85,18 @@
 
 
 def apportion(total: int, weights: Mapping[str, int], minimum: int) -> dict[str, int]:
-    """Integer shares of a total in proportion to weights by the largest remainder, after `minimum` to each."""
-    shared = total - minimum * len(weights)
+    """Divide a total into integer shares by the largest remainder method.
+
+    Args:
+        total: the sum of the shares.
+        weights: the weight of each share, by key.
+        minimum: the minimum of each share; the remainder of the total is divided in proportion to the weights.
+    """
+    proportional_total = total - minimum * len(weights)
     total_weight = sum(weights.values()) or 1
-    shares = {key: minimum + shared * weight // total_weight for key, weight in weights.items()}
-    remaining = total - sum(shares.values())
-    by_remainder = sorted(weights, key=lambda key: (-(shared * weights[key] % total_weight), key))
-    for key in by_remainder[:remaining]:
+    shares = {key: minimum + proportional_total * weight // total_weight for key, weight in weights.items()}
+    undistributed = total - sum(shares.values())
+    by_remainder = sorted(weights, key=lambda key: (-(proportional_total * weights[key] % total_weight), key))
+    for key in by_remainder[:undistributed]:
         shares[key] += 1
     return shares
--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -1,9 +1,10 @@
-"""Makes a cell plan from the sizes of services, with as little as possible moved from a former plan.
+"""Designs a cell plan for the sizes of services, with minimal changes to a previous plan.
 
-A service that fits both limits is one cell. A larger one is cut by region where every region has planners for it,
-and otherwise into parts over all regions; what is still too large in a region is cut into parts. Servers come to
-parts by rendezvous hashing, so a part holds a binomial number of them: parts are so many that the chance that any
-of them is over the limit is at most OVERFLOW_RISK. Planners are assigned evenly and need no such margin.
+A service that fits both limits becomes one cell. A larger service is divided by region if every region has enough
+planners, and a region that is still too large is divided into parts. Otherwise the service is divided into parts that
+cover all regions. Servers are assigned to parts by rendezvous hashing, so the size of a part has a binomial
+distribution. The number of parts is chosen so that the probability of an oversized part is at most `OVERFLOW_RISK`.
+Planners are distributed evenly and need no such margin.
 """
 
 from __future__ import annotations
@@ -28,26 +29,32 @@
 )
 from stackwheel.cells.plan_file import encode_valid_plan
 
-MIN_PLANNERS_PER_PART = 2  # of a service that is cut: one may fail
-SHRINK_FACTOR = 2  # parts go only once fewer would do for this times the demand, so that what comes and goes with
-# the day or with a release (servers doubled for a while) doesn't move servers each time
+MIN_PLANNERS_PER_PART = 2
+"""Minimum number of planners per part of a divided service, so that one of them may fail."""
+
+SHRINK_FACTOR = 2
+"""The number of parts is reduced only if fewer parts suffice for the demand multiplied by this factor.
+
+This hysteresis avoids moves of servers at daily or temporary changes, such as doubled servers during a release.
+"""
 DEFAULT_FIRST_PORT = 20_001
 """Default of the lowest cell port, between the ports of common services and the ephemeral ports of Linux."""
 
-Scope = tuple[str, ...]  # the regions of a group of cells; empty: all
+Scope = tuple[str, ...]
+"""The regions that a group of cells covers; empty for all regions."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Need:
-    """What a group of cells, the parts of a service in one scope, has to hold."""
+class _GroupDemand:
+    """The demand of a group of cells, which are the parts of a service in one scope."""
 
     servers: int
     planners: int
     server_names: tuple[str, ...]
 
-    def times(self, factor: int) -> _Need:
-        """The needs of as many groups as `factor`, without their names."""
-        return _Need(self.servers * factor, self.planners * factor, ())
+    def scaled(self, factor: int) -> _GroupDemand:
+        """Return the demand multiplied by a factor, without server names."""
+        return _GroupDemand(self.servers * factor, self.planners * factor, ())
 
 
 def design(
@@ -55,49 +62,49 @@
     limits: Limits,
     regions: Mapping[str, str],
     relays: Iterable[Relay],
-    former: Plan | None = None,
+    previous_plan: Plan | None = None,
     first_port: int = DEFAULT_FIRST_PORT,
 ) -> Plan:
-    """A valid plan for a demand, which keeps names, ports and parts of the former one where they still hold.
+    """Return a valid plan for a demand, which retains the names, ports and parts of a previous plan if possible.
 
-    For equal demand in any order the plan is the same.
+    The plan does not depend on the order of the demand.
 
     Args:
-        demand: at most one item a service and region.
-        limits: the most servers and planners of a cell.
+        demand: at most one item per service and region.
+        limits: the maximum numbers of servers and planners in a cell.
         regions: the region of each zone.
         relays: all relays of the fleet.
-        former: the plan in force.
-        first_port: the lowest port that a new cell may get.
+        previous_plan: the plan in use; None if there is none.
+        first_port: the lowest port for new cells.
 
     Raises:
-        CellPlanError: no plan can hold the demand; it names the service at fault.
+        CellPlanError: the demand is invalid, or no plan can cover the demand of a service.
     """
-    former_parts = _parts_by_scope(former)
+    previous_parts = _parts_by_scope(previous_plan)
     groups: dict[tuple[str, Scope], int] = {}
-    for service, needs_by_region in sorted(_needs_by_service(demand).items()):
-        parts_by_scope = _cut_service(service, needs_by_region, limits, former_parts.get(service, {}))
+    for service, demand_by_region in sorted(_demand_by_service(demand).items()):
+        parts_by_scope = _divide_service(service, demand_by_region, limits, previous_parts.get(service, {}))
         for scope, parts in parts_by_scope.items():
             groups[service, scope] = parts
-    cells = _name_cells(groups, former, first_port)
+    cells = _name_cells(groups, previous_plan, first_port)
     plan = Plan(PLAN_FORMAT_VERSION, limits, dict(sorted(regions.items())), tuple(relays), cells)
     encode_valid_plan(plan)
     return plan
 
 
-def _needs_by_service(demand: Sequence[Demand]) -> dict[str, dict[str, _Need]]:
-    needs: defaultdict[str, dict[str, _Need]] = defaultdict(dict)
+def _demand_by_service(demand: Sequence[Demand]) -> dict[str, dict[str, _GroupDemand]]:
+    demand_by_service: defaultdict[str, dict[str, _GroupDemand]] = defaultdict(dict)
     for position, item in enumerate(demand):
-        place = f"demand[{position}]"
+        location = f"demand[{position}]"
         if item.servers < 0 or item.planners < 0:
-            raise CellPlanError(place, f"negative count: {item.servers} servers, {item.planners} planners")
+            raise CellPlanError(location, f"negative count: {item.servers} servers, {item.planners} planners")
         if item.server_names and len(item.server_names) != item.servers:
-            raise CellPlanError(place, f"{len(item.server_names)} server names for {item.servers} servers")
-        if item.region in needs[item.service]:
-            raise CellPlanError(place, f"duplicate demand of service {item.service!r} in region {item.region!r}")
+            raise CellPlanError(location, f"{len(item.server_names)} server names for {item.servers} servers")
+        if item.region in demand_by_service[item.service]:
+            raise CellPlanError(location, f"duplicate demand of service {item.service!r} in region {item.region!r}")
         if item.servers or item.planners:
-            needs[item.service][item.region] = _Need(item.servers, item.planners, item.server_names)
-    return {service: by_region for service, by_region in needs.items() if by_region}
+            demand_by_service[item.service][item.region] = _GroupDemand(item.servers, item.planners, item.server_names)
+    return {service: by_region for service, by_region in demand_by_service.items() if by_region}
 
 
 def _parts_by_scope(plan: Plan | None) -> dict[str, dict[Scope, int]]:
@@ -107,24 +114,24 @@
     return parts
 
 
-def _cut_service(
-    service: str, needs_by_region: dict[str, _Need], limits: Limits, former: dict[Scope, int]
+def _divide_service(
+    service: str, demand_by_region: dict[str, _GroupDemand], limits: Limits, previous_parts: dict[Scope, int]
 ) -> dict[Scope, int]:
-    """The scopes of a service and the number of parts in each."""
-    overall = _Need(
-        sum(need.servers for need in needs_by_region.values()),
-        sum(need.planners for need in needs_by_region.values()),
-        tuple(name for need in needs_by_region.values() for name in need.server_names),
+    """Return the scopes of a service with the number of parts in each."""
+    overall = _GroupDemand(
+        sum(demand.servers for demand in demand_by_region.values()),
+        sum(demand.planners for demand in demand_by_region.values()),
+        tuple(name for demand in demand_by_region.values() for name in demand.server_names),
     )
     if overall.planners == 0:
         raise CellPlanError(f"service {service!r}", f"no planner for {overall.servers} servers")
     regional_parts: dict[Scope, int] = {
-        (region,): _choose_parts(need, limits, former.get((region,), 0))
-        for region, need in sorted(needs_by_region.items())
+        (region,): _choose_parts(demand, limits, previous_parts.get((region,), 0))
+        for region, demand in sorted(demand_by_region.items())
     }
-    if _is_cut_by_region(overall, needs_by_region, regional_parts, limits, former):
+    if _is_divided_by_region(overall, demand_by_region, regional_parts, limits, previous_parts):
         return regional_parts
-    overall_parts = _choose_parts(overall, limits, former.get((), 0))
+    overall_parts = _choose_parts(overall, limits, previous_parts.get((), 0))
     if overall_parts > min(MAX_PARTS, overall.planners):
         raise CellPlanError(
             f"service {service!r}",
@@ -134,68 +141,80 @@
     return {(): overall_parts}
 
 
-def _is_cut_by_region(
-    overall: _Need, needs_by_region: dict[str, _Need], parts: dict[Scope, int], limits: Limits, former: dict[Scope, int]
+def _is_divided_by_region(
+    overall: _GroupDemand,
+    demand_by_region: dict[str, _GroupDemand],
+    parts: dict[Scope, int],
+    limits: Limits,
+    previous_parts: dict[Scope, int],
 ) -> bool:
-    """Whether a service is cut by region: it has to be cut, and each part of a region gets planners enough.
+    """Return whether to divide a service by region: it does not fit one cell, and each part gets enough planners.
 
-    A service that is cut otherwise in the former plan changes over only once there are SHRINK_FACTOR times enough,
-    and one that is cut by region goes back to one cell only once SHRINK_FACTOR times its demand fits that.
+    `SHRINK_FACTOR` provides hysteresis. A service that is divided over all regions needs that many times the minimum
+    number of planners, and a service divided by region becomes one cell only if that many times its demand fits.
     """
-    was_regional = any(scope for scope in former)
-    if _min_parts(overall.times(SHRINK_FACTOR) if was_regional else overall, limits) == 1:
+    was_regional = any(scope for scope in previous_parts)
+    if _min_parts(overall.scaled(SHRINK_FACTOR) if was_regional else overall, limits) == 1:
         return False
-    min_planners = MIN_PLANNERS_PER_PART * (SHRINK_FACTOR if former.get((), 1) > 1 else 1)
+    min_planners = MIN_PLANNERS_PER_PART * (SHRINK_FACTOR if previous_parts.get((), 1) > 1 else 1)
     return all(
-        parts[(region,)] <= MAX_PARTS and need.planners >= min_planners * parts[(region,)]
-        for region, need in needs_by_region.items()
+        parts[(region,)] <= MAX_PARTS and demand.planners >= min_planners * parts[(region,)]
+        for region, demand in demand_by_region.items()
     )
 
 
-def _choose_parts(need: _Need, limits: Limits, former: int) -> int:
-    """The parts of a group: the former number, as long as that suits.
+def _choose_parts(demand: _GroupDemand, limits: Limits, previous_parts: int) -> int:
+    """Return the number of parts of a group, which is the previous number within suitable bounds.
 
-    It doesn't where it is too small, SHRINK_FACTOR times larger than needed, or leaves a part without enough planners
-    or without a server.
+    The lower bound is the number required by the demand. The upper bound is the number required by `SHRINK_FACTOR`
+    times the demand, or fewer if a part would otherwise get too few planners or no server.
     """
-    min_parts = _min_parts(need, limits)
-    kept = min(former, _min_parts(need.times(SHRINK_FACTOR), limits), need.planners // MIN_PLANNERS_PER_PART)
-    while kept > min_parts and need.server_names and min(_part_sizes(need.server_names, kept)) == 0:
-        kept -= 1
-    parts = max(min_parts, kept)
-    while parts <= MAX_PARTS and max(_part_sizes(need.server_names, parts)) > limits.servers:
+    min_parts = _min_parts(demand, limits)
+    retained_parts = min(
+        previous_parts, _min_parts(demand.scaled(SHRINK_FACTOR), limits), demand.planners // MIN_PLANNERS_PER_PART
+    )
+    while (
+        retained_parts > min_parts
+        and demand.server_names
+        and min(_part_sizes(demand.server_names, retained_parts)) == 0
+    ):
+        retained_parts -= 1
+    parts = max(min_parts, retained_parts)
+    while parts <= MAX_PARTS and max(_part_sizes(demand.server_names, parts)) > limits.servers:
         parts += 1
     return parts
 
 
-def _min_parts(need: _Need, limits: Limits) -> int:
-    return max(parts_needed(need.servers, limits.servers), -(-need.planners // limits.planners), 1)
+def _min_parts(demand: _GroupDemand, limits: Limits) -> int:
+    return max(parts_needed(demand.servers, limits.servers), -(-demand.planners // limits.planners), 1)
 
 
 def _part_sizes(server_names: Sequence[str], parts: int) -> list[int]:
-    """How many of the servers belong to each part."""
+    """Return the number of servers in each part."""
     sizes = Counter(part_of(name, parts) for name in server_names)
     return [sizes[part] for part in range(parts)]
 
 
-def _name_cells(groups: Mapping[tuple[str, Scope], int], former: Plan | None, first_port: int) -> tuple[Cell, ...]:
-    """Cells of groups, with the names and ports of the former plan.
+def _name_cells(
+    groups: Mapping[tuple[str, Scope], int], previous_plan: Plan | None, first_port: int
+) -> tuple[Cell, ...]:
+    """Create the cells of all groups, with the names and ports of the previous plan.
 
-    New ports come after the highest former one, and only when there are none left from what is free: a planner that
-    still polls a port that was given up must not be served the list of another cell.
+    New ports are above the highest previous port. Lower free ports are used only if no higher ports are left, because
+    planners may still poll a port that was released and must not receive the list of another cell.
     """
-    former_cells = _cells_by_part(former)
-    used_ports = {cell.port for cell in former_cells.values()}
-    used_names = {cell.name for cell in former_cells.values()}
+    previous_cells = _cells_by_part(previous_plan)
+    used_ports = {cell.port for cell in previous_cells.values()}
+    used_names = {cell.name for cell in previous_cells.values()}
     highest_port = max([first_port - 1, *used_ports])
     candidate_ports = chain(range(highest_port + 1, MAX_PORT + 1), range(first_port, highest_port))
     cells: list[Cell] = []
     for (service, scope), parts in groups.items():
         for part in range(parts):
-            former_cell = former_cells.get((service, scope, part))
-            if former_cell is not None:
-                name = former_cell.name
-                port = former_cell.port
+            previous_cell = previous_cells.get((service, scope, part))
+            if previous_cell is not None:
+                name = previous_cell.name
+                port = previous_cell.port
             else:
                 name = _new_cell_name(service, scope, part, used_names)
                 port = next((port for port in candidate_ports if port not in used_ports), 0)
@@ -208,7 +227,7 @@
 
 
 def _cells_by_part(plan: Plan | None) -> dict[tuple[str, Scope, int], Cell]:
-    """The cells of a plan, if there is one, by service, scope and part."""
+    """Return the cells of a plan by service, scope and part; empty without a plan."""
     if plan is None:
         return {}
     return {(cell.service, cell.regions, cell.part): cell for cell in plan.cells}
@@ -216,6 +235,6 @@
 
 def _new_cell_name(service: str, scope: Scope, part: int, used_names: set[str]) -> str:
     name = service if not scope and part == 0 else ".".join((service, *scope, str(part)))
-    while name in used_names:  # another service may be called as a part of this one would be
+    while name in used_names:  # the name of another service may look like that of a part
         name += "_"
     return name
--- a/stackwheel/cells/movement.py
+++ b/stackwheel/cells/movement.py
@@ -1,4 +1,4 @@
-"""What moves between two plans for the same servers, and how evenly a plan spreads its load."""
+"""Measures what moves between two plans for the same servers, and how evenly a plan distributes load."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Movement:
-    """Counts of what moved, each beside the number that could have.
+    """The numbers of servers, cells and replicas that move from one plan to another.
 
     Attributes:
-        servers_moved: servers that are in a cell of another name.
-        servers: servers that are in a cell by both plans.
-        cells_added: cells of the new plan alone.
-        cells_removed: cells of the former plan alone.
-        replicas_moved: relays that serve a cell which they didn't serve.
-        replicas: replicas of the cells of both plans.
+        servers_moved: number of servers whose cell has another name.
+        servers: number of servers with a cell in both plans.
+        cells_added: number of cells that are only in the new plan.
+        cells_removed: number of cells that are only in the previous plan.
+        replicas_moved: number of replicas of common cells at relays that did not serve the cell before.
+        replicas: number of replicas of the cells that are in both plans.
     """
 
     servers_moved: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadRange:
-    """The minimum, mean and maximum of a figure over cells or relays."""
+    """The minimum, mean and maximum of a value over cells or relays."""
 
     minimum: int
     mean: float
@@ -43,9 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """How evenly servers spread over cells, and cells and what they hold over relays.
+    """The distribution of servers over cells, and of cells and their servers over relays.
 
-    `servers_by_divided_cell` is over the cells that are parts of a service; None where there are none.
+    Attributes:
+        servers_by_cell: number of servers per cell.
+        servers_by_divided_cell: number of servers per cell that is one of several parts of a service; None if no
+            service has several parts.
+        cells_by_relay: number of cells per relay.
+        servers_by_relay: number of servers in the cells of each relay.
     """
 
     servers_by_cell: LoadRange
@@ -54,37 +59,37 @@
     servers_by_relay: LoadRange
 
 
-def compare_plans(former: Plan, plan: Plan, servers: Sequence[ListedServer]) -> Movement:
-    """What moves from a valid plan to another one."""
-    former_index = CellIndex(former)
+def compare_plans(previous_plan: Plan, plan: Plan, servers: Sequence[ListedServer]) -> Movement:
+    """Count what moves from a valid plan to another valid plan."""
+    previous_index = CellIndex(previous_plan)
     index = CellIndex(plan)
     servers_moved = 0
     servers_in_both = 0
     for server in servers:
-        old_cell = former_index.cell_of(server.name, server.zone)
+        previous_cell = previous_index.cell_of(server.name, server.zone)
         new_cell = index.cell_of(server.name, server.zone)
-        if old_cell is not None and new_cell is not None:
+        if previous_cell is not None and new_cell is not None:
             servers_in_both += 1
-            servers_moved += old_cell.name != new_cell.name
-    old_names = {cell.name for cell in former.cells}
+            servers_moved += previous_cell.name != new_cell.name
+    previous_names = {cell.name for cell in previous_plan.cells}
     new_names = {cell.name for cell in plan.cells}
-    kept_names = old_names & new_names
+    common_names = previous_names & new_names
     replicas_moved = 0
-    for name in kept_names:
-        old_relays = {relay.name for relay in relays_for_cell(name, former.relays)}
-        replicas_moved += sum(relay.name not in old_relays for relay in relays_for_cell(name, plan.relays))
+    for name in common_names:
+        previous_relays = {relay.name for relay in relays_for_cell(name, previous_plan.relays)}
+        replicas_moved += sum(relay.name not in previous_relays for relay in relays_for_cell(name, plan.relays))
     return Movement(
         servers_moved=servers_moved,
         servers=servers_in_both,
-        cells_added=len(new_names - old_names),
-        cells_removed=len(old_names - new_names),
+        cells_added=len(new_names - previous_names),
+        cells_removed=len(previous_names - new_names),
         replicas_moved=replicas_moved,
-        replicas=REPLICAS * len(kept_names),
+        replicas=REPLICAS * len(common_names),
     )
 
 
 def measure_spread(plan: Plan, servers: Sequence[ListedServer]) -> Spread:
-    """How evenly a valid plan with at least one cell spreads servers."""
+    """Measure how a valid plan with at least one cell distributes servers and cells."""
     cell_sizes = _cell_sizes(plan, servers)
     cells_by_relay: Counter[str] = Counter()
     servers_by_relay: Counter[str] = Counter()
@@ -103,7 +108,7 @@
 
 
 def _cell_sizes(plan: Plan, servers: Sequence[ListedServer]) -> Counter[str]:
-    """The servers of each cell that has any, by its name."""
+    """Return the number of servers in each cell that has any, by cell name."""
     index = CellIndex(plan)
     sizes: Counter[str] = Counter()
     for server in servers:
@@ -113,5 +118,5 @@
     return sizes
 
 
-def _load_range(figures: Sequence[int]) -> LoadRange:
-    return LoadRange(min(figures), sum(figures) / len(figures), max(figures))
+def _load_range(values: Sequence[int]) -> LoadRange:
+    return LoadRange(min(values), sum(values) / len(values), max(values))
--- a/stackwheel/cells/part_count.py
+++ b/stackwheel/cells/part_count.py
@@ -1,4 +1,4 @@
-"""How many parts a service needs so that hashing is unlikely to put too many servers into any of them."""
+"""Computes the number of parts of a service for which hashing is unlikely to overfill any part."""
 
 from __future__ import annotations
 
@@ -6,32 +6,40 @@
 
 from stackwheel.cells.plan import MAX_PARTS
 
-OVERFLOW_RISK = 0.001  # a service and region; at 300 that are cut, every third plan has a part to grow on the next one
+OVERFLOW_RISK = 0.001
+"""Maximum probability that any part of a service, in one region or in all, exceeds the server limit."""
 
 
 def parts_needed(servers: int, limit: int) -> int:
-    """The least number of parts, none of which is over the limit but with a chance of OVERFLOW_RISK.
+    """Return the smallest number of parts for which the probability of an oversized part is within `OVERFLOW_RISK`.
 
-    Source: Chernoff's bound. A part of `parts` holds Binomial(servers, p = 1/parts) servers, and the chance of
-    a = (limit + 1)/servers or more is at most exp(-servers * D(a||p)), D being the relative entropy; times `parts`.
+    The size of each part is distributed as Binomial(servers, p = 1/parts). By the Chernoff bound, the probability of
+    at least a = (limit + 1)/servers of the servers is at most exp(-servers * D(a||p)), where D is the relative
+    entropy. The union bound over all parts multiplies it by `parts`.
 
     Returns:
-        The number of parts, MAX_PARTS + 1 where even MAX_PARTS are too few.
+        The number of parts, or MAX_PARTS + 1 if MAX_PARTS are not enough.
     """
     if servers <= limit:
         return 1
     for parts in range(-(-servers // limit), MAX_PARTS + 1):
-        if parts * _tail_bound(servers, limit + 1, 1 / parts) <= OVERFLOW_RISK:
+        if parts * _chernoff_bound(servers, limit + 1, 1 / parts) <= OVERFLOW_RISK:
             return parts
     return MAX_PARTS + 1
 
 
-def _tail_bound(draws: int, successes: int, chance: float) -> float:
-    """A bound on the chance that at least `successes` of `draws` draws, each with `chance`, succeed."""
-    share = successes / draws
-    if share <= chance:
+def _chernoff_bound(trials: int, successes: int, probability: float) -> float:
+    """Return an upper bound on the probability of at least `successes` in `trials` independent trials.
+
+    Args:
+        trials: number of trials.
+        successes: number of successful trials.
+        probability: probability of success of one trial.
+    """
+    share = successes / trials
+    if share <= probability:
         return 1.0
-    entropy = share * math.log(share / chance)
+    entropy = share * math.log(share / probability)
     if share < 1.0:
-        entropy += (1.0 - share) * math.log((1.0 - share) / (1.0 - chance))
-    return math.exp(-draws * entropy)
+        entropy += (1.0 - share) * math.log((1.0 - share) / (1.0 - probability))
+    return math.exp(-trials * entropy)
--- a/stackwheel/cells/plan_file.py
+++ b/stackwheel/cells/plan_file.py
@@ -1,4 +1,4 @@
-"""The plan file: reads it with errors that name the place, and replaces it atomically."""
+"""Reads plan files, with the location of each error, and replaces them atomically."""
 
 from __future__ import annotations
 
@@ -19,24 +19,31 @@
 
 PLAN_DECODER: Final = msgspec.json.Decoder(Plan)
 REGIONS_DECODER: Final = msgspec.json.Decoder(dict[Name, Name])
-PLACE_IN_MESSAGE: Final = re.compile(r"^(?P<reason>.*) - at (?:`key` in )?`\$\.?(?P<place>[^`]*)`$", re.DOTALL)
-PLAN_FILE_MODE: Final = 0o644  # relays and planners of other users read it
+VALIDATION_MESSAGE_PATTERN: Final = re.compile(
+    r"^(?P<reason>.*) - at (?:`key` in )?`\$\.?(?P<location>[^`]*)`$", re.DOTALL
+)
+PLAN_FILE_MODE: Final = 0o644
+"""Permissions of a plan file, which relays and planners of other users have to read."""
 
 
 def load_plan(path: Path | str) -> Plan:
-    """The valid plan of a file.
+    """Read and validate a plan file.
 
     Raises:
-        CellPlanError: it can't be read, is truncated, or can't hold.
+        CellPlanError: the file cannot be read or does not contain a valid plan.
     """
     return decode_plan(_read(path), str(path))
 
 
 def decode_plan(data: bytes, source: str = "plan") -> Plan:
-    """The valid plan of a file's bytes.
+    """Decode and validate the contents of a plan file.
+
+    Args:
+        data: contents of the file.
+        source: name of the file or plan, the start of the location in errors.
 
     Raises:
-        CellPlanError: the bytes hold no valid plan; the error begins with `source`.
+        CellPlanError: the contents are not a valid plan.
     """
     plan = _decode(PLAN_DECODER, data, source)
     validate(plan, source)
@@ -44,10 +51,10 @@
 
 
 def load_regions(path: Path | str) -> dict[str, str]:
-    """The region of each zone, from a file with one JSON object.
+    """Read the region of each zone from a file with one JSON object.
 
     Raises:
-        CellPlanError: the file can't be read or names no zone.
+        CellPlanError: the file cannot be read, is invalid or contains no zone.
     """
     regions = _decode(REGIONS_DECODER, _read(path), str(path))
     if not regions:
@@ -76,15 +83,15 @@
 
 
 def _validation_failure(source: str, message: str) -> CellPlanError:
-    match = PLACE_IN_MESSAGE.match(message)
+    match = VALIDATION_MESSAGE_PATTERN.match(message)
     if match is None:
         return CellPlanError(source, message)
-    place = match["place"]
-    return CellPlanError(f"{source}: {place}" if place else source, match["reason"])
+    location = match["location"]
+    return CellPlanError(f"{source}: {location}" if location else source, match["reason"])
 
 
 class _RepeatedKeyError(ValueError):
-    """A JSON object that has one key twice; readers would keep the last and lose the others."""
+    """A JSON object contains a key more than once, of which decoders would silently use the last."""
 
 
 def _reject_repeated_keys(pairs: list[tuple[str, object]]) -> None:
@@ -96,17 +103,21 @@
 
 
 def encode_plan(plan: Plan) -> bytes:
-    """The bytes of a plan's file, the same for equal plans."""
+    """Encode a plan as the contents of a plan file, which are identical for equal plans."""
     return msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n"
 
 
 def encode_valid_plan(plan: Plan, source: str = "plan") -> bytes:
-    """The bytes of a plan's file, checked as a reader would.
+    """Encode a plan as the contents of a plan file, and validate the result.
+
+    Field constraints are only enforced by the decoder, so a plan constructed in memory may violate them.
 
-    A plan that was not read may break the constraints of its fields, which are checked where one is read.
+    Args:
+        plan: the plan.
+        source: name of the file or plan, the start of the location in errors.
 
     Raises:
-        CellPlanError: a reader would refuse the bytes; the error begins with `source`.
+        CellPlanError: the plan is invalid.
     """
     try:
         data = encode_plan(plan)
@@ -117,17 +128,17 @@
 
 
 def save_plan(plan: Plan, path: Path | str) -> None:
-    """Replace a file by a valid plan; a failed call leaves the former file, and nothing beside it.
+    """Validate a plan and replace a plan file with it atomically; if this fails, the directory is left unchanged.
 
     Raises:
-        CellPlanError: the plan can't hold or can't be written.
+        CellPlanError: the plan is invalid or the file cannot be written.
     """
     data = encode_valid_plan(plan, str(path))
     target = Path(path)
     temporary = ""
     try:
-        handle, temporary = tempfile.mkstemp(prefix=f".{target.name}.", dir=target.parent)
-        with os.fdopen(handle, "wb") as file:
+        descriptor, temporary = tempfile.mkstemp(prefix=f".{target.name}.", dir=target.parent)
+        with os.fdopen(descriptor, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
--- a/stackwheel/cells/plan_validation.py
+++ b/stackwheel/cells/plan_validation.py
@@ -1,4 +1,4 @@
-"""What makes a cell plan valid: unique names and ports, known regions, and one cell for each server."""
+"""Validation of cell plans: unique names, hosts and ports, known regions, and at most one cell for each server."""
 
 from __future__ import annotations
 
@@ -11,10 +11,14 @@
 
 
 def validate(plan: Plan, source: str = "plan") -> None:
-    """Check that a plan can hold.
+    """Check the consistency of a plan.
+
+    Args:
+        plan: the plan.
+        source: name of the file or plan, the start of the location in errors.
 
     Raises:
-        CellPlanError: it can't; the place follows `source`.
+        CellPlanError: the plan is invalid.
     """
     if plan.version != PLAN_FORMAT_VERSION:
         raise CellPlanError(f"{source}: version", f"unsupported version {plan.version}, expected {PLAN_FORMAT_VERSION}")
@@ -40,14 +44,14 @@
     for position, cell in enumerate(plan.cells):
         _check_unique(names, cell.name, position, f"{source}: cells", "name")
         _check_unique(ports, cell.port, position, f"{source}: cells", "port")
-        place = f"{source}: cells[{position}]"
+        location = f"{source}: cells[{position}]"
         for index, region in enumerate(cell.regions):
             if region not in known_regions:
-                raise CellPlanError(f"{place}.regions[{index}]", f"unknown region {region!r}")
+                raise CellPlanError(f"{location}.regions[{index}]", f"unknown region {region!r}")
             if region in cell.regions[:index]:
-                raise CellPlanError(f"{place}.regions[{index}]", f"duplicate region {region!r}")
+                raise CellPlanError(f"{location}.regions[{index}]", f"duplicate region {region!r}")
         if cell.part >= cell.parts:
-            raise CellPlanError(f"{place}.part", f"{cell.part} is not less than the number of parts, {cell.parts}")
+            raise CellPlanError(f"{location}.part", f"{cell.part} is not less than the number of parts, {cell.parts}")
 
 
 def _check_unique(first_positions: dict[Key, int], key: Key, position: int, source: str, field: str) -> None:
@@ -59,7 +63,7 @@
 
 
 def _validate_groups(cells: tuple[Cell, ...], source: str) -> None:
-    """Check that no two cells cover the same server, and that the parts of each service and regions are complete."""
+    """Check that no two cells cover the same server, and that each service has all its parts in each set of regions."""
     services: defaultdict[str, dict[frozenset[str], list[int]]] = defaultdict(dict)
     for position, cell in enumerate(cells):
         services[cell.service].setdefault(frozenset(cell.regions), []).append(position)
@@ -72,19 +76,19 @@
 def _validate_overlap(cells: tuple[Cell, ...], groups: dict[frozenset[str], list[int]], source: str) -> None:
     if len(groups) < 2:
         return
-    owners: dict[str, int] = {}
+    cell_by_region: dict[str, int] = {}
     for regions, (position, *_) in groups.items():
-        place = f"{source}: cells[{position}].regions"
+        location = f"{source}: cells[{position}].regions"
         service = cells[position].service
         if not regions:
             other = next(positions[0] for key, positions in groups.items() if key)
-            raise CellPlanError(place, f"all regions of service {service!r}, which overlaps with cells[{other}]")
+            raise CellPlanError(location, f"all regions of service {service!r}, which overlaps with cells[{other}]")
         for region in sorted(regions):
-            if region in owners:
+            if region in cell_by_region:
                 raise CellPlanError(
-                    place, f"region {region!r} of service {service!r} is already in cells[{owners[region]}]"
+                    location, f"region {region!r} of service {service!r} is already in cells[{cell_by_region[region]}]"
                 )
-            owners[region] = position
+            cell_by_region[region] = position
 
 
 def _validate_parts(cells: tuple[Cell, ...], positions: list[int], source: str) -> None:
@@ -93,12 +97,12 @@
     first_positions: dict[int, int] = {}
     for position in positions:
         cell = cells[position]
-        place = f"{source}: cells[{position}]"
+        location = f"{source}: cells[{position}]"
         if cell.parts != parts:
-            raise CellPlanError(f"{place}.parts", f"{cell.parts} parts, expected {parts} as in cells[{first}]")
+            raise CellPlanError(f"{location}.parts", f"{cell.parts} parts, expected {parts} as in cells[{first}]")
         if cell.part in first_positions:
             reason = f"duplicate part {cell.part}, first used by cells[{first_positions[cell.part]}]"
-            raise CellPlanError(f"{place}.part", reason)
+            raise CellPlanError(f"{location}.part", reason)
         first_positions[cell.part] = position
     if len(first_positions) < parts:
         missing = next(part for part in range(parts) if part not in first_positions)
