--- a/tests/cells/test_cell_assignment.py
+++ b/tests/cells/test_cell_assignment.py
@@ -1,4 +1,4 @@
-"""The cell of a server and the relays of a cell: the same everywhere, evenly spread, stable when the fleet changes."""
+"""Tests of the assignment of servers and planners to cells, and of cells to relays."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from stackwheel.cells.plan import MAX_PARTS, Cell, Limits, Plan
 
 ROOT = Path(__file__).parents[2]
-MODULE_PATH = os.pathsep.join([str(ROOT), str(ROOT / "tests")])
+PYTHON_PATH = os.pathsep.join([str(ROOT), str(ROOT / "tests")])
 PLAN = Plan(
     1,
     Limits(),
@@ -41,14 +41,14 @@
     ),
 )
 names = st.text(min_size=1, max_size=30)
-some_names = st.sets(names, min_size=1, max_size=60)
+name_sets = st.sets(names, min_size=1, max_size=60)
 
 
 @pytest.mark.parametrize(
     ("name", "service"),
     [("billing-5be2a07c", "billing"), ("svc-0001-7", "svc-0001"), ("alone", "alone"), ("-7", "-7"), ("a-", "a")],
 )
-def test_a_service_is_the_name_up_to_the_last_hyphen(name: str, service: str) -> None:
+def test_the_service_is_the_server_name_up_to_the_last_hyphen(name: str, service: str) -> None:
     assert service_of(name) == service
 
 
@@ -61,11 +61,11 @@
     assert index.cell_of("other-1", "zone-0") is None
 
 
-def test_a_server_in_an_unknown_zone_stays_with_a_cell_of_all_regions() -> None:
+def test_a_server_in_an_unknown_zone_belongs_to_a_cell_of_all_regions_or_to_none() -> None:
     index = CellIndex(PLAN)
-    assert index.cell_of("small-1", "nowhere") is PLAN.cells[0]
-    assert index.cell_of("large-1", "nowhere") is None
-    assert index.cell_of("wide-1", "nowhere") is None
+    assert index.cell_of("small-1", "unknown") is PLAN.cells[0]
+    assert index.cell_of("large-1", "unknown") is None
+    assert index.cell_of("wide-1", "unknown") is None
 
 
 def test_planners_get_the_cells_of_their_service_and_region() -> None:
@@ -77,8 +77,8 @@
     assert index.cells_of_planners(planners, "large", "west") == {}
 
 
-def test_hashes_are_those_of_xxh3() -> None:
-    """Known vectors; the first is in the specification of XXH3. A library that hashes otherwise would move servers."""
+def test_hashes_match_known_xxh3_values() -> None:
+    """A library with other hash values would move servers between cells."""
     assert xxh3_64_intdigest(b"") == 0x2D06800538D394C2
     assert xxh3_64_intdigest(b"billing-5be2a07c") == 0x912C6810676EC104
     assert xxh3_64_intdigest(b"a" * 300, 7) == 0xC55F688D327B999A
@@ -98,7 +98,7 @@
     assert [planner_parts[f"planner-{number}"] for number in range(8)] == [1, 2, 1, 0, 2, 0, 0, 1]
 
 
-PROBE = """
+ASSIGNMENT_SCRIPT = """
 import json
 from stackwheel.cells.assignment import assign_planners, discovery_addresses, part_of, relays_for_cell
 from stackwheel.cells.demand import demand_from_servers
@@ -118,12 +118,12 @@
 """
 
 
-def test_processes_agree_whatever_their_hash_seed() -> None:
+def test_processes_with_different_hash_seeds_make_the_same_assignments() -> None:
     def run(seed: str) -> list[object]:
         completed = subprocess.run(
-            [sys.executable, "-c", PROBE],
+            [sys.executable, "-c", ASSIGNMENT_SCRIPT],
             cwd=ROOT,
-            env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": MODULE_PATH},
+            env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": PYTHON_PATH},
             capture_output=True,
             text=True,
             timeout=60,
@@ -137,8 +137,8 @@
     assert run("0") == run("1") == run("4711")
 
 
-@given(some_names, st.integers(1, 40))
-def test_one_part_more_takes_servers_only_to_itself(drawn_names: set[str], parts: int) -> None:
+@given(name_sets, st.integers(1, 40))
+def test_an_additional_part_moves_servers_only_to_itself(drawn_names: set[str], parts: int) -> None:
     for name in drawn_names:
         before = part_of(name, parts)
         after = part_of(name, parts + 1)
@@ -146,7 +146,7 @@
         assert after in (before, parts)
 
 
-def test_a_name_with_half_of_a_pair_is_hashed_too() -> None:
+def test_a_name_with_an_unpaired_surrogate_is_hashed() -> None:
     assert 0 <= part_of("\ud800-1", 5) < 5
     assert assign_planners(["\ud800"], 1) == {"\ud800": 0}
 
@@ -160,8 +160,8 @@
 
 
 @pytest.mark.parametrize("parts", [2, 7, 16, 64])
-def test_parts_are_even_and_one_more_moves_its_share(parts: int) -> None:
-    """Within five standard deviations of the binomial at 48,000 names."""
+def test_parts_are_even_and_an_additional_part_moves_only_its_share(parts: int) -> None:
+    """Tolerates five standard deviations of the binomial distribution."""
     server_names = [server.name for server in generated_fleet.servers(7)]
     count = Counter(part_of(name, parts) for name in server_names)
     mean = len(server_names) / parts
@@ -171,8 +171,10 @@
     assert abs(moved - share * len(server_names)) < 5 * (len(server_names) * share * (1 - share)) ** 0.5
 
 
-@given(some_names, st.integers(1, 12), st.randoms())
-def test_planners_are_assigned_evenly_in_any_order(drawn_names: set[str], parts: int, random: Random) -> None:
+@given(name_sets, st.integers(1, 12), st.randoms())
+def test_planners_are_assigned_evenly_regardless_of_their_order(
+    drawn_names: set[str], parts: int, random: Random
+) -> None:
     assigned = assign_planners(drawn_names, parts)
     shuffled = sorted(drawn_names)
     random.shuffle(shuffled)
@@ -184,20 +186,20 @@
     assert set(count) <= set(range(parts))
 
 
-def test_one_planner_more_moves_few_others() -> None:
-    """Of 450 planners in 30 parts; the bounds are twice what was measured over 40 draws."""
-    moves = []
+def test_an_additional_planner_moves_few_others() -> None:
+    """With bounded loads, an additional planner can move others from part to part."""
+    moved_counts = []
     for draw in range(20):
         planners = [f"planner-{draw}-{number}" for number in range(450)]
         before = assign_planners(planners, 30)
         after = assign_planners([*planners, "another"], 30)
-        moves.append(sum(before[name] != after[name] for name in planners))
-    assert sum(moves) / len(moves) < 9
-    assert max(moves) < 18
+        moved_counts.append(sum(before[name] != after[name] for name in planners))
+    assert sum(moved_counts) / len(moved_counts) < 9
+    assert max(moved_counts) < 18
 
 
 @given(names, st.integers(2, 20), st.randoms())
-def test_replicas_are_two_relays_in_any_order_of_relays(cell: str, count: int, random: Random) -> None:
+def test_replicas_do_not_depend_on_the_order_of_relays(cell: str, count: int, random: Random) -> None:
     relays = list(generated_fleet.relays(count))
     replicas = relays_for_cell(cell, relays)
     random.shuffle(relays)
@@ -219,9 +221,9 @@
         assert before == after
 
 
-def test_addresses_name_both_replicas_and_planners_spread_over_them() -> None:
+def test_discovery_addresses_contain_both_replicas_in_an_order_that_depends_on_the_planner() -> None:
     cell = PLAN.cells[0]
     first, second = (f"{relay.host}:20001" for relay in relays_for_cell("small", PLAN.relays))
     address_counts = Counter(discovery_addresses(PLAN, cell, f"planner-{number}") for number in range(1000))
     assert set(address_counts) == {f"{first},{second}", f"{second},{first}"}
-    assert min(address_counts.values()) > 420  # five standard deviations under a half
+    assert min(address_counts.values()) > 420  # half of 1000 less five standard deviations
--- a/tests/cells/test_cell_check.py
+++ b/tests/cells/test_cell_check.py
@@ -1,4 +1,4 @@
-"""Findings of a plan checked against its fleet, each with its place."""
+"""Tests of the check of a plan against its fleet, and of the measures of movement and spread."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert check_plan_against_fleet(PLAN, FITTING_SERVERS, planners) == ()
 
 
-def test_servers_at_fault_are_reported() -> None:
+def test_servers_without_a_cell_and_duplicate_servers_are_reported() -> None:
     servers = [
         *FITTING_SERVERS,
         ListedServer("b-2", "zone-1"),
@@ -39,7 +39,7 @@
     )
 
 
-def test_cells_without_a_server_or_over_their_limit_are_reported() -> None:
+def test_empty_cells_and_cells_over_the_server_limit_are_reported() -> None:
     servers = [ListedServer(f"a-{number}", "zone-0") for number in range(3)]
     assert check_plan_against_fleet(PLAN, servers) == (
         Finding(Document.PLAN, "cells[0]", "cell 'a' has 3 servers, at most 2 are allowed"),
@@ -47,7 +47,7 @@
     )
 
 
-def test_planners_at_fault_are_reported() -> None:
+def test_planners_without_a_cell_duplicate_planners_and_cell_sizes_are_reported() -> None:
     planners = [NamedPlanner(f"p{number}", "a", "east") for number in range(3)]
     planners += [NamedPlanner("p9", "b", "west"), NamedPlanner("p0", "a", "east")]
     assert check_plan_against_fleet(PLAN, FITTING_SERVERS, planners) == (
