--- a/stackwheel/simulator/__init__.py
+++ b/stackwheel/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the policy and the simulator's wire: binary frames on two pipes."""
+"""Adapter between the policy and the simulator, which exchanges binary frames over standard input and output."""
--- a/stackwheel/simulator/__main__.py
+++ b/stackwheel/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m stackwheel.simulator`: read batches on standard input, write replies on standard output."""
+"""`python -m stackwheel.simulator`: reads batches from standard input and writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch with one reply until the input ends."""
+    """Write one reply for each batch until the input ends."""
     host = Host()
     while (frame := read_frame(source)) is not None:
         sink.write(host.reply_to(frame))
@@ -19,7 +19,7 @@
 
 
 def main() -> int:
-    """Serve the simulator on standard input and output; 1 if the input is malformed."""
+    """Serve the simulator on standard input and output; return the exit status, 1 if the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/stackwheel/simulator/decoder.py
+++ b/stackwheel/simulator/decoder.py
@@ -1,4 +1,4 @@
-"""Decodes batches of the simulator's wire into the policy's events."""
+"""Decodes batches of the simulator protocol into events of the policy."""
 
 from __future__ import annotations
 
@@ -31,12 +31,18 @@
 from stackwheel.simulator.framing import Frame, parse_header, split_records
 from stackwheel.simulator.wire import MAX_ENDPOINT_PAGE, MAX_HEALTH_CHECK_OUTCOME, UPDATE_KINDS, EventCode
 
-ENDPOINT_ENTRY = struct.Struct(">6sHHHBfd")  # server, zone, kind, cell, availability, weight, started at
+ENDPOINT_ENTRY = struct.Struct(">6sHHHBfd")
+"""An entry of an endpoint list: server, zone, machine kind, cell, availability, weight, start time."""
 
 
 @dataclass(frozen=True, slots=True)
 class CreatePlanner:
-    """A planner instance starts, or starts again."""
+    """A planner instance starts or restarts.
+
+    Attributes:
+        seed: seed of the planner's random numbers.
+        settings: encoded settings of the planner.
+    """
 
     seed: int
     settings: bytes
@@ -44,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StopPlanner:
-    """A planner instance is killed."""
+    """A planner instance is stopped without notice."""
 
 
 Item: TypeAlias = CreatePlanner | StopPlanner | Event
 
 
 class InstanceItem(NamedTuple):
-    """What a record says, and the planner instance that it is for."""
+    """A decoded record and the number of the planner instance to which it is addressed."""
 
     instance: int
     item: Item
@@ -59,15 +65,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What happens at one moment of the simulation, in order."""
+    """The events at one point in simulated time.
+
+    Attributes:
+        clock: time of the planners' clock, ms.
+        number: number of the batch.
+        items: the decoded records in the order of the frame.
+    """
 
-    clock: float  # ms on the planners' clock
+    clock: float
     number: int
     items: list[InstanceItem]
 
 
 class Decoder:
-    """Turns frames into batches; keeps the numbered endpoint lists that later updates refer to."""
+    """Decodes frames into batches, and stores the numbered endpoint lists to which endpoint updates refer."""
 
     def __init__(self) -> None:
         self._endpoint_pages: dict[int, tuple[EndpointEntry, ...]] = {}
@@ -89,10 +101,10 @@
         }
 
     def decode_batch(self, frame: Frame) -> Batch:
-        """Decode one frame; endpoint lists in it are kept from their place on.
+        """Decode a frame and store its endpoint lists, which apply to the records that follow them.
 
         Raises:
-            WireError: the frame or a record of it is malformed.
+            WireError: the frame or one of its records is malformed.
         """
         header = parse_header(frame)
         items: list[InstanceItem] = []
@@ -110,9 +122,11 @@
         page = reader.read_uint8()
         count = reader.read_uint32()
         if page > MAX_ENDPOINT_PAGE:
-            raise WireError(reader.place, f"list number {page} is over {MAX_ENDPOINT_PAGE}")
+            raise WireError(reader.location, f"list number {page} is over the maximum of {MAX_ENDPOINT_PAGE}")
         if count * ENDPOINT_ENTRY.size != reader.remaining:
-            raise WireError(reader.place, f"{count} entries do not fill the record")
+            raise WireError(
+                reader.location, f"{count} entries do not match the record's length of {reader.remaining} bytes"
+            )
         self._endpoint_pages[page] = tuple(read_endpoint_entry(reader) for _ in range(count))
 
     def _read_endpoint_update(self, reader: FieldReader) -> Event:
@@ -120,60 +134,60 @@
         version = reader.read_uint64()
         page = reader.read_uint8()
         if scope not in UPDATE_KINDS:
-            raise WireError(reader.place, f"unknown scope {scope}")
+            raise WireError(reader.location, f"unknown scope {scope}")
         kind = UPDATE_KINDS[scope]
         if kind is UpdateKind.FAILED:
             return EndpointUpdate(kind, version)
         if page not in self._endpoint_pages:
-            raise WireError(reader.place, f"list {page} was never defined")
+            raise WireError(reader.location, f"list {page} is not defined")
         return EndpointUpdate(kind, version, self._endpoint_pages[page])
 
 
 def read_endpoint_entry(reader: FieldReader) -> EndpointEntry:
-    """One entry of an endpoint list."""
+    """Read an entry of an endpoint list."""
     fields = ENDPOINT_ENTRY.unpack(reader.read_bytes(ENDPOINT_ENTRY.size))
     server, zone, kind, cell, availability, weight, started_at = fields
     if availability > max(Availability):
-        raise WireError(reader.place, f"availability {availability} is reserved")
+        raise WireError(reader.location, f"availability {availability} is reserved")
     return EndpointEntry(ServerId(server), zone, kind, cell, Availability(availability), weight, started_at)
 
 
 def read_create_planner(reader: FieldReader) -> CreatePlanner:
-    """The seed and the settings of a new planner."""
+    """Read the seed and the settings of a new planner."""
     seed = reader.read_uint64()
     length = reader.read_uint32()
     return CreatePlanner(seed, reader.read_bytes(length))
 
 
 def read_stop_planner(_reader: FieldReader) -> StopPlanner:
-    """The end of a planner; the record has no fields but the instance."""
+    """Read the stop of a planner, a record with no fields after the instance."""
     return StopPlanner()
 
 
 def read_timer_fired(reader: FieldReader) -> TimerFired:
-    """The token of a timer that has run out."""
+    """Read the token of an expired timer."""
     return TimerFired(reader.read_uint64())
 
 
 def read_health_check_result(reader: FieldReader) -> HealthCheckResult:
-    """How a health check ended."""
+    """Read the result of a health check."""
     server = reader.read_server()
     outcome = reader.read_uint16()
     if outcome > MAX_HEALTH_CHECK_OUTCOME:
-        raise WireError(reader.place, f"outcome {outcome} is reserved")
+        raise WireError(reader.location, f"outcome {outcome} is reserved")
     elapsed = reader.read_float64()
     return HealthCheckResult(server, outcome, elapsed, reader.read_load())
 
 
 def read_gossip_received(reader: FieldReader) -> GossipReceived:
-    """A datagram of another planner."""
+    """Read a gossip datagram of a peer planner."""
     sender = reader.read_uint32()
     length = reader.read_uint16()
     return GossipReceived(sender, reader.read_bytes(length))
 
 
 def read_proxy_joined(reader: FieldReader) -> ProxyJoined:
-    """A proxy that has connected."""
+    """Read the connection of a proxy."""
     proxy = reader.read_uint16()
     zone = reader.read_uint16()
     expected_rate = reader.read_float32()
@@ -181,19 +195,19 @@
 
 
 def read_proxy_left(reader: FieldReader) -> ProxyLeft:
-    """A proxy whose connection has ended."""
+    """Read the end of the connection of a proxy."""
     return ProxyLeft(reader.read_uint16())
 
 
 def read_acknowledged(reader: FieldReader) -> Acknowledged:
-    """An update that a proxy has applied."""
+    """Read a proxy's acknowledgement of an update."""
     proxy = reader.read_uint16()
     nonce = reader.read_uint64()
     return Acknowledged(proxy, nonce, reader.read_float64())
 
 
 def read_load_report(reader: FieldReader) -> LoadReport:
-    """What the proxies of one zone measured at one server."""
+    """Read the load of one server as measured by the proxies of one zone."""
     zone = reader.read_uint16()
     server = reader.read_server()
     attempts = reader.read_uint32()
@@ -204,7 +218,7 @@
 
 
 def read_demand_report(reader: FieldReader) -> DemandReport:
-    """Requests of one class that reached one proxy."""
+    """Read the requests of one class that one proxy received."""
     unanswered = reader.read_uint32()
     proxy = reader.read_uint16()
     requests = reader.read_uint32()
@@ -214,7 +228,7 @@
 
 
 def read_key_range_demand(reader: FieldReader) -> KeyRangeDemand:
-    """Requests of one class to the key range of one table."""
+    """Read the requests of one class in the key range of one table."""
     unanswered = reader.read_uint32()
     request_class = reader.read_uint16()
     window = reader.read_float64()
@@ -224,13 +238,13 @@
 
 
 def read_key_range_granted(reader: FieldReader) -> KeyRangeGranted:
-    """Whether this planner may write the table of a key range."""
+    """Read the grant or revocation of the right to write the table of a key range."""
     table = reader.read_uint16()
     return KeyRangeGranted(table, reader.read_flag())
 
 
 def read_key_range_weight(reader: FieldReader) -> KeyRangeWeight:
-    """A weight that a key range's table has now."""
+    """Read the current weight of a server in the table of a key range."""
     weight = reader.read_float32()
     table = reader.read_uint16()
     return KeyRangeWeight(table, reader.read_server(), weight)
--- a/stackwheel/simulator/encoder.py
+++ b/stackwheel/simulator/encoder.py
@@ -1,4 +1,4 @@
-"""Encodes the policy's actions as records of the simulator's wire."""
+"""Encodes actions of the policy as records of the simulator protocol."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 
 
 def encode_action(instance: int, action: Action) -> bytes:
-    """The record of one action of a planner instance."""
+    """Encode an action of a planner instance as a record."""
     if isinstance(action, ProxyAction):
         return _encode_proxy_action(instance, action)
     return _encode_planner_action(instance, action)
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """The record of a planner that failed with an exception."""
+    """Encode the failure of a planner instance with an exception as a record."""
     return _encode_text(ActionCode.FAULT, instance, text)
 
 
 def _encode_proxy_action(instance: int, action: ProxyAction) -> bytes:
-    """Actions that reach proxies: tables, admission, ejection and nonces."""
+    """Encode an action for proxies, which concerns tables, admission, ejection or nonces."""
     match action:
         case SetWeight(table, server, weight):
             return _pack(ActionCode.SET_WEIGHT, ">HH6sf", instance, table, server, weight)
@@ -57,7 +57,7 @@
 
 
 def _encode_planner_action(instance: int, action: PlannerAction) -> bytes:
-    """Actions around the planner itself: timers, health checks, discovery, gossip and log lines."""
+    """Encode an action of the planner itself, such as a timer, a health check or a gossip datagram."""
     match action:
         case SetTimer(delay, token):
             return _pack(ActionCode.SET_TIMER, ">HdQ", instance, delay, token)
@@ -76,12 +76,12 @@
 
 
 def _encode_text(code: ActionCode, instance: int, text: str) -> bytes:
-    octets = text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
-    return _pack(code, f">HH{len(octets)}s", instance, len(octets), octets)
+    encoded_text = text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
+    return _pack(code, f">HH{len(encoded_text)}s", instance, len(encoded_text), encoded_text)
 
 
 def _class_mask(classes: tuple[int, ...]) -> int:
-    """Request classes as a bit mask, the first class as the lowest bit."""
+    """Return a bit mask of request classes, with the first class as the lowest bit."""
     return sum(1 << request_class for request_class in classes)
 
 
--- a/stackwheel/simulator/errors.py
+++ b/stackwheel/simulator/errors.py
@@ -1,4 +1,4 @@
-"""The error of everything that can be wrong on the simulator's wire."""
+"""Exception of the simulator adapter."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class WireError(InvalidInputError):
-    """A frame or a record is malformed; the conversation can't go on, because its framing can't be trusted."""
+    """A frame or a record from the simulator is malformed, after which the input cannot be decoded reliably."""
--- a/stackwheel/simulator/field_reader.py
+++ b/stackwheel/simulator/field_reader.py
@@ -1,4 +1,4 @@
-"""Reads the fields of one record in their order and never past its end."""
+"""Sequential, bounds-checked decoding of the fields of a record."""
 
 from __future__ import annotations
 
@@ -18,74 +18,80 @@
 
 
 class FieldReader:
-    """A position in a record's body; each call reads one field and moves on."""
+    """Reads the fields of a record one after another.
+
+    Attributes:
+        location: the record, for error messages.
+    """
 
     def __init__(self, record: Record) -> None:
-        self.place = record.place
+        self.location = record.location
         self._body = record.body
         self._offset = 0
 
     @property
     def remaining(self) -> int:
-        """Bytes of the body that are still unread."""
+        """Number of unread bytes in the body."""
         return len(self._body) - self._offset
 
     def read_bytes(self, length: int) -> bytes:
-        """The next bytes as they are; WireError if the record has fewer."""
+        """Read a number of bytes; raises WireError if fewer are left."""
         end = self._offset + length
         if end > len(self._body):
             offset_in_record = self._offset + RECORD_HEADER.size
-            raise WireError(self.place, f"field at byte {offset_in_record} runs past the record's end")
+            raise WireError(
+                self.location, f"field of {length} bytes at byte {offset_in_record} runs past the record's end"
+            )
         field = self._body[self._offset : end]
         self._offset = end
         return field
 
     def read_uint8(self) -> int:
-        """An unsigned integer of one byte."""
+        """Read an unsigned integer of one byte."""
         return self._read_integer(UINT8)
 
     def read_uint16(self) -> int:
-        """An unsigned integer of two bytes."""
+        """Read an unsigned integer of two bytes."""
         return self._read_integer(UINT16)
 
     def read_uint32(self) -> int:
-        """An unsigned integer of four bytes."""
+        """Read an unsigned integer of four bytes."""
         return self._read_integer(UINT32)
 
     def read_uint64(self) -> int:
-        """An unsigned integer of eight bytes."""
+        """Read an unsigned integer of eight bytes."""
         return self._read_integer(UINT64)
 
     def read_float32(self) -> float:
-        """A number of single precision."""
+        """Read a single-precision number."""
         return self._read_float(FLOAT32)
 
     def read_float64(self) -> float:
-        """A number of double precision."""
+        """Read a double-precision number."""
         return self._read_float(FLOAT64)
 
     def read_server(self) -> ServerId:
-        """A server's id."""
+        """Read a server id."""
         return ServerId(self.read_bytes(SERVER_ID_BYTES))
 
     def read_flag(self) -> bool:
-        """A byte that is 0 or 1; WireError if it is another."""
+        """Read a byte that is 0 or 1; raises WireError for other values."""
         value = self.read_uint8()
         if value > 1:
             offset_in_record = self._offset - 1 + RECORD_HEADER.size
-            raise WireError(self.place, f"flag at byte {offset_in_record} is {value}")
+            raise WireError(self.location, f"flag at byte {offset_in_record} is {value}, expected 0 or 1")
         return value == 1
 
     def read_load(self) -> tuple[float, ...]:
-        """Load columns: their count in one byte, then each in single precision."""
+        """Read load columns: a count of one byte, then single-precision numbers."""
         count = self.read_uint8()
         layout = f">{count}f"
         return struct.unpack(layout, self.read_bytes(struct.calcsize(layout)))
 
     def expect_end(self) -> None:
-        """Raise WireError if bytes are left."""
+        """Raise WireError if the record has unread bytes."""
         if self.remaining:
-            raise WireError(self.place, f"{self.remaining} bytes too many")
+            raise WireError(self.location, f"{self.remaining} unexpected bytes at the end of the record")
 
     def _read_integer(self, layout: struct.Struct) -> int:
         return int(layout.unpack(self.read_bytes(layout.size))[0])
--- a/stackwheel/simulator/framing.py
+++ b/stackwheel/simulator/framing.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's wire: reads batches and splits them into records, builds replies out of records."""
+"""Framing of the simulator protocol: reads batches, splits them into records, and builds replies from records."""
 
 from __future__ import annotations
 
@@ -10,53 +10,73 @@
 from stackwheel.simulator.errors import WireError
 from stackwheel.simulator.wire import EVENT_NAMES
 
-BATCH_HEADER = struct.Struct(">dIII")  # clock in ms, length of the body, number of records, number of the batch
-REPLY_HEADER = struct.Struct(">III")  # number of records, length of the body, number of the batch
-RECORD_HEADER = struct.Struct(">BI")  # code, length of the record's body
-MAX_BODY_BYTES = 1 << 28  # a batch may be megabytes long; a header that announces more than this is broken
+BATCH_HEADER = struct.Struct(">dIII")
+"""Header of a batch: clock in ms, length of the body in bytes, number of records, number of the batch."""
+
+REPLY_HEADER = struct.Struct(">III")
+"""Header of a reply: number of records, length of the body in bytes, number of the batch."""
+
+RECORD_HEADER = struct.Struct(">BI")
+"""Header of a record: code, length of the body in bytes."""
+
+MAX_BODY_BYTES = 1 << 28
+"""Maximum length of the body of a batch; a greater length in a header is treated as corruption."""
 
 
 class Frame(NamedTuple):
-    """One batch as it came: its header and the body that the header announces."""
+    """An encoded batch, divided into its header and its body."""
 
     header: bytes
     body: bytes
 
 
 class BatchHeader(NamedTuple):
-    """The fields of a batch's header."""
+    """The fields of the header of a batch.
 
-    clock: float  # ms on the planners' clock
+    Attributes:
+        clock: time of the planners' clock, ms.
+        body_length: length of the body, bytes.
+        record_count: number of records in the body.
+        number: number of the batch.
+    """
+
+    clock: float
     body_length: int
     record_count: int
     number: int
 
 
 class Record(NamedTuple):
-    """One event record, not yet decoded."""
+    """An event record with an undecoded body.
+
+    Attributes:
+        code: code of the event.
+        body: the encoded fields.
+        location: batch, index and event name of the record, for error messages.
+    """
 
     code: int
     body: bytes
-    place: str  # batch, position and name, for messages
+    location: str
 
 
 def read_frame(stream: BinaryIO) -> Frame | None:
-    """Read the next batch; None at the end of input.
+    """Read the next batch; return None at the end of the input.
 
     Raises:
-        WireError: the input ends within a batch, or the announced length is impossible.
+        WireError: the input ends within a batch, or the length in the header exceeds `MAX_BODY_BYTES`.
     """
     header = stream.read(BATCH_HEADER.size)
     if not header:
         return None
     if len(header) < BATCH_HEADER.size:
-        raise WireError("", f"input ends inside a header, after {len(header)} bytes")
+        raise WireError("", f"input ends inside a header: got {len(header)} of {BATCH_HEADER.size} bytes")
     length = BATCH_HEADER.unpack(header)[1]
     if length > MAX_BODY_BYTES:
-        raise WireError("", f"header announces {length} bytes, over the {MAX_BODY_BYTES} a batch may hold")
+        raise WireError("", f"body of {length} bytes is over the limit of {MAX_BODY_BYTES}")
     body = stream.read(length)
     if len(body) < length:
-        raise WireError("", f"input ends inside a batch, after {len(body)} of {length} bytes")
+        raise WireError("", f"input ends inside a batch: got {len(body)} of {length} bytes")
     return Frame(header, body)
 
 
@@ -64,46 +84,46 @@
     """Unpack the header of a frame.
 
     Raises:
-        WireError: the clock is not a finite time, or the body has another length than the header says.
+        WireError: the clock is not finite, or the length of the body differs from the header.
     """
     header = BatchHeader(*BATCH_HEADER.unpack(frame.header))
-    place = f"batch {header.number}"
+    location = f"batch {header.number}"
     if not math.isfinite(header.clock):
-        raise WireError(place, "clock is not a finite time")
+        raise WireError(location, f"clock is not finite: {header.clock}")
     if header.body_length != len(frame.body):
-        raise WireError(place, f"{len(frame.body)} bytes where the header says {header.body_length}")
+        raise WireError(location, f"body of {len(frame.body)} bytes, but the header says {header.body_length}")
     return header
 
 
 def split_records(header: BatchHeader, body: bytes) -> Iterator[Record]:
-    """Yield the records of a body one by one; each is checked only when the one before it has been used.
+    """Yield the records of a body; each record is validated when it is requested.
 
     Raises:
-        WireError: a record is cut off or has an unknown code, or bytes are left after the last one.
+        WireError: a record is truncated or has an unknown code, or bytes are left after the last record.
     """
     offset = 0
     for position in range(header.record_count):
-        place = f"batch {header.number}, record {position}"
+        location = f"batch {header.number}, record {position}"
         if offset + RECORD_HEADER.size > len(body):
-            raise WireError(place, f"missing, the frame ends at byte {offset}")
+            raise WireError(location, f"missing record header, the body ends at byte {offset}")
         code, length = RECORD_HEADER.unpack_from(body, offset)
         offset += RECORD_HEADER.size
         if code not in EVENT_NAMES:
-            raise WireError(place, f"unknown event code {code}")
+            raise WireError(location, f"unknown event code {code}")
         if offset + length > len(body):
-            raise WireError(place, f"{length} bytes announced, {len(body) - offset} left")
-        yield Record(code, body[offset : offset + length], f"{place} ({EVENT_NAMES[code]})")
+            raise WireError(location, f"truncated record: expected {length} bytes, got {len(body) - offset}")
+        yield Record(code, body[offset : offset + length], f"{location} ({EVENT_NAMES[code]})")
         offset += length
     if offset != len(body):
-        raise WireError(f"batch {header.number}", f"{len(body) - offset} bytes after the last record")
+        raise WireError(f"batch {header.number}", f"{len(body) - offset} unexpected bytes after the last record")
 
 
 def encode_record(code: int, body: bytes) -> bytes:
-    """A record of a reply: its header and body."""
+    """Encode a record of a reply."""
     return RECORD_HEADER.pack(code, len(body)) + body
 
 
 def encode_reply(batch_number: int, records: list[bytes]) -> bytes:
-    """The reply to a batch, of encoded records."""
+    """Encode the reply to a batch from encoded records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), len(body), batch_number) + body
--- a/stackwheel/simulator/host.py
+++ b/stackwheel/simulator/host.py
@@ -1,4 +1,4 @@
-"""Runs many planner instances in one process and keeps them apart."""
+"""Runs several independent planner instances in one process."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class Host:
-    """Gives each planner instance its own events and gathers all actions into one reply."""
+    """Dispatches the events of a batch to planner instances and collects their actions in one reply."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         self._planners: dict[int, Planner] = {}
 
     def reply_to(self, frame: Frame) -> bytes:
-        """Apply one batch to the planners that it names; the reply with their actions.
+        """Process a batch and return the encoded reply with the actions of the planners.
 
         Raises:
-            WireError: the batch is malformed, names an unknown instance or has settings that can't be used.
+            WireError: the batch is malformed, has an event for an unknown instance, or contains invalid settings.
         """
         batch = self._decoder.decode_batch(frame)
         events_by_instance = self._sort_events(batch)
@@ -32,7 +32,7 @@
         return encode_reply(batch.number, records)
 
     def _sort_events(self, batch: Batch) -> dict[int, list[Event]]:
-        """Start and stop planners; the events of each that runs at the end of the batch."""
+        """Start and stop planners, and return the events of each planner that runs at the end of the batch."""
         events_by_instance: dict[int, list[Event]] = {}
         for instance, item in batch.items:
             if isinstance(item, StopPlanner):
@@ -44,11 +44,11 @@
             elif instance in self._planners:
                 events_by_instance.setdefault(instance, []).append(item)
             else:
-                raise WireError(f"batch {batch.number}", f"an event for unknown instance {instance}")
+                raise WireError(f"batch {batch.number}", f"event for unknown instance {instance}")
         return events_by_instance
 
     def _run_planner(self, instance: int, clock: float, events: list[Event]) -> list[bytes]:
-        """The actions of one planner as records; whatever it raises becomes one fault record."""
+        """Run one planner and return its actions as records, or one fault record if it raises an exception."""
         try:
             actions = self._planners[instance].handle(clock, events)
             return [encode_action(instance, action) for action in actions]
@@ -57,7 +57,7 @@
 
 
 def create_planner(batch_number: int, instance: int, request: CreatePlanner) -> Planner:
-    """A planner with the settings and seed that the simulator gives it; WireError if the settings can't be used."""
+    """Create a planner with the settings and seed of a request; raises WireError if the settings are invalid."""
     try:
         return Planner(parse_settings(request.settings), request.seed)
     except SettingsError as error:
--- a/stackwheel/simulator/wire.py
+++ b/stackwheel/simulator/wire.py
@@ -1,7 +1,7 @@
-"""Codes and names of the records on the simulator's wire.
+"""Codes and names of the records of the simulator protocol.
 
-The simulator numbers its records and names them in its own words; both appear here alone. Codes below 64 are events
-(to a planner), codes from 64 on are actions (from a planner). All fields are big-endian.
+Only this module contains the simulator's record numbers and names. Codes below 64 are events, which are sent to a
+planner, and codes from 64 on are actions of a planner. All fields are big-endian.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class EventCode(IntEnum):
-    """What a record of a batch is."""
+    """Codes of the records in a batch."""
 
     CREATE_PLANNER = 1
     ENDPOINT_UPDATE = 2
@@ -32,7 +32,7 @@
 
 
 class ActionCode(IntEnum):
-    """What a record of a reply is."""
+    """Codes of the records in a reply."""
 
     SET_TIMER = 65
     START_HEALTH_CHECK = 66
@@ -66,7 +66,7 @@
     EventCode.KEY_RANGE_WEIGHT: "held",
     EventCode.ENDPOINT_PAGE: "ledger",
 }
-"""The simulator's own name of each event code, as its documents and our messages have it."""
+"""The simulator's name of each event, by code, as used in its documentation and in error messages."""
 
 UPDATE_KINDS: dict[int, UpdateKind] = {
     0: UpdateKind.CACHED,
@@ -74,9 +74,16 @@
     2: UpdateKind.FAILED,
     3: UpdateKind.DELTA,
 }
-"""The kind of an endpoint update by the simulator's number for it, its `scope`."""
+"""The kind of an endpoint update, by the number in the `scope` field of its record."""
 
-MAX_ENDPOINT_PAGE = 15  # endpoint lists are numbered; a frame defines at most these, 0 to 15
-MAX_HEALTH_CHECK_OUTCOME = 7  # higher outcomes are reserved
-ALL_PEERS = 0xFFFF  # the receiver of gossip that goes to every planner
-MAX_TEXT_BYTES = 2000  # of a log line or a fault; what is longer is cut
+MAX_ENDPOINT_PAGE = 15
+"""Maximum number of an endpoint list; the numbers start at 0."""
+
+MAX_HEALTH_CHECK_OUTCOME = 7
+"""Maximum outcome of a health check; greater values are reserved."""
+
+ALL_PEERS = 0xFFFF
+"""Receiver of a gossip datagram that is sent to all peer planners."""
+
+MAX_TEXT_BYTES = 2000
+"""Maximum length of the text of a log line or a fault; longer texts are truncated."""
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -1,4 +1,4 @@
-"""The same events give the same decisions through the simulator's adapter and through the service."""
+"""Tests that the simulator adapter and the service make the same decisions for the same events."""
 
 import asyncio
 import json
@@ -26,11 +26,11 @@
 SERVER_NAMES = {server_id(f"s-{number}"): f"s-{number}" for number in range(simulator_frames.SERVERS)}
 LIFECYCLES = {0: "terminated", 1: "in_service", 2: "terminating"}
 LIST_SETTINGS = ("kinds", "zones", "load_report.columns")
-SEED = 40  # of the only instance
+PLANNER_SEED = 40  # seed of instance 0 in the scripted batches
 
 
 def scripted_batches() -> list[bytes]:
-    """The simulator's short day, with the ids that the service gives these servers."""
+    """Return the scripted batches with the server ids that the service assigns."""
     batches = simulator_frames.scripted_batches(0)
     for number in range(simulator_frames.SERVERS):
         id_on_wire = simulator_frames.server_id(number)
@@ -39,7 +39,7 @@
 
 
 def json_value(path: str, text: str) -> object:
-    """A setting's value as JSON has it."""
+    """Convert the value of a setting from text to JSON."""
     if text in ("true", "false"):
         return text == "true"
     if "," in text or path in LIST_SETTINGS:
@@ -48,25 +48,25 @@
 
 
 def nested_settings() -> dict[str, object]:
-    """The simulator's settings as JSON has them."""
+    """Convert the settings of the simulator to nested JSON."""
     services: list[dict[str, object]] = [{}, {}]
     settings: dict[str, object] = {"services": services}
     for line in simulator_frames.SETTINGS.splitlines():
         path, _, text = line.partition("=")
         if path == "services.count":
             continue
-        *folders, name = path.split(".")
-        if folders and folders[0] == "services":
-            services[int(folders[1])][name] = json_value(path, text)
+        *parents, name = path.split(".")
+        if parents and parents[0] == "services":
+            services[int(parents[1])][name] = json_value(path, text)
             continue
-        folder = settings
-        for part in folders:
-            folder = folder.setdefault(part, {})  # type: ignore[assignment]
-        folder[name] = json_value(path, text)
+        container = settings
+        for parent in parents:
+            container = container.setdefault(parent, {})  # type: ignore[assignment]
+        container[name] = json_value(path, text)
     return settings
 
 
-def test_json_settings_equal_the_simulators_settings() -> None:
+def test_nested_json_settings_equal_the_settings_of_the_simulator() -> None:
     pairs = dict(flatten(nested_settings()))
     text = "\n".join(f"{path}={value}" for path, value in pairs.items()).encode()
     assert parse_settings(text) == parse_settings(simulator_frames.SETTINGS.encode())
@@ -76,7 +76,7 @@
 
 
 def list_document(event: face.EndpointUpdate) -> bytes:
-    """An endpoint update as discovery answers it."""
+    """Encode an endpoint update as a response of the discovery service."""
     instances = [
         {
             "instanceId": SERVER_NAMES[entry.server],
@@ -95,7 +95,7 @@
 
 
 def protocol_line(event: Event) -> tuple[str, str]:
-    """The sender of an event on the line protocol, and its line."""
+    """Return the sender of an event in the line protocol, and the line that it sends."""
     match event:
         case face.LoadReport(zone, server, attempts, failures, mean, window, load):
             return "collector", (
@@ -113,7 +113,7 @@
 
 
 class RecordingPlanner(Planner):
-    """The policy itself, with a record of what it decides."""
+    """The policy, with a record of its decisions."""
 
     decisions: list[list[Action]]
 
@@ -127,7 +127,7 @@
 
 
 class ManualClock:
-    """A clock that stands where the test sets it."""
+    """A clock whose time is set by the test."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -136,7 +136,7 @@
         return self.time
 
 
-def events_of(batch: Batch) -> list[Event]:
+def events_in(batch: Batch) -> list[Event]:
     return [event_of(item) for item in batch.items if not isinstance(item.item, CreatePlanner)]
 
 
@@ -145,8 +145,8 @@
     return item.item
 
 
-async def decisions_of_the_service(batches: list[Batch], service_config: Config) -> list[list[Action]]:
-    """Feed the batches to a planner by sockets and discovery's answers, one event after another."""
+async def service_decisions(batches: list[Batch], service_config: Config) -> list[list[Action]]:
+    """Send the events of the batches one by one to a planner actor, over sockets and as responses of discovery."""
     endpoints = EndpointCache(service_config.names.zones, service_config.names.kinds, ServerIds())
     clock = ManualClock()
     transport = SocketTransport(
@@ -156,14 +156,14 @@
         endpoints,
         clock,  # type: ignore[arg-type]
     )
-    policy = PolicyOptions(service_config.settings, SEED, RecordingPlanner)
+    policy = PolicyOptions(service_config.settings, PLANNER_SEED, RecordingPlanner)
     actor = PlannerActor(policy, 0.0, clock, endpoints, transport, 1e12)  # type: ignore[arg-type]
     await transport.open(actor.post)
     host, _, port = service_config.addresses.listen.rpartition(":")
     writers: dict[str, asyncio.StreamWriter] = {}
     for batch in batches:
         clock.time = batch.clock
-        events = events_of(batch)
+        events = events_in(batch)
         for event in events:
             if isinstance(event, face.EndpointUpdate):
                 update = parse_endpoint_list(list_document(event))
@@ -179,7 +179,7 @@
                 writers[sender].write(b"SOURCE site=east\r\n" if sender == "collector" else b"")
             messages_before = len(actor.mailbox)
             writers[sender].write(line.encode() + b"\r\n")
-            while len(actor.mailbox) == messages_before:  # in the order of the batch
+            while len(actor.mailbox) == messages_before:  # one event at a time, to preserve their order
                 await asyncio.sleep(0.001)
         if (events and not isinstance(events[0], face.EndpointUpdate)) or len(events) > 1:
             actor.process_batch()
@@ -187,13 +187,13 @@
     return actor.planner.decisions
 
 
-def decisions_of_the_policy(batches: list[Batch]) -> list[list[Action]]:
-    planner = Planner(parse_settings(simulator_frames.SETTINGS.encode()), SEED)
-    return [planner.handle(batch.clock, events_of(batch)) for batch in batches if batch.items]
+def policy_decisions(batches: list[Batch]) -> list[list[Action]]:
+    planner = Planner(parse_settings(simulator_frames.SETTINGS.encode()), PLANNER_SEED)
+    return [planner.handle(batch.clock, events_in(batch)) for batch in batches if batch.items]
 
 
-def records_of_the_simulator() -> list[list[bytes]]:
-    """What the adapter answers to the batches that hold something for a planner."""
+def simulator_records() -> list[list[bytes]]:
+    """Return the adapter's replies to the batches that contain events of a planner."""
     host = Host()
     decoder = Decoder()
     records = []
@@ -205,21 +205,21 @@
     return records
 
 
-def test_same_decisions() -> None:
+def test_the_simulator_and_the_service_make_the_same_decisions() -> None:
     decoder = Decoder()
     batches = [decoder.decode_batch(simulator_frames.frame_of(data)) for data in scripted_batches()]
 
     async def run_service() -> list[list[Action]]:
         discovery = Discovery()
         await discovery.start()
-        discovery.troubles = ["silence"] * 9  # the test passes the endpoint list on itself
+        discovery.troubles = ["silence"] * 9  # the test supplies the endpoint lists
         settings = {**nested_settings(), "me": 0}
         service_config = read_config(config(discovery.address, peers=[], settings=settings))
-        return await asyncio.wait_for(decisions_of_the_service(batches, service_config), 60)
-
-    by_service = asyncio.run(run_service())
-    assert sum(len(actions) for actions in by_service) > 100
-    by_policy = decisions_of_the_policy(batches)
-    encoded = [[encode_action(0, action) for action in actions] for actions in by_policy]
-    assert encoded == records_of_the_simulator()
-    assert by_policy == by_service
+        return await asyncio.wait_for(service_decisions(batches, service_config), 60)
+
+    decisions_by_service = asyncio.run(run_service())
+    assert sum(len(actions) for actions in decisions_by_service) > 100
+    decisions_by_policy = policy_decisions(batches)
+    encoded = [[encode_action(0, action) for action in actions] for actions in decisions_by_policy]
+    assert encoded == simulator_records()
+    assert decisions_by_policy == decisions_by_service
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter as its users start it: a process on two pipes."""
+"""Tests of the simulator adapter as a process that communicates over standard input and output."""
 
 import os
 import struct
@@ -13,7 +13,7 @@
 from stackwheel.simulator.host import Host
 from stackwheel.simulator.wire import ActionCode, EventCode
 
-ROOT = Path(__file__).parents[2]
+REPOSITORY_ROOT = Path(__file__).parents[2]
 
 
 def run(data: bytes, hash_seed: str = "0") -> subprocess.CompletedProcess[bytes]:
@@ -22,7 +22,7 @@
         [sys.executable, "-m", "stackwheel.simulator"],
         input=data,
         capture_output=True,
-        cwd=ROOT,
+        cwd=REPOSITORY_ROOT,
         env=env,
         timeout=60,
         check=False,
@@ -30,10 +30,10 @@
 
 
 def test_each_batch_gets_one_reply() -> None:
-    done = run(b"".join(simulator_frames.scripted_batches(0)))
-    assert done.returncode == 0
-    assert done.stderr == b""
-    replies = simulator_frames.split_replies(done.stdout)
+    completed = run(b"".join(simulator_frames.scripted_batches(0)))
+    assert completed.returncode == 0
+    assert completed.stderr == b""
+    replies = simulator_frames.split_replies(completed.stdout)
     assert [reply.batch_number for reply in replies] == list(range(1, 12))
     codes = {record[0] for reply in replies for record in reply.records}
     assert {
@@ -47,11 +47,11 @@
 
 
 def test_end_of_input_is_not_an_error() -> None:
-    done = run(b"")
-    assert (done.returncode, done.stdout, done.stderr) == (0, b"", b"")
+    completed = run(b"")
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, b"", b"")
 
 
-def test_same_actions_with_any_hash_seed() -> None:
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
     data = b"".join(simulator_frames.scripted_batches(0, 1, 2))
     assert run(data, "1").stdout == run(data, "4711").stdout
 
@@ -61,8 +61,8 @@
     return instance
 
 
-def test_instances_share_nothing() -> None:
-    """Each instance acts in company as it acts alone."""
+def test_an_instance_acts_the_same_alone_and_beside_others() -> None:
+    """Instances in one process must not share state."""
     together = simulator_frames.split_replies(run(b"".join(simulator_frames.scripted_batches(0, 1, 2))).stdout)
     for instance in (0, 1, 2):
         alone = simulator_frames.split_replies(run(b"".join(simulator_frames.scripted_batches(instance))).stdout)
@@ -71,15 +71,17 @@
         assert any(records for _, records in selected)
 
 
-def test_a_killed_instance_is_silent_and_can_restart() -> None:
+def test_a_stopped_instance_sends_nothing_and_can_restart() -> None:
     stop = simulator_frames.record(EventCode.STOP_PLANNER, struct.pack(">H", 0))
-    tail = [
+    last_batches = [
         simulator_frames.batch(
             20000.0, 50, stop, simulator_frames.create_planner(0), simulator_frames.endpoint_update(0)
         ),
         simulator_frames.batch(20100.0, 51),
     ]
-    replies = dict(simulator_frames.split_replies(run(b"".join(simulator_frames.scripted_batches(0) + tail)).stdout))
+    replies = dict(
+        simulator_frames.split_replies(run(b"".join(simulator_frames.scripted_batches(0) + last_batches)).stdout)
+    )
     codes = [record[0] for record in replies[50]]
     assert codes == [ActionCode.WATCH_ENDPOINTS, ActionCode.SEND_GOSSIP, ActionCode.SET_TIMER]
     assert replies[51] == []
@@ -99,22 +101,22 @@
         ),
     ],
 )
-def test_malformed_input_ends_with_one_line(data: bytes, message: bytes) -> None:
+def test_malformed_input_ends_the_process_with_one_line_on_stderr(data: bytes, message: bytes) -> None:
     empty_batch = simulator_frames.batch(0.0, 0)
-    done = run(empty_batch + data)
-    assert done.returncode != 0
-    assert message in done.stderr
-    assert done.stderr.count(b"\n") == 1
-    assert b"Traceback" not in done.stderr
-    replies = simulator_frames.split_replies(done.stdout)
-    assert [reply.batch_number for reply in replies] == [0]  # no half-written reply
+    completed = run(empty_batch + data)
+    assert completed.returncode != 0
+    assert message in completed.stderr
+    assert completed.stderr.count(b"\n") == 1
+    assert b"Traceback" not in completed.stderr
+    replies = simulator_frames.split_replies(completed.stdout)
+    assert [reply.batch_number for reply in replies] == [0]  # no partial reply
 
 
 def test_a_policy_exception_becomes_a_fault_record(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+    def raise_key_error(*_: object) -> None:
         raise KeyError("table")
 
-    monkeypatch.setattr(Planner, "handle", broken)
+    monkeypatch.setattr(Planner, "handle", raise_key_error)
     data = simulator_frames.batch(0.0, 7, simulator_frames.create_planner())
     ((number, (record,)),) = simulator_frames.split_replies(Host().reply_to(simulator_frames.frame_of(data)))
     assert number == 7
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The codec in both directions, on frames written out by hand."""
+"""Tests of the encoding and decoding of the simulator protocol with literal frames."""
 
 import struct
 
@@ -20,19 +20,19 @@
     return list(Decoder().decode_batch(frame).items)
 
 
-def decode_one(hexes: str) -> object:
-    ((instance, event),) = decode(bytes.fromhex(hexes.replace(" ", "")))
+def decode_one(hex_text: str) -> object:
+    ((instance, event),) = decode(bytes.fromhex(hex_text.replace(" ", "")))
     assert instance == 3
     return event
 
 
-def test_header() -> None:
+def test_the_header_of_a_batch_is_decoded() -> None:
     batch = Decoder().decode_batch(Frame(bytes.fromhex("40c06e2000000000000000000000000000000001"), b""))
     assert (batch.clock, batch.number, batch.items) == (8412.25, 1, [])
 
 
 @pytest.mark.parametrize(
-    ("hexes", "event"),
+    ("hex_text", "event"),
     [
         (
             "0a 00000027 0003 0000 0a124a07 1b5b 0000000e 00000001 4048200000000000 408f400000000000 01 40e00000",
@@ -54,16 +54,16 @@
         ("06 00000002 0003", StopPlanner()),
     ],
 )
-def test_events(hexes: str, event: object) -> None:
-    assert decode_one(hexes) == event
+def test_events_are_decoded(hex_text: str, event: object) -> None:
+    assert decode_one(hex_text) == event
 
 
-def test_create_planner() -> None:
+def test_the_creation_of_a_planner_is_decoded() -> None:
     ((instance, event),) = decode(simulator_frames.create_planner(3, 9, "a=b"))
     assert (instance, event) == (3, CreatePlanner(9, b"a=b"))
 
 
-def test_endpoint_pages_are_replaced_in_order() -> None:
+def test_an_update_refers_to_the_last_definition_of_its_endpoint_list() -> None:
     records = [
         simulator_frames.endpoint_page(0, simulator_frames.entry(1)),
         simulator_frames.endpoint_update(0),
@@ -89,13 +89,13 @@
     assert entry.availability is face.Availability.DRAINING
 
 
-def test_a_failed_update_needs_no_page() -> None:
+def test_a_failed_update_needs_no_endpoint_list() -> None:
     ((_, event),) = decode(simulator_frames.endpoint_update(9, scope=2))
     assert event == face.EndpointUpdate(face.UpdateKind.FAILED, 1)
 
 
 @pytest.mark.parametrize(
-    ("action", "hexes"),
+    ("action", "hex_text"),
     [
         (face.SetWeight(117, ADDRESS, 0.75), "48 0000000e 0003 0075 0a9011f2 1b84 3f400000"),
         (face.SetTimer(500.0, 77), "41 00000012 0003 407f400000000000 000000000000004d"),
@@ -113,11 +113,11 @@
         (face.FetchEndpoints(), "47 00000002 0003"),
     ],
 )
-def test_actions(action: face.Action, hexes: str) -> None:
-    assert encode_action(3, action).hex() == hexes.replace(" ", "")
+def test_actions_are_encoded(action: face.Action, hex_text: str) -> None:
+    assert encode_action(3, action).hex() == hex_text.replace(" ", "")
 
 
-def test_fault_and_reply() -> None:
+def test_faults_and_replies_are_encoded() -> None:
     fault = encode_fault(3, "bad")
     assert fault == struct.pack(">BIHH3s", 69, 7, 3, 3, b"bad")
     assert encode_reply(12, [fault]) == struct.pack(">III", 1, len(fault), 12) + fault
@@ -127,13 +127,13 @@
     ("record", "message"),
     [
         (simulator_frames.record(99, b""), "unknown event code 99"),
-        (simulator_frames.record(3, b"\0\3"), "runs past the record's end"),
-        (simulator_frames.record(8, b"\0\3\0\1\0"), "bytes too many"),
-        (simulator_frames.endpoint_update(4), "list 4 was never defined"),
+        (simulator_frames.record(3, b"\0\3"), "field of 8 bytes at byte 7 runs past the record's end"),
+        (simulator_frames.record(8, b"\0\3\0\1\0"), "1 unexpected bytes at the end of the record"),
+        (simulator_frames.endpoint_update(4), "list 4 is not defined"),
         (simulator_frames.endpoint_update(0, scope=7), "unknown scope 7"),
         (simulator_frames.endpoint_page(16), "list number 16"),
         (simulator_frames.endpoint_page(0, simulator_frames.entry(1, availability=3)), "availability 3 is reserved"),
-        (simulator_frames.record(15, b"\0\0\0\0\2"), "2 entries do not fill"),
+        (simulator_frames.record(15, b"\0\0\0\0\2"), "2 entries do not match"),
         (simulator_frames.record(13, b"\0\3\0\1\2"), "flag at byte"),
         (
             simulator_frames.record(4, b"\0\3" + simulator_frames.server_id(1) + struct.pack(">HdB", 8, 1.0, 0)),
@@ -141,30 +141,32 @@
         ),
     ],
 )
-def test_malformed_records(record: bytes, message: str) -> None:
+def test_malformed_records_are_rejected(record: bytes, message: str) -> None:
     with pytest.raises(WireError, match=message):
         decode(record)
 
 
 @pytest.mark.parametrize(
-    ("header", "cut", "message"),
+    ("header", "removed_bytes", "message"),
     [
-        ((1.0, 15, 1, 1), 1, "where the header says"),
+        ((1.0, 15, 1, 1), 1, "but the header says"),
         ((1.0, 15, 2, 1), 0, "missing"),
         ((1.0, 15, 0, 1), 0, "after the last record"),
         ((float("nan"), 15, 1, 1), 0, "finite"),
         ((float("nan"), 0, 0, 1), 15, "finite"),
     ],
 )
-def test_headers_that_do_not_fit(header: tuple[float, int, int, int], cut: int, message: str) -> None:
+def test_headers_that_do_not_match_the_body_are_rejected(
+    header: tuple[float, int, int, int], removed_bytes: int, message: str
+) -> None:
     body = simulator_frames.timer_fired(1)
     assert len(body) == 15
     with pytest.raises(WireError, match=message):
-        Decoder().decode_batch(Frame(struct.pack(">dIII", *header), body[: len(body) - cut]))
+        Decoder().decode_batch(Frame(struct.pack(">dIII", *header), body[: len(body) - removed_bytes]))
 
 
-def test_record_codes_are_those_of_the_simulators_page() -> None:
-    """Other tests name records by these enums; the numbers on the wire are fixed here."""
+def test_record_codes_match_the_simulator_protocol() -> None:
+    """Other tests refer to records by these enumerations, so only this test detects a changed number."""
     assert {code.name: code.value for code in EventCode} == {
         "CREATE_PLANNER": 1,
         "ENDPOINT_UPDATE": 2,
--- a/tests/simulator_frames.py
+++ b/tests/simulator_frames.py
@@ -1,4 +1,4 @@
-"""Builds frames of the simulator's wire for tests, apart from the adapter's own codec."""
+"""Builds frames of the simulator protocol for tests, independently of the adapter's encoder."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 BATCH_HEADER_BYTES = 20
 REPLY_HEADER_BYTES = 12
 RECORD_HEADER_BYTES = 5
-SERVERS = 6  # of the short day
+SERVERS = 6  # in the scripted batches
 PROXIES = 3
 SETTINGS = """
 instances=2
@@ -53,14 +53,14 @@
 
 
 class Reply(NamedTuple):
-    """What an instance host answered to one batch."""
+    """The decoded reply to one batch."""
 
     batch_number: int
     records: list[bytes]
 
 
 def frame_of(data: bytes) -> Frame:
-    """An encoded batch, cut where its header ends."""
+    """Divide an encoded batch into its header and its body."""
     return Frame(data[:BATCH_HEADER_BYTES], data[BATCH_HEADER_BYTES:])
 
 
@@ -122,7 +122,7 @@
 
 
 def scripted_batches(*instances: int) -> list[bytes]:
-    """A short scripted day: start, joins, reports, a drain and a restart."""
+    """Return encoded batches with starts, joins of proxies, reports, a draining server and a restarted server."""
     batches = [batch(0.0, 1)]
     starts = [endpoint_page(0, *(entry(number, zone=number % 2) for number in range(SERVERS)))]
     for instance in instances:
@@ -152,7 +152,7 @@
 
 
 def split_replies(stream: bytes) -> list[Reply]:
-    """Split what a host wrote into replies and their records."""
+    """Split the output of a host into replies and their records."""
     replies = []
     offset = 0
     while offset < len(stream):
