--- a/tests/relay_server_harness.py
+++ b/tests/relay_server_harness.py
@@ -1,4 +1,4 @@
-"""A relay's server on real sockets, with callers and watchers that read only when the test lets them."""
+"""A relay's server on real sockets, and clients that read only when the test reads, to simulate slow readers."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from stackwheel.wire.endpoint_watch import EndpointWatch
 
 LIST_PATH = "/registry/instances"
-NAME_PADDING = "x" * 200  # makes names long
+NAME_PADDING = "x" * 200
 TEST_TIMEOUT_S = 15
 
 
 class Caller:
-    """A connection that sends what the test says, and reads only when the test reads."""
+    """A client connection that sends and receives only on request of the test."""
 
-    open_sockets: ClassVar[list[socket.socket]] = []  # of the present test
+    open_sockets: ClassVar[list[socket.socket]] = []  # closed at the end of the test
 
     def __init__(self, connection: socket.socket) -> None:
         self.socket = connection
@@ -45,7 +45,7 @@
         await asyncio.get_running_loop().sock_sendall(self.socket, text.encode())
 
     async def receive(self) -> bytes:
-        """The bytes that come next; b"" at the end of the connection."""
+        """Receive some bytes, or b"" at the end of the connection."""
         try:
             return await asyncio.get_running_loop().sock_recv(self.socket, 1 << 16)
         except ConnectionError:
@@ -53,8 +53,8 @@
 
     async def receive_all(self) -> bytes:
         data = b""
-        while piece := await self.receive():
-            data += piece
+        while received_bytes := await self.receive():
+            data += received_bytes
         return data
 
     async def status(self) -> int:
@@ -62,7 +62,7 @@
 
 
 class Watcher:
-    """Parses the response of a watch."""
+    """Parses the chunked response of a watch."""
 
     def __init__(self, caller: Caller) -> None:
         self.caller = caller
@@ -71,15 +71,15 @@
 
     async def receive_until(self, end: bytes) -> bytes:
         while end not in self.unparsed:
-            piece = await self.caller.receive()
-            if not piece:
+            received_bytes = await self.caller.receive()
+            if not received_bytes:
                 raise EOFError
-            self.unparsed += piece
+            self.unparsed += received_bytes
         data, self.unparsed = self.unparsed.split(end, 1)
         return data
 
     async def next_line(self) -> bytes:
-        """The next line; b"" for a heartbeat."""
+        """Receive the next line, or b"" for a heartbeat."""
         if not self.head_read:
             assert b" 200 " in await self.receive_until(b"\r\n\r\n")
             self.head_read = True
@@ -91,7 +91,7 @@
         return data.strip()
 
     async def read_to_end(self) -> None:
-        """Read lines until EOFError."""
+        """Receive lines until the response ends with EOFError."""
         while True:
             await self.next_line()
 
@@ -102,9 +102,9 @@
 
 
 class RelayServer:
-    """A server of one cell, `a`, whose cache the test feeds."""
+    """A server of the cell `a`, whose watch cache receives endpoint lists from the test."""
 
-    started: ClassVar[list[EndpointListServer]] = []  # by the present test
+    started: ClassVar[list[EndpointListServer]] = []  # closed at the end of the test
 
     def __init__(self, cache: WatchCache, max_connections: int = 100, max_snapshot_bytes: int = 64 << 20) -> None:
         self.cache = cache
@@ -112,8 +112,8 @@
         self.started.append(self.server)
 
     async def start(self) -> RelayServer:
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.address = f"127.0.0.1:{free.getsockname()[1]}"
+        with socket.create_server(("127.0.0.1", 0)) as placeholder:
+            self.address = f"127.0.0.1:{placeholder.getsockname()[1]}"
         await self.server.listen({self.address: "a"})
         return self
 
@@ -128,7 +128,7 @@
         return Watcher(await Caller.open(self.address, f"GET {LIST_PATH}?follow=1{resume}", receive_buffer))
 
     async def wait_for_watches(self, count: int) -> list[EndpointWatch]:
-        """The open watches, once there are so many."""
+        """Wait until exactly `count` watches are open, and return them."""
         while len(self.server.watches.get("a", ())) != count:
             await asyncio.sleep(0)
         return list(self.server.watches.get("a", ()))
@@ -142,7 +142,7 @@
 
 
 def run(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test, and leave nothing open."""
+    """Run a test, then close all its sockets and servers."""
 
     async def run_and_clean_up() -> None:
         try:
@@ -161,7 +161,7 @@
 
 
 async def start_relay(*listed: Instance, **options: Any) -> RelayServer:
-    """A server that lists these instances in generation 5; without any it has no list yet."""
+    """Start a server with a list of instances of generation 5, or without a list if there are no instances."""
     relay = await RelayServer(watch_cache_of("a"), **options).start()
     if listed:
         relay.apply(snapshot_list(5, *listed))
@@ -169,12 +169,12 @@
 
 
 def large_delta(generation: int) -> EndpointList:
-    """Changes of some 30 KB."""
+    """Return changes with an encoded size of about 30 KB."""
     return delta_list(generation, *(instance(f"a-{n}{NAME_PADDING}", weight=float(generation)) for n in range(80)))
 
 
 def merge_lists(received: list[EndpointList]) -> dict[str, Instance]:
-    """What a watcher knows after these lists."""
+    """Return the entries that a watcher lists after it received some lists."""
     listed: dict[str, Instance] = {}
     for endpoint_list in received:
         listed = {} if endpoint_list.complete else listed
@@ -183,12 +183,12 @@
 
 
 async def wait_until_idle(watch: EndpointWatch) -> None:
-    """Wait until everything is written."""
+    """Wait until a watch has no unwritten data."""
     while watch.writing or watch.pending or watch.snapshot_due:
         await asyncio.sleep(0)
 
 
 async def wait_until_blocked(watch: EndpointWatch) -> None:
-    """Wait until a write of the watch waits for the caller to read."""
+    """Wait until a write of a watch is blocked because the client does not read."""
     while not (watch.writing and watch.writer.transport.get_write_buffer_size()):
         await asyncio.sleep(0)
