--- a/stackwheel/cells/check.py
+++ b/stackwheel/cells/check.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedPlanner:
-    """The properties of a planner that determine its cell: its name, the service that it plans and its region."""
+    """The properties of a planner that determine its cell: its name, the service for which it plans, and its region."""
 
     name: str
     service: str
--- a/tests/cells/test_cell_design.py
+++ b/tests/cells/test_cell_design.py
@@ -266,7 +266,7 @@
     servers: list[ListedServer], full_plan: Plan
 ) -> None:
     moved = compare_plans(full_plan, design_fleet_plan(servers, full_plan, relays=18), servers)
-    expected = moved.replicas / 18  # 1/18 of all replicas belong at the new relay
+    expected = moved.replicas / 18  # 1/18 of all replicas belong to the new relay
     assert moved.servers_moved == 0
     assert abs(moved.replicas_moved - expected) < 5 * expected**0.5
 
--- a/tests/relay/test_random_histories.py
+++ b/tests/relay/test_random_histories.py
@@ -126,19 +126,31 @@
     for _ in range(STEPS):
         now += random.choice((1.0, 200.0, 900.0))
         relay, planner = random.choice(relays), random.choice(planners)
-        match random.choice(("change", "change", "receive", "receive", "open", "open", "kill", "cut", "break")):
+        match random.choice(
+            (
+                "change",
+                "change",
+                "receive",
+                "receive",
+                "open watch",
+                "open watch",
+                "restart relay",
+                "lose upstream",
+                "close watch",
+            )
+        ):
             case "change":
                 discovery.change(random, now)
             case "receive":
                 relay.receive(random, now)
-            case "open" if planner.relay is None:
+            case "open watch" if planner.relay is None:
                 planner.open_watch(relay, now)
-            case "kill" if random.random() < 0.3:
+            case "restart relay" if random.random() < 0.3:
                 relay.start()
-            case "cut" if random.random() < 0.3:
+            case "lose upstream" if random.random() < 0.3:
                 relay.connected = False
                 now += timing.WATCH_SILENCE_TIMEOUT_MS
-            case "break" if planner.relay is not None:
+            case "close watch" if planner.relay is not None:
                 planner.relay.watchers.remove(planner)
                 planner.relay = None
         for relay in relays:
--- a/tests/relay/test_watch_cache.py
+++ b/tests/relay/test_watch_cache.py
@@ -189,19 +189,19 @@
 def test_a_server_with_an_unreadable_entry_in_the_first_list_is_not_sent_as_removed(name: str) -> None:
     """A planner that knows the server from another relay must not take the unreadable entry for a removal."""
     planner = PlannerView()
-    before = watch_cache_of()
-    after = watch_cache_of()
-    before.apply(snapshot_list(5, instance("a-1"), instance("a-2")), 0.0)
-    assert planner.open_watch(before, "a", 0.0)
-    after.apply(snapshot_list(6, instance("a-2"), unreadable=frozenset({name})), 0.0)
-    assert planner.open_watch(after, "a", 0.0)
+    first_cache = watch_cache_of()
+    second_cache = watch_cache_of()
+    first_cache.apply(snapshot_list(5, instance("a-1"), instance("a-2")), 0.0)
+    assert planner.open_watch(first_cache, "a", 0.0)
+    second_cache.apply(snapshot_list(6, instance("a-2"), unreadable=frozenset({name})), 0.0)
+    assert planner.open_watch(second_cache, "a", 0.0)
     assert planner.since == 6
     assert planner.listed() == {"a-1": READY, "a-2": READY}
-    after.apply(delta_list(7, instance("a-1", REMOVED)), 1.0)
-    assert planner.open_watch(after, "a", 1.0)
+    second_cache.apply(delta_list(7, instance("a-1", REMOVED)), 1.0)
+    assert planner.open_watch(second_cache, "a", 1.0)
     assert planner.listed() == {"a-2": READY}
-    after.apply(snapshot_list(8, instance("a-2")), 2.0)  # a complete list without unreadable entries
-    assert cell_list(after).unreadable == frozenset()
+    second_cache.apply(snapshot_list(8, instance("a-2")), 2.0)  # a complete list without unreadable entries
+    assert cell_list(second_cache).unreadable == frozenset()
 
 
 def test_above_the_limit_of_unreadable_names_any_server_may_be_unreadable() -> None:
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -6,7 +6,7 @@
 import simulator_frames
 from fake_services import Discovery, config
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.interface import Action, Event, Settings
 from stackwheel.policy.planner import Planner
 from stackwheel.service.config import Config, read_config
@@ -75,7 +75,7 @@
     assert names.columns == ("outstanding",)
 
 
-def list_document(event: face.EndpointUpdate) -> bytes:
+def list_document(event: interface.EndpointUpdate) -> bytes:
     """Encode an endpoint update as a response of the discovery service."""
     instances = [
         {
@@ -90,24 +90,24 @@
         }
         for entry in event.entries
     ]
-    reset = event.kind is not face.UpdateKind.DELTA
+    reset = event.kind is not interface.UpdateKind.DELTA
     return json.dumps({"generation": event.generation, "reset": reset, "instances": instances}).encode()
 
 
 def protocol_line(event: Event) -> tuple[str, str]:
     """Return the sender of an event in the line protocol, and the line that it sends."""
     match event:
-        case face.LoadReport(zone, server, attempts, failures, mean, window, load):
+        case interface.LoadReport(zone, server, attempts, failures, mean, window, load):
             return "collector", (
                 f"LOAD site={ZONES[zone]} target={SERVER_NAMES[server]} count={attempts} fail={failures} "
                 f"mean={mean} over={window} util=inflight:{load[0]}"
             )
-        case face.DemandReport(proxy, request_class, requests, unanswered, window):
+        case interface.DemandReport(proxy, request_class, requests, unanswered, window):
             return (
                 f"proxy {proxy}",
                 f"RATE id={proxy} lane={CLASSES[request_class]} count={requests} fail={unanswered} over={window}",
             )
-        case face.ProxyJoined(proxy, zone, rate, newly_started):
+        case interface.ProxyJoined(proxy, zone, rate, newly_started):
             return f"proxy {proxy}", f"SUBSCRIBE id={proxy} site={ZONES[zone]} rps={rate} new={int(newly_started)}"
     raise AssertionError(event)
 
@@ -165,9 +165,9 @@
         clock.time = batch.clock
         events = events_in(batch)
         for event in events:
-            if isinstance(event, face.EndpointUpdate):
+            if isinstance(event, interface.EndpointUpdate):
                 update = parse_endpoint_list(list_document(event))
-                if event.kind is face.UpdateKind.CACHED:
+                if event.kind is interface.UpdateKind.CACHED:
                     endpoints.apply(update)
                     actor.run_policy([endpoints.cached_update()])
                 else:
@@ -181,7 +181,7 @@
             writers[sender].write(line.encode() + b"\r\n")
             while len(actor.mailbox) == messages_before:  # one event at a time, to preserve their order
                 await asyncio.sleep(0.001)
-        if (events and not isinstance(events[0], face.EndpointUpdate)) or len(events) > 1:
+        if (events and not isinstance(events[0], interface.EndpointUpdate)) or len(events) > 1:
             actor.process_batch()
     assert isinstance(actor.planner, RecordingPlanner)
     return actor.planner.decisions
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -5,14 +5,14 @@
 import pytest
 import simulator_frames
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.simulator.decoder import CreatePlanner, Decoder, StopPlanner
 from stackwheel.simulator.encoder import encode_action, encode_fault
 from stackwheel.simulator.errors import WireError
 from stackwheel.simulator.framing import Frame, encode_reply
 from stackwheel.simulator.wire import ActionCode, EventCode
 
-ADDRESS = face.ServerId(bytes.fromhex("0a9011f21b84"))
+ADDRESS = interface.ServerId(bytes.fromhex("0a9011f21b84"))
 
 
 def decode(*records: bytes) -> list[tuple[int, object]]:
@@ -36,21 +36,21 @@
     [
         (
             "0a 00000027 0003 0000 0a124a07 1b5b 0000000e 00000001 4048200000000000 408f400000000000 01 40e00000",
-            face.LoadReport(0, face.ServerId(bytes.fromhex("0a124a071b5b")), 14, 1, 48.25, 1000.0, (7.0,)),
+            interface.LoadReport(0, interface.ServerId(bytes.fromhex("0a124a071b5b")), 14, 1, 48.25, 1000.0, (7.0,)),
         ),
-        ("03 0000000a 0003 000000000000004d", face.TimerFired(77)),
-        ("08 00000004 0003 0029", face.ProxyLeft(41)),
-        ("07 0000000b 0003 0029 0000 40d00000 01", face.ProxyJoined(41, 0, 6.5, True)),
-        ("0b 00000016 0003 00000000 0029 00000009 409f400000000000 0000", face.DemandReport(41, 0, 9, 0, 2000.0)),
-        ("05 0000000a 0003 00000002 0002 6869", face.GossipReceived(2, b"hi")),
-        ("09 00000014 0003 0029 0000000000000007 4049000000000000", face.Acknowledged(41, 7, 50.0)),
+        ("03 0000000a 0003 000000000000004d", interface.TimerFired(77)),
+        ("08 00000004 0003 0029", interface.ProxyLeft(41)),
+        ("07 0000000b 0003 0029 0000 40d00000 01", interface.ProxyJoined(41, 0, 6.5, True)),
+        ("0b 00000016 0003 00000000 0029 00000009 409f400000000000 0000", interface.DemandReport(41, 0, 9, 0, 2000.0)),
+        ("05 0000000a 0003 00000002 0002 6869", interface.GossipReceived(2, b"hi")),
+        ("09 00000014 0003 0029 0000000000000007 4049000000000000", interface.Acknowledged(41, 7, 50.0)),
         (
             "04 00000017 0003 0a9011f21b84 0001 4024000000000000 01 40400000",
-            face.HealthCheckResult(ADDRESS, 1, 10.0, (3.0,)),
+            interface.HealthCheckResult(ADDRESS, 1, 10.0, (3.0,)),
         ),
-        ("0c 00000016 0003 00000001 0002 408f400000000000 00000005 0009", face.KeyRangeDemand(9, 2, 5, 1, 1000.0)),
-        ("0d 00000005 0003 0009 01", face.KeyRangeGranted(9, True)),
-        ("0e 0000000e 0003 3f800000 0009 0a9011f21b84", face.KeyRangeWeight(9, ADDRESS, 1.0)),
+        ("0c 00000016 0003 00000001 0002 408f400000000000 00000005 0009", interface.KeyRangeDemand(9, 2, 5, 1, 1000.0)),
+        ("0d 00000005 0003 0009 01", interface.KeyRangeGranted(9, True)),
+        ("0e 0000000e 0003 3f800000 0009 0a9011f21b84", interface.KeyRangeWeight(9, ADDRESS, 1.0)),
         ("06 00000002 0003", StopPlanner()),
     ],
 )
@@ -73,12 +73,12 @@
         simulator_frames.endpoint_update(0, 3),
     ]
     (_, first), (_, second) = decode(*records)
-    assert isinstance(first, face.EndpointUpdate)
-    assert isinstance(second, face.EndpointUpdate)
-    assert first.kind is face.UpdateKind.CACHED
+    assert isinstance(first, interface.EndpointUpdate)
+    assert isinstance(second, interface.EndpointUpdate)
+    assert first.kind is interface.UpdateKind.CACHED
     assert first.entries[0].server == simulator_frames.server_id(1)
     entry = second.entries[0]
-    assert second.kind is face.UpdateKind.DELTA
+    assert second.kind is interface.UpdateKind.DELTA
     assert (entry.server, entry.zone, entry.kind, entry.weight, entry.started_at) == (
         simulator_frames.server_id(2),
         1,
@@ -86,34 +86,37 @@
         1.5,
         6070.5,
     )
-    assert entry.availability is face.Availability.DRAINING
+    assert entry.availability is interface.Availability.DRAINING
 
 
 def test_a_failed_update_needs_no_endpoint_list() -> None:
     ((_, event),) = decode(simulator_frames.endpoint_update(9, scope=2))
-    assert event == face.EndpointUpdate(face.UpdateKind.FAILED, 1)
+    assert event == interface.EndpointUpdate(interface.UpdateKind.FAILED, 1)
 
 
 @pytest.mark.parametrize(
     ("action", "hex_text"),
     [
-        (face.SetWeight(117, ADDRESS, 0.75), "48 0000000e 0003 0075 0a9011f2 1b84 3f400000"),
-        (face.SetTimer(500.0, 77), "41 00000012 0003 407f400000000000 000000000000004d"),
-        (face.Log("two servers unknown"), "44 00000017 0003 0013 74776f207365727665727320756e6b6e6f776e"),
-        (face.SendGossip(b"hi 7"), "43 0000000a 0003 ffff 0004 68692037"),
-        (face.SendGossip(b"x", 1), "43 00000007 0003 0001 0001 78"),
-        (face.SetAdmission(117, (1,), 0.75, face.Retry.ONCE_IF_NOT_EXECUTED), "4c 0000000b 0003 0075 0002 3f400000 01"),
-        (face.AssignTable(41, 117, ()), "4b 00000008 0003 0029 0075 0000"),
-        (face.AssignTable(41, 117, (0, 2)), "4b 00000008 0003 0029 0075 0005"),
-        (face.SetEjection(ADDRESS, True), "4a 00000009 0003 0a9011f21b84 01"),
-        (face.ClearTable(117), "49 00000004 0003 0075"),
-        (face.AttachNonce(7, False), "4d 0000000b 0003 0000000000000007 00"),
-        (face.StartHealthCheck(ADDRESS), "42 00000008 0003 0a9011f21b84"),
-        (face.WatchEndpoints(), "46 00000003 0003 01"),
-        (face.FetchEndpoints(), "47 00000002 0003"),
+        (interface.SetWeight(117, ADDRESS, 0.75), "48 0000000e 0003 0075 0a9011f2 1b84 3f400000"),
+        (interface.SetTimer(500.0, 77), "41 00000012 0003 407f400000000000 000000000000004d"),
+        (interface.Log("two servers unknown"), "44 00000017 0003 0013 74776f207365727665727320756e6b6e6f776e"),
+        (interface.SendGossip(b"hi 7"), "43 0000000a 0003 ffff 0004 68692037"),
+        (interface.SendGossip(b"x", 1), "43 00000007 0003 0001 0001 78"),
+        (
+            interface.SetAdmission(117, (1,), 0.75, interface.Retry.ONCE_IF_NOT_EXECUTED),
+            "4c 0000000b 0003 0075 0002 3f400000 01",
+        ),
+        (interface.AssignTable(41, 117, ()), "4b 00000008 0003 0029 0075 0000"),
+        (interface.AssignTable(41, 117, (0, 2)), "4b 00000008 0003 0029 0075 0005"),
+        (interface.SetEjection(ADDRESS, True), "4a 00000009 0003 0a9011f21b84 01"),
+        (interface.ClearTable(117), "49 00000004 0003 0075"),
+        (interface.AttachNonce(7, False), "4d 0000000b 0003 0000000000000007 00"),
+        (interface.StartHealthCheck(ADDRESS), "42 00000008 0003 0a9011f21b84"),
+        (interface.WatchEndpoints(), "46 00000003 0003 01"),
+        (interface.FetchEndpoints(), "47 00000002 0003"),
     ],
 )
-def test_actions_are_encoded(action: face.Action, hex_text: str) -> None:
+def test_actions_are_encoded(action: interface.Action, hex_text: str) -> None:
     assert encode_action(3, action).hex() == hex_text.replace(" ", "")
 
 
