--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -10,7 +10,7 @@
 from stackwheel.policy.demand import MIN_DEMAND_PER_S, DemandKey, DemandTracker
 from stackwheel.policy.estimates import LoadEstimates
 from stackwheel.policy.load_shedding import SLOW_OBJECTIVES, LoadShedding
-from stackwheel.policy.peer_planners import PeerFigures, PeerPlanners
+from stackwheel.policy.peer_planners import PeerPlanners, PeerState
 from stackwheel.policy.servers import Rates, ServerPool
 
 CROSS_ZONE_LATENCY_OBJECTIVES = 30.0
@@ -116,7 +116,7 @@
         ]
         return [[key for key in keys if ranks[key.request_class] == rank] for rank in sorted(set(ranks))]
 
-    def share_among_planners(self, demand: float, fresh: list[PeerFigures]) -> float:
+    def share_among_planners(self, demand: float, fresh: list[PeerState]) -> float:
         """Our share of the demand that planners report, scaled down by the proxies that none of them accounts for.
 
         Those count as the average of the ones that are accounted for.
--- a/stackwheel/policy/channel.py
+++ b/stackwheel/policy/channel.py
@@ -86,7 +86,7 @@
         self.unacknowledged: dict[int, SentUpdate] = {}
         self.pending_lines: dict[int, int] = {}
 
-    def begin(self, now: float, proxies: dict[int, ProxyView]) -> None:
+    def start_call(self, now: float, proxies: dict[int, ProxyView]) -> None:
         """Start a call of the planner: let time pass for the queue and for the pace of changes.
 
         The queue drains by two rules. While acknowledgements are expected, only they shorten it (`acknowledge`). Once
@@ -130,7 +130,7 @@
         pending = self.pending_lines
         return self.queue_limit * share - self.queued_lines - sum(pending.values()) - len(pending) * self.overhead_lines
 
-    def may_write(self, proxy: int, share: float, spacing_ms: float = 0.0) -> bool:
+    def may_send_message(self, proxy: int, share: float, spacing_ms: float = 0.0) -> bool:
         """Whether one more message to a proxy fits into a share of its cap, and the last is so long ago."""
         window_start = self.now - self.settings.message_window
         recent = [at for at in self.message_times.get(proxy, []) if at > window_start]
--- a/stackwheel/policy/gossip.py
+++ b/stackwheel/policy/gossip.py
@@ -18,7 +18,7 @@
 RATE_UNITS_PER_REQUEST = 10
 """A line states tenths of a request a second."""
 
-LINES_PER_DATAGRAM = 31
+MAX_LINES_PER_DATAGRAM = 31
 """The protocol allows 256 bytes: a header and so many lines."""
 
 MAX_FIELD = 65535
@@ -44,8 +44,8 @@
         LINE.pack(server, round(max(0.0, min(MAX_FIELD, rate * RATE_UNITS_PER_REQUEST))))
         for server, rate in rates.items()
     ]
-    starts = range(0, len(lines), LINES_PER_DATAGRAM)
-    return [header + b"".join(lines[start : start + LINES_PER_DATAGRAM]) for start in starts]
+    starts = range(0, len(lines), MAX_LINES_PER_DATAGRAM)
+    return [header + b"".join(lines[start : start + MAX_LINES_PER_DATAGRAM]) for start in starts]
 
 
 def decode(payload: bytes) -> GossipMessage:
--- a/stackwheel/policy/joins.py
+++ b/stackwheel/policy/joins.py
@@ -27,7 +27,7 @@
 """
 
 
-class Joins:
+class JoinScheduler:
     """Assigns tables to proxies, the busiest first.
 
     Attributes:
@@ -60,7 +60,7 @@
         """
         return bool(self.waiting) and self.lines_before_deadline(1, now) < 0
 
-    def assign_waiting(self, now: float) -> None:
+    def assign_tables(self, now: float) -> None:
         """Give proxies that wait their zones' tables; when none waits, complete tables replace short ones."""
         if not self.waiting:
             if not self.updates.has_deferred:
@@ -78,7 +78,7 @@
 
     def may_get_message(self, number: int) -> bool:
         """Whether a proxy's message cap allows its tables, from the reserve too if that is not used in a row."""
-        return self.channel.may_write(number, CHANGE_MESSAGE_SHARE) or self.channel.may_write(
+        return self.channel.may_send_message(number, CHANGE_MESSAGE_SHARE) or self.channel.may_send_message(
             number, 1.0, self.channel.reserve_spacing_ms()
         )
 
@@ -134,7 +134,7 @@
             (-sum(proxy.demand), number)
             for number, proxy in self.proxies.items()
             if proxy.group not in self.groups.by_zone[proxy.zone][COMPLETE]
-            and self.channel.may_write(number, CHANGE_MESSAGE_SHARE)
+            and self.channel.may_send_message(number, CHANGE_MESSAGE_SHARE)
         ]
         for _, number in sorted(short):
             if not self.assign(number, self.group_for(self.proxies[number], math.inf, now), GROWTH_QUEUE_SHARE):
--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -51,7 +51,7 @@
 LEVEL_CHANGE_SHARE = 0.1
 """Of a level: a smaller change is not sent."""
 
-RETRY = Retry.ONCE_IF_NOT_EXECUTED
+RETRY_MODE = Retry.ONCE_IF_NOT_EXECUTED
 """Safe for any class; a retry after any failure doubled the work just when servers were short."""
 
 
@@ -158,7 +158,7 @@
             admitted: as `admitted_shares` returns them.
         """
         return {
-            request_class: AdmissionLevel(self.level(table.zone, request_class, admitted[request_class]), RETRY)
+            request_class: AdmissionLevel(self.level(table.zone, request_class, admitted[request_class]), RETRY_MODE)
             for request_class in table.classes
         }
 
--- a/stackwheel/policy/peer_planners.py
+++ b/stackwheel/policy/peer_planners.py
@@ -15,7 +15,7 @@
 """Read by one planner in a report interval; where its peers would send more, nobody gossips."""
 
 
-class PeerFigures(NamedTuple):
+class PeerState(NamedTuple):
     """What one peer reported in its datagrams so far."""
 
     received_at: float
@@ -31,7 +31,7 @@
         self.planner_count = settings.planner_count
         self.gossip_recipients = settings.planner_count - 1 if settings.gossip_enabled else 0
         self.lifetime_ms = PEER_FIGURES_INTERVALS * settings.report_interval
-        self.figures: dict[int, PeerFigures] = {}
+        self.states: dict[int, PeerState] = {}
 
     def record(self, sender: int, payload: bytes, now: float) -> None:
         """Add a datagram to its sender's earlier figures; a peer without proxies sends nothing anywhere.
@@ -40,15 +40,15 @@
             MalformedGossipError: it is no planner's datagram.
         """
         message = gossip.decode(payload)
-        known = self.figures.get(sender)
+        known = self.states.get(sender)
         rates = {**(known.rates if known else {}), **message.rates} if message.proxies else {}
         known_servers = {server: rate for server, rate in rates.items() if server in self.pool.views}
-        self.figures[sender] = PeerFigures(now, message.proxies, known_servers)
+        self.states[sender] = PeerState(now, message.proxies, known_servers)
 
-    def fresh(self, now: float) -> list[PeerFigures]:
+    def fresh(self, now: float) -> list[PeerState]:
         """The figures that still count."""
         oldest = now - self.lifetime_ms
-        return [figures for figures in self.figures.values() if figures.received_at > oldest]
+        return [figures for figures in self.states.values() if figures.received_at > oldest]
 
     def others_rate(self, view: ServerView, now: float) -> float:
         """Requests a second that other planners' proxies send to a server.
--- a/stackwheel/policy/planner.py
+++ b/stackwheel/policy/planner.py
@@ -36,7 +36,7 @@
 from stackwheel.policy.estimates import LoadEstimates
 from stackwheel.policy.gossip import MalformedGossipError
 from stackwheel.policy.health_checks import HealthChecks
-from stackwheel.policy.joins import Joins
+from stackwheel.policy.joins import JoinScheduler
 from stackwheel.policy.load_shedding import LoadShedding
 from stackwheel.policy.outlier_ejection import OutlierEjection
 from stackwheel.policy.peer_planners import PeerPlanners
@@ -85,7 +85,7 @@
         self.updates = UpdateScheduler(
             settings, self.actions, self.slot, self.pool, self.channel, self.shedding, self.groups
         )
-        self.joins = Joins(settings, self.actions, self.proxies, self.channel, self.groups, self.updates)
+        self.joins = JoinScheduler(settings, self.actions, self.proxies, self.channel, self.groups, self.updates)
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Take a batch of events in and decide what to do about it.
@@ -105,7 +105,7 @@
             The actions, in the order in which they count.
         """
         self.actions.clear()
-        self.channel.begin(now, self.proxies)
+        self.channel.start_call(now, self.proxies)
         if self.settings.key_range_count:
             return []
         is_starting = self.slot.started_at == -math.inf
@@ -122,7 +122,7 @@
                 # Move once per cause: moving again in each batch while the queue is full would break the step cap.
                 self.groups.move_all(now)
             self.send_updates(now)
-        self.joins.assign_waiting(now)
+        self.joins.assign_tables(now)
         return self.actions + self.channel.commit()
 
     def take(self, event: Event, now: float) -> bool:
@@ -199,5 +199,5 @@
     def send_updates(self, now: float) -> None:
         """Send changes of tables, after proxies that have waited too long for their first ones."""
         if self.joins.are_overdue(now):
-            self.joins.assign_waiting(now)
+            self.joins.assign_tables(now)
         self.updates.send(bool(self.joins.waiting), now)
--- a/stackwheel/policy/table_groups.py
+++ b/stackwheel/policy/table_groups.py
@@ -12,7 +12,7 @@
 from stackwheel.policy.demand import DemandKey
 from stackwheel.policy.proxies import ProxyView
 from stackwheel.policy.servers import Rates, ReadyServers, ServerPool
-from stackwheel.policy.tables import Table, TableGroup, shares_of
+from stackwheel.policy.tables import Table, TableGroup, table_shares
 
 COMPLETE: Final = 0
 """The size that stands for complete tables; else a size is the lines of a short table.
@@ -91,7 +91,7 @@
         """What a complete table should hold: all servers that its first class may use, or any of its classes does."""
         rates = self.wanted_rates(table, ready)
         usable = self.placement[DemandKey(table.zone, table.classes[0])]
-        return shares_of({s: rate for s, rate in rates.items() if rate > 0 or s in usable}, self.pool, now)
+        return table_shares({s: rate for s, rate in rates.items() if rate > 0 or s in usable}, self.pool, now)
 
     def wanted_rates(self, table: Table, ready: ReadyServers) -> Rates:
         """Requests a second of all classes of a table, by ready server."""
@@ -101,14 +101,14 @@
     def move_short(self, size: int, tables: tuple[Table, ...], ready: ReadyServers, now: float) -> None:
         """Short tables together hold what is most wanted of a zone, and each of them some healthy servers."""
         rates = self.wanted_rates(tables[0], ready)
-        wanted = shares_of({server: rate for server, rate in rates.items() if rate > 0}, self.pool, now)
+        wanted = table_shares({server: rate for server, rate in rates.items() if rate > 0}, self.pool, now)
         distribute(wanted, size, tables)
         for table in tables:
             table.members = [server for server in table.members if server in wanted]
             others = [s for s in wanted if s not in table.members and s not in ready.uncapped]
             lacking = MIN_HEALTHY_LINES - sum(server not in ready.uncapped for server in table.members)
             table.members += self.random.sample(others, min(len(others), max(0, lacking)))
-            target = shares_of({server: wanted[server] for server in table.members}, self.pool, now)
+            target = table_shares({server: wanted[server] for server in table.members}, self.pool, now)
             table.step_towards(target, ready)
 
     def create(self, zone: int, size: int, count: int, now: float) -> list[TableGroup]:
--- a/stackwheel/policy/tables.py
+++ b/stackwheel/policy/tables.py
@@ -9,7 +9,7 @@
 from stackwheel.policy.arithmetic import bounded
 from stackwheel.policy.servers import Rates, ReadyServers, ServerPool
 
-MAX_STEP = 0.2
+MAX_SHARE_STEP = 0.2
 """Of a share or its target, whichever is more: the furthest that it moves in a slot."""
 
 MIN_SHARE = 0.005
@@ -56,7 +56,7 @@
         shares = {server: growth * self.shares.get(server, 0.0) for server in ready.servers}
         for server, old in shares.items():
             new = target.get(server, 0.0)
-            limit = math.inf if server in uncapped else MAX_STEP * max(old, new)
+            limit = math.inf if server in uncapped else MAX_SHARE_STEP * max(old, new)
             shares[server] = old + bounded(new - old, -limit, limit)
         self.shares = {s: share for s, share in shares.items() if share >= MIN_SHARE or s in target}
 
@@ -76,16 +76,16 @@
         return sum(len(table.sent) + 1 + len(table.classes) for table in self.tables)
 
 
-def shares_of(placed: Rates, pool: ServerPool, now: float) -> Rates:
+def table_shares(rates: Rates, pool: ServerPool, now: float) -> Rates:
     """Turn rates into the shares of a table.
 
     Ejected servers keep a trickle; of shares under the least one a draw keeps as many as carry their part together.
     """
-    total = sum(placed.values()) or 1.0
-    trickle = TRICKLE_SHARE / max(1, len(placed))
+    total = sum(rates.values()) or 1.0
+    trickle = TRICKLE_SHARE / max(1, len(rates))
     all_shares: Rates = {}
     kept: Rates = {}
-    for server, rate in placed.items():
+    for server, rate in rates.items():
         view = pool.views[server]
         if view.is_ejected(now):
             all_shares[server] = kept[server] = trickle
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -52,7 +52,7 @@
     """Its server is warming up and has too much: it must not be overloaded."""
     SOON = 2
     """Its server is ejected and has too much, or its table can hardly serve."""
-    NEW = 3
+    NEW_LINE = 3
     """Its table lacks a part that was never sent."""
     ROUTINE = 4
     """An ordinary adjustment of weights."""
@@ -63,7 +63,7 @@
 
     urgency: Urgency
     negated_size: float
-    position: int
+    table_index: int
     """Of its table in the group."""
     server: ServerId
     weight: float
@@ -155,7 +155,7 @@
         levels = [self.shedding.levels(table, admitted) for table in group.tables]
         level_lines = count_level_lines(group, levels)
         free_lines = self.free_lines_for_each(group) - level_lines
-        may_send = free_lines > 0 and self.may_write(group, changes, now)
+        may_send = free_lines > 0 and self.may_send_message(group, changes, now)
         max_paced_lines = 0.0 if only_urgent else self.lines_within_pace(group, lacks_lines(changes))
         max_changes = int(bounded(max(count_urgent(changes), max_paced_lines), 0, max(0, free_lines)))
         chosen = changes[:max_changes] if may_send else []
@@ -196,7 +196,7 @@
         overhead = channel.overhead_lines
         return max(overhead, channel.max_change_allowance / max(1, len(group.users)) - overhead)
 
-    def may_write(self, group: TableGroup, changes: Sequence[WeightChange], now: float) -> bool:
+    def may_send_message(self, group: TableGroup, changes: Sequence[WeightChange], now: float) -> bool:
         """Whether the queue is short, and each proxy of a group may get one more message.
 
         Proxies already written to in this call of the planner are skipped: each gets one message a call, and what is
@@ -215,21 +215,21 @@
         uses_reserve = changes and changes[0].urgency <= Urgency.WARMING and since_last >= channel.reserve_spacing_ms()
         share = 1.0 if uses_reserve else CHANGE_MESSAGE_SHARE
         return channel.free_lines(CHANGE_QUEUE_SHARE) > 0 and all(
-            channel.may_write(user, share) for user in group.users if user not in channel.pending_lines
+            channel.may_send_message(user, share) for user in group.users if user not in channel.pending_lines
         )
 
     def group_changes(self, group: TableGroup, only_urgent: bool, now: float) -> list[WeightChange]:
         """The changes of all tables of a group, in the order in which they should be sent."""
         changes = [
             change
-            for position, table in enumerate(group.tables)
-            for change in self.table_changes(position, table, now)
+            for table_index, table in enumerate(group.tables)
+            for change in self.table_changes(table_index, table, now)
             if not only_urgent or change.urgency <= Urgency.WARMING
         ]
         changes.sort()
         return changes
 
-    def table_changes(self, position: int, table: Table, now: float) -> list[WeightChange]:
+    def table_changes(self, table_index: int, table: Table, now: float) -> list[WeightChange]:
         """Lines of a table that moved by over a tenth, came or went."""
         scale = table.scale()
         shares = table.shares
@@ -242,7 +242,7 @@
             size = abs(new - old)
             if size > MIN_CHANGE_SHARE * max(new, old) or (old > 0) != (new > 0):
                 urgency = self.change_urgency(server, old, new, now) if old != 0 else new_line_urgency(lacking)
-                changes.append(WeightChange(urgency, -size, position, server, new))
+                changes.append(WeightChange(urgency, -size, table_index, server, new))
         return changes
 
     def change_urgency(self, server: ServerId, old: float, new: float, now: float) -> Urgency:
@@ -261,9 +261,9 @@
     ) -> None:
         """Send chosen changes of a group's tables, and all of their levels that differ."""
         users = list(group.users)
-        for position, table in enumerate(group.tables):
-            weights = {change.server: change.weight for change in chosen if change.position == position}
-            self.write(table, users, weights, levels[position])
+        for table_index, table in enumerate(group.tables):
+            weights = {change.server: change.weight for change in chosen if change.table_index == table_index}
+            self.write_table(table, users, weights, levels[table_index])
         if chosen:
             group.written_at = now
 
@@ -272,9 +272,9 @@
         admitted = self.shedding.admitted_shares(now)
         for group in groups:
             for table in group.tables:
-                self.write(table, [], table.shares, self.shedding.levels(table, admitted))
+                self.write_table(table, [], table.shares, self.shedding.levels(table, admitted))
 
-    def write(self, table: Table, users: list[int], weights: Rates, levels: dict[int, AdmissionLevel]) -> None:
+    def write_table(self, table: Table, users: list[int], weights: Rates, levels: dict[int, AdmissionLevel]) -> None:
         """Set lines and levels of one table, and charge them to its users."""
         actions: list[Action] = [SetWeight(table.number, server, weight) for server, weight in weights.items()]
         table.sent = {server: weight for server, weight in {**table.sent, **weights}.items() if weight > 0}
@@ -291,17 +291,17 @@
     """How long a line that its table lacks may wait, by the share that the table lacks in all."""
     if lacking > EMPTY_SHARE:
         return Urgency.SOON
-    return Urgency.NEW if lacking > LACKING_SHARE else Urgency.ROUTINE
+    return Urgency.NEW_LINE if lacking > LACKING_SHARE else Urgency.ROUTINE
 
 
 def count_urgent(changes: Sequence[WeightChange]) -> int:
     """How many changes must not wait for the pace; neither new lines nor routine changes count."""
-    return sum(change.urgency < Urgency.NEW for change in changes)
+    return sum(change.urgency < Urgency.NEW_LINE for change in changes)
 
 
 def lacks_lines(changes: Sequence[WeightChange]) -> bool:
     """Whether some table lacks a part that was never sent."""
-    return any(change.urgency == Urgency.NEW for change in changes)
+    return any(change.urgency == Urgency.NEW_LINE for change in changes)
 
 
 def count_level_lines(group: TableGroup, levels: list[dict[int, AdmissionLevel]]) -> int:
--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -20,7 +20,7 @@
 
 def datagrams_per_interval(planners: int, servers: int) -> int:
     """The datagrams that one planner of a cell sends in a report interval; it reads as many."""
-    needed = (planners - 1) * math.ceil(servers / gossip.LINES_PER_DATAGRAM)
+    needed = (planners - 1) * math.ceil(servers / gossip.MAX_LINES_PER_DATAGRAM)
     return needed if needed <= MAX_DATAGRAMS_PER_INTERVAL else 0
 
 
@@ -28,7 +28,7 @@
     """The bytes of the datagrams that one planner of a cell reads in a report interval."""
     if not datagrams_per_interval(planners, servers):
         return 0
-    payloads = math.ceil(servers / gossip.LINES_PER_DATAGRAM)
+    payloads = math.ceil(servers / gossip.MAX_LINES_PER_DATAGRAM)
     return (planners - 1) * (payloads * gossip.HEADER.size + servers * gossip.LINE.size)
 
 
--- a/stackwheel/trials/defects/policy.py
+++ b/stackwheel/trials/defects/policy.py
@@ -11,7 +11,7 @@
 from stackwheel.policy import load_shedding, table_groups, tables
 from stackwheel.policy.channel import ChannelBudget
 from stackwheel.policy.endpoints import EndpointTracker
-from stackwheel.policy.joins import Joins
+from stackwheel.policy.joins import JoinScheduler
 from stackwheel.policy.servers import Rates, ServerPool
 from stackwheel.policy.slow_start import SlowStart
 from stackwheel.policy.tables import Table
@@ -56,50 +56,48 @@
     """Changes to weight 0 are left out, and the others are never urgent."""
     original = UpdateScheduler.table_changes
 
-    def table_changes(self: UpdateScheduler, position: int, table: Table, now: float) -> list[WeightChange]:
+    def table_changes(self: UpdateScheduler, table_index: int, table: Table, now: float) -> list[WeightChange]:
         """In place of `UpdateScheduler.table_changes`."""
-        changes = original(self, position, table, now)
-        return [change._replace(urgency=Urgency.NEW) for change in changes if change.weight > 0]
+        changes = original(self, table_index, table, now)
+        return [change._replace(urgency=Urgency.NEW_LINE) for change in changes if change.weight > 0]
 
     return [Patch(UpdateScheduler, "table_changes", table_changes)]
 
 
 def no_slow_start() -> Sequence[Patch]:
     """A server that has just started counts as warm, and any load may move to it at once."""
-    return [Patch(SlowStart, "available_share", returns(1.0)), Patch(tables, "MAX_STEP", UNLIMITED_STEP)]
+    return [Patch(SlowStart, "available_share", returns(1.0)), Patch(tables, "MAX_SHARE_STEP", UNLIMITED_STEP)]
 
 
 def slow_start_share_exceeded() -> Sequence[Patch]:
     """Servers that warm up get a multiple of the share that was worked out for them."""
-    original = tables.shares_of
-
-    def shares_of(placed: Rates, pool: ServerPool, now: float) -> Rates:
-        """In place of `tables.shares_of`."""
-        warming_up = {server for server in placed if pool.available_share(pool.views[server], now) < 1.0}
-        exceeded = {
-            server: rate * (OVERLOAD_FACTOR if server in warming_up else 1.0) for server, rate in placed.items()
-        }
+    original = tables.table_shares
+
+    def table_shares(rates: Rates, pool: ServerPool, now: float) -> Rates:
+        """In place of `tables.table_shares`."""
+        warming_up = {server for server in rates if pool.available_share(pool.views[server], now) < 1.0}
+        exceeded = {server: rate * (OVERLOAD_FACTOR if server in warming_up else 1.0) for server, rate in rates.items()}
         return original(exceeded, pool, now)
 
-    return [Patch(table_groups, "shares_of", shares_of)]
+    return [Patch(table_groups, "table_shares", table_shares)]
 
 
 def retries_without_condition() -> Sequence[Patch]:
     """Proxies are told to retry whatever failed."""
-    return [Patch(load_shedding, "RETRY", Retry.TWICE)]
+    return [Patch(load_shedding, "RETRY_MODE", Retry.TWICE)]
 
 
 def joined_proxies_ignored() -> Sequence[Patch]:
     """Proxies that joined are assigned no table."""
-    return [Patch(Joins, "assign_waiting", returns(None))]
+    return [Patch(JoinScheduler, "assign_tables", returns(None))]
 
 
 def one_class_assigned() -> Sequence[Patch]:
     """Tables of all classes but the first are never assigned."""
-    original = Joins.assign_waiting
+    original = JoinScheduler.assign_tables
 
-    def assign_waiting(self: Joins, now: float) -> None:
-        """In place of `Joins.assign_waiting`."""
+    def assign_tables(self: JoinScheduler, now: float) -> None:
+        """In place of `JoinScheduler.assign_tables`."""
         original(self, now)
         self.actions[:] = [
             action
@@ -107,23 +105,23 @@
             if not (isinstance(action, face.AssignTable) and action.classes and action.classes[0] > 0)
         ]
 
-    return [Patch(Joins, "assign_waiting", assign_waiting)]
+    return [Patch(JoinScheduler, "assign_tables", assign_tables)]
 
 
 def tables_emptied() -> Sequence[Patch]:
     """In every third slot all weights of a table that is written become 0."""
-    original = UpdateScheduler.write
+    original = UpdateScheduler.write_table
 
-    def write(
+    def write_table(
         self: UpdateScheduler, table: Table, users: list[int], weights: Rates, levels: dict[int, face.AdmissionLevel]
     ) -> None:
-        """In place of `UpdateScheduler.write`."""
+        """In place of `UpdateScheduler.write_table`."""
         slot = self.slot.number
         if slot >= FIRST_EMPTIED_SLOT and slot % EMPTIED_EVERY_SLOTS == 0:
             weights = dict.fromkeys((*weights, *table.sent), 0.0)
         original(self, table, users, weights, levels)
 
-    return [Patch(UpdateScheduler, "write", write)]
+    return [Patch(UpdateScheduler, "write_table", write_table)]
 
 
 def queue_unbounded() -> Sequence[Patch]:
@@ -134,7 +132,7 @@
 def message_cap_ignored() -> Sequence[Patch]:
     """Neither the policy nor the connections limit the messages to one proxy."""
     return [
-        Patch(ChannelBudget, "may_write", returns(True)),
+        Patch(ChannelBudget, "may_send_message", returns(True)),
         Patch(RateLimiter, "delay", returns(0.0)),
     ]
 
@@ -148,7 +146,7 @@
 
     return [
         Patch(SocketTransport, "limiter", limiter),
-        Patch(ChannelBudget, "may_write", returns(True)),
+        Patch(ChannelBudget, "may_send_message", returns(True)),
     ]
 
 
--- a/tests/policy/test_tables.py
+++ b/tests/policy/test_tables.py
@@ -14,7 +14,7 @@
         before = harness.shares(0)
         harness.slot(utilization={0: 1.0}, latencies={0: 900.0})
         after = harness.shares(0)
-        assert after[server_id(0)] >= before[server_id(0)] * (1 - tables.MAX_STEP) * 0.85
+        assert after[server_id(0)] >= before[server_id(0)] * (1 - tables.MAX_SHARE_STEP) * 0.85
 
 
 def test_a_fleet_of_a_thousand_servers_has_no_empty_table() -> None:
--- a/tests/policy/test_updates.py
+++ b/tests/policy/test_updates.py
@@ -9,7 +9,7 @@
 from stackwheel.interface import Availability
 from stackwheel.policy import slow_start
 from stackwheel.policy.demand import DemandKey
-from stackwheel.policy.tables import shares_of
+from stackwheel.policy.tables import table_shares
 from stackwheel.policy.updates import Urgency
 
 
@@ -130,7 +130,7 @@
     harness.slot(attempts=5, demand=20, failures=dict.fromkeys((1, 2, 3), 5), latencies=dict.fromkeys((1, 2, 3), 1.0))
     assert sum(1 for v in harness.planner.pool.views.values() if v.is_ejected(harness.now)) == 3
     placement = harness.planner.allocator.spread(sorted(harness.planner.groups.by_zone), harness.now)
-    goal = shares_of(placement[DemandKey(0, 0)], harness.planner.pool, harness.now)[server_id(0)]
+    goal = table_shares(placement[DemandKey(0, 0)], harness.planner.pool, harness.now)[server_id(0)]
     assert 0 < harness.shares(0)[server_id(0)] < 1.3 * goal
 
 
--- a/tests/service/test_app.py
+++ b/tests/service/test_app.py
@@ -15,8 +15,8 @@
     channel = ChannelBudget(with_slot_jitter(settings))
     proxy = 3
     channel.message_times[proxy] = [1000.0, 2000.0]
-    channel.begin(10_990.0, {})
-    assert channel.may_write(proxy, 1.0)
+    channel.start_call(10_990.0, {})
+    assert channel.may_send_message(proxy, 1.0)
     assert replace(with_slot_jitter(settings), message_window=settings.message_window) == settings
 
 
--- a/tests/state/test_state_bounds.py
+++ b/tests/state/test_state_bounds.py
@@ -100,7 +100,7 @@
                             actor.streams.by_proxy[1].ejected,
                             actor.updates.ejected,
                             policy.pool.views,
-                            policy.peers.figures[1].rates,
+                            policy.peers.states[1].rates,
                             policy.channel.unacknowledged,
                             policy.channel.message_times,
                         )
