--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -176,7 +176,7 @@
     """A publisher for one zone that serves so many servers."""
     ids = ServerIds()
     for number in range(servers):
-        ids.learn(f"s-{number}")
+        ids.register(f"s-{number}")
     names = ConfiguredNames(CLASSES, ("east",), ("k",), ())
     settings = PublisherSettings(file_lifetime=3e4, deltas_per_base=20, report_interval=1e6)
     posted: list[PlannerMessage] = []
--- a/stackwheel/forwarder/state.py
+++ b/stackwheel/forwarder/state.py
@@ -50,7 +50,7 @@
         lines = dict.fromkeys(servers, 1.0)
         for table in self.class_tables.values():
             table.lines = dict(lines)
-            self.refresh(table)
+            self.update_available_servers(table)
 
     def apply(self, update: ConfigUpdate) -> None:
         """Apply an update.
@@ -63,9 +63,9 @@
         for part in update.parts:
             self._apply_part(part)
         for table in self.class_tables.values():
-            self.refresh(table)
+            self.update_available_servers(table)
 
-    def refresh(self, table: ClassTable) -> None:
+    def update_available_servers(self, table: ClassTable) -> None:
         """Compute what follows from the lines of a table and the ejected servers."""
         table.available = [server for server in table.lines if server not in self.ejected]
         table.cumulative_weights = []
@@ -78,7 +78,7 @@
         """Whether no server is available for a class."""
         return not self.class_tables[request_class].available
 
-    def shares(self, request_class: str, avoided: Collection[str] = ()) -> dict[str, float]:
+    def traffic_shares(self, request_class: str, avoided: Collection[str] = ()) -> dict[str, float]:
         """The share of a class's requests that each server gets by weight, while some servers are avoided."""
         table = self.class_tables[request_class]
         servers = [server for server in table.available if server not in avoided] or table.available
--- a/stackwheel/forwarder/updates.py
+++ b/stackwheel/forwarder/updates.py
@@ -75,7 +75,7 @@
     def __init__(self) -> None:
         self.parts: list[ConfigUpdatePart] = []
 
-    def take(self, line: str) -> ConfigUpdate | None:
+    def feed_line(self, line: str) -> ConfigUpdate | None:
         """Read a line, without its end.
 
         Returns:
--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -86,7 +86,7 @@
         overloaded_since: servers that warm up and are overloaded, since when.
         violations: what was broken, once for each rule and subject; at most `MAX_VIOLATIONS`.
         events: the last events, for the trail of a violation.
-        checks: how often a rule was looked at.
+        check_count: how often a rule was looked at.
     """
 
     def __init__(self, limits: Limits, classes: tuple[RequestClass, ...], zones: int) -> None:
@@ -100,16 +100,16 @@
         self.overloaded_since: dict[str, float] = {}
         self.violations: list[Violation] = []
         self.events = EventLog()
-        self.checks = 0
+        self.check_count = 0
         self._reported: set[ReportKey] = set()
 
     # Reports
 
-    def note(self, now: float, text: str, *subjects: object) -> None:
+    def record_event(self, now: float, text: str, *subjects: object) -> None:
         """Remember an event for the trail of a violation."""
         self.events.note(now, text, *subjects)
 
-    def break_rule(
+    def report_violation(
         self,
         now: float,
         rule: Rule,
@@ -132,7 +132,7 @@
     def planner_ready(self, planner: int, now: float) -> None:
         """A planner's process has answered for the first time; nothing that a former one knew binds it."""
         self.planners[planner] = PlannerView(now, now + READY_GRACE)
-        self.note(now, "ready", f"planner-{planner}")
+        self.record_event(now, "ready", f"planner-{planner}")
 
     def planner_stopped(self, planner: int, now: float) -> None:
         """A planner's process has ended, and with it its streams."""
@@ -140,7 +140,7 @@
         for proxy, state in self.proxies.items():
             if state.planner == planner:
                 self.proxy_left(proxy, now)
-        self.note(now, "gone", f"planner-{planner}")
+        self.record_event(now, "gone", f"planner-{planner}")
 
     def suspend_limits(self, planner: int, until: float) -> None:
         """Run no limit of a planner before that time: after a reload, or while its process is suspended."""
@@ -160,7 +160,7 @@
         view = self.planners.get(planner)
         if view is None:
             return
-        self.note(now, f"told {AVAILABILITY_LABELS[listed.availability]}", f"planner-{planner}", server)
+        self.record_event(now, f"told {AVAILABILITY_LABELS[listed.availability]}", f"planner-{planner}", server)
         view.notified(server, listed, now, self.limits.removal_is_advisory)
         if listed.availability is Availability.READY and listed.warm_at > now:
             heapq.heappush(self.deadlines, Deadline(listed.warm_at, DeadlineKind.SERVER_WARM, planner, 0))
@@ -181,14 +181,14 @@
         state = self.proxies[proxy]
         state.planner = planner
         state.joined_at = now
-        self.note(now, "joined", f"proxy-{proxy}", f"planner-{planner}")
+        self.record_event(now, "joined", f"proxy-{proxy}", f"planner-{planner}")
         self._schedule(proxy, state)
 
     def proxy_left(self, proxy: int, now: float) -> None:
         """A proxy's stream has ended; it may have none."""
         state = self.proxies[proxy]
         if state.planner is not None:
-            self.note(now, "left", f"proxy-{proxy}", f"planner-{state.planner}")
+            self.record_event(now, "left", f"proxy-{proxy}", f"planner-{state.planner}")
         state.planner = None
 
     def lines_changed(self, proxy: int, request_class: int, has_lines: bool, now: float) -> None:
@@ -200,11 +200,11 @@
             state.unserved_since[request_class] = now
             self._schedule_class(proxy, state, request_class)
 
-    def advance(self, now: float) -> None:
+    def check_deadlines(self, now: float) -> None:
         """Time has moved: look at the limits that have run out."""
         while self.deadlines and self.deadlines[0].at <= now:
             deadline = heapq.heappop(self.deadlines)
-            self.checks += 1
+            self.check_count += 1
             if deadline.kind is DeadlineKind.SERVER_WARM:
                 if deadline.subject in self.planners:
                     self._update_serviceable(deadline.subject, now)
@@ -217,7 +217,7 @@
             self._schedule_class(proxy, state, request_class)
             return
         since = state.unserved_since[request_class] / 1000.0
-        self.break_rule(
+        self.report_violation(
             now, Rule.SERVED, f"no line for class {request_class} since {since:.3f} s", state.planner, proxy
         )
 
@@ -255,11 +255,11 @@
         view = self.planners.get(state.planner) if state.planner is not None else None
         if view is None or server not in view.unavailable_since:
             return
-        self.checks += 1
+        self.check_count += 1
         since = max(view.unavailable_since[server], state.joined_at, view.limits_from, state.limits_from)
         if now > since + self.limits.drain_grace:
             detail = f"sent {(now - since) / 1000.0:.2f} s after it was told"
-            self.break_rule(now, Rule.DRAINS, detail, state.planner, proxy, server)
+            self.report_violation(now, Rule.DRAINS, detail, state.planner, proxy, server)
 
     def request_executed(
         self, request: int, request_class: int, scope: int, proxy: int, server: str, now: float
@@ -271,10 +271,10 @@
             return
         if self.classes[request_class].idempotency == "repeatable":
             return
-        self.checks += 1
+        self.check_count += 1
         executions.append(Execution(scope, now))
         detail = f"request {request} of class {request_class} took effect {len(executions)} times"
-        self.break_rule(now, Rule.ONCE, detail, self.proxies[proxy].planner, proxy, server)
+        self.report_violation(now, Rule.ONCE, detail, self.proxies[proxy].planner, proxy, server)
 
     def forget_request(self, request: int) -> None:
         """No attempt of a request can run any more."""
@@ -285,13 +285,13 @@
         state = self.proxies[proxy]
         if now - max(decided_at, state.limits_from) > MAX_ANSWER_DELAY:
             detail = f"request {request} answered {now - decided_at:.0f} ms after its end"
-            self.break_rule(now, Rule.PROMPT, detail, state.planner, proxy)
+            self.report_violation(now, Rule.PROMPT, detail, state.planner, proxy)
 
     # Servers that warm up
 
     def warming_server_load(self, server: str, load: float, capacity: float, now: float) -> None:
         """What all joined proxies together send to a server that warms up, and its present capacity; same unit."""
-        self.checks += 1
+        self.check_count += 1
         if load <= self.limits.overload_multiple * capacity:
             self.overloaded_since.pop(server, None)
             return
@@ -299,7 +299,7 @@
         if now - since >= self.limits.overload_duration:
             multiple = load / max(MIN_CAPACITY, capacity)
             detail = f"sent {multiple:.1f} times what it can do for {(now - since) / 1000.0:.1f} s"
-            self.break_rule(now, Rule.COLD, detail, server=server)
+            self.report_violation(now, Rule.COLD, detail, server=server)
 
     def server_warmed_up(self, server: str) -> None:
         """A server has its full capacity, or no longer runs."""
@@ -309,10 +309,10 @@
 
     def lines_queued(self, planner: int, lines: float, now: float) -> None:
         """So many lines of a planner wait in the channel."""
-        self.checks += 1
+        self.check_count += 1
         limit = self.limits.queue_limit
         if limit and lines > limit:
-            self.break_rule(now, Rule.QUEUE, f"{lines:.0f} lines wait, {limit:.0f} may", planner)
+            self.report_violation(now, Rule.QUEUE, f"{lines:.0f} lines wait, {limit:.0f} may", planner)
 
     def message_written(self, planner: int, proxy: int, now: float) -> None:
         """A planner has written a message to a proxy."""
@@ -321,10 +321,10 @@
         view = self.planners.get(planner)
         if view is None or not cap:
             return
-        self.checks += 1
+        self.check_count += 1
         times = view.message_times.setdefault(proxy, deque(maxlen=cap + 1))
         times.append(now)
         while now - times[0] >= window - WINDOW_MARGIN:
             times.popleft()
         if len(times) > cap:
-            self.break_rule(now, Rule.CAP, f"over {cap} messages within {window / 1000.0:g} s", planner, proxy)
+            self.report_violation(now, Rule.CAP, f"over {cap} messages within {window / 1000.0:g} s", planner, proxy)
--- a/stackwheel/rules/invariants.py
+++ b/stackwheel/rules/invariants.py
@@ -24,7 +24,7 @@
     return abs(one - other) > WEIGHT_TOLERANCE * max(one, other)
 
 
-def disagreement(actual: Mapping[str, float], believed: Mapping[str, float]) -> str | None:
+def line_mismatch(actual: Mapping[str, float], believed: Mapping[str, float]) -> str | None:
     """Where a proxy's lines for a class are not those that its planner believes it to have."""
     if len(actual) == len(believed) and all(
         (weight := actual.get(server)) is not None and not differs(weight, expected)
@@ -39,7 +39,7 @@
     return None
 
 
-def level_disagreement(actual: AdmissionLevel | None, believed: AdmissionLevel | None) -> str | None:
+def level_mismatch(actual: AdmissionLevel | None, believed: AdmissionLevel | None) -> str | None:
     """Where a proxy's admission level for a class is not the one that its planner believes it to have."""
     if actual is None and believed is None:
         return None
@@ -58,6 +58,6 @@
     return "None" if level is None else f"({level.admitted}, {int(level.retry)})"
 
 
-def over_bounds(counts: Iterable[BoundedCount]) -> list[str]:
+def exceeded_bounds(counts: Iterable[BoundedCount]) -> list[str]:
     """Those of the counts that are over their bound."""
     return [f"{one.name}: {one.value:g}, at most {one.bound:g}" for one in counts if one.value > one.bound]
--- a/stackwheel/rules/violations.py
+++ b/stackwheel/rules/violations.py
@@ -13,10 +13,10 @@
 READY_GRACE = 1000.0
 """ms after a planner's first answer during which no limit runs."""
 
-RELOAD_GRACE = 4000.0
+RELOAD_GRACE_MS = 4000.0
 """ms after SIGHUP during which no limit runs."""
 
-NOTIFICATION_DEADLINE = 6000.0
+NOTIFICATION_DEADLINE_MS = 6000.0
 """ms after which what discovery has written counts as received, whether it arrived or not."""
 
 
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -88,7 +88,7 @@
         while True:
             line = await reader.readuntil(LINE_END)
             self.traffic.sent(len(line))
-            update = updates.take(line.removesuffix(LINE_END).decode())
+            update = updates.feed_line(line.removesuffix(LINE_END).decode())
             if update is not None:
                 self.apply(update)
 
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -137,7 +137,7 @@
                 "endpoint left out: server={} reason=unknown zone {}", instance.name, instance.zone[:MAX_ZONE_LOGGED]
             )
             return None
-        server = self.server_ids.learn(instance.name)
+        server = self.server_ids.register(instance.name)
         if server is None:
             return None
         self.addresses[server] = instance.address
--- a/stackwheel/state/server_ids.py
+++ b/stackwheel/state/server_ids.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.names: dict[ServerId, str] = {}
 
-    def learn(self, name: str) -> ServerId | None:
+    def register(self, name: str) -> ServerId | None:
         """The id of a listed server; None if another server has the same, which would then get its updates."""
         server = server_id(name)
         known = self.names.setdefault(server, name)
--- a/stackwheel/state/streams.py
+++ b/stackwheel/state/streams.py
@@ -66,7 +66,7 @@
         return ProxyJoined(self.proxy, self.zone, self.expected_rate, self.newly_started)
 
 
-def stream_over(streams: Mapping[int, ProxyStream], proxy: int, connection: StreamConnection) -> ProxyStream | None:
+def find_stream(streams: Mapping[int, ProxyStream], proxy: int, connection: StreamConnection) -> ProxyStream | None:
     """The proxy's stream among these, if that connection carries it."""
     stream = streams.get(proxy)
     return stream if stream is not None and stream.connection is connection else None
@@ -105,9 +105,9 @@
 
     def leave(self, proxy: int, connection: StreamConnection) -> Iterator[Event]:
         """Remove the proxy's stream, if that connection carried it."""
-        if stream_over(self.timed_out, proxy, connection) is not None:
+        if find_stream(self.timed_out, proxy, connection) is not None:
             del self.timed_out[proxy]
-        elif stream_over(self.by_proxy, proxy, connection) is not None:
+        elif find_stream(self.by_proxy, proxy, connection) is not None:
             del self.by_proxy[proxy]
             yield ProxyLeft(proxy)
 
@@ -117,11 +117,11 @@
         Returns:
             The events that follow for the policy; None if that connection does not carry the proxy.
         """
-        stream = stream_over(self.by_proxy, proxy, connection)
+        stream = find_stream(self.by_proxy, proxy, connection)
         if stream is not None:
             stream.ack_pending_since = None
             return ()
-        stream = stream_over(self.timed_out, proxy, connection)
+        stream = find_stream(self.timed_out, proxy, connection)
         if stream is not None:
             logger.info("stream resumed: connection={} reason=it sent a message after its timeout", connection)
             return self.join(ProxyStream(proxy, stream.zone, stream.expected_rate, False, connection))
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -11,7 +11,7 @@
 from stackwheel.rules.violations import Rule
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.planner_actor import PlannerActor
-from stackwheel.state.streams import ProxyStreams, stream_over
+from stackwheel.state.streams import ProxyStreams, find_stream
 from stackwheel.trials.defects.planting import Defect, Patch
 
 EVENTS_PROCESSED = 3  # of each batch
@@ -35,7 +35,7 @@
     def message_received(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
         """In place of `ProxyStreams.message_received`."""
         stream = self.by_proxy.get(proxy)
-        if stream is not None and not stream_over(self.by_proxy, proxy, line):
+        if stream is not None and not find_stream(self.by_proxy, proxy, line):
             stream.connection = line
         return ()
 
--- a/stackwheel/trials/endpoint_faults.py
+++ b/stackwheel/trials/endpoint_faults.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stackwheel.rules.violations import RELOAD_GRACE
+from stackwheel.rules.violations import RELOAD_GRACE_MS
 from stackwheel.trials import faults
 from stackwheel.trials.fault_targets import planners_of, relays_of, servers_of
 from stackwheel.trials.world import World
@@ -101,8 +101,8 @@
         world.discovery.move((host, port + 1), fault.close_after)
     for planner in planners_of(world, fault.planners):
         if planner.running:
-            world.checker.suspend_limits(planner.number, world.context.now_ms() + RELOAD_GRACE)
-            world.notifications.reachable_since[planner.number] = world.loop.now + RELOAD_GRACE / 1000.0
+            world.checker.suspend_limits(planner.number, world.context.now_ms() + RELOAD_GRACE_MS)
+            world.notifications.reachable_since[planner.number] = world.loop.now + RELOAD_GRACE_MS / 1000.0
             planner.reload()
 
 
--- a/stackwheel/trials/fault_effects.py
+++ b/stackwheel/trials/fault_effects.py
@@ -44,7 +44,7 @@
     """Let a fault of a script happen."""
     context = world.context
     kind = faults.fault_kind(fault).replace("_", "")
-    context.checker.note(context.now_ms(), f"fault {kind}")
+    context.checker.record_event(context.now_ms(), f"fault {kind}")
     if context.trace is not None:
         context.trace(f"{context.loop.now:9.3f} fault: {describe_fault(fault).strip()}")
     EFFECTS[type(fault)](fault, world)
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -119,7 +119,7 @@
 
     def report(self, detail: str, proxy: int | None = None) -> None:
         """Report that a file was used that may not be."""
-        self.context.checker.break_rule(self.context.now_ms(), Rule.GENUINE, detail, None, proxy)
+        self.context.checker.report_violation(self.context.now_ms(), Rule.GENUINE, detail, None, proxy)
 
     def written_in_place(self, owner: str, path: str) -> None:
         """Somebody wrote to a final name."""
@@ -331,4 +331,4 @@
         self.reservation_effects[proxy, reservation] = times
         if times > 1:
             detail = f"booking order {reservation} took effect {times} times"
-            self.context.checker.break_rule(self.context.now_ms(), Rule.ONCE, detail, None, proxy)
+            self.context.checker.report_violation(self.context.now_ms(), Rule.ONCE, detail, None, proxy)
--- a/stackwheel/trials/file_proxies.py
+++ b/stackwheel/trials/file_proxies.py
@@ -104,7 +104,9 @@
         self.applied_choice = applied
         self.apply_content(choice.content)
         self.proxy.is_new = False
-        self.context.checker.note(self.context.now_ms(), f"goes by {choice.source.value}", f"proxy-{self.proxy.number}")
+        self.context.checker.record_event(
+            self.context.now_ms(), f"goes by {choice.source.value}", f"proxy-{self.proxy.number}"
+        )
         self.proxy.report_served_classes()
 
     def apply_content(self, content: TableContent) -> None:
@@ -118,7 +120,7 @@
             table.level = AdmissionLevel(level.admitted, Retry(level.retry)) if level is not None else None
         state.ejected = dict.fromkeys(content.ejected)
         for table in state.class_tables.values():
-            state.refresh(table)
+            state.update_available_servers(table)
 
     async def write_answer(self) -> None:
         """Report the requests and the servers since the last answer."""
--- a/stackwheel/trials/monitor.py
+++ b/stackwheel/trials/monitor.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from stackwheel.rules.invariants import disagreement, level_disagreement, over_bounds
+from stackwheel.rules.invariants import exceeded_bounds, level_mismatch, line_mismatch
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.channel import UpdateChannels
 from stackwheel.trials.context import SimulationContext
@@ -107,7 +107,9 @@
         if believed is None:
             return
         for reason in find_disagreements(believed, proxy):
-            self.context.checker.break_rule(self.context.now_ms(), Rule.AGREES, reason, planner.number, proxy.number)
+            self.context.checker.report_violation(
+                self.context.now_ms(), Rule.AGREES, reason, planner.number, proxy.number
+            )
 
     # What planners keep and log.
 
@@ -116,8 +118,8 @@
         checker = self.context.checker
         for planner in self.planners:
             if planner.running and not planner.machine.stalled and checker.planners.get(planner.number) is not None:
-                for reason in over_bounds(planner.bounded_sizes()):
-                    checker.break_rule(self.context.now_ms(), Rule.BOUNDED, reason, planner.number)
+                for reason in exceeded_bounds(planner.bounded_sizes()):
+                    checker.report_violation(self.context.now_ms(), Rule.BOUNDED, reason, planner.number)
         self.context.later(BOUNDS_INTERVAL_S, self.check_bounds)
 
     def error_logged(self, message: Any) -> None:
@@ -127,14 +129,14 @@
         machine = self.context.loop.machine
         planner = self.context.planner_of(machine) if machine is not None else None
         detail = record["message"][:MAX_LOGGED_CHARACTERS] + error
-        self.context.checker.break_rule(self.context.now_ms(), Rule.UPRIGHT, detail, planner)
+        self.context.checker.report_violation(self.context.now_ms(), Rule.UPRIGHT, detail, planner)
 
     def after_callback(self, now: float) -> None:
         """Time may have moved: limits that ran out are looked at."""
         if now > self.checked_at:
             self.checked_at = now
             if self.context.checker.deadlines:
-                self.context.checker.advance(now * 1000.0)
+                self.context.checker.check_deadlines(now * 1000.0)
 
 
 def find_disagreements(believed: BelievedState, proxy: Proxy) -> list[str]:
@@ -142,8 +144,8 @@
     reasons = []
     for class_index, wanted in believed.lines.items():
         table = proxy.state.class_tables[proxy.class_names[class_index]]
-        reason = disagreement(table.lines, wanted)
-        reason = reason or level_disagreement(table.level, believed.levels[class_index])
+        reason = line_mismatch(table.lines, wanted)
+        reason = reason or level_mismatch(table.level, believed.levels[class_index])
         if reason is not None:
             reasons.append(f"class {class_index}: {reason}")
     for server, is_ejected in believed.ejected.items():
--- a/stackwheel/trials/notifications.py
+++ b/stackwheel/trials/notifications.py
@@ -7,7 +7,7 @@
 
 from stackwheel.interface import Availability
 from stackwheel.rules.views import ListedEndpoint
-from stackwheel.rules.violations import NOTIFICATION_DEADLINE
+from stackwheel.rules.violations import NOTIFICATION_DEADLINE_MS
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.discovery import Discovery, DiscoveryCall
 from stackwheel.trials.discovery_records import SentUpdate, ServerRecord
@@ -77,7 +77,7 @@
 
     def update_sent(self, call: DiscoveryCall, update: SentUpdate) -> None:
         """What was written counts as received after a while, where the path is open, whether it arrived or not."""
-        self.context.later(NOTIFICATION_DEADLINE / 1000.0, self.count_as_received, call, update)
+        self.context.later(NOTIFICATION_DEADLINE_MS / 1000.0, self.count_as_received, call, update)
 
     def count_as_received(self, call: DiscoveryCall, update: SentUpdate) -> None:
         """The time has passed after which an update counts."""
@@ -99,7 +99,7 @@
 
     def expect_polls(self) -> None:
         """The list has changed: planners that neither watch nor poll in time count as notified."""
-        delay = self.context.shape.list_poll_deadline / 1000.0 + NOTIFICATION_DEADLINE / 1000.0
+        delay = self.context.shape.list_poll_deadline / 1000.0 + NOTIFICATION_DEADLINE_MS / 1000.0
         self.context.later(delay, self.poll_deadline_passed, self.discovery.generation, self.context.loop.now)
 
     def poll_deadline_passed(self, generation: int, since: float) -> None:
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -59,7 +59,7 @@
             self.proxy.break_stream(self)
             return
         try:
-            update = self.reader.take(line)
+            update = self.reader.feed_line(line)
         except InvalidUpdateError as error:
             self.proxy.reject_update(self, str(error))
             return
@@ -291,7 +291,7 @@
 
     def reject_update(self, stream: PlannerStream, reason: str) -> None:
         """An update can't be used: the stream is reset, and the planner is to blame."""
-        self.context.checker.break_rule(self.context.now_ms(), Rule.USABLE, reason, stream.planner, self.number)
+        self.context.checker.report_violation(self.context.now_ms(), Rule.USABLE, reason, stream.planner, self.number)
         if stream.transport is not None:
             stream.transport.abort()
         self.stream_closed(stream)
@@ -306,7 +306,7 @@
             self.reject_update(stream, str(error))
             return
         self.is_new = False
-        self.context.checker.note(
+        self.context.checker.record_event(
             self.context.now_ms(),
             f"applied {update.cost()} lines",
             f"proxy-{self.number}",
--- a/stackwheel/trials/relay_checks.py
+++ b/stackwheel/trials/relay_checks.py
@@ -10,7 +10,7 @@
 from stackwheel.cells.assignment import service_of
 from stackwheel.interface import Availability, EndpointEntry
 from stackwheel.rules.views import ListedEndpoint
-from stackwheel.rules.violations import NOTIFICATION_DEADLINE, Rule
+from stackwheel.rules.violations import NOTIFICATION_DEADLINE_MS, Rule
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.discovery import Discovery
 from stackwheel.trials.discovery_records import AVAILABILITY_BY_LIFECYCLE, ServerRecord
@@ -112,7 +112,7 @@
 
     def report(self, detail: str, planner: int | None, server: str | None = None) -> None:
         """Report that a planner does not hold its part of the registry's list."""
-        self.context.checker.break_rule(self.context.now_ms(), Rule.PART, detail, planner, None, server)
+        self.context.checker.report_violation(self.context.now_ms(), Rule.PART, detail, planner, None, server)
 
     # What counts as notified, whether it came or not.
 
@@ -158,8 +158,8 @@
         if not changes or open_since is None or planner not in self.context.checker.planners:
             return
         now = self.context.loop.now
-        allowance = NOTIFICATION_DEADLINE / 1000.0
-        settled_at = open_since + (self.context.shape.list_poll_deadline + NOTIFICATION_DEADLINE) / 1000.0
+        allowance = NOTIFICATION_DEADLINE_MS / 1000.0
+        settled_at = open_since + (self.context.shape.list_poll_deadline + NOTIFICATION_DEADLINE_MS) / 1000.0
         while changes and now >= max(changes[0].written_at + allowance, settled_at):
             for record in changes.popleft().records:
                 self.notify(planner, record)
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -96,7 +96,7 @@
     def process_ended(self, task: asyncio.Task[Any]) -> None:
         """The service has ended by itself, which it never should."""
         reason = "cancelled" if task.cancelled() else repr(task.exception())
-        self.context.checker.break_rule(self.context.now_ms(), Rule.UPRIGHT, f"{self.machine} ended: {reason}")
+        self.context.checker.report_violation(self.context.now_ms(), Rule.UPRIGHT, f"{self.machine} ended: {reason}")
 
     def kill(self, resets_connections: bool = True) -> None:
         """End the process; without resets its machine vanishes."""
@@ -288,7 +288,7 @@
         silence = self.context.loop.now - relay.registry_received_at
         if silence > MAX_VOUCHING_S:
             detail = f"{relay.machine} vouches {silence:.2f} s after it heard the registry last"
-            self.context.checker.break_rule(self.context.now_ms(), Rule.VOUCHED, detail)
+            self.context.checker.report_violation(self.context.now_ms(), Rule.VOUCHED, detail)
 
     def settle(self) -> None:
         """Go on until all faults have ended for long enough; then everyone holds what the registry holds.
--- a/stackwheel/trials/simulation.py
+++ b/stackwheel/trials/simulation.py
@@ -62,7 +62,7 @@
             if world.relays is not None:
                 world.relays.settle()
             for error in world.loop.uncaught_errors[:MAX_UNCAUGHT_ERRORS]:
-                world.checker.break_rule(world.context.now_ms(), Rule.UPRIGHT, error)
+                world.checker.report_violation(world.context.now_ms(), Rule.UPRIGHT, error)
             return result_of(world)
         finally:
             world.loop.close()
@@ -107,7 +107,7 @@
         context.digest.add_text(str(verdict))
     figures = {
         **context.counts,
-        "checks": world.checker.checks,
+        "checks": world.checker.check_count,
         "queue_most": world.channels.max_queued_lines(),
     }
     return Result(
--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -49,7 +49,7 @@
             table = proxy.state.class_tables[class_name]
             if server.name not in table.lines or server.name in proxy.state.ejected:
                 continue
-            share = proxy.state.shares(class_name, avoided).get(server.name, 0.0)
+            share = proxy.state.traffic_shares(class_name, avoided).get(server.name, 0.0)
             rate = proxy.rate() * request_class.share
             if table.level is not None and mode != "off":
                 admitted, _ = table.level
--- a/tests/files/test_publisher.py
+++ b/tests/files/test_publisher.py
@@ -61,7 +61,7 @@
 
     def publisher(self) -> FilePublisher:
         ids = ServerIds()
-        ids.learn("a")
+        ids.register("a")
         state = PublisherState("n0", NAMES, 4, PublisherSettings(30_000.0, 20, 1000.0), ids.name, 7)
         folders = Folders(str(self.root / "out"), str(self.root / "answers"))
         scheduler = PushScheduler(PushLimits(), 1)
--- a/tests/files/test_publisher_state.py
+++ b/tests/files/test_publisher_state.py
@@ -33,7 +33,7 @@
     def __init__(self, deltas_per_base: int = 20) -> None:
         ids = ServerIds()
         for name in ("a", "b", "c"):
-            ids.learn(name)
+            ids.register(name)
         settings = PublisherSettings(30_000.0, deltas_per_base, 1000.0)
         self.state = PublisherState("n0", NAMES, 8, settings, ids.name, 7)
         self.state.start_incarnation(NOW, [])
--- a/tests/forwarder/test_forwarder.py
+++ b/tests/forwarder/test_forwarder.py
@@ -21,7 +21,7 @@
 def read_update(*lines: str) -> ConfigUpdate:
     reader = ConfigUpdateReader()
     for line in lines:
-        update = reader.take(line)
+        update = reader.feed_line(line)
     assert update is not None
     return update
 
@@ -37,12 +37,12 @@
 
 def test_an_update_is_complete_with_its_last_part() -> None:
     reader = ConfigUpdateReader()
-    assert reader.take("CONFIG routes=read full=1 endpoints=a:1,b:0.5 continued=1") is None
-    update = reader.take("CONFIG routes=write admit=0.5 policy=1 nonce_out=7")
+    assert reader.feed_line("CONFIG routes=read full=1 endpoints=a:1,b:0.5 continued=1") is None
+    update = reader.feed_line("CONFIG routes=write admit=0.5 policy=1 nonce_out=7")
     assert update is not None
     assert update.nonces() == (7,)
     assert update.cost() == 5
-    assert reader.take("CONFIG nonce_out=8") == ConfigUpdate((ConfigUpdatePart(nonce=8),))
+    assert reader.feed_line("CONFIG nonce_out=8") == ConfigUpdate((ConfigUpdatePart(nonce=8),))
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
 )
 def test_a_line_that_cannot_be_read_is_an_invalid_update(line: str, message: str) -> None:
     with pytest.raises(InvalidUpdateError) as raised:
-        ConfigUpdateReader().take(line)
+        ConfigUpdateReader().feed_line(line)
     assert isinstance(raised.value, InvalidInputError)
     assert str(raised.value) == message
 
@@ -74,9 +74,9 @@
 def test_an_update_of_too_many_parts_is_invalid() -> None:
     reader = ConfigUpdateReader()
     for _ in range(63):
-        assert reader.take("CONFIG endpoints=a:1 continued=1") is None
+        assert reader.feed_line("CONFIG endpoints=a:1 continued=1") is None
     with pytest.raises(InvalidUpdateError):
-        reader.take("CONFIG endpoints=a:1 continued=1")
+        reader.feed_line("CONFIG endpoints=a:1 continued=1")
 
 
 @pytest.mark.parametrize("invalid", ["CONFIG routes=other endpoints=a:1", "CONFIG endpoints=z:1", "CONFIG eject=z"])
@@ -95,12 +95,12 @@
     assert state.retry_mode("write", Retry.NEVER) is Retry.NEVER
     state.apply(read_update("CONFIG eject=c,b"))
     assert state.has_no_servers("read")
-    assert state.shares("write") == {"a": 1.0}
+    assert state.traffic_shares("write") == {"a": 1.0}
     state.apply(read_update("CONFIG restore=b"))
-    assert state.shares("read") == {"b": 1.0}
+    assert state.traffic_shares("read") == {"b": 1.0}
     state.apply(read_update("CONFIG routes=read full=1 endpoints=a:3,b:1"))
     assert state.class_tables["read"].level is None
-    assert state.shares("read") == {"a": 0.75, "b": 0.25}
+    assert state.traffic_shares("read") == {"a": 0.75, "b": 0.25}
 
 
 @pytest.mark.parametrize("policy", ["weighted", "round"])
--- a/tests/planner_process.py
+++ b/tests/planner_process.py
@@ -74,7 +74,7 @@
         while not condition(self.tables):
             line = await self.connection.read_line()
             assert line, "the stream has ended"
-            for nonce in self.tables.take(line):
+            for nonce in self.tables.apply_line(line):
                 self.connection.send_lines(f"ACK id={self.number} seq={nonce} ms=2.5")
 
     def report_demand(self, requests: int = 10) -> None:
--- a/tests/proxy_model.py
+++ b/tests/proxy_model.py
@@ -27,14 +27,14 @@
         self._reader = ConfigUpdateReader()
         self._state = ForwarderState(classes, servers)
 
-    def take(self, line: str) -> list[int]:
+    def apply_line(self, line: str) -> list[int]:
         """Read a line of the stream; the nonces to acknowledge once it completes an update.
 
         Raises:
             InvalidUpdateError: a proxy would reset the stream.
             AssertionError: a part names a server twice, which costs lines for nothing.
         """
-        update = self._reader.take(line)
+        update = self._reader.feed_line(line)
         if update is None:
             return []
         for part in update.parts:
--- a/tests/rules/test_checker.py
+++ b/tests/rules/test_checker.py
@@ -45,9 +45,9 @@
     checker = make_checker()
     checker.endpoint_notified(0, 0.0, "s", READY)
     checker.lines_changed(0, 0, False, 2000.0)
-    checker.advance(6999.0)
+    checker.check_deadlines(6999.0)
     assert not checker.violations
-    checker.advance(7000.0)
+    checker.check_deadlines(7000.0)
     assert broken_rules(checker) == [Rule.SERVED]
     assert checker.violations[0].proxy == 0
 
@@ -61,7 +61,7 @@
         0, 0.0, "s", ListedEndpoint(Availability.READY, 0, 0, 1e9 if change == "no warm server" else 0.0)
     )
     checker.lines_changed(0, 0, False, 2000.0)
-    checker.advance(4000.0)
+    checker.check_deadlines(4000.0)
     if change == "line back":
         checker.lines_changed(0, 0, True, 4000.0)
     elif change == "left":
@@ -72,7 +72,7 @@
         checker.suspend_limits(0, 4000.0)
     elif change == "proxy suspended":
         checker.suspend_proxy_limits(0, 4000.0)
-    checker.advance(8999.0)
+    checker.check_deadlines(8999.0)
     assert not checker.violations
 
 
@@ -80,10 +80,10 @@
     checker = make_checker()
     checker.endpoint_notified(0, 0.0, "s", ListedEndpoint(Availability.READY, 0, 0, 6000.0))
     checker.lines_changed(0, 0, False, 2000.0)
-    checker.advance(6000.0)
-    checker.advance(10_999.0)
+    checker.check_deadlines(6000.0)
+    checker.check_deadlines(10_999.0)
     assert not checker.violations
-    checker.advance(11_000.0)
+    checker.check_deadlines(11_000.0)
     assert broken_rules(checker) == [Rule.SERVED]
 
 
@@ -91,10 +91,10 @@
     checker = make_checker(classes=(ZONE_LOCAL,))
     checker.endpoint_notified(0, 0.0, "s", ListedEndpoint(Availability.READY, 1, 0, 0.0))
     checker.lines_changed(0, 0, False, 1000.0)
-    checker.advance(60_000.0)
+    checker.check_deadlines(60_000.0)
     assert not checker.violations
     checker.endpoint_notified(0, 60_000.0, "t", READY)
-    checker.advance(65_000.0)
+    checker.check_deadlines(65_000.0)
     assert broken_rules(checker) == [Rule.SERVED]
 
 
@@ -239,8 +239,8 @@
     checker = make_checker()
     checker.endpoint_notified(0, 5000.0, "s", READY)
     checker.endpoint_notified(0, 6000.0, "s", DRAINING)
-    checker.note(6500.0, "applied 3 lines", "proxy-0", "planner-0")
-    checker.note(6600.0, "applied 3 lines", "proxy-9", "planner-9")
+    checker.record_event(6500.0, "applied 3 lines", "proxy-0", "planner-0")
+    checker.record_event(6600.0, "applied 3 lines", "proxy-9", "planner-9")
     checker.attempt_sent(0, "s", 9500.0)
     checker.attempt_sent(0, "s", 9600.0)  # the same violation again
     assert len(checker.violations) == 1
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -120,7 +120,7 @@
             await proxy.wait_until(serves_exactly(set(planner.discovery.instances)))
             proxy.connection.send_lines("RATE id=3 lane=read count=9 fail=0 over=1000.0", "ACK id=3 seq=1 ms=1", "PING")
             while (line := await proxy.connection.read_line()) != "PONG":
-                proxy.tables.take(line)
+                proxy.tables.apply_line(line)
             _, log = await planner.stop()
             assert log.count("not the proxy of this connection: 3") == 2
             assert log.count("message skipped: connection=proxy-0@127.0.0.1:") == 2
@@ -414,5 +414,5 @@
         "CONFIG admit=1",
     ):
         with pytest.raises(InvalidUpdateError):
-            tables.take(line)
+            tables.apply_line(line)
     assert Discovery().generation == 1
--- a/tests/state/test_server_ids.py
+++ b/tests/state/test_server_ids.py
@@ -13,6 +13,6 @@
     assert len(server_id("x")) == 6
     monkeypatch.setattr("stackwheel.state.server_ids.server_id", lambda _name: face.ServerId(b"\0" * 6))
     ids = ServerIds()
-    assert ids.learn("s-1") == ids.learn("s-1") == b"\0" * 6
-    assert ids.learn("s-2") is None
+    assert ids.register("s-1") == ids.register("s-1") == b"\0" * 6
+    assert ids.register("s-2") is None
     assert ids.name(face.ServerId(b"\0" * 6)) == "s-1"
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -59,7 +59,7 @@
         for update, data in zip(updates, self.encoder.encode(updates), strict=True):
             assert data.endswith(b"\r\n")
             for line in data.decode().split("\r\n")[:-1]:
-                self.proxies[update.proxy].take(line)
+                self.proxies[update.proxy].apply_line(line)
             assert self.proxies[update.proxy].costs[-1] == update.cost()
         return {update.proxy: update for update in updates}
 
--- a/tests/wire/test_line_codec.py
+++ b/tests/wire/test_line_codec.py
@@ -246,7 +246,7 @@
 
 def register(*names: str) -> tuple[ServerIds, list[ServerId]]:
     ids = ServerIds()
-    return ids, [server for name in names if (server := ids.learn(name)) is not None]
+    return ids, [server for name in names if (server := ids.register(name)) is not None]
 
 
 def test_the_lines_of_an_update_are_joined_by_continued() -> None:
@@ -288,7 +288,7 @@
     )
     tables = ProxyTables(NAMES.classes, {"s-1", "s-2", "s-3"})
     (data,) = Encoder(NAMES, ids).encode([message])
-    nonces = [tables.take(line) for line in data.decode().split("\r\n") if line]
+    nonces = [tables.apply_line(line) for line in data.decode().split("\r\n") if line]
     assert nonces == [[], [], [905]]
     assert tables.costs == [message.cost()] == [8]
     assert tables.lines == {"read": {"s-1": 1.5, "s-2": 0.2}, "write": {}}
