--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -44,7 +44,7 @@
 from stackwheel.state.messages import EndpointListFailed
 from stackwheel.state.server_ids import server_id
 from stackwheel.wire.discovery_client import DiscoveryClient, DiscoveryOptions, WatchEnd
-from stackwheel.wire.discovery_protocol import LIFECYCLES
+from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
 LIST_POLL_DEADLINE_MS = 10_000.0  # `obligations.ask_within` of the example configuration; it bounds the backoff
 START_INTERVAL = 0.002  # s between the starts of two planners of a process, so that they don't all call at once
@@ -293,7 +293,7 @@
         zone=zones[entry.zone],
         kind=shared.kinds.index(entry.machine_type),
         cell=entry.cell,
-        availability=LIFECYCLES[entry.lifecycle],
+        availability=AVAILABILITY_BY_LIFECYCLE[entry.lifecycle],
         weight=entry.weight,
         started_at=float(entry.started_at_ms),
     )
--- a/stackwheel/scale/propagation.py
+++ b/stackwheel/scale/propagation.py
@@ -9,7 +9,7 @@
 from hdrh.histogram import HdrHistogram
 
 from stackwheel.scale.control import EntryRecord, MadeChange, RestartRecord
-from stackwheel.wire.discovery_protocol import LIFECYCLES
+from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
 MAX_MICROSECONDS = 600_000_000  # ten minutes: longer than a run takes to settle
 DIGITS = 3  # significant figures of a recorded value
@@ -48,7 +48,9 @@
 
 def key_of(planner: int, change: MadeChange) -> RecordKey:
     """The key of a change at a planner."""
-    return RecordKey(planner, change.name, int(LIFECYCLES[change.lifecycle]), float(change.started_at_ms))
+    return RecordKey(
+        planner, change.name, int(AVAILABILITY_BY_LIFECYCLE[change.lifecycle]), float(change.started_at_ms)
+    )
 
 
 def measure(
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -158,7 +158,7 @@
             CompositePorts(self.transport, self.transports) if self.transports else self.transport,
             stream_timeout(config.settings),
         )
-        self.reload = Reload(config, self.transport.readdress, environment.load_config)
+        self.reload = Reload(config, self.transport.update_addresses, environment.load_config)
 
     async def run(self) -> None:
         """Serve until cancelled; OSError if an address can't be bound."""
--- a/stackwheel/trials/defects/relay.py
+++ b/stackwheel/trials/defects/relay.py
@@ -88,7 +88,7 @@
 
     def enqueue(self: EndpointWatch, data: bytes) -> None:
         """In place of `EndpointWatch.enqueue`."""
-        if not self.writing or self.pending_bytes + len(data) <= MAX_PENDING_BYTES:
+        if not self.is_writing or self.pending_bytes + len(data) <= MAX_PENDING_BYTES:
             original(self, data)
 
     return [Patch(EndpointWatch, "enqueue", enqueue)]
--- a/stackwheel/wire/discovery_protocol.py
+++ b/stackwheel/wire/discovery_protocol.py
@@ -19,7 +19,7 @@
 UNENCODABLE_NAME = re.compile(r"[\s,\x00-\x1f\x7f]")
 """What a server's name can't hold: in a line of an update it would end the name."""
 
-LIFECYCLES = {
+AVAILABILITY_BY_LIFECYCLE = {
     "in_service": Availability.READY,
     "terminating": Availability.DRAINING,
     "terminated": Availability.REMOVED,
@@ -124,9 +124,9 @@
 
 def _read_lifecycle(item: dict[str, object]) -> Availability:
     lifecycle = str(_required(item, "lifecycle"))
-    if lifecycle not in LIFECYCLES:
-        raise InvalidInputError("lifecycle", f"none of {', '.join(LIFECYCLES)}: {_shown(lifecycle)}")
-    return LIFECYCLES[lifecycle]
+    if lifecycle not in AVAILABILITY_BY_LIFECYCLE:
+        raise InvalidInputError("lifecycle", f"none of {', '.join(AVAILABILITY_BY_LIFECYCLE)}: {_shown(lifecycle)}")
+    return AVAILABILITY_BY_LIFECYCLE[lifecycle]
 
 
 def _required(record: dict[str, object], field: str) -> object:
--- a/stackwheel/wire/endpoint_watch.py
+++ b/stackwheel/wire/endpoint_watch.py
@@ -32,8 +32,8 @@
         budget: bounds the bytes of all snapshots that are being sent.
         pending: chunks that wait to be written.
         pending_bytes: the size of `pending`.
-        snapshot_due: whether the watcher gets a snapshot next.
-        writing: whether a write waits for the watcher to read.
+        is_snapshot_due: whether the watcher gets a snapshot next.
+        is_writing: whether a write waits for the watcher to read.
         end_reason: why the watch ends; empty while it goes on.
         wakeup: set when there is something to do.
     """
@@ -49,16 +49,16 @@
         self.budget = budget
         self.pending: deque[bytes] = deque()
         self.pending_bytes = 0
-        self.snapshot_due = False
-        self.writing = False
+        self.is_snapshot_due = False
+        self.is_writing = False
         self.end_reason = ""
         self.wakeup = asyncio.Event()
 
     def enqueue(self, data: bytes) -> None:
         """Send a chunk. It is dropped where a snapshot, which contains its changes, is due anyway."""
-        if self.snapshot_due:
+        if self.is_snapshot_due:
             return
-        if self.writing and self.pending_bytes + len(data) > MAX_PENDING_BYTES:
+        if self.is_writing and self.pending_bytes + len(data) > MAX_PENDING_BYTES:
             self.request_snapshot()
             return
         self.pending.append(data)
@@ -68,12 +68,12 @@
     def request_snapshot(self) -> None:
         """Send a snapshot in place of what waits."""
         self._drop_pending()
-        self.snapshot_due = True
+        self.is_snapshot_due = True
         self.wakeup.set()
 
     def send_heartbeat(self) -> None:
         """Send an empty line, unless more than that waits to be read."""
-        if not self.writing and not self.pending and not self.snapshot_due:
+        if not self.is_writing and not self.pending and not self.is_snapshot_due:
             self.enqueue(HEARTBEAT_CHUNK)
 
     def end(self, reason: str) -> None:
@@ -92,7 +92,7 @@
             self.wakeup.clear()
             if self.end_reason:
                 break
-            if self.snapshot_due:
+            if self.is_snapshot_due:
                 async with self.budget.reserve(len(self.snapshot() or b"")):
                     await self._write_snapshot()
             elif self.pending:
@@ -103,7 +103,7 @@
         """Write the list as it is at this moment: what is enqueued from here on comes after it."""
         line = self.snapshot()
         self._drop_pending()
-        self.snapshot_due = False
+        self.is_snapshot_due = False
         if line is None:
             self.end("cell served elsewhere")
         elif not self.end_reason:
@@ -111,10 +111,10 @@
 
     async def _write(self, data: bytes, timeout: float) -> None:
         """Hand all of it to the network; a watcher that takes longer than `timeout` (ms) does not read."""
-        self.writing = True
+        self.is_writing = True
         self.writer.write(data)
         drained = await within(timeout, self._drained())
-        self.writing = False
+        self.is_writing = False
         if drained is None:
             self.end(f"not read for {timeout / 1000.0:g} s")
 
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -139,7 +139,7 @@
         self.supervisor.supervise("listener", lambda: self.listen(listener))
         self.supervisor.supervise("sweep", self.connection_table.sweep)
 
-    def readdress(self, addresses: Addresses) -> None:
+    def update_addresses(self, addresses: Addresses) -> None:
         """Apply a reloaded configuration; connections that are open stay."""
         self.addresses = addresses
         self.connection_table.max_descriptors = addresses.sockets
--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -105,6 +105,6 @@
         self.receive(line, now)
         return True
 
-    def listed(self) -> dict[str, Availability]:
+    def listed_servers(self) -> dict[str, Availability]:
         ids = self.endpoints.server_ids
         return {ids.name(server) or "?": entry.availability for server, entry in self.endpoints.entries.items()}
--- a/tests/fake_services.py
+++ b/tests/fake_services.py
@@ -27,12 +27,12 @@
 toy = load_example("toy_server")
 
 
-class Discovery(toy.DiscoveryService):  # type: ignore[name-defined, misc]
+class FaultyDiscovery(toy.DiscoveryService):  # type: ignore[name-defined, misc]
     """The toy's discovery, with what can go wrong, in the order given, before it does as it should."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.troubles: list[str] = []
+        self.faults: list[str] = []
         self.calls: list[str] = []
         self.open: set[asyncio.StreamWriter] = set()
         self.address = ""
@@ -41,7 +41,7 @@
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
 
-    async def shut(self) -> None:
+    async def stop(self) -> None:
         """No new connection, and an end to those still open."""
         self.server.close()
         for writer in self.open:
@@ -49,27 +49,27 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open.add(writer)
-        if not self.troubles:
+        if not self.faults:
             self.calls.append("served")
             return await super().serve(reader, writer)
-        trouble = self.troubles.pop(0)
+        trouble = self.faults.pop(0)
         self.calls.append(trouble)
         await reader.readuntil(b"\r\n\r\n")
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         if trouble == "503":
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        elif trouble == "nonsense":
+        elif trouble == "malformed JSON":
             writer.write(head + b'7\r\n{"a":1\n\r\n')
-        elif trouble == "no http":
+        elif trouble == "not HTTP":
             writer.write(b"what?\r\n\r\n")
-        elif trouble == "cut":
+        elif trouble == "truncated body":
             writer.write(head + b'ff\r\n{"gene')
-        elif trouble in ("silence", "quiet watch"):
+        elif trouble in ("no response", "silent watch"):
             body = self.document(None)
-            if trouble == "quiet watch":
+            if trouble == "silent watch":
                 writer.write(head + f"{len(body):x}\r\n".encode() + body + b"\r\n")
             await asyncio.Event().wait()
-        elif trouble == "pieces":
+        elif trouble == "split body":
             body = self.document(None)
             for at in range(0, len(body), 7):
                 piece = body[at : at + 7]
--- a/tests/planner_process.py
+++ b/tests/planner_process.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from fake_services import ROOT, Discovery, config
+from fake_services import ROOT, FaultyDiscovery, config
 from proxy_model import ProxyTables
 
 MAX_WAIT_S = 30.0  # for any one thing
@@ -86,7 +86,9 @@
 class PlannerProcess:
     """A planner's process with its configuration and the discovery service that it asks."""
 
-    def __init__(self, process: asyncio.subprocess.Process, document: dict[str, Any], discovery: Discovery) -> None:
+    def __init__(
+        self, process: asyncio.subprocess.Process, document: dict[str, Any], discovery: FaultyDiscovery
+    ) -> None:
         self.process = process
         self.config = document
         self.discovery = discovery
@@ -145,7 +147,7 @@
 
 @contextlib.asynccontextmanager
 async def started_planner(
-    document: dict[str, Any], folder: Path, discovery: Discovery, command: tuple[str, ...]
+    document: dict[str, Any], folder: Path, discovery: FaultyDiscovery, command: tuple[str, ...]
 ) -> AsyncIterator[PlannerProcess]:
     """A process from its first moment on; killed at the end, whatever happens."""
     process = await start_planner(document, folder, command)
@@ -160,9 +162,9 @@
     folder: Path, servers: int = 4, faults: tuple[str, ...] = (), **changed: Any
 ) -> AsyncIterator[PlannerProcess]:
     """A planner that is ready, with a discovery service that lists some servers; killed at the end."""
-    discovery = Discovery()
+    discovery = FaultyDiscovery()
     await discovery.start()
-    discovery.troubles = list(faults)
+    discovery.faults = list(faults)
     for number in range(servers):
         discovery.add(f"s-{number}", f"127.0.0.1:{9000 + number}", ("east", "west")[number % 2])
     document = config(discovery.address, **changed)
--- a/tests/relay/test_random_histories.py
+++ b/tests/relay/test_random_histories.py
@@ -152,4 +152,6 @@
         if planner.relay is None:
             planner.open_watch(relays[0], now)
         planner.check()
-        assert planner.view.listed() == {entry.name: entry.availability for entry in discovery.history[-1].values()}
+        assert planner.view.listed_servers() == {
+            entry.name: entry.availability for entry in discovery.history[-1].values()
+        }
--- a/tests/relay/test_watch_cache.py
+++ b/tests/relay/test_watch_cache.py
@@ -196,10 +196,10 @@
     after.apply(snapshot_list(6, instance("a-2"), unreadable=frozenset({name})), 0.0)
     assert planner.open_watch(after, "a", 0.0)
     assert planner.since == 6
-    assert planner.listed() == {"a-1": READY, "a-2": READY}
+    assert planner.listed_servers() == {"a-1": READY, "a-2": READY}
     after.apply(delta_list(7, instance("a-1", REMOVED)), 1.0)
     assert planner.open_watch(after, "a", 1.0)
-    assert planner.listed() == {"a-2": READY}
+    assert planner.listed_servers() == {"a-2": READY}
     after.apply(snapshot_list(8, instance("a-2")), 2.0)  # it has been read again: what is missing now is removed
     assert cell_list(after).unreadable == frozenset()
 
--- a/tests/relay_server_harness.py
+++ b/tests/relay_server_harness.py
@@ -184,11 +184,11 @@
 
 async def until_idle(watch: EndpointWatch) -> None:
     """Wait until everything is written."""
-    while watch.writing or watch.pending or watch.snapshot_due:
+    while watch.is_writing or watch.pending or watch.is_snapshot_due:
         await asyncio.sleep(0)
 
 
 async def until_blocked(watch: EndpointWatch) -> None:
     """Wait until a write of the watch waits for the caller to read."""
-    while not (watch.writing and watch.writer.transport.get_write_buffer_size()):
+    while not (watch.is_writing and watch.writer.transport.get_write_buffer_size()):
         await asyncio.sleep(0)
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from fake_services import ROOT, Discovery, config, free_port
+from fake_services import ROOT, FaultyDiscovery, config, free_port
 from planner_process import MAX_WAIT_S, PlannerProcess, run_async, send_signal, serves_exactly, started_planner
 from scripted_discovery import ScriptedDiscovery
 
@@ -81,7 +81,7 @@
 
 
 @contextlib.asynccontextmanager
-async def relays(folder: Path, discovery: Discovery, cell_plan: Plan) -> AsyncIterator[list[RelayProcess]]:
+async def relays(folder: Path, discovery: FaultyDiscovery, cell_plan: Plan) -> AsyncIterator[list[RelayProcess]]:
     (folder / "cells.json").write_bytes(encode_plan(cell_plan))
     processes = [RelayProcess(folder, number, discovery.address) for number in range(len(cell_plan.relays))]
     try:
@@ -95,8 +95,8 @@
                 await relay.process.wait()
 
 
-async def discovery_listing(servers: int) -> Discovery:
-    discovery = Discovery()
+async def discovery_listing(servers: int) -> FaultyDiscovery:
+    discovery = FaultyDiscovery()
     await discovery.start()
     for number in range(servers):
         discovery.add(f"s-{number}", f"127.0.0.1:{9000 + number}", "east")
@@ -128,7 +128,7 @@
 
 
 async def follow_through_restarts(
-    planner: PlannerProcess, discovery: Discovery, first: RelayProcess, second: RelayProcess, port: int
+    planner: PlannerProcess, discovery: FaultyDiscovery, first: RelayProcess, second: RelayProcess, port: int
 ) -> None:
     proxy = await planner.join_proxy(0)
     await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))  # of its cell alone
@@ -160,7 +160,7 @@
             await first.until_status(port, 200)
             watch = Call(first.address(port), f"{INSTANCES_PATH}?follow=1")
             await watch.open(MOST_MS, MOST_MS)
-            await discovery.shut()
+            await discovery.stop()
             await read_to_end(watch)
             watch.close()
             await first.until_status(port, 503)
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from fake_services import Discovery, config, free_port
+from fake_services import FaultyDiscovery, config, free_port
 from planner_process import (
     MAX_WAIT_S,
     PlannerProcess,
@@ -30,8 +30,8 @@
 from stackwheel.wire.transport import Addresses
 
 
-async def start_discovery(*servers: str, generation: int = 1) -> Discovery:
-    discovery = Discovery()
+async def start_discovery(*servers: str, generation: int = 1) -> FaultyDiscovery:
+    discovery = FaultyDiscovery()
     await discovery.start()
     discovery.generation = generation
     for number, name in enumerate(servers):
@@ -63,7 +63,7 @@
             proxy.tables.servers.add("s-9")
             reload(planner, tmp_path, discovery=second.address)
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-9"}))
-            await planner.discovery.shut()
+            await planner.discovery.stop()
             await second.update("s-1", lifecycle="terminated")
             await proxy.wait_until(serves_exactly({"s-0", "s-9"}))
             code, log = await planner.stop()
@@ -145,7 +145,7 @@
 def test_two_reloads_in_a_row_and_a_stop_during_one(tmp_path: Path) -> None:
     async def work() -> None:
         second, third = await start_discovery("s-0", "s-8"), await start_discovery("s-0", "s-9")
-        second.troubles = ["silence"]  # the call is still open when the next file comes
+        second.faults = ["no response"]  # the call is still open when the next file comes
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))
@@ -168,7 +168,7 @@
 def test_a_new_discovery_address_that_fails_leaves_the_old_one_in_force(tmp_path: Path) -> None:
     async def work() -> None:
         second = await start_discovery("s-0", "s-9")
-        second.troubles = ["503"]
+        second.faults = ["503"]
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))
@@ -188,7 +188,7 @@
     """It is blocked from the first line on, and followed once there is something to reload."""
 
     async def work() -> None:
-        discovery = Discovery()
+        discovery = FaultyDiscovery()
         await discovery.start()
         command = sys.executable, "-m", "stackwheel"
         async with started_planner(config(discovery.address), tmp_path, discovery, command) as planner:
@@ -206,7 +206,7 @@
     """Before the first line of the program there is no handler: a SIGHUP then ended the process."""
 
     async def work() -> None:
-        discovery = Discovery()
+        discovery = FaultyDiscovery()
         await discovery.start()
         async with started_planner(config(discovery.address), tmp_path, discovery, deployed_command()) as planner:
             await asyncio.wait_for(wait_for_signal_state(planner.process, "SigIgn", signal.SIGHUP), MAX_WAIT_S)
@@ -248,9 +248,9 @@
 @pytest.mark.parametrize("moment", ["first line", "ready", "many joins", "reload", "twice", "discovery silent"])
 def test_a_stop_at_any_moment_ends_with_exit_code_0(tmp_path: Path, moment: str) -> None:
     async def work() -> None:
-        discovery = Discovery()
+        discovery = FaultyDiscovery()
         await discovery.start()
-        discovery.troubles = ["silence"] * 3 if moment == "discovery silent" else []
+        discovery.faults = ["no response"] * 3 if moment == "discovery silent" else []
         async with started_planner(config(discovery.address), tmp_path, discovery, deployed_command()) as planner:
             await wait_for_signal_state(planner.process, "SigCgt", signal.SIGTERM)
             if moment != "first line":
@@ -367,7 +367,7 @@
         await client.wait_for_posts(1)
         assert client.posted_list(0) == (1, True, {"b"})
         assert not first.calls
-        await second.shut()
+        await second.stop()
         await client.wait_for_posts(2)
         assert isinstance(client.posted[1], EndpointListFailed)
         client.task.cancel()
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from fake_services import Discovery, config, free_port
+from fake_services import FaultyDiscovery, config, free_port
 from planner_process import MAX_WAIT_S, run_async, running_planner, serves_exactly, start_planner
 from proxy_model import ProxyTables
 
@@ -173,20 +173,20 @@
     run_async(work())
 
 
-@pytest.mark.parametrize("fault", ["503", "reset", "nonsense", "no http", "cut", "pieces"])
+@pytest.mark.parametrize("fault", ["503", "reset", "malformed JSON", "not HTTP", "truncated body", "split body"])
 def test_a_failed_discovery_call_is_retried(tmp_path: Path, fault: str) -> None:
     async def work() -> None:
         async with running_planner(tmp_path, faults=(fault,)) as planner:
             proxy = await planner.join_proxy(0)
             await proxy.wait_until(serves_exactly(set(planner.discovery.instances)))
-            assert planner.discovery.calls == ([fault] if fault == "pieces" else [fault, "served"])
+            assert planner.discovery.calls == ([fault] if fault == "split body" else [fault, "served"])
             _, log = await planner.stop()
-            assert log.count("WARNING") == (fault != "pieces")
+            assert log.count("WARNING") == (fault != "split body")
 
     run_async(work())
 
 
-@pytest.mark.parametrize("fault", ["silence", "quiet watch"])
+@pytest.mark.parametrize("fault", ["no response", "silent watch"])
 def test_a_silent_discovery_service_is_detected(tmp_path: Path, fault: str) -> None:
     async def work() -> None:
         async with running_planner(tmp_path, faults=(fault,)) as planner:
@@ -415,4 +415,4 @@
     ):
         with pytest.raises(InvalidUpdateError):
             tables.take(line)
-    assert Discovery().generation == 1
+    assert FaultyDiscovery().generation == 1
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -4,7 +4,7 @@
 import json
 
 import simulator_frames
-from fake_services import Discovery, config
+from fake_services import FaultyDiscovery, config
 
 from stackwheel import interface as face
 from stackwheel.interface import Action, Event, Settings
@@ -210,9 +210,9 @@
     batches = [decoder.decode_batch(simulator_frames.frame_of(data)) for data in short_day()]
 
     async def run_service() -> list[list[Action]]:
-        discovery = Discovery()
+        discovery = FaultyDiscovery()
         await discovery.start()
-        discovery.troubles = ["silence"] * 9  # the test passes the endpoint list on itself
+        discovery.faults = ["no response"] * 9  # the test passes the endpoint list on itself
         settings = {**nested_settings(), "me": 0}
         service_config = read_config(config(discovery.address, peers=[], settings=settings))
         return await asyncio.wait_for(decisions_of_the_service(batches, service_config), 60)
--- a/tests/wire/test_endpoint_list_server.py
+++ b/tests/wire/test_endpoint_list_server.py
@@ -220,7 +220,7 @@
         await watcher.next_list()
         (watch,) = await relay.watches(1)
         generation = 5
-        while not watch.snapshot_due:
+        while not watch.is_snapshot_due:
             generation += 1
             relay.apply(large_delta(generation))
             assert watch.pending_bytes <= MAX_PENDING_BYTES
