--- a/stackwheel/cli/config.py
+++ b/stackwheel/cli/config.py
@@ -8,11 +8,11 @@
 import click
 
 from stackwheel.cli.options import FILE_PATH, json_option
-from stackwheel.config_language.descriptions import format_plain
+from stackwheel.config_language.descriptions import format_scalar
 from stackwheel.config_language.errors import OperatorsFileError
 from stackwheel.config_language.load import load
 from stackwheel.config_language.schema import SCHEMA
-from stackwheel.config_language.tree import SCHEMA_DEFAULT
+from stackwheel.config_language.tree import DEFAULT_ORIGIN
 
 files_argument = click.argument("files", nargs=-1, type=FILE_PATH)
 
@@ -32,7 +32,7 @@
     except OperatorsFileError as error:
         click.echo(json.dumps({"ok": False, "reason": str(error)}) if as_json else str(error))
         return 1
-    given = sum(origin != SCHEMA_DEFAULT for _, _, origin in operators_config.origins())
+    given = sum(origin != DEFAULT_ORIGIN for _, _, origin in operators_config.origins())
     click.echo(json.dumps({"ok": True, "given": given}) if as_json else f"sound; {given} values given")
     return 0
 
@@ -52,7 +52,7 @@
         click.echo(json.dumps({"values": operators_config.plain_values(), "origins": origins}))
         return 0
     for path, value, origin in operators_config.origins():
-        click.echo(f"{path}: {format_plain(value)}    // {origin}")
+        click.echo(f"{path}: {format_scalar(value)}    // {origin}")
     return 0
 
 
--- a/stackwheel/config_language/descriptions.py
+++ b/stackwheel/config_language/descriptions.py
@@ -18,7 +18,7 @@
 )
 
 
-def format_plain(value: PlainValue) -> str:
+def format_scalar(value: PlainValue) -> str:
     """A concrete value in the notation."""
     if value is None:
         return "null"
@@ -33,11 +33,11 @@
     """A value in the notation; records and lists only by what they are."""
     match value:
         case Scalar(plain, _):
-            return format_plain(plain)
+            return format_scalar(plain)
         case TypeName(name, _) | Reference(name, _):
             return name
         case Bound(operator, limit, _):
-            return f"{operator}{format_plain(limit.value)}"
+            return f"{operator}{format_scalar(limit.value)}"
         case Conjunction(operands, _):
             return " & ".join(describe(operand) for operand in operands)
     return "a record" if isinstance(value, Record) else "a list"
--- a/stackwheel/config_language/scalars.py
+++ b/stackwheel/config_language/scalars.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from stackwheel.config_language.conjuncts import Conjunct, SourceSet, unification_error
-from stackwheel.config_language.descriptions import describe_alternatives, describe_constraints, format_plain
+from stackwheel.config_language.descriptions import describe_alternatives, describe_constraints, format_scalar
 from stackwheel.config_language.errors import UnificationError
 from stackwheel.config_language.syntax import ANY_TYPE, Bound, Disjunction, PlainValue, Scalar, TypeName, Value
-from stackwheel.config_language.tree import SCHEMA_DEFAULT, Leaf, Origin
+from stackwheel.config_language.tree import DEFAULT_ORIGIN, Leaf, Origin
 
 COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
     ">=": operator.ge,
@@ -81,7 +81,7 @@
         if self.leaf is None:
             self.leaf = Leaf(value, origin)
         elif not equal(self.leaf.value, value):
-            problem = f"{format_plain(value)}, but {self.leaf.origin} says {format_plain(self.leaf.value)}"
+            problem = f"{format_scalar(value)}, but {self.leaf.origin} says {format_scalar(self.leaf.value)}"
             raise unification_error(origin, path, problem)
 
     def _check_value(self, path: str) -> None:
@@ -91,7 +91,7 @@
         types_hold = all(has_type(value, conjunct.value.name) for conjunct in self.types)
         if types_hold and all(satisfies(value, conjunct.value) for conjunct in self.bounds):
             return
-        raise unification_error(self.leaf.origin, path, f"{format_plain(value)} found, {self.describe()} expected")
+        raise unification_error(self.leaf.origin, path, f"{format_scalar(value)} found, {self.describe()} expected")
 
 
 class ScalarUnifier:
@@ -129,7 +129,7 @@
             except UnificationError:
                 continue
             return
-        problem = f"{format_plain(leaf.value)} found, {describe_alternatives(disjunction.value)} expected"
+        problem = f"{format_scalar(leaf.value)} found, {describe_alternatives(disjunction.value)} expected"
         raise unification_error(leaf.origin, path, problem)
 
     def _default_of(self, path: str, state: ScalarState, disjunction: Conjunct[Disjunction]) -> Leaf | None:
@@ -139,7 +139,7 @@
             return None
         leaf = self._narrowed(path, state, disjunction.with_value(default)).leaf
         if leaf is not None and self._sources.is_schema(disjunction):
-            return Leaf(leaf.value, SCHEMA_DEFAULT)
+            return Leaf(leaf.value, DEFAULT_ORIGIN)
         return leaf
 
     def _narrowed(self, path: str, state: ScalarState, conjunct: Conjunct[Value]) -> ScalarState:
--- a/stackwheel/config_language/tree.py
+++ b/stackwheel/config_language/tree.py
@@ -18,7 +18,7 @@
         return self.file if self.line is None else f"{self.file}:{self.line}"
 
 
-SCHEMA_DEFAULT = Origin("default")
+DEFAULT_ORIGIN = Origin("default")
 """The origin of a value that no file gives."""
 
 
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -60,8 +60,8 @@
 
     Attributes:
         wall_clock: Unix time in s.
-        steady_clock: monotonic time in s.
-        listen_at: opens a listening socket; OSError if it can't.
+        monotonic_clock: monotonic time in s.
+        open_listener: opens a listening socket; OSError if it can't.
         load_config: reads the configuration again; ConfigError if it can't be used.
         transports: builds the transports beside the sockets.
         freeze_startup_objects: called once all objects that stay have been made.
@@ -69,8 +69,8 @@
     """
 
     wall_clock: Callable[[], float] = time.time
-    steady_clock: Callable[[], float] = time.monotonic
-    listen_at: Callable[[str], socket.socket] = open_listener
+    monotonic_clock: Callable[[], float] = time.monotonic
+    open_listener: Callable[[str], socket.socket] = open_listener
     load_config: Callable[[], Config] = load_config
     transports: Callable[[PlannerContext], list[ProxyTransport]] = no_transports
     freeze_startup_objects: Callable[[], None] = do_nothing
@@ -134,7 +134,7 @@
         """Compose the parts; TransportSetupError if a further transport can't be set up."""
         self.config = config
         self.environment = environment
-        self.clock = Clock(environment.wall_clock, environment.steady_clock)
+        self.clock = Clock(environment.wall_clock, environment.monotonic_clock)
         self.endpoints = EndpointCache(
             config.names.zones, config.names.kinds, ServerIds(), config.settings.removal_is_advisory
         )
@@ -145,7 +145,7 @@
             config.names,
             self.endpoints,
             self.clock,
-            environment.listen_at,
+            environment.open_listener,
             config.seed,
         )
         context = PlannerContext(config, self.clock, self.endpoints, lambda item: self.planner.post(item))
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -114,9 +114,9 @@
         environment = ProcessEnvironment(
             transports=self.make_transports,
             wall_clock=lambda: EPOCH_S + loop.now,
-            steady_clock=lambda: loop.now,
+            monotonic_clock=lambda: loop.now,
             load_config=self.load_config,
-            listen_at=self.listen_at,
+            open_listener=self.listen_at,
             unblock_signals=self.ready,
         )
         with loop.running_as(self.machine):
