--- a/tests/trials/test_relay_scenarios.py
+++ b/tests/trials/test_relay_scenarios.py
@@ -99,7 +99,7 @@
     original = EndpointWatch.request_snapshot
 
     def request_snapshot(self: EndpointWatch) -> None:
-        if self.writing:
+        if self.is_writing:
             pending_bytes.append(self.pending_bytes)
         original(self)
 
