--- a/tests/relay/test_random_histories.py
+++ b/tests/relay/test_random_histories.py
@@ -164,4 +164,6 @@
         if planner.relay is None:
             planner.open_watch(relays[0], now)
         planner.check_no_reversal()
-        assert planner.view.listed() == {entry.name: entry.availability for entry in discovery.history[-1].values()}
+        assert planner.view.listed_servers() == {
+            entry.name: entry.availability for entry in discovery.history[-1].values()
+        }
--- a/tests/relay/test_watch_cache.py
+++ b/tests/relay/test_watch_cache.py
@@ -196,10 +196,10 @@
     second_cache.apply(snapshot_list(6, instance("a-2"), unreadable=frozenset({name})), 0.0)
     assert planner.open_watch(second_cache, "a", 0.0)
     assert planner.since == 6
-    assert planner.listed() == {"a-1": READY, "a-2": READY}
+    assert planner.listed_servers() == {"a-1": READY, "a-2": READY}
     second_cache.apply(delta_list(7, instance("a-1", REMOVED)), 1.0)
     assert planner.open_watch(second_cache, "a", 1.0)
-    assert planner.listed() == {"a-2": READY}
+    assert planner.listed_servers() == {"a-2": READY}
     second_cache.apply(snapshot_list(8, instance("a-2")), 2.0)  # a complete list without unreadable entries
     assert cell_list(second_cache).unreadable == frozenset()
 
--- a/tests/simulator/test_same_decisions.py
+++ b/tests/simulator/test_same_decisions.py
@@ -4,7 +4,7 @@
 import json
 
 import simulator_frames
-from fake_services import Discovery, config
+from fake_services import FaultyDiscovery, config
 
 from stackwheel import interface
 from stackwheel.interface import Action, Event, Settings
@@ -210,9 +210,9 @@
     batches = [decoder.decode_batch(simulator_frames.frame_of(data)) for data in scripted_batches()]
 
     async def run_service() -> list[list[Action]]:
-        discovery = Discovery()
+        discovery = FaultyDiscovery()
         await discovery.start()
-        discovery.troubles = ["silence"] * 9  # the test supplies the endpoint lists
+        discovery.faults = ["no response"] * 9  # the test supplies the endpoint lists
         settings = {**nested_settings(), "me": 0}
         service_config = read_config(config(discovery.address, peers=[], settings=settings))
         return await asyncio.wait_for(service_decisions(batches, service_config), 60)
