--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -37,6 +37,7 @@
 
 This hysteresis avoids moves of servers at daily or temporary changes, such as doubled servers during a release.
 """
+
 DEFAULT_FIRST_PORT = 20_001
 """Default of the lowest cell port, between the ports of common services and the ephemeral ports of Linux."""
 
--- a/stackwheel/cells/plan_file.py
+++ b/stackwheel/cells/plan_file.py
@@ -22,6 +22,7 @@
 VALIDATION_MESSAGE_PATTERN: Final = re.compile(
     r"^(?P<reason>.*) - at (?:`key` in )?`\$\.?(?P<location>[^`]*)`$", re.DOTALL
 )
+
 PLAN_FILE_MODE: Final = 0o644
 """Permissions of a plan file, which relays and planners of other users have to read."""
 
