--- a/stackwheel/__main__.py
+++ b/stackwheel/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m stackwheel`: one planner, configured by ROUTER_CONFIG; with arguments, the command line."""
+"""Entry point of `python -m stackwheel`: without arguments it runs a planner, otherwise the command line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def command() -> int:
-    """Exit code of the planner, or of the command line if there are arguments."""
+    """Run the planner, or the command line if there are arguments, and return the exit code."""
     if len(sys.argv) == 1:
         from stackwheel.service.process import main as run_planner
 
--- a/stackwheel/service/__init__.py
+++ b/stackwheel/service/__init__.py
@@ -1,1 +1,1 @@
-"""One planner or relay as a process: configuration, composition, reload, logging and shutdown."""
+"""The planner and relay processes: configuration, composition, reload, logging and shutdown."""
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -1,4 +1,4 @@
-"""Composes one planner from its configuration and runs it until it is stopped."""
+"""Builds a planner from its configuration and runs it until it is cancelled."""
 
 from __future__ import annotations
 
@@ -26,46 +26,46 @@
 from stackwheel.wire.timing import BATCH_JITTER_MS, stream_silence_timeout
 from stackwheel.wire.transport import SocketTransport, open_listener
 
-OPERATORS_VARIABLE = "STACKWHEEL_OPERATORS"  # environment variable that names the operators' own file
+OPERATORS_VARIABLE = "STACKWHEEL_OPERATORS"  # environment variable with the path of the operators' file
 MS_PER_S = 1000.0
 
 
 def stream_timeout(settings: Settings) -> float:
-    """The time in ms for which a stream may be silent before its proxy counts as left."""
-    full_queue = MS_PER_S * settings.queue_limit / settings.channel_rate
-    return stream_silence_timeout(settings.report_interval, full_queue, settings.transit_time)
+    """Return how long, in ms, a stream may be silent before its proxy is considered to have left."""
+    queue_drain_time = MS_PER_S * settings.queue_limit / settings.channel_rate
+    return stream_silence_timeout(settings.report_interval, queue_drain_time, settings.transit_time)
 
 
-def with_slot_jitter(settings: Settings) -> Settings:
-    """Settings for the policy, whose window for the message cap is shorter by the jitter of slots.
+def with_jitter_margin(settings: Settings) -> Settings:
+    """Return the settings for the policy, with the window of the message cap shortened by the jitter of slots.
 
-    Slots come some ms early or late, and a message that is to leave the window after so many slots has to have left it
-    then. The connections keep the cap too, over the full window and as messages are written.
+    A slot may start a few milliseconds early. The margin ensures that a message which leaves the window after a whole
+    number of slots has left it by then. The connections enforce the cap over the full window, at the time of writing.
     """
     return replace(settings, message_window=max(0.0, settings.message_window - BATCH_JITTER_MS))
 
 
 def no_transports(_context: PlannerContext) -> list[ProxyTransport]:
-    """No transport beside the sockets."""
+    """Return no additional transports."""
     return []
 
 
 def do_nothing() -> None:
-    """Stands in for a step that only a process needs."""
+    """Do nothing; the default for steps that only a real process has to perform."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessEnvironment:
-    """What a planner needs of the process around it. A simulation gives its own, so that it runs this very service.
+    """The parts of the process and operating system that a planner uses; a simulation replaces them.
 
     Attributes:
-        wall_clock: Unix time in s.
-        monotonic_clock: monotonic time in s.
-        open_listener: opens a listening socket; OSError if it can't.
-        load_config: reads the configuration again; ConfigError if it can't be used.
-        transports: builds the transports beside the sockets.
-        freeze_startup_objects: called once all objects that stay have been made.
-        unblock_signals: called once a signal finds a handler.
+        wall_clock: returns the Unix time in s.
+        monotonic_clock: returns the monotonic time in s.
+        open_listener: opens a listening socket at an address "host:port"; raises OSError if it cannot be opened.
+        load_config: reads the configuration for a reload; raises ConfigError if it is invalid.
+        transports: builds the transports that are used in addition to the sockets.
+        freeze_startup_objects: called after all long-lived objects have been created.
+        unblock_signals: called after the signal handlers have been installed.
     """
 
     wall_clock: Callable[[], float] = time.time
@@ -78,18 +78,18 @@
 
 
 def freeze_startup_objects() -> None:
-    """Keep the garbage collector from walking what exists by now: it stays anyway."""
+    """Exclude all existing objects from garbage collection, because they live as long as the process."""
     gc.collect()
     gc.freeze()
 
 
-def unblock_reload() -> None:
-    """Deliver SIGHUP from now on, one that came during the start at once."""
+def unblock_reload_signal() -> None:
+    """Unblock SIGHUP; a signal that arrived during startup is delivered immediately."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
 
 def configured_transports(context: PlannerContext) -> list[ProxyTransport]:
-    """What the operators' file turns on; without the variable nothing of it is even imported."""
+    """Build the transports that the operators' file enables; without such a file, their modules are not imported."""
     path = os.environ.get(OPERATORS_VARIABLE)
     if not path:
         return []
@@ -98,21 +98,21 @@
     return build(context, path)
 
 
-PROCESS = ProcessEnvironment(
+PROCESS_ENVIRONMENT = ProcessEnvironment(
     transports=configured_transports,
     freeze_startup_objects=freeze_startup_objects,
-    unblock_signals=unblock_reload,
+    unblock_signals=unblock_reload_signal,
 )
 
 
 class CompositePorts:
-    """The planner's ports where there are further transports beside the sockets.
+    """The planner's ports for sockets combined with additional transports.
 
-    Updates go to all of them; endpoint lists, health checks and gossip use the sockets alone.
+    Updates are delivered to all transports. Endpoint lists, health checks and gossip use only the sockets.
     """
 
     def __init__(self, sockets: SocketTransport, transports: Sequence[ProxyTransport]) -> None:
-        """Join the sockets and the other transports."""
+        """Combine the sockets with additional transports."""
         self.sockets = sockets
         self.transports = transports
         self.watch_endpoints = sockets.watch_endpoints
@@ -121,17 +121,17 @@
         self.send_gossip = sockets.send_gossip
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
-        """Give all updates to each transport; it sends those of its own streams."""
+        """Pass all updates to each transport, which sends those of its own streams."""
         self.sockets.deliver(messages)
         for transport in self.transports:
             transport.deliver(messages)
 
 
 class Service:
-    """The parts of one planner, composed and not yet started."""
+    """The components of a planner; they are started by `run`."""
 
-    def __init__(self, config: Config, environment: ProcessEnvironment = PROCESS) -> None:
-        """Compose the parts; TransportSetupError if a further transport can't be set up."""
+    def __init__(self, config: Config, environment: ProcessEnvironment = PROCESS_ENVIRONMENT) -> None:
+        """Create the components; raises TransportSetupError if an additional transport cannot be set up."""
         self.config = config
         self.environment = environment
         self.clock = Clock(environment.wall_clock, environment.monotonic_clock)
@@ -151,7 +151,7 @@
         context = PlannerContext(config, self.clock, self.endpoints, lambda item: self.planner.post(item))
         self.transports = environment.transports(context)
         self.planner = PlannerActor(
-            PolicyOptions(with_slot_jitter(config.settings), config.seed),
+            PolicyOptions(with_jitter_margin(config.settings), config.seed),
             config.names.batch_delay,
             self.clock,
             self.endpoints,
@@ -161,10 +161,10 @@
         self.reload = Reload(config, self.transport.readdress, environment.load_config)
 
     async def run(self) -> None:
-        """Serve until cancelled; OSError if an address can't be bound."""
-        if absent := self.config.defaulted_settings:
-            logger.warning("settings not given, defaults in force: kind={} count={}", ",".join(absent), len(absent))
-        # Before anything is opened, so that a client that connects finds a planner that is ready.
+        """Serve until cancelled; raises OSError if an address cannot be bound."""
+        if defaulted := self.config.defaulted_settings:
+            logger.warning("settings not set, using defaults: kind={} count={}", ",".join(defaulted), len(defaulted))
+        # The policy starts before the listener opens, so that the first client finds a planner that is ready.
         self.planner.run_policy([self.endpoints.cached_update()])
         self.environment.freeze_startup_objects()
         await self.transport.open(self.planner.post)
@@ -183,5 +183,5 @@
 
 
 async def serve(config: Config) -> None:
-    """Run one planner as this process."""
+    """Run a planner in this process until cancelled."""
     await Service(config).run()
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -1,4 +1,4 @@
-"""The planner's configuration: one JSON file, named by the environment."""
+"""Reads the planner's configuration from the JSON file whose path is set in the environment."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from stackwheel.wire.http import split_address
 from stackwheel.wire.transport import Addresses
 
-CONFIG_VARIABLE = "ROUTER_CONFIG"  # environment variable that names the file
-OVERRIDE_VARIABLES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
-"""Keys that the environment gives where the file does not."""
+CONFIG_VARIABLE = "ROUTER_CONFIG"  # environment variable with the path of the configuration file
+FALLBACK_VARIABLES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
+"""Environment variables that set a key which is absent from the file, by key."""
 
 DEFAULT_LIMITS = {"sockets": 1024.0, "memory_mb": 192.0}
 MAX_PORT: Final = 65535
-SHOWN_CHARACTERS: Final = 40  # of an offending value in an error
-SHOWN_ADDRESS_CHARACTERS: Final = 60  # of an offending address
+MAX_QUOTED_CHARACTERS: Final = 40  # of an invalid value, in error messages
+MAX_QUOTED_ADDRESS_CHARACTERS: Final = 60  # of an invalid address, in error messages
 
 
 class ConfigError(InvalidInputError):
-    """The configuration can't be used; `location` is the file or the key."""
+    """The configuration is invalid or cannot be read; `location` is the path of the file or the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,13 +38,13 @@
     """The configuration of one planner.
 
     Attributes:
-        name: stands in every log line.
-        addresses: where the planner listens and whom it calls, with the limits of the process.
-        seed: of all random numbers.
-        settings: what the policy decides by.
-        names: what the settings name.
-        cached_endpoints: the endpoint list that the planner starts from; it may be old.
-        defaulted_settings: paths of settings that were not given.
+        name: name of the planner, which every log line contains.
+        addresses: addresses to listen on and to connect to, and the limits of the process.
+        seed: seed of all random number generators.
+        settings: settings of the policy.
+        names: names that the settings define, and settings of the adapters.
+        cached_endpoints: endpoint list to start from; it may be out of date.
+        defaulted_settings: paths of settings that are not set and have their defaults.
     """
 
     name: str
@@ -57,12 +57,16 @@
 
 
 def load_config(environment: Mapping[str, str] = os.environ) -> Config:
-    """The configuration that the environment names; ConfigError, with the file's path, where it can't be used."""
+    """Read the configuration file that the environment names.
+
+    Raises:
+        ConfigError: the file cannot be read or is invalid; the message begins with its path.
+    """
     path = environment.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigError("", f"{CONFIG_VARIABLE} names no configuration")
+        raise ConfigError("", f"the environment variable {CONFIG_VARIABLE} is not set or empty")
     document = read_document(path)
-    for key, variable in OVERRIDE_VARIABLES.items():
+    for key, variable in FALLBACK_VARIABLES.items():
         if key not in document and variable in environment:
             document[key] = environment[variable]
     try:
@@ -72,23 +76,23 @@
 
 
 def read_document(path: str) -> dict[str, object]:
-    """The JSON object in a file."""
+    """Read the JSON object in a file; raises ConfigError if there is none."""
     try:
         document = json.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigError(path, str(error.strerror or error)) from error
-    except (ValueError, RecursionError) as error:  # broken, not UTF-8, or nested too deeply
-        raise ConfigError(path, f"no JSON: {error}") from error
+    except (ValueError, RecursionError) as error:  # a syntax error, not UTF-8, or nested too deeply
+        raise ConfigError(path, f"not valid JSON: {error}") from error
     if not isinstance(document, dict):
         raise ConfigError(path, "not a JSON object")
     return document
 
 
 def read_config(document: Mapping[str, object]) -> Config:
-    """The typed configuration; ConfigError names the key that can't be used."""
+    """Convert a JSON object to the typed configuration; raises ConfigError with the key of an invalid value."""
     nested_settings = required(document, "settings")
     if not isinstance(nested_settings, dict) or not nested_settings:
-        raise ConfigError("settings", "not an object, or an empty one")
+        raise ConfigError("settings", "not a non-empty JSON object")
     try:
         loaded = load_settings(nested_settings)
     except SettingsError as error:
@@ -96,9 +100,14 @@
     addresses = read_addresses(document)
     settings = loaded.settings
     if settings.planner_index >= settings.planner_count:
-        raise ConfigError("settings.me", f"{settings.planner_index} of {settings.planner_count} instances")
+        raise ConfigError(
+            "settings.me", f"index {settings.planner_index} is out of range for {settings.planner_count} instances"
+        )
     if addresses.peers and len(addresses.peers) != settings.planner_count:
-        raise ConfigError("peers", f"{len(addresses.peers)} peers for {settings.planner_count} instances")
+        raise ConfigError(
+            "peers",
+            f"{len(addresses.peers)} addresses for {settings.planner_count} instances, expected one for each",
+        )
     return Config(
         name=str(document.get("name", "planner")),
         addresses=addresses,
@@ -111,20 +120,20 @@
 
 
 def required(document: Mapping[str, object], key: str) -> object:
-    """The value of a key that has to be there."""
+    """Return the value of a required key; raises ConfigError if it is missing."""
     if key not in document:
         raise ConfigError(key, "missing")
     return document[key]
 
 
 def read_addresses(document: Mapping[str, object]) -> Addresses:
-    """All addresses and limits."""
+    """Read the addresses and the limits of the process."""
     limits = document.get("limits", {})
     if not isinstance(limits, dict):
-        raise ConfigError("limits", "not an object")
+        raise ConfigError("limits", "not a JSON object")
     peers = document.get("peers", [])
     if not isinstance(peers, list):
-        raise ConfigError("peers", "not a list")
+        raise ConfigError("peers", "not a JSON array")
     return Addresses(
         listen=check_address("listen", required(document, "listen")),
         discovery=check_replica_addresses("discovery", required(document, "discovery")),
@@ -137,9 +146,9 @@
 
 
 def read_cached_endpoints(document: object) -> EndpointList:
-    """The endpoint list to start from, in the form in which discovery gives it; empty if there is none.
+    """Read the endpoint list to start from, in the format of the discovery service; empty if it is not set.
 
-    Unlike in a list of discovery, an entry that can't be read makes all of it unusable.
+    Unlike in a list from the discovery service, one invalid entry makes the whole list invalid.
     """
     if document is None:
         return EndpointList(0, True, ())
@@ -150,46 +159,46 @@
 
 
 def reject_entry(error: InvalidInputError) -> None:
-    """Raise the error of an entry that can't be read."""
+    """Raise the error of an invalid entry instead of skipping the entry."""
     raise error
 
 
 def optional_address(document: Mapping[str, object], key: str) -> str:
-    """An address, or nothing."""
+    """Return an optional address; an empty string if it is not set."""
     value = document.get(key, "")
     return "" if value == "" else check_address(key, value)
 
 
 def check_replica_addresses(key: str, value: object) -> str:
-    """One address, or those of several replicas of a service with commas between."""
+    """Return the comma-separated addresses of the replicas of a service; raises ConfigError if one is invalid."""
     for replica in replica_addresses(str(value)):
         check_address(key, replica)
     return str(value)
 
 
 def check_address(key: str, value: object) -> str:
-    """A value that is "host:port"."""
+    """Return an address "host:port"; raises ConfigError if the value is not one."""
     try:
         host, port = split_address(str(value))
     except ValueError:
         host = ""
         port = 0
     if not host or not 0 < port <= MAX_PORT:
-        raise ConfigError(key, f"not host:port: {str(value)[:SHOWN_ADDRESS_CHARACTERS]!r}")
+        raise ConfigError(key, f"not host:port: {str(value)[:MAX_QUOTED_ADDRESS_CHARACTERS]!r}")
     return str(value)
 
 
 def read_limit(limits: Mapping[str, object], key: str) -> float:
-    """A limit of the process: a finite number from 1 up."""
+    """Return a limit of the process, which has to be a finite number of at least 1."""
     value = limits.get(key, DEFAULT_LIMITS[key])
     if isinstance(value, bool) or not isinstance(value, int | float) or not 1 <= value < math.inf:
-        raise ConfigError(f"limits.{key}", f"not a finite number from 1 up: {str(value)[:SHOWN_CHARACTERS]!r}")
+        raise ConfigError(f"limits.{key}", f"not a finite number of at least 1: {str(value)[:MAX_QUOTED_CHARACTERS]!r}")
     return float(value)
 
 
 def read_seed(value: object) -> int:
-    """An integer, or text with a hexadecimal one."""
+    """Return the seed, which is an integer or a string with a hexadecimal number."""
     try:
         return value if isinstance(value, int) else int(str(value), 16)
     except ValueError as error:
-        raise ConfigError("seed", f"not a hexadecimal number: {str(value)[:SHOWN_CHARACTERS]!r}") from error
+        raise ConfigError("seed", f"not a hexadecimal number: {str(value)[:MAX_QUOTED_CHARACTERS]!r}") from error
--- a/stackwheel/service/file_transport.py
+++ b/stackwheel/service/file_transport.py
@@ -1,4 +1,4 @@
-"""Builds the file transport where the operators' file turns it on; imported only where such a file is named."""
+"""Builds the file transport if the operators' file enables it; imported only if such a file is configured."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 def build(context: PlannerContext, path: str) -> list[ProxyTransport]:
-    """The transports that the operators' file turns on.
+    """Build the transports that the operators' file at `path` enables.
 
     Raises:
-        TransportSetupError: the file, or one that it names, can't be used.
+        TransportSetupError: the operators' file or its key file is invalid or cannot be read.
     """
     try:
         records = load(Path(path)).records
@@ -36,7 +36,7 @@
 
 
 def build_publisher(context: PlannerContext, files: FilesRecord) -> FilePublisher:
-    """The file publisher as the operators' file describes it; KeyFileError where its keys can't be used."""
+    """Build the file publisher from the operators' file; raises KeyFileError if the key file is invalid."""
     config = context.config
     keys = load_keys(Path(files.key_file)) if files.key_file else NO_KEYS
     state = PublisherState(
--- a/stackwheel/service/logging_setup.py
+++ b/stackwheel/service/logging_setup.py
@@ -1,4 +1,4 @@
-"""Logging to standard error; lines that repeat are suppressed and counted, so that no fault fills the log."""
+"""Logging to standard error with rate limiting, so that a recurring fault does not flood the log."""
 
 from __future__ import annotations
 
@@ -14,57 +14,62 @@
     from loguru import Record
 
 LOG_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSS} {level: <7} {extra[planner]} {message}{extra[suppressed]}"
-DEBUG_LEVEL: Final = 10  # loguru's number; lines up to it are never suppressed, as somebody has asked for all of them
-WINDOW_S: Final = 10.0  # within which the lines of one statement are counted
+DEBUG_LEVEL: Final = 10  # loguru's number of the level; lines up to this level are never suppressed
+SUPPRESSION_WINDOW_S: Final = 10.0
 MAX_LINES_PER_WINDOW: Final = 20
 
 
-class Window(NamedTuple):
-    """Lines of one log statement within one window."""
+class LineWindow(NamedTuple):
+    """Count of the lines that a log statement has produced in the current window.
 
-    started_at: float  # s
-    line_count: int  # suppressed ones among them
+    Attributes:
+        started_at: monotonic time of the first line, in s.
+        line_count: number of lines, including suppressed ones.
+    """
+
+    started_at: float
+    line_count: int
 
 
 class RepeatFilter:
-    """Passes some lines of each log statement within a window and counts the rest.
+    """Loguru filter that limits how many lines each log statement may write per window.
 
-    The next line of the statement after the window says how many were suppressed.
+    The first line that the statement writes after the window reports how many lines were suppressed.
     """
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
-        """Start with nothing counted; `now` in s."""
+        """Create a filter without counted lines; `now` returns the monotonic time in s."""
         self.now = now
-        self.windows: dict[tuple[str | None, int], Window] = {}
+        self.windows: dict[tuple[str | None, int], LineWindow] = {}
 
     def __call__(self, record: Record) -> bool:
-        """Whether a line is written."""
+        """Return whether a line is written, and set the number of suppressed lines to append to it."""
         if record["level"].no <= DEBUG_LEVEL:
             return True
         statement = (record["name"], record["line"])
         now = self.now()
-        window = self.windows.get(statement, Window(now, 0))
+        window = self.windows.get(statement, LineWindow(now, 0))
         note = ""
-        if now - window.started_at >= WINDOW_S:
+        if now - window.started_at >= SUPPRESSION_WINDOW_S:
             suppressed = window.line_count - MAX_LINES_PER_WINDOW
             note = f" ({suppressed} similar lines suppressed)" if suppressed > 0 else ""
-            window = Window(now, 0)
-        self.windows[statement] = Window(window.started_at, window.line_count + 1)
+            window = LineWindow(now, 0)
+        self.windows[statement] = LineWindow(window.started_at, window.line_count + 1)
         record["extra"]["suppressed"] = note
         return window.line_count < MAX_LINES_PER_WINDOW
 
 
 class LoguruHandler(logging.Handler):
-    """Passes what libraries log by the standard module on to loguru."""
+    """Forwards records of the standard `logging` module, which libraries use, to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log a record with its logger's name."""
+        """Log a record with the name of its logger as a prefix."""
         text = f"{record.name}: {record.getMessage()}"
         logger.opt(exception=record.exc_info).log(record.levelname, "{}", text)
 
 
 def start_logging(planner: str, level: str = "INFO") -> None:
-    """Write all log lines to standard error, each with the planner's name."""
+    """Write log lines of a level or above to standard error, each with the name of the planner or relay."""
     logger.remove()
     logger.configure(extra={"planner": planner, "suppressed": ""})
     logging.basicConfig(handlers=[LoguruHandler()], level=logging.WARNING, force=True)
--- a/stackwheel/service/ports.py
+++ b/stackwheel/service/ports.py
@@ -1,4 +1,4 @@
-"""What the planner and further transports to proxies offer each other; types only."""
+"""Interfaces between the planner and its additional transports; this module contains only types."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 
 class TransportSetupError(StackwheelError):
-    """A further transport can't be set up as the operators' file says; the planner does not start."""
+    """An additional transport cannot be set up as configured in the operators' file; the planner does not start."""
 
 
 class ProxyTransport(Protocol):
-    """A transport beside the sockets: it gets all updates, and sends those for its own proxies."""
+    """A transport in addition to the sockets; it receives all updates and sends those for its own proxies."""
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
-        """Send updates without waiting; those of other transports' streams are ignored."""
+        """Send updates without blocking; updates for streams of other transports are ignored."""
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run the background work of the transport until cancelled."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerContext:
-    """The parts of one planner that a further transport may use.
+    """The components of a planner that an additional transport may use.
 
     Attributes:
-        config: the configuration at the start.
+        config: the configuration at startup; a reload does not change it.
         clock: the planner's clock.
-        endpoints: the endpoint cache.
-        post: puts an item into the planner actor's mailbox; never blocks.
+        endpoints: the planner's cache of the endpoint list.
+        post: puts a message into the mailbox of the planner actor; does not block.
     """
 
     config: Config
--- a/stackwheel/service/process.py
+++ b/stackwheel/service/process.py
@@ -1,4 +1,4 @@
-"""The planner as a process: signals, logging, one run until SIGTERM."""
+"""Entry point of the planner process: signal handlers, logging and the run until SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,16 +12,19 @@
 LOG_LEVEL_VARIABLE = "STACKWHEEL_LOG"
 
 
-def stop(_signal: int, _frame: FrameType | None) -> None:
-    """Exit at once. There is nothing to save: proxies keep their tables, and a new start begins from nothing."""
+def exit_immediately(_signal: int, _frame: FrameType | None) -> None:
+    """End the process with exit code 0; there is no state to save, because proxies keep their tables."""
     os._exit(0)
 
 
 def main() -> int:
-    """Run one planner, configured by ROUTER_CONFIG. Returns 2 if it can't start; SIGTERM ends the process with 0."""
-    signal.signal(signal.SIGTERM, stop)  # before anything that takes time
-    signal.signal(signal.SIGINT, stop)
-    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # it waits until there is something to reload
+    """Run the planner that ROUTER_CONFIG configures; returns exit code 2 if it cannot start.
+
+    SIGTERM and SIGINT end the process with exit code 0.
+    """
+    signal.signal(signal.SIGTERM, exit_immediately)  # before the slow imports
+    signal.signal(signal.SIGINT, exit_immediately)
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # pending until the reload handler is installed
     import asyncio
 
     from stackwheel.service.app import serve
--- a/stackwheel/service/reload.py
+++ b/stackwheel/service/reload.py
@@ -1,4 +1,4 @@
-"""Reload while the planner serves: the configuration is read and checked as a whole, and what changed is applied."""
+"""Reloads the configuration of a running planner: the file is validated as a whole, then changes are applied."""
 
 from __future__ import annotations
 
@@ -12,49 +12,52 @@
 from stackwheel.service.config import Config, ConfigError, load_config
 from stackwheel.wire.transport import Addresses
 
-RETRIES: Final = 4  # for a file that can't be used: it may be half written, and its writer sends no second signal
+MAX_RETRIES: Final = 4  # of an invalid file, which may have been read before it was completely written
 RETRY_INTERVAL_S: Final = 0.5
-FIXED_ADDRESSES = ("listen", "peer_listen")  # their sockets stay open until a restart
+FIXED_ADDRESSES = ("listen", "peer_listen")  # a change requires a restart, because their sockets stay open
 
 
 class Reload:
-    """Follows requests to reload; several before it gets to the first one are one request.
+    """Actor that reloads the configuration on request; requests that arrive before it runs are merged into one.
 
     Attributes:
-        config: as it is in force.
-        last_problem: why the file could not be used, as logged for the present request; None if it was not logged.
+        config: the configuration in force.
+        apply: applies changed addresses and limits to the transport.
+        load: reads the configuration; raises ConfigError if it is invalid.
+        requested: set while a request is pending.
+        last_logged_problem: the last error logged for the current request; None if there was none.
     """
 
     def __init__(
         self, config: Config, apply: Callable[[Addresses], None], load: Callable[[], Config] = load_config
     ) -> None:
-        """Start with the configuration in force; `apply` gets the new addresses, `load` reads the file."""
+        """Create the actor for a configuration that is in force."""
         self.config = config
         self.apply = apply
         self.load = load
         self.requested = asyncio.Event()
-        self.last_problem: str | None = None
+        self.last_logged_problem: str | None = None
 
     def request(self) -> None:
-        """Ask for a reload; this is the handler of SIGHUP."""
+        """Request a reload; used as the handler of SIGHUP."""
         self.requested.set()
 
     async def run(self) -> None:
-        """Follow requests until cancelled."""
+        """Handle requests until cancelled."""
         while True:
             await self.requested.wait()
             self.requested.clear()
             try:
-                await self.follow_request()
-            except Exception as error:  # the next signal has to be followed all the same
+                await self.handle_request()
+            except Exception as error:  # a defect must not stop the handling of later requests
                 logger.opt(exception=True).error("configuration not reloaded: reason={!r}", error)
 
-    async def follow_request(self) -> None:
-        """Reload; while the file can't be used, retry for a while or until the next request."""
-        self.last_problem = None
+    async def handle_request(self) -> None:
+        """Reload; if the file is invalid, retry up to `MAX_RETRIES` times or until the next request."""
+        self.last_logged_problem = None
         if self.reload():
             return
-        for _ in range(RETRIES):
+        for _ in range(MAX_RETRIES):
             try:
                 async with asyncio.timeout(RETRY_INTERVAL_S):
                     await self.requested.wait()
@@ -65,22 +68,22 @@
                 return
 
     def reload(self) -> bool:
-        """Read the file and apply it; False, with a log line for each new reason, where it can't be used."""
+        """Read and apply the file; returns False if it is invalid, and logs each new reason once per request."""
         try:
             config = self.load()
         except ConfigError as error:
             problem = str(error)
-            if problem != self.last_problem:
+            if problem != self.last_logged_problem:
                 logger.error("configuration not reloaded: reason={}", problem)
-            self.last_problem = problem
+            self.last_logged_problem = problem
             return False
         self.apply_config(config)
         return True
 
     def apply_config(self, config: Config) -> None:
-        """Apply what can be changed without a restart, and log the keys of all that differs."""
-        if fixed := needs_restart(self.config, config):
-            logger.warning("configuration change needs a restart: kind={}", ",".join(fixed))
+        """Apply the changes that do not require a restart, and log the keys that have changed."""
+        if restart_keys := keys_requiring_restart(self.config, config):
+            logger.warning("configuration change needs a restart: kind={}", ",".join(restart_keys))
         old = self.config.addresses
         new = replace(config.addresses, **{key: getattr(old, key) for key in FIXED_ADDRESSES})
         self.config = replace(self.config, addresses=new)
@@ -90,15 +93,15 @@
 
 
 def differing_fields(names: Iterable[str], old: object, new: object) -> list[str]:
-    """The names of fields whose values differ."""
+    """Return the names of the fields whose values differ."""
     return [name for name in names if getattr(old, name) != getattr(new, name)]
 
 
-def needs_restart(old: Config, new: Config) -> list[str]:
-    """The keys that differ and take effect at a start only.
+def keys_requiring_restart(old: Config, new: Config) -> list[str]:
+    """Return the keys that have changed and take effect only after a restart.
 
-    `known` is left out: it is the list that a planner starts with, replaced by discovery's since, so that a restart
-    for its sake would change nothing.
+    The key `known`, the cached endpoint list, is not compared: the list from the discovery service has replaced it, so
+    a restart would have no effect.
     """
     keys = differing_fields(("name", "seed"), old, new)
     keys += differing_fields(FIXED_ADDRESSES, old.addresses, new.addresses)
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -144,7 +144,7 @@
 def test_serve_is_the_plain_planner(words: tuple[str, ...]) -> None:
     result = run_process(*words, ROUTER_CONFIG="")
     assert result.exit_code == 2
-    assert result.err == "stackwheel: ROUTER_CONFIG names no configuration\n"
+    assert result.err == "stackwheel: the environment variable ROUTER_CONFIG is not set or empty\n"
 
 
 def test_defects_cover_all_rules() -> None:
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -80,17 +80,17 @@
 @pytest.mark.parametrize(
     ("text", "problem"),
     [
-        ("{", "no JSON"),
+        ("{", "not valid JSON"),
         ("[]", "not a JSON object"),
         ("{}", "settings: missing"),
         (
             '{"settings": {"instances": 2, "me": 2}, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}',
-            "settings.me: 2 of 2 instances",
+            "settings.me: index 2 is out of range for 2 instances",
         ),
         (
             '{"settings": {"instances": 2}, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", '
             '"peers": ["127.0.0.1:1"]}',
-            "1 peers for 2 instances",
+            "1 addresses for 2 instances, expected one for each",
         ),
         ('{"settings": {"me": 0}, "listen": "127.0.0.1:1", "discovery": "nowhere"}', "discovery: not host:port"),
     ],
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -319,8 +319,8 @@
 @pytest.mark.parametrize(
     ("text", "problem"),
     [
-        (None, "ROUTER_CONFIG names no configuration"),
-        ("", "no JSON"),
+        (None, "the environment variable ROUTER_CONFIG is not set or empty"),
+        ("", "not valid JSON"),
         ("[]", "not a JSON object"),
         ("{}", "settings: missing"),
         (
