--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -1,4 +1,4 @@
-"""One relay process: follows the discovery service, serves its cells, reads the cell plan again on SIGHUP."""
+"""The relay process: watches the discovery service, serves its cells, and reloads the cell plan on SIGHUP."""
 
 from __future__ import annotations
 
@@ -31,18 +31,24 @@
 from stackwheel.wire.discovery_client import DiscoveryClient, DiscoveryOptions
 from stackwheel.wire.endpoint_list_server import EndpointListServer, open_listener
 
-MAX_DESCRIPTORS = 20_000  # of one process, whatever the system would allow
-EXIT_CANNOT_START = 2  # the exit code
+MAX_DESCRIPTORS = 20_000  # file descriptors to use if the limit of the system is higher
+EXIT_CANNOT_START = 2
 
 
 def unblock_reload_signal() -> None:
-    """Let SIGHUP through; `main` blocks it until there is a handler."""
+    """Unblock SIGHUP, which `main` blocks until the handler is installed."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
 
 @dataclass(frozen=True, slots=True)
 class RelayEnvironment:
-    """Listeners, plan and signals as the system gives them; a trial hands in its own."""
+    """The parts of the operating system that a relay uses; a trial replaces them.
+
+    Attributes:
+        open_listener: opens a listening socket at an address "host:port".
+        load_assignment: reads what the plan in a file assigns to the named relay.
+        unblock_reload_signal: called after the handler of SIGHUP has been installed.
+    """
 
     open_listener: Callable[[str], socket.socket] = open_listener
     load_assignment: Callable[[str, Path], RelayAssignment] = load_assignment
@@ -53,12 +59,14 @@
 
 
 class RelayService:
-    """One relay's parts, put together and not yet started.
+    """The components of a relay; they are started by `run`.
 
     Attributes:
+        config: the relay's record in the operators' file.
         assignment: the cells that the relay serves.
-        cache: the discovery service's list, and a view for each cell.
-        server: answers planners.
+        environment: the parts of the operating system that the relay uses.
+        cache: the endpoint list of the discovery service, with a view for each cell.
+        server: serves the endpoint lists of the cells to planners.
         upstream: watches the discovery service.
         reload_requested: set by SIGHUP.
     """
@@ -84,7 +92,7 @@
             Random(config.name),
             DiscoveryOptions(
                 always_watch=True,
-                # polled again at the latest after a part of the time that any list may be old
+                # limits the retry delay to a share of the maximum age of a list
                 poll_deadline_ms=MAX_LIST_AGE_MS,
                 renewal_interval_ms=timing.watch_renewal_interval(len(assignment.plan.relays)),
                 on_heartbeat=self.mark_upstream_alive,
@@ -93,19 +101,19 @@
         self.reload_requested = asyncio.Event()
 
     def apply_endpoint_list(self, item: EndpointList | EndpointListFailed) -> None:
-        """Pass a list of the discovery service on; a failed call changes nothing."""
+        """Apply an endpoint list or delta of the discovery service; a failed call is ignored."""
         if isinstance(item, EndpointList):
             self.server.perform(self.cache.apply(item, self.server.now()))
 
     def mark_upstream_alive(self) -> None:
-        """The discovery service has sent a heartbeat."""
+        """Record a heartbeat of the discovery service."""
         self.cache.mark_upstream_alive(self.server.now())
 
     async def run(self) -> None:
         """Serve until cancelled.
 
         Raises:
-            OSError: an address can't be had.
+            OSError: a listening socket cannot be opened.
         """
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload_requested.set)
         self.environment.unblock_reload_signal()
@@ -117,19 +125,19 @@
             tasks.create_task(self.reload_on_request())
 
     async def reload_on_request(self) -> None:
-        """Reload the plan after each SIGHUP."""
+        """Reload the cell plan after each SIGHUP, until cancelled."""
         while True:
             await self.reload_requested.wait()
             self.reload_requested.clear()
             await self.reload()
 
     async def reload(self) -> None:
-        """Serve by the plan as it is now; the one in force stays where the new one can't be used."""
+        """Read and apply the cell plan; if it is invalid, the current plan remains in force."""
         try:
             assignment = self.environment.load_assignment(self.config.name, self.config.plan)
             await self.server.listen(assignment.cell_by_address)
         except (RelayConfigError, OSError) as error:
-            logger.error("cell plan not reloaded, the one in force stays: reason={}", error)
+            logger.error("cell plan not reloaded, keeping the current plan: reason={}", error)
             return
         self.assignment = assignment
         self.server.perform(self.cache.apply_plan(assignment.locate, assignment.cells, self.server.now()))
@@ -137,27 +145,30 @@
 
 
 def connection_limit(listeners: int) -> int:
-    """Connections that may be open at once, beside the other descriptors that the process holds."""
+    """Return how many connections may be open at once, given the file descriptors that the process needs otherwise."""
     descriptors = min(resource.getrlimit(resource.RLIMIT_NOFILE)[0], MAX_DESCRIPTORS)
     return max(1, descriptors - listeners - timing.RESERVED_DESCRIPTORS)
 
 
 async def serve(config: RelayConfig, assignment: RelayAssignment) -> None:
-    """Run a relay until cancelled."""
+    """Run a relay in this process until cancelled."""
     service = RelayService(config, assignment, connection_limit(len(assignment.cell_by_address)))
     await service.run()
 
 
 def exit_immediately(_signal: int, _frame: object) -> None:
-    """End the process: nothing has to be saved, callers resume at the other replica and a new process starts empty."""
+    """End the process with exit code 0; there is no state to save, and planners resume at the other replica."""
     os._exit(0)
 
 
 def main(operators: Path) -> int:
-    """Run a relay until SIGTERM; the exit code, 2 where it can't start."""
+    """Run the relay that an operators' file configures; returns exit code 2 if it cannot start.
+
+    SIGTERM and SIGINT end the process with exit code 0.
+    """
     signal.signal(signal.SIGTERM, exit_immediately)
     signal.signal(signal.SIGINT, exit_immediately)
-    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # it waits until there is something to reload
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # pending until the reload handler is installed
     try:
         config = load_relay_config(operators)
         assignment = load_assignment(config.name, config.plan)
--- a/stackwheel/service/relay_config.py
+++ b/stackwheel/service/relay_config.py
@@ -1,4 +1,4 @@
-"""What one relay is configured to do: its record in the operators' file, and its cells by the cell plan."""
+"""Reads the configuration of a relay: its record in the operators' file, and its cells in the cell plan."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RelayConfigError(InvalidInputError):
-    """A relay can't be configured; one line that names the place."""
+    """The configuration of a relay is invalid; the message is one line and names the file and field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
     Attributes:
         name: the relay's name in the cell plan.
-        upstream: "host:port", or several, of the discovery service.
+        upstream: address "host:port" of the discovery service, or comma-separated addresses of its replicas.
         plan: the path of the cell plan.
     """
 
@@ -35,17 +35,17 @@
 
 
 def load_relay_config(path: Path) -> RelayConfig:
-    """The relay's record in an operators' file.
+    """Read the relay's record in an operators' file.
 
     Raises:
-        RelayConfigError: the file can't be used or turns no relay on.
+        RelayConfigError: the file is invalid, cannot be read or does not enable the relay.
     """
     try:
         record = load(path).records.relay
     except OperatorsFileError as error:
         raise RelayConfigError("", str(error)) from error
     if not record.enabled:
-        raise RelayConfigError(str(path), "relay.on is false")
+        raise RelayConfigError(str(path), "relay.on is false, so no relay is enabled")
     try:
         upstream = check_replica_addresses("relay.upstream", record.upstream)
     except ConfigError as error:
@@ -59,8 +59,8 @@
 
     Attributes:
         plan: the plan.
-        locate: the cell of a server, by its name and zone.
-        cell_by_address: the cell that is served at each address where the relay listens.
+        locate: returns the name of a server's cell, given the names of the server and its zone; None if no cell has it.
+        cell_by_address: name of the cell that the relay serves, by listening address "host:port".
     """
 
     plan: Plan
@@ -69,15 +69,15 @@
 
     @property
     def cells(self) -> list[str]:
-        """The names of the cells that the relay serves."""
+        """Return the names of the cells that the relay serves."""
         return list(self.cell_by_address.values())
 
 
 def load_assignment(name: str, path: Path) -> RelayAssignment:
-    """What the plan in a file assigns to a relay.
+    """Return what the plan in a file assigns to a relay.
 
     Raises:
-        RelayConfigError: the plan can't be used or does not name the relay.
+        RelayConfigError: the file cannot be read, or the plan is invalid or does not contain the relay.
     """
     try:
         plan = load_plan(path)
@@ -87,18 +87,18 @@
 
 
 def assignment_for_relay(name: str, plan: Plan, source: str) -> RelayAssignment:
-    """What a plan assigns to a relay.
+    """Return what a plan assigns to a relay.
 
     Raises:
-        RelayConfigError: the plan does not name the relay; the error begins with `source`.
+        RelayConfigError: the plan does not contain the relay; the message begins with `source`.
     """
     relay = next((relay for relay in plan.relays if relay.name == name), None)
     if relay is None:
-        raise RelayConfigError(f"{source}: relays", f"none is named {name!r}, as relay.name says")
+        raise RelayConfigError(f"{source}: relays", f"no relay is named {name!r}, the value of relay.name")
     index = CellIndex(plan)
 
     def locate(instance_name: str, zone: str) -> str | None:
-        """The name of an instance's cell; None if no cell has it."""
+        """Return the name of an instance's cell; None if no cell has it."""
         cell = index.cell_of(instance_name, zone)
         return None if cell is None else cell.name
 
--- a/tests/planner_process.py
+++ b/tests/planner_process.py
@@ -1,6 +1,6 @@
-"""A planner as its users start it: a process on loopback, with clients that act as proxies and collectors.
+"""Planner processes on the loopback interface, with clients that act as proxies and collectors.
 
-Every wait has a limit.
+Every wait has a timeout.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from fake_services import ROOT, Discovery, config
 from proxy_model import ProxyTables
 
-MAX_WAIT_S = 30.0  # for any one thing
+MAX_WAIT_S = 30.0  # for a single line, exit code or other event
 TEST_TIMEOUT_S = 120
 CONNECT_ATTEMPTS = 600
 CONNECT_INTERVAL_S = 0.05
-PLAIN_COMMAND = (sys.executable, "-m", "stackwheel")
+DEFAULT_COMMAND = (sys.executable, "-m", "stackwheel")
 
 
 def run_async(test: Coroutine[Any, Any, None]) -> None:
@@ -31,12 +31,12 @@
 
 
 def serves_exactly(servers: set[str]) -> Callable[[ProxyTables], bool]:
-    """A condition on a proxy's tables: these servers, and no others, for all classes."""
+    """Return a condition: the proxy's tables of all classes contain exactly these available servers."""
     return lambda tables: all(set(tables.available_lines(name)) == servers for name in tables.classes)
 
 
 class ClientConnection:
-    """A client's end of a connection to the planner."""
+    """The client side of a connection to the planner."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -46,7 +46,7 @@
         self.writer.write("".join(line + "\r\n" for line in lines).encode())
 
     async def read_line(self) -> str:
-        """The next line; empty at the end of the connection."""
+        """Return the next line; an empty string at the end of the connection."""
         try:
             data = await asyncio.wait_for(self.reader.readline(), MAX_WAIT_S)
         except ConnectionError:
@@ -73,7 +73,7 @@
     async def wait_until(self, condition: Callable[[ProxyTables], bool]) -> None:
         while not condition(self.tables):
             line = await self.connection.read_line()
-            assert line, "the stream has ended"
+            assert line, "the planner closed the stream"
             for nonce in self.tables.take(line):
                 self.connection.send_lines(f"ACK id={self.number} seq={nonce} ms=2.5")
 
@@ -84,7 +84,7 @@
 
 
 class PlannerProcess:
-    """A planner's process with its configuration and the discovery service that it asks."""
+    """A planner process with its configuration and its discovery service."""
 
     def __init__(self, process: asyncio.subprocess.Process, document: dict[str, Any], discovery: Discovery) -> None:
         self.process = process
@@ -96,9 +96,9 @@
         for _ in range(CONNECT_ATTEMPTS):
             with contextlib.suppress(ConnectionRefusedError):
                 return ClientConnection(*await asyncio.open_connection(host, int(port)))
-            assert self.process.returncode is None, "the planner has ended"
+            assert self.process.returncode is None, "the planner process exited"
             await asyncio.sleep(CONNECT_INTERVAL_S)
-        raise AssertionError("the planner does not listen")
+        raise AssertionError("the planner accepts no connections")
 
     async def wait_ready(self) -> None:
         connection = await self.connect()
@@ -118,7 +118,7 @@
         return connection
 
     async def stop(self, signal_number: int = signal.SIGTERM) -> tuple[int, str]:
-        """The exit code and the log."""
+        """Stop the process with a signal and return its exit code and log."""
         if self.process.returncode is None:
             send_signal(self.process, signal_number)
         _, log = await asyncio.wait_for(self.process.communicate(), MAX_WAIT_S)
@@ -129,7 +129,7 @@
 async def start_planner(
     document: dict[str, Any],
     folder: Path,
-    command: tuple[str, ...] = PLAIN_COMMAND,
+    command: tuple[str, ...] = DEFAULT_COMMAND,
     **environment: str,
 ) -> asyncio.subprocess.Process:
     path = folder / "config.json"
@@ -147,7 +147,7 @@
 async def started_planner(
     document: dict[str, Any], folder: Path, discovery: Discovery, command: tuple[str, ...]
 ) -> AsyncIterator[PlannerProcess]:
-    """A process from its first moment on; killed at the end, whatever happens."""
+    """Start a planner without waiting until it is ready, and kill it at the end."""
     process = await start_planner(document, folder, command)
     try:
         yield PlannerProcess(process, document, discovery)
@@ -159,7 +159,7 @@
 async def running_planner(
     folder: Path, servers: int = 4, faults: tuple[str, ...] = (), **changed: Any
 ) -> AsyncIterator[PlannerProcess]:
-    """A planner that is ready, with a discovery service that lists some servers; killed at the end."""
+    """Start a planner with a discovery service that lists some servers, wait until it is ready, and kill it at the end."""
     discovery = Discovery()
     await discovery.start()
     discovery.troubles = list(faults)
@@ -181,16 +181,16 @@
 
 
 def send_signal(process: asyncio.subprocess.Process, signal_number: int) -> None:
-    """Send a signal without asking first whether the process has ended.
+    """Send a signal without polling the process first.
 
-    The process's own method asks, and then takes the exit code from asyncio, which gives 255.
+    `Process.send_signal` polls the process; if that reaps it, asyncio reports the exit code 255.
     """
     with contextlib.suppress(ProcessLookupError):
         os.kill(process.pid, signal_number)
 
 
 def deployed_command() -> tuple[str, ...]:
-    """The deploy file's `run` as the platform starts it, with this interpreter."""
+    """Return the command `run` of the deploy file, with the interpreter of the tests."""
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in command
     return "/bin/sh", "-c", command.replace(".venv/bin/python", sys.executable)
@@ -203,5 +203,5 @@
     while not any(
         line.startswith(field) and int(line.split()[1], 16) & bit for line in status.read_text().splitlines()
     ):
-        assert process.returncode is None, f"{field} of signal {signal_number} was never seen"
+        assert process.returncode is None, f"the process exited before {field} contained signal {signal_number}"
         await asyncio.sleep(0)
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -1,4 +1,4 @@
-"""Relay processes between a discovery service and a planner, as operators start them."""
+"""Relay processes between a discovery service and a planner, started with the command line of operators."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH
 from stackwheel.wire.http import Call, CallError, get
 
-MOST_MS = MAX_WAIT_S * 1000.0
+MAX_WAIT_MS = MAX_WAIT_S * 1000.0
 HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
 
 
 def plan(*services: str, relays: int = 2, port: int = 0) -> Plan:
-    """A cell a service, at ports that are free."""
+    """Build a plan with one cell for each service, at free ports unless a port is passed."""
     cells = [Cell(name, name, (), 0, 1, port or free_port()) for name in services]
     return Plan(1, Limits(), {}, tuple(Relay(f"relay-{n}", HOSTS[n]) for n in range(relays)), tuple(cells))
 
@@ -52,21 +52,21 @@
     def address(self, port: int) -> str:
         return f"{HOSTS[self.number]}:{port}"
 
-    async def until_status(self, port: int, status: int) -> None:
-        """Wait until a call for the list gets this status."""
+    async def wait_for_status(self, port: int, status: int) -> None:
+        """Wait until a request for the endpoint list is answered with this HTTP status."""
         async with asyncio.timeout(MAX_WAIT_S):
             while True:
                 try:
                     await get(self.address(port), INSTANCES_PATH, 1000.0, 1000.0)
-                    answered = 200
+                    actual = 200
                 except CallError as error:
-                    answered = error.status
-                if answered == status:
+                    actual = error.status
+                if actual == status:
                     return
                 assert self.process.returncode is None, await self.log()
                 await asyncio.sleep(0.02)
 
-    async def until_logged(self, text: str) -> None:
+    async def wait_for_log(self, text: str) -> None:
         assert self.process.stderr is not None
         while text not in (line := (await asyncio.wait_for(self.process.stderr.readline(), MAX_WAIT_S)).decode()):
             assert line, f"the log ended before {text!r}"
@@ -95,7 +95,7 @@
                 await relay.process.wait()
 
 
-async def discovery_listing(servers: int) -> Discovery:
+async def start_discovery(servers: int) -> Discovery:
     discovery = Discovery()
     await discovery.start()
     for number in range(servers):
@@ -105,7 +105,7 @@
 
 
 async def read_to_end(watch: Call) -> None:
-    """Read a watch until it ends, however it does."""
+    """Read a watch until it ends or fails."""
     with contextlib.suppress(CallError):
         while await watch.read_chunk(2 * timing.WATCH_SILENCE_TIMEOUT_MS) is not None:
             pass
@@ -113,31 +113,31 @@
 
 def test_a_planner_fails_over_to_the_other_replica_and_back(tmp_path: Path) -> None:
     async def scenario() -> None:
-        discovery = await discovery_listing(4)
+        discovery = await start_discovery(4)
         cell_plan = plan("s")
         port = cell_plan.cells[0].port
         async with relays(tmp_path, discovery, cell_plan) as (first, second):
             for relay in (first, second):
-                await relay.until_status(port, 200)
+                await relay.wait_for_status(port, 200)
             settings = config(f"{first.address(port)},{second.address(port)}")
             command = (sys.executable, "-m", "stackwheel")
             async with started_planner(settings, tmp_path, discovery, command) as planner:
-                await follow_through_restarts(planner, discovery, first, second, port)
+                await check_failover_in_both_directions(planner, discovery, first, second, port)
 
     run_async(scenario())
 
 
-async def follow_through_restarts(
+async def check_failover_in_both_directions(
     planner: PlannerProcess, discovery: Discovery, first: RelayProcess, second: RelayProcess, port: int
 ) -> None:
     proxy = await planner.join_proxy(0)
-    await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))  # of its cell alone
-    await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)  # a watch that lasted so long is resumed at once
+    await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))  # the servers of its own cell only
+    await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)  # after this time a watch is resumed without delay
     await first.stop(signal.SIGKILL)
     await discovery.update("s-0", lifecycle="terminating")
     await proxy.wait_until(serves_exactly({"s-1", "s-2", "s-3"}))
     await first.start()
-    await first.until_status(port, 200)
+    await first.wait_for_status(port, 200)
     await asyncio.sleep(timing.HEARTBEAT_INTERVAL_MS / 1000.0)
     await discovery.update("s-0", lifecycle="terminated")
     await second.stop(signal.SIGKILL)
@@ -152,23 +152,23 @@
 
 def test_a_relay_is_available_only_while_its_upstream_is_alive(tmp_path: Path) -> None:
     async def scenario() -> None:
-        discovery = await discovery_listing(2)
+        discovery = await start_discovery(2)
         cell_plan = plan("s")
         port = cell_plan.cells[0].port
         host, _, upstream_port = discovery.address.rpartition(":")
         async with relays(tmp_path, discovery, cell_plan) as (first, _):
-            await first.until_status(port, 200)
+            await first.wait_for_status(port, 200)
             watch = Call(first.address(port), f"{INSTANCES_PATH}?follow=1")
-            await watch.open(MOST_MS, MOST_MS)
+            await watch.open(MAX_WAIT_MS, MAX_WAIT_MS)
             await discovery.shut()
             await read_to_end(watch)
             watch.close()
-            await first.until_status(port, 503)
+            await first.wait_for_status(port, 503)
             await discovery.server.wait_closed()
             discovery.server = await asyncio.start_server(discovery.serve, host, int(upstream_port))
             await discovery.update("s-0", lifecycle="terminated")
-            await first.until_status(port, 200)
-            body = await get(first.address(port), INSTANCES_PATH, MOST_MS, MOST_MS)
+            await first.wait_for_status(port, 200)
+            body = await get(first.address(port), INSTANCES_PATH, MAX_WAIT_MS, MAX_WAIT_MS)
             assert isinstance(body, bytes)
             assert b"s-1" in body
             assert b"s-0" not in body
@@ -180,33 +180,33 @@
 
 def test_a_plan_is_reloaded_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
-        discovery = await discovery_listing(2)
+        discovery = await start_discovery(2)
         cell_plan = plan("s")
         port = cell_plan.cells[0].port
         async with relays(tmp_path, discovery, cell_plan) as (first, second):
-            await first.until_status(port, 200)
-            await second.until_status(port, 200)  # up before it is told to end
+            await first.wait_for_status(port, 200)
+            await second.wait_for_status(port, 200)  # the second relay has to run before it can be stopped
             watch = Call(first.address(port), f"{INSTANCES_PATH}?follow=1")
-            await watch.open(MOST_MS, MOST_MS)
-            first_answer = await watch.read_chunk(MOST_MS)
+            await watch.open(MAX_WAIT_MS, MAX_WAIT_MS)
+            first_answer = await watch.read_chunk(MAX_WAIT_MS)
             assert isinstance(first_answer, bytes)
             assert b"s-1" in first_answer
             (tmp_path / "cells.json").write_bytes(encode_plan(cell_plan)[:200])
             send_signal(first.process, signal.SIGHUP)
-            await first.until_logged("cell plan not reloaded, the one in force stays")
-            await first.until_status(port, 200)
+            await first.wait_for_log("cell plan not reloaded, keeping the current plan")
+            await first.wait_for_status(port, 200)
             other = free_port()
             moved = (Cell("t", "t", (), 0, 1, port), Cell("s", "s", (), 0, 1, other))
             (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, moved)))
             send_signal(first.process, signal.SIGHUP)
-            await first.until_logged("cell plan reloaded: count=2")
+            await first.wait_for_log("cell plan reloaded: count=2")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
-                body = await get(first.address(served), INSTANCES_PATH, MOST_MS, MOST_MS)
+                body = await get(first.address(served), INSTANCES_PATH, MAX_WAIT_MS, MAX_WAIT_MS)
                 assert isinstance(body, bytes)
                 assert name in body
                 assert body.count(b"instanceId") == (2 if served == other else 1)
-            elsewhere = (Cell("u", "u", (), 0, 1, port),)
-            (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, elsewhere)))
+            other_cells = (Cell("u", "u", (), 0, 1, port),)
+            (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, other_cells)))
             send_signal(first.process, signal.SIGHUP)
             await read_to_end(watch)
             watch.close()
@@ -222,7 +222,7 @@
         (tmp_path / "cells.json").write_bytes(encode_plan(plan("s")))
         assignment = load_assignment("relay-0", tmp_path / "cells.json")
         service = RelayService(RelayConfig("relay-0", discovery.address, tmp_path / "cells.json"), assignment, 100)
-        following = asyncio.create_task(service.upstream.run())
+        upstream_task = asyncio.create_task(service.upstream.run())
         watch = await discovery.calls.get()
         watch.send_list(5, True, "s-1")
         while service.cache.generation is None:
@@ -231,7 +231,7 @@
         watch.send_heartbeat()
         while service.cache.upstream.last_seen_at == listed_at:
             await asyncio.sleep(0)
-        following.cancel()
+        upstream_task.cancel()
 
     run_async(asyncio.wait_for(scenario(), 15))
 
@@ -239,8 +239,8 @@
 @pytest.mark.parametrize(
     ("record", "expected"),
     [
-        ("relay: on: false", "relay.on is false"),
-        ('relay: {on: true, name: "other", upstream: "127.0.0.1:1"}', "none is named 'other'"),
+        ("relay: on: false", "relay.on is false, so no relay is enabled"),
+        ('relay: {on: true, name: "other", upstream: "127.0.0.1:1"}', "no relay is named 'other'"),
         ('relay: {on: true, name: "relay-0", upstream: "nowhere"}', "relay.upstream: not host:port"),
         ('relay: {on: true, name: "relay-0", upstream: "127.0.0.1:1", plan: "none.json"}', "none.json"),
         ('relay: {on: true, name: "relay-0", upstream: "127.0.0.1:1", plan: "cut.json"}', "cut.json"),
@@ -248,7 +248,9 @@
         ('relay: {on: true, name: "relay-1", upstream: "127.0.0.1:1"}', "address"),
     ],
 )
-def test_invalid_input_is_one_line_that_names_the_place(tmp_path: Path, record: str, expected: str) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line_with_its_location(
+    tmp_path: Path, record: str, expected: str
+) -> None:
     cell_plan = plan("s")
     (tmp_path / "cells.json").write_bytes(
         encode_plan(Plan(1, Limits(), {}, (Relay("relay-0", HOSTS[0]), Relay("relay-1", "192.0.2.1")), cell_plan.cells))
@@ -262,8 +264,7 @@
     assert len(completed.stderr.splitlines()) == 1, completed.stderr
 
 
-def test_a_planner_process_imports_nothing_of_a_relay() -> None:
-    """Nor the libraries that only a relay needs."""
+def test_a_planner_process_imports_no_module_or_library_that_only_relays_use() -> None:
     program = "import sys, stackwheel.__main__, stackwheel.service.app, stackwheel.service.config; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", program],
@@ -273,7 +274,7 @@
         check=True,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     ).stdout.split()
-    unwanted = (
+    forbidden = (
         "stackwheel.relay",
         "stackwheel.cells",
         "stackwheel.wire.endpoint_",
@@ -283,4 +284,4 @@
         "click",
     )
     assert "stackwheel.wire.discovery_client" in loaded
-    assert [name for name in loaded if name.startswith(unwanted)] == []
+    assert [name for name in loaded if name.startswith(forbidden)] == []
