--- a/tests/service/test_configured_names.py
+++ b/tests/service/test_configured_names.py
@@ -1,4 +1,4 @@
-"""Names in the settings, and their order, decide nothing: the same script gets the same updates."""
+"""The updates of a planner do not depend on the names and the order of zones and request classes in the settings."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 }
 
 
-def configuration(zones: Sequence[str], classes: Sequence[str], names: dict[str, str]) -> dict[str, Any]:
-    """The example's configuration, with zones and classes in this order and under other names."""
+def config_document(zones: Sequence[str], classes: Sequence[str], names: dict[str, str]) -> dict[str, Any]:
+    """Build the example's configuration with the zones and classes in the given order, renamed by `names`."""
     document: dict[str, Any] = json.loads((ROOT / "examples" / "config.json").read_text())
     settings = document["settings"]
     settings["zones"] = [names.get(zone, zone) for zone in zones]
@@ -66,7 +66,7 @@
 
 
 class RecordingPorts:
-    """Records updates as they are written, in the names of the script."""
+    """Records encoded updates, with names converted back to the original ones."""
 
     def __init__(self, encoder: Encoder, original_names: dict[str, str]) -> None:
         self.encoder = encoder
@@ -103,22 +103,22 @@
     def send_gossip(self, payload: bytes, peer: int | None) -> None: ...
 
 
-def play(
+def run_scenario(
     zones: Sequence[str], classes: Sequence[str], names: dict[str, str]
 ) -> list[tuple[int, list[tuple[object, ...]]]]:
-    """Joins, ten cycles of reports, a drain and an overload; returns the updates for the proxies."""
-    loaded = read_config(configuration(zones, classes, names))
+    """Run joins, ten cycles of reports, a drain and an overload; return the updates sent to the proxies."""
+    loaded = read_config(config_document(zones, classes, names))
     now = 1_000_000.0
     clock = Clock(lambda: now / 1000.0, lambda: now / 1000.0)
     clock.now = lambda: now  # type: ignore[method-assign]
     endpoints = EndpointCache(loaded.names.zones, loaded.names.kinds, ServerIds())
     kind = loaded.names.kinds[0]
 
-    def listed(number: int, state: Availability = Availability.READY, started: float = 0.0) -> Instance:
+    def instance(number: int, state: Availability = Availability.READY, started: float = 0.0) -> Instance:
         zone = ZONES[number % 3]
         return Instance(f"s-{number}", f"127.0.0.1:{number + 1}", names.get(zone, zone), kind, 0, state, 1.0, started)
 
-    endpoints.apply(EndpointList(1, True, tuple(listed(n) for n in range(SERVERS))))
+    endpoints.apply(EndpointList(1, True, tuple(instance(n) for n in range(SERVERS))))
     ports = RecordingPorts(Encoder(loaded.names, endpoints.server_ids), {new: old for old, new in names.items()})
     planner = PlannerActor(PolicyOptions(loaded.settings, 5), 0.0, clock, endpoints, ports)
     planner.set_timer = lambda _delay, _token: None  # type: ignore[method-assign]
@@ -137,7 +137,7 @@
     for cycle in range(10):
         now += loaded.settings.report_interval
         if cycle == 4:
-            planner.post(EndpointList(2, False, (listed(3, Availability.DRAINING), listed(40, started=now))))
+            planner.post(EndpointList(2, False, (instance(3, Availability.DRAINING), instance(40, started=now))))
         for zone in ZONES:
             for n in range(SERVERS):
                 slow = 4.0 if cycle > 6 else 1.0 + 0.01 * n
@@ -163,29 +163,29 @@
     return ports.updates
 
 
-RENAMED = {"east": "x-9", "west": "Zone_B", "south": "0", "lookup": "zz", "save": "q", "book": "aa", "audit": "m"}
+NEW_NAMES = {"east": "x-9", "west": "Zone_B", "south": "0", "lookup": "zz", "save": "q", "book": "aa", "audit": "m"}
 
 
 @pytest.mark.parametrize(
     ("zones", "classes", "names"),
     [
-        (ZONES, CLASSES, RENAMED),
+        (ZONES, CLASSES, NEW_NAMES),
         (ZONES[::-1], CLASSES, {}),
         (ZONES, CLASSES[::-1], {}),
-        (("south", "east", "west"), ("book", "audit", "lookup", "save"), RENAMED),
+        (("south", "east", "west"), ("book", "audit", "lookup", "save"), NEW_NAMES),
     ],
 )
-def test_names_and_their_order_decide_nothing(
+def test_updates_do_not_depend_on_names_and_their_order(
     zones: Sequence[str], classes: Sequence[str], names: dict[str, str]
 ) -> None:
-    """Classes with equally many servers were allocated, and those of equal weight shed, in the settings' order."""
-    expected = play(ZONES, CLASSES, {})
+    """Ties, such as classes with equal weight, must not be broken by the order of the settings."""
+    expected = run_scenario(ZONES, CLASSES, {})
     assert any(re.search("admit", repr(parts)) for _, parts in expected)
     assert len(expected) > 2 * PROXIES
-    assert play(zones, classes, names) == expected
+    assert run_scenario(zones, classes, names) == expected
 
 
-def test_one_configuration_leaves_no_state_for_the_next() -> None:
-    expected = play(ZONES, CLASSES, {})
-    play(("south", "east", "west"), ("book", "audit", "lookup", "save"), RENAMED)
-    assert play(ZONES, CLASSES, {}) == expected
+def test_a_planner_with_another_configuration_leaves_no_state_behind() -> None:
+    expected = run_scenario(ZONES, CLASSES, {})
+    run_scenario(("south", "east", "west"), ("book", "audit", "lookup", "save"), NEW_NAMES)
+    assert run_scenario(ZONES, CLASSES, {}) == expected
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload under load: what SIGHUP changes, what it leaves, and what a file that can't be used does."""
+"""Reload of the configuration on SIGHUP: changes, keys that require a restart, invalid files and process stops."""
 
 import asyncio
 import json
@@ -46,14 +46,14 @@
 
 
 async def wait_for_log(planner: PlannerProcess, text: str) -> None:
-    """Read the log up to a line; what is read here is missing from what `stop` returns."""
+    """Read the log up to a line that contains a text; `stop` does not return the lines read here."""
     assert planner.process.stderr is not None
     while text not in (line := (await asyncio.wait_for(planner.process.stderr.readline(), MAX_WAIT_S)).decode()):
         assert line, f"the log ended before {text!r}"
 
 
-def test_another_discovery_address_leaves_proxies_connected(tmp_path: Path) -> None:
-    """Its first answer is the complete list, whatever its generation; then the old address is no longer watched."""
+def test_proxies_stay_connected_when_the_discovery_address_changes(tmp_path: Path) -> None:
+    """The first response replaces the whole list at any generation, and the old address is no longer watched."""
 
     async def work() -> None:
         second = await start_discovery("s-0", "s-1", "s-9", generation=7)
@@ -95,9 +95,7 @@
         ('{"settings": {"me": 0}, "listen": "127.0.0.1:1", "discovery": "nowhere"}', "discovery: not host:port"),
     ],
 )
-def test_a_file_that_can_not_be_used_is_logged_once_and_changes_nothing(
-    tmp_path: Path, text: str, problem: str
-) -> None:
+def test_an_invalid_file_is_logged_once_and_changes_nothing(tmp_path: Path, text: str, problem: str) -> None:
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
@@ -116,7 +114,7 @@
     run_async(work())
 
 
-def test_keys_that_need_a_restart_are_logged_and_the_others_applied(tmp_path: Path) -> None:
+def test_changed_keys_that_require_a_restart_are_logged_and_the_others_applied(tmp_path: Path) -> None:
     async def work() -> None:
         second = await start_discovery("s-0", "s-9")
         async with running_planner(tmp_path) as planner:
@@ -142,10 +140,10 @@
     run_async(work())
 
 
-def test_two_reloads_in_a_row_and_a_stop_during_one(tmp_path: Path) -> None:
+def test_two_consecutive_reloads_and_a_stop_during_a_third(tmp_path: Path) -> None:
     async def work() -> None:
         second, third = await start_discovery("s-0", "s-8"), await start_discovery("s-0", "s-9")
-        second.troubles = ["silence"]  # the call is still open when the next file comes
+        second.troubles = ["silence"]  # the call is still open at the next reload
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))
@@ -165,7 +163,7 @@
     run_async(work())
 
 
-def test_a_new_discovery_address_that_fails_leaves_the_old_one_in_force(tmp_path: Path) -> None:
+def test_the_old_discovery_address_is_used_until_the_new_one_answers(tmp_path: Path) -> None:
     async def work() -> None:
         second = await start_discovery("s-0", "s-9")
         second.troubles = ["503"]
@@ -176,7 +174,7 @@
             reload(planner, tmp_path, discovery=second.address)
             while not second.calls:
                 await asyncio.sleep(0.01)
-            await planner.discovery.update("s-3", lifecycle="terminated")  # an event from the old address
+            await planner.discovery.update("s-3", lifecycle="terminated")  # sent by the old address
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2"}))
             await proxy.wait_until(serves_exactly({"s-0", "s-9"}))
             assert second.calls == ["503", "served"]
@@ -185,7 +183,7 @@
 
 
 def test_sighup_during_the_start_does_not_end_the_process(tmp_path: Path) -> None:
-    """It is blocked from the first line on, and followed once there is something to reload."""
+    """SIGHUP is blocked at the start of `main`, and handled once the planner is ready."""
 
     async def work() -> None:
         discovery = Discovery()
@@ -202,8 +200,8 @@
     run_async(work())
 
 
-def test_sighup_from_the_first_moment_on_does_not_end_the_process(tmp_path: Path) -> None:
-    """Before the first line of the program there is no handler: a SIGHUP then ended the process."""
+def test_sighup_before_the_start_of_main_does_not_end_the_process(tmp_path: Path) -> None:
+    """The deploy file's command ignores SIGHUP while the interpreter starts, before the program can block it."""
 
     async def work() -> None:
         discovery = Discovery()
@@ -223,8 +221,8 @@
     run_async(work())
 
 
-def test_a_half_written_file_is_read_again(tmp_path: Path) -> None:
-    """The signal came before its writer had ended, and no second one comes."""
+def test_an_incompletely_written_file_is_read_again(tmp_path: Path) -> None:
+    """The signal arrives before the file is complete, and no second signal follows."""
 
     async def work() -> None:
         second = await start_discovery("s-0", "s-9")
@@ -245,24 +243,24 @@
     run_async(work())
 
 
-@pytest.mark.parametrize("moment", ["first line", "ready", "many joins", "reload", "twice", "discovery silent"])
-def test_a_stop_at_any_moment_ends_with_exit_code_0(tmp_path: Path, moment: str) -> None:
+@pytest.mark.parametrize("stop_phase", ["first line", "ready", "many joins", "reload", "twice", "discovery silent"])
+def test_a_stop_signal_in_any_phase_ends_the_process_with_exit_code_0(tmp_path: Path, stop_phase: str) -> None:
     async def work() -> None:
         discovery = Discovery()
         await discovery.start()
-        discovery.troubles = ["silence"] * 3 if moment == "discovery silent" else []
+        discovery.troubles = ["silence"] * 3 if stop_phase == "discovery silent" else []
         async with started_planner(config(discovery.address), tmp_path, discovery, deployed_command()) as planner:
             await wait_for_signal_state(planner.process, "SigCgt", signal.SIGTERM)
-            if moment != "first line":
+            if stop_phase != "first line":
                 await planner.wait_ready()
-            if moment == "many joins":
+            if stop_phase == "many joins":
                 connections = [await planner.connect() for _ in range(60)]
                 for number, connection in enumerate(connections):
                     connection.send_lines(f"SUBSCRIBE id={number % 8} site=east rps=5 new=0")
-            if moment == "reload":
+            if stop_phase == "reload":
                 send_signal(planner.process, signal.SIGHUP)
             send_signal(planner.process, signal.SIGTERM)
-            if moment == "twice":
+            if stop_phase == "twice":
                 send_signal(planner.process, signal.SIGTERM)
             code, log = await planner.stop()
             assert code == 0
@@ -271,8 +269,8 @@
     run_async(work())
 
 
-def test_a_defect_while_a_file_is_applied_leaves_the_next_request_followed() -> None:
-    """The task of the reload ended with it, and SIGHUP did nothing any more."""
+def test_an_unexpected_error_during_a_reload_does_not_prevent_the_next_reload() -> None:
+    """An error that ends the reload task would leave later SIGHUP signals without effect."""
 
     async def work() -> None:
         in_force = read_config(config("127.0.0.1:1"))
@@ -281,13 +279,13 @@
         def apply(addresses: Addresses) -> None:
             applied.append(addresses.discovery)
             if len(applied) == 1:
-                raise RuntimeError("a defect")
+                raise RuntimeError("unexpected")
 
-        moved = replace(in_force, addresses=replace(in_force.addresses, discovery="127.0.0.1:2"))
-        actor = Reload(in_force, apply, lambda: moved)
-        task = asyncio.create_task(actor.run())
+        changed_config = replace(in_force, addresses=replace(in_force.addresses, discovery="127.0.0.1:2"))
+        reload_actor = Reload(in_force, apply, lambda: changed_config)
+        task = asyncio.create_task(reload_actor.run())
         for count in (1, 2):
-            actor.request()
+            reload_actor.request()
             while len(applied) < count:
                 await asyncio.sleep(0)
         assert not task.done()
@@ -297,7 +295,7 @@
 
 
 class ClientHarness:
-    """A discovery client in the test's own process."""
+    """A discovery client that runs in the process of the test and records what it posts."""
 
     def __init__(self, address: str, generation: int = 0) -> None:
         self.posted: list[EndpointList | EndpointListFailed] = []
@@ -314,7 +312,7 @@
         return endpoint_list.generation, endpoint_list.complete, {i.name for i in endpoint_list.instances}
 
 
-def test_a_list_older_than_the_last_one_waits_for_its_changes() -> None:
+def test_after_an_address_change_an_older_list_is_used_once_it_has_caught_up() -> None:
     async def work() -> None:
         first, second = await start_discovery("a", "b", generation=8), await start_discovery("a", "b", generation=7)
         client = ClientHarness(first.address)
@@ -339,13 +337,13 @@
     run_async(work())
 
 
-def test_a_delta_as_first_answer_is_not_taken_for_the_complete_list() -> None:
-    """A discovery service whose first answer is a delta is asked for the complete list as well."""
+def test_a_delta_as_first_response_is_not_treated_as_the_complete_list() -> None:
+    """If the first response of a new address is a delta, the complete list is requested as well."""
 
     async def work() -> None:
         first, second = await start_discovery("a"), await start_discovery("a", "b", generation=3)
-        original_document = second.document
-        second.document = lambda since: original_document(since if len(second.calls) > 1 else 0)  # type: ignore[method-assign]
+        document_since = second.document
+        second.document = lambda since: document_since(since if len(second.calls) > 1 else 0)  # type: ignore[method-assign]
         client = ClientHarness(first.address)
         client.discovery_client.send(Command.WATCH)
         await client.wait_for_posts(1)
@@ -358,7 +356,7 @@
     run_async(work())
 
 
-def test_a_new_address_without_a_watch_counts_for_the_next_call() -> None:
+def test_an_address_change_without_a_watch_applies_to_the_next_call() -> None:
     async def work() -> None:
         first, second = await start_discovery("a"), await start_discovery("b")
         client = ClientHarness(first.address)
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -1,4 +1,4 @@
-"""The planner as a process: what it serves, how it treats bad input, how it starts and stops."""
+"""The planner process: service to proxies, invalid input, faults of the discovery service, start and stop."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 from stackwheel.policy import gossip
 
 
-def test_a_proxy_gets_its_tables_and_their_changes(tmp_path: Path) -> None:
+def test_a_proxy_receives_its_tables_and_their_changes(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
             collector = await planner.connect_collector()
@@ -24,7 +24,7 @@
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))
             assert proxy.tables.levels == {"read": (1.0, 1), "write": (1.0, 1)}
 
-            async def reports() -> None:  # one server becomes slow: its weight falls
+            async def reports() -> None:  # one server is slow, so its weight decreases
                 while True:
                     proxy.report_demand()
                     collector.send_lines(
@@ -51,7 +51,7 @@
     run_async(work())
 
 
-def test_a_new_stream_of_a_proxy_replaces_the_old(tmp_path: Path) -> None:
+def test_a_new_stream_of_a_proxy_replaces_the_old_one(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
             first = await planner.join_proxy(0)
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    "hostile",
+    "invalid_input",
     [
         b"HELLO\r\n",
         b"PING \xff\r\n",
@@ -82,12 +82,12 @@
     ],
     ids=lambda data: data[:40].decode(errors="replace").strip().replace("\r\n", " "),
 )
-def test_bad_input_closes_that_connection_alone(tmp_path: Path, hostile: bytes) -> None:
+def test_invalid_input_closes_only_the_connection_it_arrived_on(tmp_path: Path, invalid_input: bytes) -> None:
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
             bad = await planner.connect()
-            bad.writer.write(hostile)
+            bad.writer.write(invalid_input)
             assert await bad.wait_closed()
             await proxy.wait_until(serves_exactly(set(planner.discovery.instances)))
             _, log = await planner.stop()
@@ -129,7 +129,7 @@
     run_async(work())
 
 
-def test_a_message_may_arrive_in_pieces(tmp_path: Path) -> None:
+def test_a_message_may_arrive_in_several_segments(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
             connection = await planner.connect()
@@ -158,15 +158,15 @@
     run_async(work())
 
 
-def test_a_client_that_does_not_read_is_closed_and_delays_no_other(tmp_path: Path) -> None:
+def test_a_client_that_does_not_read_is_closed_without_delaying_others(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
-            unreading = (await planner.join_proxy(1)).connection
-            unreading.writer.write(b"PING\r\n" * 2_000_000)  # and never reads the answers
+            stalled_reader = (await planner.join_proxy(1)).connection
+            stalled_reader.writer.write(b"PING\r\n" * 2_000_000)  # the responses are never read
             proxy = await planner.join_proxy(0)
             await proxy.wait_until(serves_exactly(set(planner.discovery.instances)))
             with contextlib.suppress(ConnectionError):
-                await asyncio.wait_for(unreading.writer.drain(), MAX_WAIT_S)
+                await asyncio.wait_for(stalled_reader.writer.drain(), MAX_WAIT_S)
             _, log = await planner.stop()
             assert "bytes unread" in log
 
@@ -215,7 +215,7 @@
         ) as planner:
             host, _, port = own.rpartition(":")
             loop = asyncio.get_running_loop()
-            await loop.sock_sendto(other, b"x" * 300, (host, int(port)))  # too long
+            await loop.sock_sendto(other, b"x" * 300, (host, int(port)))  # exceeds the maximum size of a datagram
             client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             client.sendto(b"hello", (host, int(port)))
             client.close()
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_stop_signal_ends_the_process_at_once(tmp_path: Path, number: int) -> None:
+def test_a_stop_signal_ends_the_process_immediately(tmp_path: Path, number: int) -> None:
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
@@ -259,24 +259,24 @@
             assert code == -signal.SIGKILL
             planner.process = await start_planner(planner.config, tmp_path)
             await planner.wait_ready()
-            again = await planner.join_proxy(0, newly_started=0)
-            again.tables = proxy.tables
+            rejoined = await planner.join_proxy(0, newly_started=0)
+            rejoined.tables = proxy.tables
             before = len(proxy.tables.costs)
-            await again.wait_until(lambda tables: len(tables.costs) > before)
-            assert serves_exactly(set(planner.discovery.instances))(again.tables)
+            await rejoined.wait_until(lambda tables: len(tables.costs) > before)
+            assert serves_exactly(set(planner.discovery.instances))(rejoined.tables)
 
     run_async(work())
 
 
-def test_a_suspended_planner_continues_where_it_was(tmp_path: Path) -> None:
-    """What arrived meanwhile is still unread: neither the watch nor a stream counts as silent."""
+def test_a_suspended_planner_keeps_its_connections_after_it_resumes(tmp_path: Path) -> None:
+    """Data that arrived during the suspension is read before the watch or a stream can time out."""
 
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
             await proxy.wait_until(serves_exactly(set(planner.discovery.instances)))
             planner.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(4.0)  # longer than a watch may be quiet
+            await asyncio.sleep(4.0)  # longer than the silence timeout of a watch
             planner.process.send_signal(signal.SIGCONT)
             await planner.discovery.update("s-1", lifecycle="terminating")
             await proxy.wait_until(serves_exactly({"s-0", "s-2", "s-3"}))
@@ -288,15 +288,15 @@
     run_async(work())
 
 
-def test_partial_lines_and_unidentified_connections_stay_within_the_memory(tmp_path: Path) -> None:
-    """Every proxy and collector, and hundreds of unidentified connections, each with the longest partial line."""
+def test_partial_lines_and_unidentified_connections_stay_within_the_memory_limit(tmp_path: Path) -> None:
+    """All proxies and collectors and 300 unidentified connections send partial lines of the maximum length."""
 
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
-            everyone = set(planner.discovery.instances)
+            all_servers = set(planner.discovery.instances)
             proxies = [await planner.join_proxy(number) for number in range(8)]
             for proxy in proxies:
-                await proxy.wait_until(serves_exactly(everyone))
+                await proxy.wait_until(serves_exactly(all_servers))
             connections = [proxy.connection for proxy in proxies]
             connections += [await planner.connect_collector(zone) for zone in ("east", "west", "east", "west")]
             for connection in connections:
@@ -306,10 +306,10 @@
             for client in clients:
                 client.writer.write(b"RATE " + b"x" * 4000)
             await planner.discovery.update("s-1", lifecycle="terminating")
-            await proxies[0].wait_until(serves_exactly(everyone - {"s-1"}))
+            await proxies[0].wait_until(serves_exactly(all_servers - {"s-1"}))
             status = Path(f"/proc/{planner.process.pid}/status").read_text()
             peak = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
-            assert peak < 100 * 1024  # KiB; the limit in service is 192 MB
+            assert peak < 100 * 1024  # KiB; the configured limit is 192 MB
             for client in clients:
                 client.close()
 
@@ -342,7 +342,7 @@
         ),
     ],
 )
-def test_a_configuration_that_can_not_be_used_is_one_line_and_exit_code_2(
+def test_an_invalid_configuration_is_reported_in_one_line_with_exit_code_2(
     tmp_path: Path, text: str | None, problem: str
 ) -> None:
     import subprocess
@@ -355,7 +355,7 @@
     if text is not None:
         path.write_text(text)
         environment["ROUTER_CONFIG"] = str(path)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "stackwheel"],
         cwd=ROOT,
         env=environment,
@@ -364,14 +364,14 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stdout == ""
-    assert done.stderr.count("\n") == 1
-    assert problem in done.stderr
-    assert "Traceback" not in done.stderr
+    assert completed.returncode == 2
+    assert completed.stdout == ""
+    assert completed.stderr.count("\n") == 1
+    assert problem in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
-def test_an_address_in_use_is_one_line_and_exit_code_2(tmp_path: Path) -> None:
+def test_an_address_in_use_is_reported_in_one_line_with_exit_code_2(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_planner(tmp_path) as planner:
             second = await start_planner({**planner.config, "peer_listen": ""}, tmp_path)
@@ -385,7 +385,7 @@
 
 
 def test_the_descriptor_limit_of_the_system_does_not_end_the_process(tmp_path: Path) -> None:
-    """Where the process may hold fewer descriptors than configured, it goes on serving the joined proxies."""
+    """If the system allows fewer descriptors than configured, the planner continues to serve joined proxies."""
 
     async def work() -> None:
         import resource
@@ -404,7 +404,7 @@
     run_async(work())
 
 
-def test_fake_proxy_tables_reject_what_a_proxy_would() -> None:
+def test_the_proxy_model_rejects_invalid_updates() -> None:
     tables = ProxyTables(("read",), {"s-0"})
     for line in (
         "CONFIG routes=rest",
