--- a/stackwheel/config_language/__init__.py
+++ b/stackwheel/config_language/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' file: a small typed configuration language in the manner of CUE, unified with the program's schema."""
+"""The language of the operators' file: a small typed configuration language similar to CUE, and its schema."""
--- a/stackwheel/config_language/descriptions.py
+++ b/stackwheel/config_language/descriptions.py
@@ -1,4 +1,4 @@
-"""Values and constraints as messages and listings show them."""
+"""Formats values and constraints for messages and listings."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
     Conjunction,
     Disjunction,
     ListValue,
-    PlainValue,
     Record,
     Reference,
     Scalar,
+    ScalarValue,
     TypeName,
     Value,
 )
 
 
-def format_scalar(value: PlainValue) -> str:
-    """A concrete value in the notation."""
+def format_scalar(value: ScalarValue) -> str:
+    """Format a scalar in the syntax of the language; strings are quoted without escapes."""
     if value is None:
         return "null"
     if isinstance(value, bool):
@@ -30,10 +30,10 @@
 
 
 def describe(value: Value) -> str:
-    """A value in the notation; records and lists only by what they are."""
+    """Format a value in the syntax of the language; records and lists are only named as such."""
     match value:
-        case Scalar(plain, _):
-            return format_scalar(plain)
+        case Scalar(scalar, _):
+            return format_scalar(scalar)
         case TypeName(name, _) | Reference(name, _):
             return name
         case Bound(operator, limit, _):
@@ -44,7 +44,7 @@
 
 
 def describe_alternatives(disjunction: Disjunction) -> str:
-    """The alternatives, without a default that the others allow anyway."""
+    """Format the alternatives; a scalar default is omitted if others are types or bounds."""
     only_scalars = all(isinstance(alternative, Scalar) for alternative in disjunction.alternatives)
     shown: list[Value] = [
         alternative
@@ -55,11 +55,11 @@
 
 
 def describe_constraints(types: Iterable[TypeName], bounds: Iterable[Bound]) -> str:
-    """The types and bounds that a value must satisfy."""
+    """Format the types and bounds that a value must satisfy."""
     constraints: list[Value] = [*types, *bounds]
     return join_distinct(" & ", (describe(constraint) for constraint in constraints)) or "another value"
 
 
 def join_distinct(separator: str, texts: Iterable[str]) -> str:
-    """Texts in a line, each once."""
+    """Join texts with a separator, omitting repeated ones."""
     return separator.join(dict.fromkeys(texts))
--- a/stackwheel/config_language/errors.py
+++ b/stackwheel/config_language/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the operators' file: one line each that names file, line and field."""
+"""Errors in the operators' file; each message is one line with the file, line and field."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class OperatorsFileError(InvalidInputError):
-    """A file can't be used; the configuration in force stays as it is.
+    """An operators' file is invalid or cannot be read.
 
     Attributes:
-        file: the file, or `schema` for the program's own part.
-        line: the line in it; None where the fault concerns the file as a whole.
-        field: the path of the field, or the column of a syntax error; may be empty.
+        file: name of the file; "schema" for the schema of the program.
+        line: line number, from 1; None if the error concerns the file as a whole.
+        field: path of the field, or the column of a syntax error; may be empty.
     """
 
     def __init__(self, file: str, line: int | None, field: str, problem: str) -> None:
@@ -23,8 +23,8 @@
 
 
 class OperatorsSyntaxError(OperatorsFileError):
-    """A text is not in the notation."""
+    """A text violates the syntax of the language."""
 
 
 class UnificationError(OperatorsFileError):
-    """Values that the files and the schema give to one field can't all hold."""
+    """The files and the schema contradict each other, or a field is unknown or has no value."""
--- a/stackwheel/config_language/load.py
+++ b/stackwheel/config_language/load.py
@@ -1,4 +1,4 @@
-"""Loads the operators' file: parses it, unifies it with the schema and converts the result to records."""
+"""Loads operators' files: parses them, unifies them with the schema and converts the result to typed records."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from stackwheel.config_language.tree import plain_values as plain_values_of
 from stackwheel.config_language.unify import unify
 
-SCHEMA_NAME = "schema"  # what messages call the program's own part
+SCHEMA_NAME = "schema"  # name of the schema in messages
 
 
 class NamedText(NamedTuple):
-    """The text of a file, and the file's name for messages."""
+    """The text of a file, with the name of the file for messages."""
 
     name: str
     text: str
@@ -29,34 +29,39 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorsConfig:
-    """The configuration that some files give together."""
+    """The result of unifying files with the schema.
+
+    Attributes:
+        records: typed records of all values.
+        tree: all values with their origins.
+    """
 
     records: OperatorsRecord
     tree: dict[str, Tree]
 
     def origins(self) -> Iterator[FieldOrigin]:
-        """Each value with its path and where it comes from."""
+        """Yield each value with its path and origin."""
         return field_origins(self.tree)
 
     def plain_values(self) -> object:
-        """All values without their origins, as JSON has them."""
+        """Return all values without their origins, as nested dicts, lists and scalars."""
         return plain_values_of(self.tree)
 
 
 def load(*paths: Path) -> OperatorsConfig:
-    """The configuration of some files together; without any, the defaults.
+    """Load the configuration of all given files; the defaults if there are none.
 
     Raises:
-        OperatorsFileError: a file can't be read, or the files can't be used together.
+        OperatorsFileError: a file cannot be read or is invalid, or the files contradict each other.
     """
     return combine([NamedText(str(path), read_text(path)) for path in paths])
 
 
 def read_text(path: Path) -> str:
-    """The text of a file; OperatorsFileError if it can't be read, is too large or is not UTF-8."""
+    """Read the text of a file; raises OperatorsFileError if it cannot be read, is too large or is not UTF-8."""
     try:
         if path.stat().st_size > MAX_TEXT_SIZE:
-            raise OperatorsFileError(str(path), None, "", f"over {MAX_TEXT_SIZE} bytes")
+            raise OperatorsFileError(str(path), None, "", f"larger than the maximum of {MAX_TEXT_SIZE} bytes")
         return path.read_text("utf-8")
     except OSError as error:
         raise OperatorsFileError(str(path), None, "", str(error.strerror or error)) from error
@@ -65,16 +70,16 @@
 
 
 def combine(texts: Iterable[NamedText]) -> OperatorsConfig:
-    """The configuration of some texts together with the schema.
+    """Unify texts with the schema.
 
     Raises:
-        OperatorsFileError: a text is not in the notation, or the texts can't be used together.
+        OperatorsFileError: a text violates the syntax or the schema, or the texts contradict each other.
     """
     sources = [Source(SCHEMA_NAME, parse(SCHEMA, SCHEMA_NAME))]
     sources += [Source(name, parse(text, name)) for name, text in texts]
     tree = unify(sources)
     try:
         records = msgspec.convert(plain_values_of(tree), OperatorsRecord)
-    except msgspec.ValidationError as error:  # the schema lets through what the records do not take
+    except msgspec.ValidationError as error:  # the schema allows a value that the records reject
         raise OperatorsFileError(SCHEMA_NAME, None, "", str(error)) from error
     return OperatorsConfig(records, tree)
--- a/stackwheel/config_language/parser.py
+++ b/stackwheel/config_language/parser.py
@@ -1,15 +1,16 @@
-"""Parses the notation into values with their positions. JSON is valid in it.
+"""Parses the configuration language into values with positions. JSON is valid input.
 
-    // what this installation adds
+    // the settings of this installation
     files: {
         on:     true
         folder: "/var/lib/stackwheel/tables"
         cap:    int & >=1 & <=100 | *12      // type, bounds, default
     }
-    files: pace: least: 200                  // the same record once more: both hold
+    files: pace: least: 200                  // adds to the record above
 
-Types are `string`, `int`, `number` and `bool`; `#Name: ...` defines what may be named elsewhere; `field?:` need not be
-given; `...` leaves a record open for fields of any name; `Ki`, `Mi`, `Gi`, `K`, `M`, `G` stand behind numbers.
+The types are `string`, `int`, `number` and `bool`. `#Name: ...` is a definition that values can refer to, `field?:`
+is an optional field, and `...` allows additional fields in a record. Numbers may have a suffix `Ki`, `Mi`, `Gi`, `K`,
+`M` or `G`.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 from stackwheel.config_language.syntax import Record
 from stackwheel.config_language.syntax_builder import SyntaxBuilder
 
-MAX_TEXT_SIZE = 1 << 20  # bytes of a file, characters of a text: far more than any installation says
-MAX_DEPTH = 64  # braces and brackets within one another; keeps the parser's recursion bounded
-MAX_QUOTED_TOKEN = 20  # characters of an unexpected token that a message repeats
+MAX_TEXT_SIZE = 1 << 20  # bytes of a file, or characters of a text
+MAX_NESTING_DEPTH = 64  # of braces and brackets; bounds the recursion of the parser
+MAX_QUOTED_CHARACTERS = 20  # of an unexpected token, in error messages
 
 GRAMMAR = r"""
 start: _sep? (member (_sep member)* _sep?)?
@@ -62,19 +63,19 @@
 
 
 def parse(text: str, file: str) -> Record:
-    """The record that a text stands for.
+    """Parse the text of a file into a record.
 
     Args:
-        text: the text of a file.
-        file: its name, for messages.
+        text: the text of the file.
+        file: the name of the file, for messages.
 
     Raises:
-        OperatorsSyntaxError: the text is too large, too deep or not in the notation.
+        OperatorsSyntaxError: the text is too long, too deeply nested or violates the syntax.
     """
     if len(text) > MAX_TEXT_SIZE:
-        raise OperatorsSyntaxError(file, 1, "column 1", f"{len(text)} characters, at most {MAX_TEXT_SIZE}")
+        raise OperatorsSyntaxError(file, 1, "column 1", f"{len(text)} characters, the maximum is {MAX_TEXT_SIZE}")
     _check_depth(text, file)
-    text = _without_outer_braces(text)
+    text = _blank_outer_braces(text)
     try:
         tree = _grammar_parser().parse(text)
         return SyntaxBuilder(file).build(tree)
@@ -84,7 +85,7 @@
         raise OperatorsSyntaxError(file, line, f"column {column}", _describe_unexpected(error)) from error
     except UnexpectedEOF as error:
         line = text.count("\n") + 1
-        raise OperatorsSyntaxError(file, line, "column 1", "ends too early") from error
+        raise OperatorsSyntaxError(file, line, "column 1", "unexpected end of file") from error
     except UnexpectedCharacters as error:
         raise OperatorsSyntaxError(file, error.line, f"column {error.column}", f"unexpected {error.char!r}") from error
     except VisitError as error:
@@ -94,17 +95,17 @@
 
 
 def _check_depth(text: str, file: str) -> None:
-    """Reject what would overrun the stack, before it is parsed."""
+    """Reject a text whose nesting could exhaust the stack of the parser."""
     depth = 0
     for offset, char in enumerate(text):
         depth += (char in "{[") - (char in "}]")
-        if depth > MAX_DEPTH:
+        if depth > MAX_NESTING_DEPTH:
             line = text.count("\n", 0, offset) + 1
-            raise OperatorsSyntaxError(file, line, "column 1", f"over {MAX_DEPTH} records deep")
+            raise OperatorsSyntaxError(file, line, "column 1", f"nested more than {MAX_NESTING_DEPTH} levels deep")
 
 
-def _without_outer_braces(text: str) -> str:
-    """JSON, or a record in its braces, with blanks for these two braces, so that positions stay."""
+def _blank_outer_braces(text: str) -> str:
+    """Replace the braces around the whole text, as in JSON, by spaces, so that positions do not change."""
     body = text.strip()
     if not (body.startswith("{") and body.endswith("}")):
         return text
@@ -116,5 +117,5 @@
 def _describe_unexpected(error: UnexpectedToken) -> str:
     token = error.token
     if token.type == "$END":
-        return "ends too early"
-    return f"unexpected {str(token).strip()[:MAX_QUOTED_TOKEN]!r}"
+        return "unexpected end of file"
+    return f"unexpected {str(token).strip()[:MAX_QUOTED_CHARACTERS]!r}"
--- a/stackwheel/config_language/syntax.py
+++ b/stackwheel/config_language/syntax.py
@@ -1,11 +1,11 @@
-"""The values that a text in the notation stands for, each with its position."""
+"""The syntax tree of the configuration language: values with their positions in the text."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import TypeAlias
 
-PlainValue: TypeAlias = str | int | float | bool | None
+ScalarValue: TypeAlias = str | int | float | bool | None
 
 ANY_TYPE = "_"
 TYPE_NAMES = ("string", "int", "number", "bool", ANY_TYPE)
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Line and column, both from 1."""
+    """Line and column in the text, both starting at 1."""
 
     line: int
     column: int
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Scalar:
-    """A concrete text, number or truth value, or null."""
+    """A concrete string, number or boolean, or null."""
 
-    value: PlainValue
+    value: ScalarValue
     position: Position
 
 
 @dataclass(frozen=True, slots=True)
 class TypeName:
-    """A type, by one of `TYPE_NAMES`."""
+    """A type, whose name is one of `TYPE_NAMES`."""
 
     name: str
     position: Position
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reference:
-    """A definition by its name, `#Name`."""
+    """A reference to a definition, `#Name`."""
 
     name: str
     position: Position
@@ -45,7 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """A comparison that a value must satisfy, such as `>=1` or `=~"^/"`."""
+    """A comparison that a value must satisfy, such as `>=1` or `=~"^/"`.
+
+    Attributes:
+        operator: the operator, such as ">=".
+        limit: the right operand, a string or number.
+        position: position of the operator.
+    """
 
     operator: str
     limit: Scalar
@@ -54,7 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Field:
-    """A named value of a record."""
+    """A named value in a record.
+
+    Attributes:
+        name: name of the field.
+        value: expression for its value.
+        optional: whether the field may be absent.
+        position: position of the name.
+    """
 
     name: str
     value: Value
@@ -64,17 +77,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Fields in braces, and the definitions (`#Name: ...`) among them."""
+    """A record: fields and definitions in braces.
+
+    Attributes:
+        fields: the fields.
+        definitions: the definitions, `#Name: value`.
+        is_open: whether a file may add fields of any name.
+        position: position of the first member; line 1, column 1 if there is none.
+    """
 
     fields: tuple[Field, ...]
     definitions: tuple[Field, ...]
-    is_open: bool  # fields of any name may be added
+    is_open: bool
     position: Position
 
 
 @dataclass(frozen=True, slots=True)
 class ListValue:
-    """Values in brackets."""
+    """A list of values in brackets."""
 
     items: tuple[Value, ...]
     position: Position
@@ -82,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conjunction:
-    """Values that must all hold, `a & b`."""
+    """A conjunction `a & b`: the value must satisfy all operands."""
 
     operands: tuple[Value, ...]
     position: Position
@@ -90,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disjunction:
-    """Values of which one must hold, `a | *b`; the marked one is taken where nothing else is given."""
+    """A disjunction `a | *b`: the value must satisfy one alternative; the one marked by `*` is the default."""
 
     alternatives: tuple[Value, ...]
     default_index: int | None
@@ -98,7 +118,7 @@
 
     @property
     def default(self) -> Value | None:
-        """The marked alternative."""
+        """Return the alternative that is marked as the default; None if there is none."""
         return None if self.default_index is None else self.alternatives[self.default_index]
 
 
--- a/stackwheel/config_language/tree.py
+++ b/stackwheel/config_language/tree.py
@@ -1,31 +1,36 @@
-"""What unification leaves: records, lists and concrete values, each value with its origin."""
+"""The result of unification: records, lists and concrete values, each value with its origin."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import NamedTuple, TypeAlias
 
-from stackwheel.config_language.syntax import PlainValue
+from stackwheel.config_language.syntax import ScalarValue
 
 
 class Origin(NamedTuple):
-    """The file and line that gave a value."""
+    """The file and line that define a value.
+
+    Attributes:
+        file: name of the file.
+        line: line number, from 1; None for the file as a whole.
+    """
 
     file: str
-    line: int | None = None  # None: the file as a whole
+    line: int | None = None
 
     def __str__(self) -> str:
         return self.file if self.line is None else f"{self.file}:{self.line}"
 
 
 DEFAULT_ORIGIN = Origin("default")
-"""The origin of a value that no file gives."""
+"""Origin of a value that no file sets."""
 
 
 class Leaf(NamedTuple):
-    """A concrete value and where it comes from."""
+    """A concrete value with its origin."""
 
-    value: PlainValue
+    value: ScalarValue
     origin: Origin
 
 
@@ -33,15 +38,15 @@
 
 
 class FieldOrigin(NamedTuple):
-    """One concrete value of a tree, by its path such as `files.pace.cap`."""
+    """A concrete value of a tree with its path, such as `files.pace.cap`, and its origin."""
 
     path: str
-    value: PlainValue
+    value: ScalarValue
     origin: Origin
 
 
 def plain_values(tree: Tree) -> object:
-    """The tree without its origins, as JSON has it."""
+    """Return a tree without origins, as nested dicts, lists and scalars."""
     if isinstance(tree, Leaf):
         return tree.value
     if isinstance(tree, list):
@@ -50,7 +55,7 @@
 
 
 def field_origins(tree: Tree, path: str = "") -> Iterator[FieldOrigin]:
-    """Each concrete value with its path and origin, in the order of the tree."""
+    """Yield each concrete value with its path and origin, in the order of the tree."""
     if isinstance(tree, Leaf):
         yield FieldOrigin(path, tree.value, tree.origin)
     elif isinstance(tree, list):
@@ -62,5 +67,5 @@
 
 
 def join_path(path: str, name: str) -> str:
-    """The path of a field within a record."""
+    """Return the path of a field within the record at `path`."""
     return f"{path}.{name}" if path else name
--- a/tests/config_language/test_config_language.py
+++ b/tests/config_language/test_config_language.py
@@ -1,4 +1,4 @@
-"""The operators' file: what the notation can express, what unifies, and the one line that names a fault's place."""
+"""The configuration language: syntax, unification with a schema, and the location in error messages."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
 
 def unified_values(*texts: str) -> object:
-    """The values of texts together; the first is the schema, and they are called f0, f1 and so on."""
+    """Return the values of unified texts; the first text is the schema, and the sources are named f0, f1 and so on."""
     sources = [Source(f"f{index}", parse(text, f"f{index}")) for index, text in enumerate(texts)]
     return plain_values(unify(sources))
 
 
-def error_of(text: str) -> OperatorsFileError:
-    """The error that a text gets as the operators' file."""
+def load_error(text: str) -> OperatorsFileError:
+    """Return the error that a text causes if it is loaded as the operators' file op.cue."""
     with pytest.raises(OperatorsFileError) as caught:
         combine([NamedText("op.cue", text)])
     assert "\n" not in str(caught.value)
     return caught.value
 
 
-def test_without_a_file_all_is_default_and_off() -> None:
+def test_without_a_file_all_values_are_defaults_and_nothing_is_enabled() -> None:
     defaults = combine([])
     assert defaults.records.files.enabled is False
     assert {str(origin) for _, _, origin in defaults.origins()} == {"default"}
 
 
-def test_a_given_value_keeps_its_origin() -> None:
+def test_a_value_from_a_file_has_the_file_and_line_as_origin() -> None:
     text = "files: {\n  on: true // yes\n  pace: cap: 12\n  pace: {least: 200, span: 5K}\n}\n"
     operators_config = combine([NamedText("op.cue", text)])
     files = operators_config.records.files
@@ -55,7 +55,7 @@
     }
 
 
-def test_json_is_valid_in_it() -> None:
+def test_json_is_valid_input() -> None:
     document = {"files": {"on": True, "out": "/x", "silent": {"after": "refuse", "keep": 1.5e3}}}
     for text in (json.dumps(document), json.dumps(document, indent=4)):
         files = combine([NamedText("op.json", text)]).records.files
@@ -64,11 +64,11 @@
         assert files.silent_planner.expired_retention_ms == 1500
 
 
-def test_several_files_hold_together() -> None:
+def test_several_files_are_unified_and_contradictions_are_rejected() -> None:
     first = NamedText("a.cue", "files: on: true")
     second = NamedText("b.cue", "files: {on: true, life: >=40000 & 50000}")
     assert combine([first, second]).records.files.lifetime_ms == 50000
-    with pytest.raises(OperatorsFileError, match=r"b\.cue:1: files\.on: false, but a\.cue:1 says true"):
+    with pytest.raises(OperatorsFileError, match=r"b\.cue:1: files\.on: false found, but a\.cue:1 sets true"):
         combine([first, NamedText("b.cue", "files: on: false")])
 
 
@@ -76,40 +76,40 @@
     ("text", "line"),
     [
         ("files: on: 3", "op.cue:1: files.on: 3 found, bool expected"),
-        ("files: {\n onn: true\n}", "op.cue:2: files.onn: no such field; is 'on' meant?"),
+        ("files: {\n onn: true\n}", "op.cue:2: files.onn: no such field, did you mean 'on'?"),
         ("files: pace: cap: 5000", "op.cue:1: files.pace.cap: 5000 found, int & >=0 & <=1000 expected"),
         ("files: pace: cap: 5.5", "op.cue:1: files.pace.cap: 5.5 found, int & >=0 & <=1000 expected"),
         ('files: silent: after: "melt"', 'op.cue:1: files.silent.after: "melt" found, "even" | "refuse" expected'),
         ("files: life: 10", "op.cue:1: files.life: 10 found, #Milliseconds & >=1000 expected"),
-        ("files: 3", "op.cue:1: files: a record was expected"),
+        ("files: 3", "op.cue:1: files: a record expected"),
         ("files: on: {}", "op.cue:1: files.on: a record found, bool expected"),
         ("x: 1", "op.cue:1: x: no such field"),
-        ("files: on: tru", "op.cue:1: column 12: 'tru' is no value; text stands in double quotes"),
-        ("files: {", "op.cue:1: column 8: ends too early"),
+        ("files: on: tru", "op.cue:1: column 12: 'tru' is not a value; strings must be in double quotes"),
+        ("files: {", "op.cue:1: column 8: unexpected end of file"),
         ("files: on: true }", "op.cue:1: column 17: unexpected '}'"),
         ("files: on: 'x'", 'op.cue:1: column 12: unexpected "\'"'),
-        ("#A: #A\nfiles: life: #A", "op.cue:1: files.life: a definition that names itself"),
-        ("files: life: #Nope", "op.cue:1: files.life: #Nope is defined nowhere"),
-        ("files: life: *3 | *4", "op.cue:1: column 20: a second default"),
+        ("#A: #A\nfiles: life: #A", "op.cue:1: files.life: the definition refers to itself"),
+        ("files: life: #Nope", "op.cue:1: files.life: #Nope is not defined"),
+        ("files: life: *3 | *4", "op.cue:1: column 20: more than one default"),
         ("a: " * 100 + "1", "op.cue:1: a: no such field"),
-        ("{" * 100, "op.cue:1: column 1: over 64 records deep"),
+        ("{" * 100, "op.cue:1: column 1: nested more than 64 levels deep"),
     ],
 )
-def test_bad_input_is_one_line_that_names_the_place(text: str, line: str) -> None:
-    assert str(error_of(text)) == line
+def test_an_invalid_file_is_reported_in_one_line_with_its_location(text: str, line: str) -> None:
+    assert str(load_error(text)) == line
 
 
-def test_an_error_names_file_line_and_field() -> None:
-    error = error_of("files: {\n on: 3\n}")
+def test_an_error_has_the_file_the_line_and_the_field_as_attributes() -> None:
+    error = load_error("files: {\n on: 3\n}")
     assert isinstance(error, UnificationError)
     assert (error.file, error.line, error.field) == ("op.cue", 2, "files.on")
     assert error.problem == "3 found, bool expected"
-    error = error_of("files: {")
+    error = load_error("files: {")
     assert isinstance(error, OperatorsSyntaxError)
-    assert (error.file, error.line, error.field, error.problem) == ("op.cue", 1, "column 8", "ends too early")
+    assert (error.file, error.line, error.field, error.problem) == ("op.cue", 1, "column 8", "unexpected end of file")
 
 
-SCHEMA_OF_ALL_KINDS = """
+SCHEMA_WITH_ALL_CONSTRUCTS = """
     #Port: int & >0 & <65536
     ports: [#Port]
     mode: *"a" | "b"
@@ -119,14 +119,14 @@
     """
 
 
-def test_bounds_choices_definitions_lists_and_open_records() -> None:
-    assert unified_values(SCHEMA_OF_ALL_KINDS, 'ports: [80, 443], name: "web", extra: other: true') == {
+def test_bounds_disjunctions_definitions_lists_and_open_records() -> None:
+    assert unified_values(SCHEMA_WITH_ALL_CONSTRUCTS, 'ports: [80, 443], name: "web", extra: other: true') == {
         "ports": [80, 443],
         "mode": "a",
         "name": "web",
         "extra": {"known": 1, "other": True},
     }
-    assert unified_values(SCHEMA_OF_ALL_KINDS, 'ports: []\nname: "x"\nnote: "n"\nmode: "b"') == {
+    assert unified_values(SCHEMA_WITH_ALL_CONSTRUCTS, 'ports: []\nname: "x"\nnote: "n"\nmode: "b"') == {
         "ports": [],
         "mode": "b",
         "name": "x",
@@ -140,13 +140,13 @@
     [
         ('ports: [80, 0], name: "w"', "f1:1: ports[1]: 0 found, int & >0 & <65536 expected"),
         ('name: "root"', 'f1:1: name: "root" found, string & =~"^[a-z]+$" & !="root" expected'),
-        ("ports: [1]", 'f1: name: not given; string & =~"^[a-z]+$" & !="root" expected'),
+        ("ports: [1]", 'f1: name: no value given, string & =~"^[a-z]+$" & !="root" expected'),
         ('name: "x", ports: {a: 1}', "f1:1: ports: a record found, a list expected"),
     ],
 )
-def test_values_that_the_schema_does_not_allow(text: str, line: str) -> None:
+def test_values_that_the_schema_does_not_allow_are_rejected(text: str, line: str) -> None:
     with pytest.raises(UnificationError) as caught:
-        unified_values(SCHEMA_OF_ALL_KINDS, text)
+        unified_values(SCHEMA_WITH_ALL_CONSTRUCTS, text)
     assert str(caught.value) == line
 
 
@@ -164,14 +164,14 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.dictionaries(st.text("abcxyz", min_size=1, max_size=4), JSON_VALUES, max_size=4))
-def test_any_json_object_means_itself(document: dict[str, object]) -> None:
+def test_any_json_object_evaluates_to_itself(document: dict[str, object]) -> None:
     assert unified_values("...", json.dumps(document)) == document
     assert unified_values("...", json.dumps(document, indent=2), json.dumps(document)) == document
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.text(alphabet='ab:{}[]"|&*<>=#.,\n 01?/', max_size=40))
-def test_any_text_is_parsed_or_rejected_with_its_line(text: str) -> None:
+def test_any_text_is_parsed_or_rejected_with_a_line_number(text: str) -> None:
     line: int | None = 1
     try:
         parse(text, "op.cue")
@@ -181,11 +181,11 @@
     assert line >= 1
 
 
-def test_the_repositorys_file_is_valid_and_turns_nothing_on() -> None:
+def test_the_operators_file_of_the_repository_is_valid_and_enables_nothing() -> None:
     assert load(ROOT / "deploy" / "operators.cue").records.files.enabled is False
 
 
-def test_an_unreadable_file_is_one_line(tmp_path: Path) -> None:
+def test_an_unreadable_file_is_reported_with_its_path(tmp_path: Path) -> None:
     with pytest.raises(OperatorsFileError, match=r"none\.cue: No such file or directory"):
         load(tmp_path / "none.cue")
     (tmp_path / "x.cue").write_bytes(b"\xff")
