--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,7 +1,7 @@
-"""A toy deployment to try the planner with: discovery, and servers that answer health checks.
+"""A minimal deployment for trying the planner: a discovery service, and servers that answer health checks.
 
 python examples/toy_server.py            # discovery on 127.0.0.1:8500, three servers
-python examples/toy_server.py --drain 10 # the first server drains after ten seconds, and is removed later
+python examples/toy_server.py --drain 10 # the first server drains after 10 s, and is removed 10 s later
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 import h11
 
-HEARTBEAT_S = 2.0  # a watch without changes gets an empty line this often
-READ_BYTES = 65536
+HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines that a watch receives while there are no changes
+MAX_READ_BYTES = 65536
 LIST_PATH = "/registry/instances"
 LIVENESS_PATH = "/health/live"
 LOAD_PATH = "/stats"
 
 
 class Change(NamedTuple):
-    """An entry as it is from a generation of the list on."""
+    """An entry of the list and the generation in which it changed."""
 
     generation: int
     entry: dict[str, Any]
 
 
 class DiscoveryService:
-    """Discovery: the complete list, or a watch of its changes."""
+    """A discovery service, which returns the complete endpoint list or streams its changes."""
 
     def __init__(self) -> None:
         self.generation = 1
@@ -38,7 +38,7 @@
         self.changed = asyncio.Condition()
 
     def add(self, name: str, address: str, zone: str, kind: str = "small") -> None:
-        """List a server from the start."""
+        """Add a server to the initial list."""
         self.instances[name] = {
             "instanceId": name,
             "hostPort": address,
@@ -51,7 +51,7 @@
         }
 
     async def update(self, name: str, **fields: Any) -> None:
-        """Change fields of an entry, and notify all watches."""
+        """Change fields of an entry and notify all watches; a terminated server is removed from the list."""
         async with self.changed:
             entry = {**self.instances[name], **fields}
             self.instances[name] = entry
@@ -62,7 +62,7 @@
             self.changed.notify_all()
 
     def document(self, since: int | None) -> bytes:
-        """The complete list, or the entries that have changed since a generation."""
+        """Encode the entries that have changed since a generation, or the complete list if `since` is None."""
         entries = list(self.instances.values())
         if since is not None:
             recent = [change.entry for change in self.changes if change.generation > since]
@@ -71,7 +71,7 @@
         return json.dumps(body).encode() + b"\n"
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one request."""
+        """Answer one request and close the connection."""
         http = h11.Connection(h11.SERVER)
         try:
             target = await read_request(http, reader)
@@ -89,7 +89,7 @@
             writer.close()
 
     async def watch(self, http: h11.Connection, writer: asyncio.StreamWriter, since: int) -> None:
-        """Send the changes since a generation and all later ones; the complete list if the generation is unknown."""
+        """Stream the changes since a generation; if it is unknown, send the complete list first."""
         headers = [("Content-Type", "application/json"), ("Transfer-Encoding", "chunked")]
         writer.write(http.send(h11.Response(status_code=200, headers=headers)))
         line = self.document(since if 0 < since <= self.generation else None)
@@ -100,33 +100,35 @@
             line = await self.next_line(sent_generation)
 
     async def next_line(self, sent_generation: int) -> bytes:
-        """The changes since a generation as soon as there are any; an empty line after a heartbeat without."""
+        """Wait for changes since a generation and return them; return an empty line if there are none in time."""
         async with self.changed:
-            with contextlib.suppress(TimeoutError):  # a change may have come just then
-                await asyncio.wait_for(self.changed.wait_for(lambda: self.generation > sent_generation), HEARTBEAT_S)
+            with contextlib.suppress(TimeoutError):  # a change may coincide with the timeout
+                await asyncio.wait_for(
+                    self.changed.wait_for(lambda: self.generation > sent_generation), HEARTBEAT_INTERVAL_S
+                )
             return self.document(sent_generation) if self.generation > sent_generation else b"\n"
 
 
 async def read_request(http: h11.Connection, reader: asyncio.StreamReader) -> str:
-    """The target of the next request; ConnectionError if none comes."""
+    """Return the target of the next request; raises ConnectionError if the client sends none."""
     while True:
         event = http.next_event()
         if isinstance(event, h11.Request):
             return event.target.decode()
         if event is not h11.NEED_DATA:
-            raise ConnectionError("no request")
-        http.receive_data(await reader.read(READ_BYTES))
+            raise ConnectionError("connection closed before a request was received")
+        http.receive_data(await reader.read(MAX_READ_BYTES))
 
 
 async def send_response(http: h11.Connection, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
-    """Send a response with its length."""
+    """Send a response with a Content-Length header."""
     head = h11.Response(status_code=status, headers=[("Content-Length", str(len(body)))])
     writer.write(http.send(head) + http.send(h11.Data(body)) + http.send(h11.EndOfMessage()))
     await writer.drain()
 
 
 async def serve_health_check(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A server with nothing to do: it is alive, and has no requests in flight."""
+    """Answer a health check as an idle server: alive, with no requests in flight."""
     http = h11.Connection(h11.SERVER)
     try:
         target = await read_request(http, reader)
@@ -139,7 +141,7 @@
 
 
 async def drain_first_server(discovery: DiscoveryService, interval_s: float) -> None:
-    """Drain a server after an interval, and remove it after another."""
+    """Drain the first server after an interval, and remove it after another one."""
     for lifecycle in ("terminating", "terminated"):
         await asyncio.sleep(interval_s)
         await discovery.update("toy-0", lifecycle=lifecycle)
@@ -147,7 +149,7 @@
 
 
 async def main(host: str, port: int, zones: list[str], servers: int, drain_s: float | None) -> None:
-    """Start servers and discovery, and run until Ctrl-C."""
+    """Start the servers and the discovery service, and run until cancelled."""
     discovery = DiscoveryService()
     for number in range(servers):
         server = await asyncio.start_server(serve_health_check, host, 0)
@@ -160,13 +162,13 @@
 
 
 def address_of(server: asyncio.Server) -> str:
-    """Where a server listens, as host:port."""
+    """Return the address of a server as "host:port"."""
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
 
 def parse_arguments() -> argparse.Namespace:
-    """The command line's options."""
+    """Parse the command-line options."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=8500)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples as the README uses them, on free ports."""
+"""The example programs, used as in the README but on free ports."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 
 async def read_update(proxy: asyncio.subprocess.Process) -> str:
-    """An update that the toy proxy prints."""
+    """Read an update that the toy proxy prints."""
     update = await read_line(proxy)
     assert update.startswith("CONFIG")
     return update
@@ -43,12 +43,12 @@
         await asyncio.sleep(CONNECT_INTERVAL_S)
 
 
-def removes(update: str, server: str) -> bool:
-    """Whether an update sets the weight of a server to 0."""
+def sets_weight_to_zero(update: str, server: str) -> bool:
+    """Return whether an update sets the weight of a server to 0."""
     return f"{server}:0" in update.replace(",", " ").replace("=", " ").split()
 
 
-def test_the_examples_show_tables_and_a_drain(tmp_path: Path) -> None:
+def test_the_toy_proxy_prints_tables_a_drain_and_a_changed_discovery_address(tmp_path: Path) -> None:
     async def run_examples(processes: list[asyncio.subprocess.Process]) -> None:
         toy_server = await start_example("toy_server.py", "--port", "0", "--drain", "3")
         processes.append(toy_server)
@@ -66,7 +66,7 @@
         assert [table.split()[1:3] for table in tables] == [["routes=read", "full=1"], ["routes=write", "full=1"]]
         assert "toy-0:" in tables[0]
         assert "toy-2:" in tables[1]
-        while not removes(await read_update(proxy), "toy-0"):
+        while not sets_weight_to_zero(await read_update(proxy), "toy-0"):
             pass
 
         second_server = await start_example("toy_server.py", "--port", "0", "--servers", "4")
@@ -90,7 +90,7 @@
     asyncio.run(asyncio.wait_for(run_and_clean_up(), TEST_TIMEOUT_S))
 
 
-def test_the_example_configuration_leaves_nothing_to_defaults() -> None:
+def test_the_example_configuration_sets_all_settings() -> None:
     configuration = read_config(json.loads((ROOT / "examples" / "config.json").read_text()))
     assert configuration.defaulted_settings == ()
     assert configuration.settings.endpoint_list_on_request
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports run downward between packages, and no modules import each other in a circle."""
+"""Packages import only from lower layers, and there are no import cycles between modules."""
 
 import ast
 from collections.abc import Iterator
@@ -29,7 +29,7 @@
     "cli": 10,
     "__main__": 11,
 }
-"""By package or top-level module; a package imports from its own layer only within itself."""
+"""Layer of each package or top-level module; packages in the same layer must not import each other."""
 
 
 def module_name(path: Path) -> str:
@@ -41,7 +41,7 @@
 
 
 def imported_modules(path: Path) -> Iterator[str]:
-    """The project's modules that a file imports anywhere, also inside functions."""
+    """Yield the modules of this project that a file imports, including imports inside functions."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names if alias.name in MODULES)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("module", sorted(name for name in MODULES if "." in name))
-def test_imports_run_downward(module: str) -> None:
+def test_a_module_imports_only_from_lower_layers_or_its_own_package(module: str) -> None:
     package = package_of(module)
     for imported in IMPORTS[module]:
         other = package_of(imported)
@@ -70,11 +70,11 @@
             assert LAYERS[other] < LAYERS[package], f"{module} imports {imported}"
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
+def test_there_are_no_import_cycles() -> None:
     graph = {name: imports - {name} for name, imports in IMPORTS.items()}
     try:
-        order = list(TopologicalSorter(graph).static_order())
+        sorted_modules = list(TopologicalSorter(graph).static_order())
     except CycleError as error:
         pytest.fail(f"import cycle: {error.args[1]}")
-    assert len(order) == len(MODULES) > 200
+    assert len(sorted_modules) == len(MODULES) > 200
     assert sum(map(len, IMPORTS.values())) > 500
