--- a/stackwheel/config_language/schema.py
+++ b/stackwheel/config_language/schema.py
@@ -16,9 +16,9 @@
 #Seconds:      number & >0 & <=604800
 #Folder:       string & =~"^/[^\\u0000]*$"
 
-files: {                                        // weight tables and reports as files
+files: {                                        // weight tables and reports exchanged as files
     on:      bool | *false
-    out:     #Folder | *"/var/lib/stackwheel/out"     // subfolders for zones and forwarders with own tables
+    out:     #Folder | *"/var/lib/stackwheel/out"     // output folder, a subfolder per zone and differing forwarder
     answers: #Folder | *"/var/lib/stackwheel/answers" // folder into which forwarders write reports
     state:   #Folder | *"/var/lib/stackwheel/state"   // folder for the persistent state of readers
     keys:    string | *""                       // path of the key file; if empty, files are not signed
@@ -28,7 +28,7 @@
     poll:    #Milliseconds & >=50 | *1000       // ms between polls of folders that cannot be watched
     pace: {                                     // rate limit for each target
         cap:   int & >=0 & <=1000 | *0          // maximum number of files per span; 0: unlimited
-        span:  #Milliseconds & >=100 | *10000   // ms
+        span:  #Milliseconds & >=100 | *10000   // length of the span, ms
         least: #Milliseconds | *100             // minimum ms between two files
     }
     silent: {                                   // forwarders that receive nothing from their planner
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -196,8 +196,8 @@
             await first.wait_for_log("cell plan not reloaded, keeping the current plan")
             await first.wait_for_status(port, 200)
             other = free_port()
-            moved = (Cell("t", "t", (), 0, 1, port), Cell("s", "s", (), 0, 1, other))
-            (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, moved)))
+            moved_cells = (Cell("t", "t", (), 0, 1, port), Cell("s", "s", (), 0, 1, other))
+            (tmp_path / "cells.json").write_bytes(encode_plan(Plan(1, Limits(), {}, cell_plan.relays, moved_cells)))
             send_signal(first.process, signal.SIGHUP)
             await first.wait_for_log("cell plan reloaded: count=2")
             for served, name in ((port, b"t-0"), (other, b"s-0")):
@@ -216,7 +216,7 @@
     run_async(scenario())
 
 
-def test_a_heartbeat_of_the_upstream_keeps_the_relay_available(tmp_path: Path) -> None:
+def test_a_heartbeat_of_the_upstream_counts_as_a_sign_of_life(tmp_path: Path) -> None:
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         (tmp_path / "cells.json").write_bytes(encode_plan(plan("s")))
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -207,13 +207,17 @@
         other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         other.bind(("127.0.0.1", 0))
         other.setblocking(False)
-        theirs = f"127.0.0.1:{other.getsockname()[1]}"
-        own = f"127.0.0.1:{free_port(kind=socket.SOCK_DGRAM)}"
+        peer_address = f"127.0.0.1:{other.getsockname()[1]}"
+        own_address = f"127.0.0.1:{free_port(kind=socket.SOCK_DGRAM)}"
         settings = {**config("127.0.0.1:1")["settings"], "instances": 2}
         async with running_planner(
-            tmp_path, peer_listen=own, peers=[own, theirs], peers_all=theirs, settings=settings
+            tmp_path,
+            peer_listen=own_address,
+            peers=[own_address, peer_address],
+            peers_all=peer_address,
+            settings=settings,
         ) as planner:
-            host, _, port = own.rpartition(":")
+            host, _, port = own_address.rpartition(":")
             loop = asyncio.get_running_loop()
             await loop.sock_sendto(other, b"x" * 300, (host, int(port)))  # exceeds the maximum size of a datagram
             client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -261,8 +265,8 @@
             await planner.wait_ready()
             rejoined = await planner.join_proxy(0, newly_started=0)
             rejoined.tables = proxy.tables
-            before = len(proxy.tables.costs)
-            await rejoined.wait_until(lambda tables: len(tables.costs) > before)
+            update_count = len(proxy.tables.costs)
+            await rejoined.wait_until(lambda tables: len(tables.costs) > update_count)
             assert serves_exactly(set(planner.discovery.instances))(rejoined.tables)
 
     run_async(work())
