--- a/tests/service/test_app.py
+++ b/tests/service/test_app.py
@@ -15,8 +15,8 @@
     channel = ChannelBudget(with_jitter_margin(settings))
     proxy = 3
     channel.message_times[proxy] = [1000.0, 2000.0]
-    channel.begin(10_990.0, {})
-    assert channel.may_write(proxy, 1.0)
+    channel.start_call(10_990.0, {})
+    assert channel.may_send_message(proxy, 1.0)
     assert replace(with_jitter_margin(settings), message_window=settings.message_window) == settings
 
 
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from fake_services import Discovery, config, free_port
+from fake_services import FaultyDiscovery, config, free_port
 from planner_process import (
     MAX_WAIT_S,
     PlannerProcess,
@@ -30,8 +30,8 @@
 from stackwheel.wire.transport import Addresses
 
 
-async def start_discovery(*servers: str, generation: int = 1) -> Discovery:
-    discovery = Discovery()
+async def start_discovery(*servers: str, generation: int = 1) -> FaultyDiscovery:
+    discovery = FaultyDiscovery()
     await discovery.start()
     discovery.generation = generation
     for number, name in enumerate(servers):
@@ -63,7 +63,7 @@
             proxy.tables.servers.add("s-9")
             reload(planner, tmp_path, discovery=second.address)
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-9"}))
-            await planner.discovery.shut()
+            await planner.discovery.stop()
             await second.update("s-1", lifecycle="terminated")
             await proxy.wait_until(serves_exactly({"s-0", "s-9"}))
             code, log = await planner.stop()
@@ -143,7 +143,7 @@
 def test_two_consecutive_reloads_and_a_stop_during_a_third(tmp_path: Path) -> None:
     async def work() -> None:
         second, third = await start_discovery("s-0", "s-8"), await start_discovery("s-0", "s-9")
-        second.troubles = ["silence"]  # the call is still open at the next reload
+        second.faults = ["no response"]  # the call is still open at the next reload
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))
@@ -166,7 +166,7 @@
 def test_the_old_discovery_address_is_used_until_the_new_one_answers(tmp_path: Path) -> None:
     async def work() -> None:
         second = await start_discovery("s-0", "s-9")
-        second.troubles = ["503"]
+        second.faults = ["503"]
         async with running_planner(tmp_path) as planner:
             proxy = await planner.join_proxy(0)
             await proxy.wait_until(serves_exactly({"s-0", "s-1", "s-2", "s-3"}))
@@ -186,7 +186,7 @@
     """SIGHUP is blocked at the start of `main`, and handled once the planner is ready."""
 
     async def work() -> None:
-        discovery = Discovery()
+        discovery = FaultyDiscovery()
         await discovery.start()
         command = sys.executable, "-m", "stackwheel"
         async with started_planner(config(discovery.address), tmp_path, discovery, command) as planner:
@@ -204,7 +204,7 @@
     """The deploy file's command ignores SIGHUP while the interpreter starts, before the program can block it."""
 
     async def work() -> None:
-        discovery = Discovery()
+        discovery = FaultyDiscovery()
         await discovery.start()
         async with started_planner(config(discovery.address), tmp_path, discovery, deployed_command()) as planner:
             await asyncio.wait_for(wait_for_signal_state(planner.process, "SigIgn", signal.SIGHUP), MAX_WAIT_S)
@@ -246,9 +246,9 @@
 @pytest.mark.parametrize("stop_phase", ["first line", "ready", "many joins", "reload", "twice", "discovery silent"])
 def test_a_stop_signal_in_any_phase_ends_the_process_with_exit_code_0(tmp_path: Path, stop_phase: str) -> None:
     async def work() -> None:
-        discovery = Discovery()
+        discovery = FaultyDiscovery()
         await discovery.start()
-        discovery.troubles = ["silence"] * 3 if stop_phase == "discovery silent" else []
+        discovery.faults = ["no response"] * 3 if stop_phase == "discovery silent" else []
         async with started_planner(config(discovery.address), tmp_path, discovery, deployed_command()) as planner:
             await wait_for_signal_state(planner.process, "SigCgt", signal.SIGTERM)
             if stop_phase != "first line":
@@ -365,7 +365,7 @@
         await client.wait_for_posts(1)
         assert client.posted_list(0) == (1, True, {"b"})
         assert not first.calls
-        await second.shut()
+        await second.stop()
         await client.wait_for_posts(2)
         assert isinstance(client.posted[1], EndpointListFailed)
         client.task.cancel()
