--- a/stackwheel/rules/__init__.py
+++ b/stackwheel/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol's rules and the service's own invariants, checked as events arrive. No I/O, no clock of its own."""
+"""Rules of the protocol and invariants of the service, checked as events arrive; without I/O or a clock."""
--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -1,7 +1,7 @@
-"""The rules, checked as each event arrives: what an event may break is looked at, and nothing else.
+"""Incremental check of the rules: each event triggers only the checks of the rules that it may violate.
 
-Times are ms. A limit that runs out while nothing happens is in a heap, so that a step of time costs one comparison.
-Whoever feeds the checker says what is the case, not what a planner believes.
+All times are in ms. Time limits that may expire without an event are stored in a heap, so that advancing the time
+costs one comparison. Callers report the actual state of the run, not the state assumed by a planner.
 """
 
 from __future__ import annotations
@@ -15,40 +15,47 @@
 from stackwheel.interface import Availability, RequestClass
 from stackwheel.rules.event_log import EventLog
 from stackwheel.rules.views import ListedEndpoint, PlannerView, ProxyState, ZoneClass
-from stackwheel.rules.violations import READY_GRACE, Limits, Rule, Violation
+from stackwheel.rules.violations import READY_GRACE_MS, Limits, Rule, Violation
 
 MAX_VIOLATIONS = 100
-"""Violations reported of one run; more say nothing new."""
+"""Limit on the violations that are reported for one run."""
 
-WINDOW_MARGIN = 1.0
-"""ms: a message at the very end of the cap's window has left it."""
+WINDOW_MARGIN_MS = 1.0
+"""Reduction of the message cap's window, so that messages at its very end are not counted."""
 
-MAX_ANSWER_DELAY = 1.0
-"""ms from the end of the last attempt to the answer."""
+MAX_ANSWER_DELAY_MS = 1.0
+"""Maximum time from the end of the last attempt to the final answer."""
 
 MIN_CAPACITY = 1e-9
-"""In place of a capacity of 0 where a load is divided by it."""
+"""Lower bound of a capacity that is used as a divisor."""
 
 AVAILABILITY_LABELS = {
     Availability.READY: "READY",
     Availability.DRAINING: "DRAINING",
     Availability.REMOVED: "GONE",
 }
-"""How a violation's trail names a server's state: part of the output of `stackwheel trial replay`."""
+"""Names of the availabilities in trails; they are part of the output of `stackwheel trial replay`."""
 
 
 class DeadlineKind(IntEnum):
-    """What has to be looked at when a deadline passes."""
+    """The check that is due at a deadline."""
 
     UNSERVED = 0
-    """A proxy that has had no server for a class."""
+    """Check whether a proxy still has no server for a class."""
 
     SERVER_WARM = 1
-    """The servers listed at a planner, one of which has its full capacity now."""
+    """Update the zones and classes that are serviceable at a planner: a listed server reaches its full capacity."""
 
 
 class Deadline(NamedTuple):
-    """A time at which something has to be looked at; `subject` is a proxy or planner by `kind`."""
+    """Time of a pending check.
+
+    Attributes:
+        at: time at which the check is due, ms.
+        kind: the check.
+        subject: number of a proxy for `UNSERVED`, of a planner for `SERVER_WARM`.
+        request_class: index of the request class for `UNSERVED`; otherwise 0.
+    """
 
     at: float
     kind: DeadlineKind
@@ -57,14 +64,19 @@
 
 
 class Execution(NamedTuple):
-    """A request took effect: at which servers, by the number of their deduplication scope, and when (ms)."""
+    """An execution of a request that took effect.
+
+    Attributes:
+        scope: number of the server's deduplication scope.
+        at: time of the execution, ms.
+    """
 
     scope: int
     at: float
 
 
 class ReportKey(NamedTuple):
-    """What a violation is reported once for."""
+    """Rule and subjects of a violation; only the first violation with the same key is reported."""
 
     rule: Rule
     planner: int | None
@@ -73,26 +85,26 @@
 
 
 class Checker:
-    """Fed with events in order of time.
+    """Checks the rules for events that are passed in chronological order.
 
     Attributes:
-        limits: the figures of the rules.
+        limits: limits of the rules.
         classes: the request classes.
-        zones: number of zones.
-        planners: the planners that answer; one entry each.
-        proxies: all proxies.
-        deadlines: heap of the times at which limits run out.
-        executions: for each request that may still run, how it took effect; removed by `forget_request`.
-        overloaded_since: servers that warm up and are overloaded, since when.
-        violations: what was broken, once for each rule and subject; at most `MAX_VIOLATIONS`.
-        events: the last events, for the trail of a violation.
-        check_count: how often a rule was looked at.
+        zone_count: number of zones.
+        planners: state of the planners that are ready, by number.
+        proxies: state of all proxies, by number.
+        deadlines: heap of the times at which limits may expire.
+        executions: executions of each request that may still have running attempts; removed by `forget_request`.
+        overloaded_since: time since which each overloaded server that is warming up has been overloaded, ms.
+        violations: the reported violations, one per rule and subjects; at most `MAX_VIOLATIONS`.
+        events: the most recent events, from which trails are taken.
+        check_count: number of checks made so far.
     """
 
-    def __init__(self, limits: Limits, classes: tuple[RequestClass, ...], zones: int) -> None:
+    def __init__(self, limits: Limits, classes: tuple[RequestClass, ...], zone_count: int) -> None:
         self.limits = limits
         self.classes = classes
-        self.zones = zones
+        self.zone_count = zone_count
         self.planners: dict[int, PlannerView] = {}
         self.proxies: dict[int, ProxyState] = {}
         self.deadlines: list[Deadline] = []
@@ -106,8 +118,8 @@
     # Reports
 
     def record_event(self, now: float, text: str, *subjects: object) -> None:
-        """Remember an event for the trail of a violation."""
-        self.events.note(now, text, *subjects)
+        """Record an event for the trails of later violations."""
+        self.events.record(now, text, *subjects)
 
     def report_violation(
         self,
@@ -118,7 +130,7 @@
         proxy: int | None = None,
         server: str | None = None,
     ) -> None:
-        """Report a violation, unless the same rule was reported for the same subjects before."""
+        """Report a violation unless one of the same rule and subjects has been reported before."""
         key = ReportKey(rule, planner, proxy, server)
         if key in self._reported or len(self.violations) >= MAX_VIOLATIONS:
             return
@@ -130,12 +142,12 @@
     # Planners
 
     def planner_ready(self, planner: int, now: float) -> None:
-        """A planner's process has answered for the first time; nothing that a former one knew binds it."""
-        self.planners[planner] = PlannerView(now, now + READY_GRACE)
+        """Record the first response of a planner process; notifications of an earlier process do not apply to it."""
+        self.planners[planner] = PlannerView(now, now + READY_GRACE_MS)
         self.record_event(now, "ready", f"planner-{planner}")
 
     def planner_stopped(self, planner: int, now: float) -> None:
-        """A planner's process has ended, and with it its streams."""
+        """Record that a planner process has ended, which also ends its streams."""
         self.planners.pop(planner, None)
         for proxy, state in self.proxies.items():
             if state.planner == planner:
@@ -143,41 +155,41 @@
         self.record_event(now, "gone", f"planner-{planner}")
 
     def suspend_limits(self, planner: int, until: float) -> None:
-        """Run no limit of a planner before that time: after a reload, or while its process is suspended."""
+        """Apply no limit to a planner before `until`, as after a reload or while its process is suspended."""
         if planner in self.planners:
             view = self.planners[planner]
             view.limits_from = max(view.limits_from, until)
             self._schedule_proxies_of(planner)
 
     def suspend_proxy_limits(self, proxy: int, until: float) -> None:
-        """Run no limit of a proxy before that time: while it is suspended, it does nothing that breaks a rule."""
+        """Apply no limit to a proxy before `until`, because it is suspended until then."""
         state = self.proxies[proxy]
         state.limits_from = max(state.limits_from, until)
         self._schedule(proxy, state)
 
     def endpoint_notified(self, planner: int, now: float, server: str, listed: ListedEndpoint) -> None:
-        """Discovery has notified a planner of a server, and of nothing newer before."""
+        """Record that discovery has notified a planner of an entry that is not outdated."""
         view = self.planners.get(planner)
         if view is None:
             return
         self.record_event(now, f"told {AVAILABILITY_LABELS[listed.availability]}", f"planner-{planner}", server)
-        view.notified(server, listed, now, self.limits.removal_is_advisory)
+        view.record_notification(server, listed, now, self.limits.removal_is_advisory)
         if listed.availability is Availability.READY and listed.warm_at > now:
             heapq.heappush(self.deadlines, Deadline(listed.warm_at, DeadlineKind.SERVER_WARM, planner, 0))
         self._update_serviceable(planner, now)
 
     def _update_serviceable(self, planner: int, now: float) -> None:
-        if self.planners[planner].update_serviceable(self.classes, self.zones, now):
+        if self.planners[planner].update_serviceable(self.classes, self.zone_count, now):
             self._schedule_proxies_of(planner)
 
-    # Proxies without a server
+    # Proxies
 
     def proxy_started(self, proxy: int, zone: int) -> None:
-        """A proxy exists from now on."""
+        """Add a proxy, which has not joined a planner yet."""
         self.proxies[proxy] = ProxyState(zone)
 
     def proxy_joined(self, proxy: int, planner: int, now: float) -> None:
-        """A proxy has opened its stream to a planner."""
+        """Record that a proxy has opened its stream to a planner."""
         state = self.proxies[proxy]
         state.planner = planner
         state.joined_at = now
@@ -185,14 +197,14 @@
         self._schedule(proxy, state)
 
     def proxy_left(self, proxy: int, now: float) -> None:
-        """A proxy's stream has ended; it may have none."""
+        """Record that the stream of a proxy has ended; the proxy may have had none."""
         state = self.proxies[proxy]
         if state.planner is not None:
             self.record_event(now, "left", f"proxy-{proxy}", f"planner-{state.planner}")
         state.planner = None
 
     def lines_changed(self, proxy: int, request_class: int, has_lines: bool, now: float) -> None:
-        """Whether a proxy has a server for a class now."""
+        """Record whether a proxy has an available server for a class."""
         state = self.proxies[proxy]
         if has_lines:
             state.unserved_since.pop(request_class, None)
@@ -201,7 +213,7 @@
             self._schedule_class(proxy, state, request_class)
 
     def check_deadlines(self, now: float) -> None:
-        """Time has moved: look at the limits that have run out."""
+        """Make all checks that are due by `now`."""
         while self.deadlines and self.deadlines[0].at <= now:
             deadline = heapq.heappop(self.deadlines)
             self.check_count += 1
@@ -216,13 +228,17 @@
         if self._unserved_deadline(state, request_class) > now:
             self._schedule_class(proxy, state, request_class)
             return
-        since = state.unserved_since[request_class] / 1000.0
+        since_s = state.unserved_since[request_class] / 1000.0
         self.report_violation(
-            now, Rule.SERVED, f"no line for class {request_class} since {since:.3f} s", state.planner, proxy
+            now,
+            Rule.SERVED,
+            f"no available server for class {request_class} since {since_s:.3f} s",
+            state.planner,
+            proxy,
         )
 
     def _unserved_deadline(self, state: ProxyState, request_class: int) -> float:
-        """When the limit on a class without a server runs out; infinite while no limit runs."""
+        """Return the time at which a proxy has been without a server for too long; infinite if no limit applies."""
         view = self.planners.get(state.planner) if state.planner is not None else None
         since = state.unserved_since.get(request_class)
         if view is None or since is None:
@@ -250,7 +266,7 @@
     # Requests
 
     def attempt_sent(self, proxy: int, server: str, now: float) -> None:
-        """A proxy has sent an attempt to a server."""
+        """Record an attempt that a proxy has sent to a server, and check whether the server may still be used."""
         state = self.proxies[proxy]
         view = self.planners.get(state.planner) if state.planner is not None else None
         if view is None or server not in view.unavailable_since:
@@ -258,13 +274,16 @@
         self.check_count += 1
         since = max(view.unavailable_since[server], state.joined_at, view.limits_from, state.limits_from)
         if now > since + self.limits.drain_grace:
-            detail = f"sent {(now - since) / 1000.0:.2f} s after it was told"
+            detail = f"attempt sent {(now - since) / 1000.0:.2f} s after the server was reported draining or removed"
             self.report_violation(now, Rule.DRAINS, detail, state.planner, proxy, server)
 
     def request_executed(
         self, request: int, request_class: int, scope: int, proxy: int, server: str, now: float
     ) -> None:
-        """A request has taken effect; `scope`: number of the servers that drop its repeats among themselves."""
+        """Record an execution of a request that took effect, and check whether it had taken effect before.
+
+        Repeats within the deduplication scope with the number `scope` are not executed.
+        """
         executions = self.executions.get(request)
         if executions is None:
             self.executions[request] = [Execution(scope, now)]
@@ -273,24 +292,31 @@
             return
         self.check_count += 1
         executions.append(Execution(scope, now))
-        detail = f"request {request} of class {request_class} took effect {len(executions)} times"
+        detail = f"request {request} of class {request_class} was executed {len(executions)} times"
         self.report_violation(now, Rule.ONCE, detail, self.proxies[proxy].planner, proxy, server)
 
     def forget_request(self, request: int) -> None:
-        """No attempt of a request can run any more."""
+        """Remove a request that can have no further executions."""
         self.executions.pop(request, None)
 
     def request_answered(self, request: int, proxy: int, decided_at: float, now: float) -> None:
-        """A proxy has sent its final answer, which it could have sent at `decided_at`."""
+        """Record a final answer that a proxy has sent and could have sent at `decided_at`, and check the delay."""
         state = self.proxies[proxy]
-        if now - max(decided_at, state.limits_from) > MAX_ANSWER_DELAY:
-            detail = f"request {request} answered {now - decided_at:.0f} ms after its end"
+        if now - max(decided_at, state.limits_from) > MAX_ANSWER_DELAY_MS:
+            detail = f"request {request} was answered {now - decided_at:.0f} ms after the end of its last attempt"
             self.report_violation(now, Rule.PROMPT, detail, state.planner, proxy)
 
-    # Servers that warm up
+    # Servers that are warming up
 
     def warming_server_load(self, server: str, load: float, capacity: float, now: float) -> None:
-        """What all joined proxies together send to a server that warms up, and its present capacity; same unit."""
+        """Check the load that all joined proxies send to a server that is warming up.
+
+        Args:
+            server: name of the server.
+            load: load in the unit of `capacity`.
+            capacity: current capacity of the server.
+            now: time, ms.
+        """
         self.check_count += 1
         if load <= self.limits.overload_multiple * capacity:
             self.overloaded_since.pop(server, None)
@@ -298,24 +324,24 @@
         since = self.overloaded_since.setdefault(server, now)
         if now - since >= self.limits.overload_duration:
             multiple = load / max(MIN_CAPACITY, capacity)
-            detail = f"sent {multiple:.1f} times what it can do for {(now - since) / 1000.0:.1f} s"
+            detail = f"load of {multiple:.1f} times the current capacity, overloaded for {(now - since) / 1000.0:.1f} s"
             self.report_violation(now, Rule.COLD, detail, server=server)
 
     def server_warmed_up(self, server: str) -> None:
-        """A server has its full capacity, or no longer runs."""
+        """Record that a server has reached its full capacity or has stopped."""
         self.overloaded_since.pop(server, None)
 
     # The channel
 
     def lines_queued(self, planner: int, lines: float, now: float) -> None:
-        """So many lines of a planner wait in the channel."""
+        """Check the number of a planner's lines that are queued in the channel."""
         self.check_count += 1
         limit = self.limits.queue_limit
         if limit and lines > limit:
-            self.report_violation(now, Rule.QUEUE, f"{lines:.0f} lines wait, {limit:.0f} may", planner)
+            self.report_violation(now, Rule.QUEUE, f"{lines:.0f} lines queued, over the limit of {limit:.0f}", planner)
 
     def message_written(self, planner: int, proxy: int, now: float) -> None:
-        """A planner has written a message to a proxy."""
+        """Record a message that a planner has written to a proxy, and check the message cap."""
         cap = self.limits.message_cap
         window = self.limits.message_window
         view = self.planners.get(planner)
@@ -324,7 +350,9 @@
         self.check_count += 1
         times = view.message_times.setdefault(proxy, deque(maxlen=cap + 1))
         times.append(now)
-        while now - times[0] >= window - WINDOW_MARGIN:
+        while now - times[0] >= window - WINDOW_MARGIN_MS:
             times.popleft()
         if len(times) > cap:
-            self.report_violation(now, Rule.CAP, f"over {cap} messages within {window / 1000.0:g} s", planner, proxy)
+            self.report_violation(
+                now, Rule.CAP, f"more than {cap} messages within {window / 1000.0:g} s", planner, proxy
+            )
--- a/stackwheel/rules/event_log.py
+++ b/stackwheel/rules/event_log.py
@@ -1,26 +1,32 @@
-"""The last events of a run, from which a violation's trail is taken."""
+"""Log of the most recent events of a run, from which the trail of a violation is taken."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-MAX_EVENTS = 400
-"""Events remembered: enough that the last ones of any one proxy are among them."""
+MAX_LOGGED_EVENTS = 400
+"""Limit on stored events; high enough to include recent events of every proxy."""
 
 MAX_TRAIL_EVENTS = 12
-"""Events reported with a violation."""
+"""Limit on the events that are reported with a violation."""
 
 
 class LoggedEvent(NamedTuple):
-    """An event: when it was (ms), what it was, and the planners, proxies and servers that it concerns."""
+    """An event of a run.
+
+    Attributes:
+        at: time of the event, ms.
+        text: short description.
+        subjects: names of the planners, proxies and servers that the event concerns.
+    """
 
     at: float
     text: str
     subjects: tuple[object, ...]
 
     def concerns(self, subjects: set[str | None]) -> bool:
-        """Whether it concerns one of these, or nobody in particular."""
+        """Return whether the event concerns one of the subjects; true if either side names no subject."""
         return not subjects or bool(subjects & set(self.subjects)) or not self.subjects
 
     def __str__(self) -> str:
@@ -28,15 +34,15 @@
 
 
 class EventLog:
-    """The last `MAX_EVENTS` events, in order."""
+    """The most recent events in chronological order, at most `MAX_LOGGED_EVENTS`."""
 
     def __init__(self) -> None:
-        self._events: deque[LoggedEvent] = deque(maxlen=MAX_EVENTS)
+        self._events: deque[LoggedEvent] = deque(maxlen=MAX_LOGGED_EVENTS)
 
-    def note(self, now: float, text: str, *subjects: object) -> None:
-        """Remember an event."""
+    def record(self, now: float, text: str, *subjects: object) -> None:
+        """Append an event; the oldest one is dropped if the log is full."""
         self._events.append(LoggedEvent(now, text, subjects))
 
     def trail(self, subjects: set[str | None]) -> tuple[str, ...]:
-        """The last events that concern any of these; if there are none, the last events."""
+        """Return the most recent events that concern any of the subjects, or any events if there are no subjects."""
         return tuple([str(event) for event in self._events if event.concerns(subjects)][-MAX_TRAIL_EVENTS:])
--- a/stackwheel/rules/invariants.py
+++ b/stackwheel/rules/invariants.py
@@ -1,4 +1,4 @@
-"""The service's own invariants, as comparisons of values: each gives the reason why it is broken, or None."""
+"""Invariants of the service as comparisons of values; a violated one yields a description of the difference."""
 
 from __future__ import annotations
 
@@ -7,57 +7,61 @@
 
 from stackwheel.interface import AdmissionLevel
 
-WEIGHT_TOLERANCE = 1e-4
-"""Relative: weights and admission levels are sent with six digits."""
+RELATIVE_WEIGHT_TOLERANCE = 1e-4
+"""Tolerance for weights and admission levels, which are sent with six digits."""
 
 
 class BoundedCount(NamedTuple):
-    """How much a planner has of something, and how much it may have at most."""
+    """The current size of a collection in a planner, and its maximum."""
 
     name: str
     value: float
     bound: float
 
 
-def differs(one: float, other: float) -> bool:
-    """Whether two weights or admission levels differ by more than the digits that are sent."""
-    return abs(one - other) > WEIGHT_TOLERANCE * max(one, other)
+def differs(first: float, second: float) -> bool:
+    """Return whether two weights or admission levels differ by more than the rounding on the wire."""
+    return abs(first - second) > RELATIVE_WEIGHT_TOLERANCE * max(first, second)
 
 
-def line_mismatch(actual: Mapping[str, float], believed: Mapping[str, float]) -> str | None:
-    """Where a proxy's lines for a class are not those that its planner believes it to have."""
-    if len(actual) == len(believed) and all(
-        (weight := actual.get(server)) is not None and not differs(weight, expected)
-        for server, expected in believed.items()
+def line_mismatch(actual: Mapping[str, float], expected: Mapping[str, float]) -> str | None:
+    """Describe the first difference between a proxy's lines for a class and those its planner expects, if any."""
+    if len(actual) == len(expected) and all(
+        (actual_weight := actual.get(server)) is not None and not differs(actual_weight, expected_weight)
+        for server, expected_weight in expected.items()
     ):
         return None
-    for server in sorted({*actual, *believed}):
-        weight = actual.get(server)
-        expected = believed.get(server)
-        if weight is None or expected is None or differs(weight, expected):
-            return f"line {server}: held {weight}, believed {expected}"
+    for server in sorted({*actual, *expected}):
+        actual_weight = actual.get(server)
+        expected_weight = expected.get(server)
+        if actual_weight is None or expected_weight is None or differs(actual_weight, expected_weight):
+            return f"weight of server {server}: actual {actual_weight}, expected {expected_weight}"
     return None
 
 
-def level_mismatch(actual: AdmissionLevel | None, believed: AdmissionLevel | None) -> str | None:
-    """Where a proxy's admission level for a class is not the one that its planner believes it to have."""
-    if actual is None and believed is None:
+def level_mismatch(actual: AdmissionLevel | None, expected: AdmissionLevel | None) -> str | None:
+    """Describe the difference between a proxy's admission level for a class and the one its planner expects, if any."""
+    if actual is None and expected is None:
         return None
     if (
         actual is not None
-        and believed is not None
-        and actual.retry == believed.retry
-        and not differs(actual.admitted, believed.admitted)
+        and expected is not None
+        and actual.retry == expected.retry
+        and not differs(actual.admitted, expected.admitted)
     ):
         return None
-    return f"level held {describe_level(actual)}, believed {describe_level(believed)}"
+    return f"admission level: actual {format_level(actual)}, expected {format_level(expected)}"
 
 
-def describe_level(level: AdmissionLevel | None) -> str:
-    """A level as violations show it: admitted, and the retry mode's number."""
+def format_level(level: AdmissionLevel | None) -> str:
+    """Format an admission level as a pair of the admitted share or rate and the number of the retry mode."""
     return "None" if level is None else f"({level.admitted}, {int(level.retry)})"
 
 
 def exceeded_bounds(counts: Iterable[BoundedCount]) -> list[str]:
-    """Those of the counts that are over their bound."""
-    return [f"{one.name}: {one.value:g}, at most {one.bound:g}" for one in counts if one.value > one.bound]
+    """Describe each count that exceeds its bound."""
+    return [
+        f"{count.name}: {count.value:g}, over the limit of {count.bound:g}"
+        for count in counts
+        if count.value > count.bound
+    ]
--- a/stackwheel/rules/views.py
+++ b/stackwheel/rules/views.py
@@ -1,4 +1,4 @@
-"""What binds the planners and proxies of a run: what each planner was notified of, and since when limits run."""
+"""State of the planners and proxies of a run that determines their obligations and the start of time limits."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """A server as a planner was notified of it.
+    """An entry of the endpoint list that a planner was notified of.
 
     Attributes:
         availability: ready, draining or removed.
-        zone: its zone.
-        kind: its kind of machine.
-        warm_at: ms, when it has its full capacity.
-        started_at: ms, when its process started; 0: long ago.
+        zone: index of the server's zone.
+        kind: index of the server's machine kind.
+        warm_at: time at which the server reaches its full capacity, ms.
+        started_at: start time of the server's process, ms; 0 if it started long ago.
     """
 
     availability: Availability
@@ -28,11 +28,11 @@
     started_at: float = 0.0
 
     def is_warm(self, now: float) -> bool:
-        """Whether it is ready and has its full capacity."""
+        """Return whether the server is ready and has reached its full capacity."""
         return self.availability is Availability.READY and self.warm_at <= now
 
     def may_serve(self, request_class: RequestClass, zone: int) -> bool:
-        """Whether it may serve a class for proxies of a zone."""
+        """Return whether the server may serve requests of a class from proxies of a zone."""
         return (
             (not request_class.allowed_zones or self.zone in request_class.allowed_zones)
             and (not request_class.allowed_kinds or self.kind in request_class.allowed_kinds)
@@ -41,7 +41,7 @@
 
 
 class ZoneClass(NamedTuple):
-    """A request class at the proxies of a zone."""
+    """A zone of proxies and the index of a request class."""
 
     zone: int
     request_class: int
@@ -49,17 +49,20 @@
 
 @dataclass(slots=True)
 class PlannerView:
-    """What binds one process of a planner.
+    """The endpoint list as one planner process was notified of it, and the times from which limits apply.
+
+    All times are in ms.
 
     Attributes:
-        ready_at: ms, when it answered for the first time.
-        limits_from: ms; no limit runs before.
-        listed: the servers that it was notified of and that have not been removed.
-        unavailable_since: servers that it was notified are draining, or removed where removals bind, and when (ms).
-        latest_start: for each server, the start time of the process that it was notified of last.
-        listed_since: for each listed server, when it was notified of its present process (ms).
-        serviceable_since: zones and classes for which a warm server is listed, since when without a break (ms).
-        message_times: for each proxy, when it sent messages to it within the window of the message cap.
+        ready_at: time of the planner's first response.
+        limits_from: time before which no limit applies.
+        listed: entries of the servers that are listed and not removed, by server.
+        unavailable_since: time of the first notification that a server is draining, or removed unless removal is
+            advisory, by server.
+        latest_start: start time of the process in the latest notification, by server.
+        listed_since: time of the first notification of the current process, by listed server.
+        serviceable_since: time since which a warm server has been listed without interruption, by zone and class.
+        message_times: times of the messages within the window of the message cap, by proxy.
     """
 
     ready_at: float
@@ -72,27 +75,27 @@
     message_times: dict[int, deque[float]] = field(default_factory=dict)
 
     def is_outdated(self, server: str, listed: ListedEndpoint) -> bool:
-        """Whether an entry of an older generation says nothing any more.
+        """Return whether later notifications supersede an entry of an older generation.
 
-        It is of a process that a later one has replaced under the same name, or shows a process as ready that the
-        planner was notified is draining or removed since.
+        The entry is outdated if its process has been replaced by a later one under the same name, or if it lists a
+        process as ready that has since been reported as draining or removed.
         """
         latest_start = self.latest_start.get(server, listed.started_at)
         if listed.started_at != latest_start:
             return listed.started_at < latest_start
         return listed.availability is Availability.READY and server in self.unavailable_since
 
-    def notified(self, server: str, listed: ListedEndpoint, now: float, removal_is_advisory: bool) -> None:
-        """Note what the planner was notified of about a server."""
+    def record_notification(self, server: str, listed: ListedEndpoint, now: float, removal_is_advisory: bool) -> None:
+        """Update the state for a server with an entry that the planner was notified of."""
         self.latest_start[server] = listed.started_at
-        known = self.listed.get(server)
+        previous = self.listed.get(server)
         if listed.availability is Availability.REMOVED:
             self.listed.pop(server, None)
             self.listed_since.pop(server, None)
-            if known is not None and not removal_is_advisory:
+            if previous is not None and not removal_is_advisory:
                 self.unavailable_since.setdefault(server, now)
             return
-        if known is None or known.warm_at != listed.warm_at:
+        if previous is None or previous.warm_at != listed.warm_at:
             self.listed_since[server] = now
         self.listed[server] = listed
         if listed.availability is Availability.DRAINING:
@@ -100,14 +103,14 @@
         else:
             self.unavailable_since.pop(server, None)
 
-    def update_serviceable(self, classes: tuple[RequestClass, ...], zones: int, now: float) -> bool:
-        """Find the zones and classes for which a warm server is listed; whether some have been added."""
+    def update_serviceable(self, classes: tuple[RequestClass, ...], zone_count: int, now: float) -> bool:
+        """Update the zones and classes for which a warm server is listed; return whether any have been added."""
         warm = [endpoint for endpoint in self.listed.values() if endpoint.is_warm(now)]
         serviceable: dict[ZoneClass, float] = {}
-        for number, request_class in enumerate(classes):
-            for zone in range(zones):
+        for class_index, request_class in enumerate(classes):
+            for zone in range(zone_count):
                 if any(endpoint.may_serve(request_class, zone) for endpoint in warm):
-                    key = ZoneClass(zone, number)
+                    key = ZoneClass(zone, class_index)
                     serviceable[key] = self.serviceable_since.get(key, now)
         added = serviceable.keys() - self.serviceable_since.keys()
         self.serviceable_since = serviceable
@@ -116,14 +119,14 @@
 
 @dataclass(slots=True)
 class ProxyState:
-    """What is known of one proxy.
+    """State of one proxy.
 
     Attributes:
-        zone: its zone.
-        planner: the planner that it has joined, if any.
-        joined_at: ms, when it joined.
-        limits_from: ms; no limit runs before, as it is suspended.
-        unserved_since: classes for which it has no server, since when (ms).
+        zone: index of the proxy's zone.
+        planner: number of the planner that the proxy has joined, if any.
+        joined_at: time at which the proxy joined that planner, ms.
+        limits_from: time before which no limit applies because the proxy is suspended, ms.
+        unserved_since: time since which the proxy has had no server, by request class, ms.
     """
 
     zone: int
--- a/stackwheel/rules/violations.py
+++ b/stackwheel/rules/violations.py
@@ -1,4 +1,4 @@
-"""The rules and invariants, their limits, and how a violation is reported."""
+"""The rules and invariants, their limits, and the violations that are reported."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 from stackwheel.interface import Settings
 
-TIME_LIMIT_ALLOWANCE = 300.0
-"""ms by which the protocol extends its time limits where proxies are connected by sockets."""
+TIME_LIMIT_ALLOWANCE_MS = 300.0
+"""Extension of the protocol's time limits where proxies are connected by sockets."""
 
-READY_GRACE = 1000.0
-"""ms after a planner's first answer during which no limit runs."""
+READY_GRACE_MS = 1000.0
+"""Time after the first response of a planner during which no limit applies to it."""
 
 RELOAD_GRACE_MS = 4000.0
-"""ms after SIGHUP during which no limit runs."""
+"""Time after a SIGHUP during which no limit applies to the planner."""
 
 NOTIFICATION_DEADLINE_MS = 6000.0
-"""ms after which what discovery has written counts as received, whether it arrived or not."""
+"""Time after which an update written by discovery counts as received, even if it was not delivered."""
 
 
 class Rule(StrEnum):
-    """The protocol's rules, then the service's own invariants.
+    """The rules of the protocol, followed by the invariants of the service.
 
-    A value is what reports print and what digests of runs include; a name in lower case is a word of the command line.
+    Reports print the values, and digests of runs include them. The command line uses the member names in lower case.
     """
 
     SERVED = "no proxy without a server"
@@ -45,17 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The figures of the rules, as a deployment's settings state them.
+    """Limits of the rules, as set for a deployment.
 
     Attributes:
-        max_unserved_time: ms for which a proxy may have no server for a class.
-        drain_grace: ms within which a proxy has to stop sending to a draining server.
-        overload_duration: ms for which a server that warms up may be overloaded.
-        overload_multiple: multiple of its present capacity over which such a server is overloaded.
-        queue_limit: lines that may wait in the channel; 0: no limit.
-        message_cap: messages to one proxy within `message_window`; 0: no limit.
-        message_window: ms.
-        removal_is_advisory: whether a removal from the endpoint list does not oblige the planner.
+        max_unserved_time: time for which a proxy may have no server for a request class, ms.
+        drain_grace: time within which a proxy has to stop sending to a draining server, ms.
+        overload_duration: time for which a server that is warming up may be overloaded, ms.
+        overload_multiple: multiple of its current capacity above which such a server is overloaded.
+        queue_limit: maximum number of lines queued in the channel; 0 for no limit.
+        message_cap: maximum number of messages to one proxy within `message_window`; 0 for no limit.
+        message_window: length of the sliding window of the message cap, ms.
+        removal_is_advisory: whether proxies may continue to use a server that was removed from the endpoint list.
     """
 
     max_unserved_time: float
@@ -69,11 +69,11 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> Limits:
-        """The limits of a deployment, with the allowance for sockets."""
+        """Return the limits of a deployment, including the allowance for sockets."""
         return cls(
-            max_unserved_time=settings.max_unserved_time + TIME_LIMIT_ALLOWANCE,
-            drain_grace=settings.drain_grace + TIME_LIMIT_ALLOWANCE,
-            overload_duration=settings.overload_duration + TIME_LIMIT_ALLOWANCE,
+            max_unserved_time=settings.max_unserved_time + TIME_LIMIT_ALLOWANCE_MS,
+            drain_grace=settings.drain_grace + TIME_LIMIT_ALLOWANCE_MS,
+            overload_duration=settings.overload_duration + TIME_LIMIT_ALLOWANCE_MS,
             overload_multiple=settings.overload_multiple,
             queue_limit=settings.queue_limit,
             message_cap=settings.message_cap,
@@ -84,16 +84,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken.
+    """A violation of a rule.
 
     Attributes:
-        at: ms, when it was found.
-        rule: the rule.
+        at: time of detection, ms.
+        rule: the violated rule.
         planner: number of the planner concerned, if any.
         proxy: number of the proxy concerned, if any.
         server: name of the server concerned, if any.
-        detail: what was found.
-        trail: the last events that concern these.
+        detail: what was observed.
+        trail: the most recent events that concern the planner, proxy or server.
     """
 
     at: float
@@ -110,5 +110,5 @@
             f"proxy {self.proxy}" if self.proxy is not None else "",
             self.server or "",
         ]
-        named = ", ".join(subject for subject in subjects if subject)
-        return f"{self.at / 1000.0:.3f} s: {self.rule.value}: {named}{': ' if named else ''}{self.detail}"
+        subject_list = ", ".join(subject for subject in subjects if subject)
+        return f"{self.at / 1000.0:.3f} s: {self.rule.value}: {subject_list}{': ' if subject_list else ''}{self.detail}"
--- a/tests/rules/test_checker.py
+++ b/tests/rules/test_checker.py
@@ -1,4 +1,4 @@
-"""Each rule: broken just past its limit, kept just before, and silent where no limit runs."""
+"""Each rule: a violation just past its limit, none just before it, and none where no limit applies."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from stackwheel.interface import Availability, RequestClass
 from stackwheel.rules.checker import Checker
 from stackwheel.rules.views import ListedEndpoint
-from stackwheel.rules.violations import READY_GRACE, Limits, Rule, Violation
+from stackwheel.rules.violations import READY_GRACE_MS, Limits, Rule, Violation
 
 READ = RequestClass("read", idempotency="repeatable")
 BOOK = RequestClass("book", idempotency="once")
@@ -33,7 +33,7 @@
     checker = Checker(limits, classes, 2)
     checker.proxy_started(0, 0)
     checker.planner_ready(0, 0.0)
-    checker.proxy_joined(0, 0, READY_GRACE)
+    checker.proxy_joined(0, 0, READY_GRACE_MS)
     return checker
 
 
@@ -41,7 +41,7 @@
     return [violation.rule for violation in checker.violations]
 
 
-def test_a_proxy_without_a_line_breaks_the_rule_once_the_limit_has_run_out() -> None:
+def test_a_proxy_without_a_server_violates_the_rule_when_the_limit_expires() -> None:
     checker = make_checker()
     checker.endpoint_notified(0, 0.0, "s", READY)
     checker.lines_changed(0, 0, False, 2000.0)
@@ -53,18 +53,19 @@
 
 
 @pytest.mark.parametrize(
-    "change", ["line back", "no warm server", "left", "planner stopped", "planner suspended", "proxy suspended"]
+    "change",
+    ["server regained", "no warm server", "proxy left", "planner stopped", "planner suspended", "proxy suspended"],
 )
-def test_no_limit_runs_without_planner_or_server(change: str) -> None:
+def test_an_unserved_proxy_violates_no_rule_if_no_limit_applies(change: str) -> None:
     checker = make_checker()
     checker.endpoint_notified(
         0, 0.0, "s", ListedEndpoint(Availability.READY, 0, 0, 1e9 if change == "no warm server" else 0.0)
     )
     checker.lines_changed(0, 0, False, 2000.0)
     checker.check_deadlines(4000.0)
-    if change == "line back":
+    if change == "server regained":
         checker.lines_changed(0, 0, True, 4000.0)
-    elif change == "left":
+    elif change == "proxy left":
         checker.proxy_left(0, 4000.0)
     elif change == "planner stopped":
         checker.planner_stopped(0, 4000.0)
@@ -76,7 +77,7 @@
     assert not checker.violations
 
 
-def test_the_limit_begins_when_a_server_is_warm() -> None:
+def test_the_limit_on_unserved_time_starts_when_a_server_is_warm() -> None:
     checker = make_checker()
     checker.endpoint_notified(0, 0.0, "s", ListedEndpoint(Availability.READY, 0, 0, 6000.0))
     checker.lines_changed(0, 0, False, 2000.0)
@@ -87,7 +88,7 @@
     assert broken_rules(checker) == [Rule.SERVED]
 
 
-def test_a_zone_local_class_needs_a_server_of_its_zone() -> None:
+def test_a_zone_local_class_is_serviceable_only_with_a_server_in_the_same_zone() -> None:
     checker = make_checker(classes=(ZONE_LOCAL,))
     checker.endpoint_notified(0, 0.0, "s", ListedEndpoint(Availability.READY, 1, 0, 0.0))
     checker.lines_changed(0, 0, False, 1000.0)
@@ -98,7 +99,7 @@
     assert broken_rules(checker) == [Rule.SERVED]
 
 
-def test_a_drain_binds_from_its_notification() -> None:
+def test_attempts_violate_the_drain_rule_once_the_grace_since_the_notification_has_expired() -> None:
     checker = make_checker()
     checker.endpoint_notified(0, 5000.0, "s", READY)
     checker.endpoint_notified(0, 6000.0, "s", DRAINING)
@@ -109,7 +110,7 @@
     assert checker.violations[0].server == "s"
 
 
-def test_a_repeated_drain_binds_from_its_first_notification() -> None:
+def test_the_drain_grace_starts_at_the_first_notification() -> None:
     checker = make_checker()
     checker.endpoint_notified(0, 5000.0, "s", READY)
     checker.endpoint_notified(0, 6000.0, "s", DRAINING)
@@ -118,8 +119,8 @@
     assert broken_rules(checker) == [Rule.DRAINS]
 
 
-@pytest.mark.parametrize("change", ["ready again", "joined late", "left", "never listed", "planner suspended"])
-def test_a_drain_does_not_bind(change: str) -> None:
+@pytest.mark.parametrize("change", ["ready again", "joined late", "proxy left", "never listed", "planner suspended"])
+def test_attempts_to_a_removed_server_are_allowed_if_the_drain_rule_does_not_apply(change: str) -> None:
     checker = make_checker()
     if change != "never listed":
         checker.endpoint_notified(0, 5000.0, "s", READY)
@@ -128,7 +129,7 @@
         checker.endpoint_notified(0, 8000.0, "s", READY)
     elif change == "joined late":
         checker.proxy_joined(0, 0, 8000.0)
-    elif change == "left":
+    elif change == "proxy left":
         checker.proxy_left(0, 8000.0)
     elif change == "planner suspended":
         checker.suspend_limits(0, 8000.0)
@@ -140,7 +141,9 @@
 
 
 @pytest.mark.parametrize("notified", [DRAINING, REMOVED])
-def test_a_newer_notification_binds_whatever_process_it_names(notified: ListedEndpoint) -> None:
+def test_a_newer_notification_starts_the_drain_grace_even_if_it_names_an_earlier_process(
+    notified: ListedEndpoint,
+) -> None:
     checker = make_checker()
     checker.endpoint_notified(0, 5000.0, "s", RESTARTED)
     checker.endpoint_notified(0, 6000.0, "s", notified)
@@ -163,7 +166,7 @@
     assert not view.is_outdated("s", replace(RESTARTED, started_at=5501.0))
 
 
-def test_where_removal_is_advisory_only_draining_binds() -> None:
+def test_only_draining_starts_the_drain_grace_if_removal_is_advisory() -> None:
     checker = make_checker(replace(LIMITS, removal_is_advisory=True))
     checker.endpoint_notified(0, 5000.0, "s", READY)
     checker.endpoint_notified(0, 6000.0, "s", REMOVED)
@@ -174,7 +177,7 @@
     assert broken_rules(checker) == [Rule.DRAINS]
 
 
-def test_a_second_execution_breaks_the_rule_unless_the_class_is_idempotent() -> None:
+def test_a_second_execution_violates_the_rule_unless_the_class_is_idempotent() -> None:
     checker = make_checker()
     for _ in range(2):
         checker.request_executed(7, 0, 0, 0, "s", 10.0)
@@ -187,12 +190,12 @@
     assert broken_rules(checker) == [Rule.ONCE]
 
 
-def test_a_warming_server_may_be_overloaded_for_a_while() -> None:
+def test_overload_of_a_warming_server_violates_the_rule_after_the_overload_duration() -> None:
     checker = make_checker()
     checker.warming_server_load("s", 31.0, 10.0, 0.0)
     checker.warming_server_load("s", 31.0, 10.0, 1999.0)
     assert not checker.violations
-    checker.warming_server_load("s", 30.0, 10.0, 2000.0)  # not overloaded: the time starts again
+    checker.warming_server_load("s", 30.0, 10.0, 2000.0)  # not overloaded, so the duration starts again
     checker.warming_server_load("s", 31.0, 10.0, 2100.0)
     checker.warming_server_load("s", 31.0, 10.0, 4000.0)
     assert not checker.violations
@@ -200,13 +203,13 @@
     assert broken_rules(checker) == [Rule.COLD]
 
 
-def test_queue_limit_and_message_cap() -> None:
+def test_exceeding_the_queue_limit_or_the_message_cap_violates_a_rule() -> None:
     checker = make_checker()
     checker.lines_queued(0, 100.0, 0.0)
     for at in (0.0, 1.0, 2.0):
         checker.message_written(0, 0, at)
     checker.message_written(0, 1, 2.0)
-    checker.message_written(0, 0, 10_000.0)  # the first has left the window
+    checker.message_written(0, 0, 10_000.0)  # the first message is no longer in the window
     assert not checker.violations
     checker.message_written(0, 0, 10_000.5)
     checker.message_written(0, 0, 10_000.6)
@@ -214,7 +217,7 @@
     assert broken_rules(checker) == [Rule.CAP, Rule.QUEUE]
 
 
-def test_a_restarted_planner_is_not_bound_by_its_former_process() -> None:
+def test_messages_of_an_earlier_planner_process_do_not_count_towards_the_message_cap() -> None:
     checker = make_checker()
     for at in range(3):
         checker.message_written(0, 0, float(at))
@@ -225,34 +228,36 @@
     assert not checker.violations
 
 
-def test_an_answer_is_sent_once_it_is_decided() -> None:
+def test_a_delayed_final_answer_violates_the_rule_unless_the_proxy_was_suspended() -> None:
     checker = make_checker()
     checker.request_answered(1, 0, 1000.0, 1000.5)
     checker.suspend_proxy_limits(0, 4000.0)
-    checker.request_answered(2, 0, 1000.0, 4000.5)  # it was suspended
+    checker.request_answered(2, 0, 1000.0, 4000.5)  # the proxy was suspended
     assert not checker.violations
     checker.request_answered(3, 0, 5000.0, 5002.0)
     assert broken_rules(checker) == [Rule.PROMPT]
 
 
-def test_a_violation_names_its_subjects_time_and_trail() -> None:
+def test_a_violation_is_reported_once_with_its_time_subjects_and_trail() -> None:
     checker = make_checker()
     checker.endpoint_notified(0, 5000.0, "s", READY)
     checker.endpoint_notified(0, 6000.0, "s", DRAINING)
     checker.record_event(6500.0, "applied 3 lines", "proxy-0", "planner-0")
     checker.record_event(6600.0, "applied 3 lines", "proxy-9", "planner-9")
     checker.attempt_sent(0, "s", 9500.0)
-    checker.attempt_sent(0, "s", 9600.0)  # the same violation again
+    checker.attempt_sent(0, "s", 9600.0)  # repeats the violation
     assert len(checker.violations) == 1
     violation: Violation = checker.violations[0]
-    assert str(violation) == "9.500 s: drains kept: planner 0, proxy 0, s: sent 3.50 s after it was told"
+    assert str(violation) == (
+        "9.500 s: drains kept: planner 0, proxy 0, s: attempt sent 3.50 s after the server was reported draining or removed"
+    )
     assert any("told DRAINING" in line for line in violation.trail)
     assert any("proxy-0" in line for line in violation.trail)
     assert not any("proxy-9" in line for line in violation.trail)
 
 
-def test_the_trail_names_a_removed_server_as_its_readers_know_it() -> None:
-    """The words of the trail are output of the command line, whatever the code calls the state."""
+def test_the_trail_contains_the_availability_labels_of_the_command_line_output() -> None:
+    """Renaming a member of `Availability` must not change the output of the command line."""
     checker = make_checker()
     checker.endpoint_notified(0, 5000.0, "s", READY)
     checker.endpoint_notified(0, 6000.0, "s", DRAINING)
@@ -260,7 +265,7 @@
     checker.attempt_sent(0, "s", 9500.0)
     trail = checker.violations[0].trail
     assert [
-        words for words in ("told READY", "told DRAINING", "told GONE") if any(words in line for line in trail)
+        label for label in ("told READY", "told DRAINING", "told GONE") if any(label in line for line in trail)
     ] == [
         "told READY",
         "told DRAINING",
