--- a/stackwheel/state/__init__.py
+++ b/stackwheel/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a planner keeps: endpoints, streams, tables and their updates; and the actor that owns them."""
+"""State of a planner (endpoints, proxy streams, weight tables and their updates), and the actor that owns it."""
--- a/stackwheel/state/clock.py
+++ b/stackwheel/state/clock.py
@@ -1,4 +1,4 @@
-"""The planner's clock: Unix milliseconds that no step of the wall clock moves."""
+"""The planner's clock: Unix time in milliseconds that is not affected by steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 
 
 class Clock:
-    """Reads the wall clock once and counts on from there by the steady clock.
+    """A monotonic clock that is set to the wall clock once, at its creation.
 
-    Start times of servers, which come from discovery in Unix milliseconds, can be compared with it.
+    Its times can be compared with the start times of servers, which discovery states in Unix milliseconds.
 
     Attributes:
-        steady: the steady clock, in seconds.
-        offset: ms from the steady clock's zero to the Unix epoch's, as the wall clock had it at the start.
+        monotonic_clock: the clock that advances this one, in seconds.
+        offset: difference between Unix time and the monotonic clock, ms.
     """
 
-    def __init__(self, wall: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic) -> None:
-        """Start the clock; both sources give seconds, and a simulation passes its own."""
-        self.steady = steady
-        self.offset = wall() * MS_PER_S - steady() * MS_PER_S
+    def __init__(
+        self, wall_clock: Callable[[], float] = time.time, monotonic_clock: Callable[[], float] = time.monotonic
+    ) -> None:
+        """Set the clock; both arguments return seconds, and a simulation passes its own."""
+        self.monotonic_clock = monotonic_clock
+        self.offset = wall_clock() * MS_PER_S - monotonic_clock() * MS_PER_S
 
     def now(self) -> float:
-        """The present time in Unix ms."""
-        return self.offset + self.steady() * MS_PER_S
+        """Return the current time, Unix ms."""
+        return self.offset + self.monotonic_clock() * MS_PER_S
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The endpoints as this planner knows them: discovery's lists in, updates for the policy out."""
+"""The planner's cache of the endpoint list, which converts lists of discovery to updates for the policy."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 from stackwheel.interface import Availability, EndpointEntry, EndpointUpdate, ServerId, UpdateKind
 from stackwheel.state.server_ids import ServerIds, server_id
 
-MAX_ZONE_LOGGED = 40
-"""Characters of an unknown zone's name that are logged."""
+MAX_LOGGED_ZONE_CHARACTERS = 40
+"""Length to which the name of an unknown zone is truncated in the log."""
 
 
 class EndpointCache:
-    """The endpoint list as known now, with what has left it lately; owned by the planner actor.
+    """The cached endpoint list and the recently removed servers; owned by the planner actor.
 
     Attributes:
-        zones: zone names by number.
-        kinds: names of kinds by number; an unknown kind gets the number after the last.
-        server_ids: names by id, of all that is listed or remembered here.
-        removal_is_advisory: whether the policy may go on using what has left the list.
-        generation: that of the list as known.
-        entries: the listed servers; bounded by what discovery lists.
-        addresses: where this planner reaches them; one for each of `entries`.
-        removed: when the process of each removed server had started, the oldest removal first. The owner forgets
-            those of `excess_removed` that nothing names any more; each of them may return.
-        restarted: those of `entries` that had an earlier process under the same id.
-        stale_snapshot: a complete list that is deferred, if any; for `MAX_LIST_AGE_MS` at most.
-        refetch_needed: whether a deferred list was overtaken by changes: if discovery had started its generations
-            again, the servers that left by that list are not known.
+        zones: zone names by index.
+        kinds: names of machine kinds by index; unknown kinds get the index after the last one.
+        server_ids: names by id of all listed and remembered servers.
+        removal_is_advisory: whether the policy may continue to use removed servers.
+        generation: generation of the cached list.
+        entries: the listed servers; their number is limited by the lists of discovery.
+        addresses: addresses of the listed servers for connections from this planner; one for each of `entries`.
+        removed: start times of the processes of removed servers, oldest removal first. The owner forgets the servers
+            returned by `excess_removed` once nothing references them. A removed server may be listed again.
+        restarted: ids of the listed servers that had an earlier process under the same id.
+        stale_snapshot: a deferred complete list, if any; deferred for at most `MAX_LIST_AGE_MS`.
+        refetch_needed: whether the complete list has to be fetched because changes superseded a deferred list. If
+            discovery had restarted its generations, servers missing from that list may still be cached.
     """
 
     def __init__(
@@ -61,14 +61,14 @@
         self.stale_snapshot: StaleSnapshot | None = None
         self.refetch_needed = False
 
-    # Lists in
+    # Received lists
 
     def apply(self, endpoint_list: EndpointList, now: float = 0.0) -> EndpointUpdate:
-        """Apply a list that discovery has sent; the cost of changes grows with what they name, not with the list.
+        """Apply a list of discovery; the cost of applying changes is proportional to the number of changed entries.
 
         Args:
-            endpoint_list: the list.
-            now: ms on the planner's clock.
+            endpoint_list: the complete list or changes.
+            now: time on the planner's clock, ms.
 
         Returns:
             The event that notifies the policy.
@@ -79,7 +79,7 @@
         entries = [entry for instance in accepted.instances if (entry := self.entry(instance)) is not None]
         listed = {entry.server: entry for entry in entries if entry.availability is not Availability.REMOVED}
         removed = {entry.server: entry.started_at for entry in entries if entry.availability is Availability.REMOVED}
-        self._note_restarts(listed.values())
+        self._record_restarts(listed.values())
         if accepted.complete:
             retained = self._unreadable_entries(accepted, {entry.server for entry in entries})
             still_listed = {**retained, **listed}
@@ -96,12 +96,12 @@
         return EndpointUpdate(kind, accepted.generation, (*entries, *late_drains))
 
     def discard_stale(self, received: EndpointList, now: float) -> EndpointList:
-        """Reduce a list of an older generation than is known to what still counts.
+        """Remove the entries that are out of date from a list whose generation is older than the cached one.
 
-        Of changes that is what is `EntryFreshness.NEW`: anything else would bring back what has left since. A
-        complete list with entries that are `REVIVED` is an older state, as a fetch that a watch has overtaken
-        gives it: it counts like changes, and is deferred. Where nothing newer arrives while a list can be that
-        old, discovery has started its generations again and the list holds, see `confirmed_snapshot`.
+        Of changes, only entries that are `EntryFreshness.NEW` remain, because others would revert later changes. A
+        complete list with `REVIVED` entries may be the response to a fetch that was overtaken by a watch. It is
+        treated like changes, and deferred. If nothing newer arrives within the maximum age of a list in transit,
+        discovery has restarted its generations and the deferred list is valid, see `confirmed_snapshot`.
         """
         if received.generations_restarted or received.generation >= self.generation:
             self._drop_deferred(received)
@@ -115,26 +115,28 @@
         else:
             self.stale_snapshot = None
             return received
-        fresh = tuple(instance for instance, freshness in compared if freshness is EntryFreshness.NEW)
-        return EndpointList(self.generation, False, fresh)
+        new_instances = tuple(instance for instance, freshness in compared if freshness is EntryFreshness.NEW)
+        return EndpointList(self.generation, False, new_instances)
 
     def confirmed_snapshot(self, now: float) -> EndpointList | None:
-        """The complete list that was deferred, once nothing newer can be in transit; it is to be applied."""
+        """Return the deferred complete list if it is due to be applied because nothing newer can be in transit."""
         if self.stale_snapshot is None or now < self.stale_snapshot.first_received_at + MAX_LIST_AGE_MS:
             return None
         return self.stale_snapshot.endpoint_list()
 
     def take_refetch_needed(self) -> bool:
-        """Whether the complete list has to be fetched; true once each time that it has."""
+        """Return whether the complete list has to be fetched, and reset that state."""
         needed = self.refetch_needed
         self.refetch_needed = False
         return needed
 
     def entry(self, instance: Instance) -> EndpointEntry | None:
-        """Translate an instance for the policy and note its address; None if it has to be left out."""
+        """Convert an instance for the policy and store its address; None if its zone is unknown or its id collides."""
         if instance.zone not in self.zones:
             logger.warning(
-                "endpoint left out: server={} reason=unknown zone {}", instance.name, instance.zone[:MAX_ZONE_LOGGED]
+                "endpoint ignored: server={} reason=unknown zone {}",
+                instance.name,
+                instance.zone[:MAX_LOGGED_ZONE_CHARACTERS],
             )
             return None
         server = self.server_ids.register(instance.name)
@@ -151,35 +153,35 @@
             started_at=instance.started_at,
         )
 
-    # Questions
+    # Queries
 
     def cached_update(self) -> EndpointUpdate:
-        """The event that notifies a policy that starts of the list as known."""
+        """Return the event that notifies a newly started policy of the cached list."""
         return EndpointUpdate(UpdateKind.CACHED, self.generation, tuple(self.entries.values()))
 
     def failed_update(self) -> EndpointUpdate:
-        """The event that notifies the policy that a call for the list has failed."""
+        """Return the event that notifies the policy of a failed call for the list."""
         return EndpointUpdate(UpdateKind.FAILED, self.generation)
 
     def predates_current_process(self, server: ServerId, since: float) -> bool:
-        """Whether what was measured at a server from `since` (ms) on may be of an earlier process under its id."""
+        """Return whether a measurement of a server that began at `since` (ms) may include an earlier process."""
         entry = self.entries.get(server)
         return entry is not None and server in self.restarted and since < entry.started_at
 
     def excess_removed(self) -> list[ServerId]:
-        """The removed servers beyond the bound, to be forgotten once nothing names them."""
-        bound = max(MIN_REMOVED_SERVER_LIMIT, REMOVED_SERVER_LIMIT_PER_LISTED * len(self.entries))
-        return list(islice(self.removed, max(0, len(self.removed) - bound)))
+        """Return the removed servers in excess of the limit, which may be forgotten once nothing references them."""
+        limit = max(MIN_REMOVED_SERVER_LIMIT, REMOVED_SERVER_LIMIT_PER_LISTED * len(self.entries))
+        return list(islice(self.removed, max(0, len(self.removed) - limit)))
 
     def forget(self, server: ServerId) -> None:
         """Forget a removed server and its name."""
         self.removed.pop(server, None)
         self.server_ids.forget(server)
 
-    # Steps
+    # Internals
 
     def _known_process(self, server: ServerId) -> KnownProcess | None:
-        """The latest process known under an id, listed or removed."""
+        """Return the latest known process of a server, which is listed or removed; None if the server is unknown."""
         entry = self.entries.get(server)
         if entry is not None:
             return KnownProcess(entry.availability, entry.started_at)
@@ -190,30 +192,35 @@
         return entry_freshness(instance, self._known_process(server_id(instance.name)))
 
     def _late_drains(self, received: EndpointList) -> list[EndpointEntry]:
-        """Drains of processes that have left since, from changes of an older generation.
+        """Return draining entries of removed processes, from changes of an older generation.
 
-        Drains bind where removals do not. These are for the policy alone, which may still send there; what has
-        left is not listed again.
+        If removal is advisory, the policy may still use these servers and has to be notified that they are draining.
+        The entries are not added to the cached list.
         """
         if received.generations_restarted or received.complete or received.generation >= self.generation:
             return []
-        draining = [one for one in received.instances if one.availability is Availability.DRAINING]
-        departed = [one for one in draining if self.removed.get(server_id(one.name)) == one.started_at]
-        entries = [entry for instance in departed if (entry := self.entry(instance)) is not None]
+        draining = [candidate for candidate in received.instances if candidate.availability is Availability.DRAINING]
+        removed_instances = [
+            candidate for candidate in draining if self.removed.get(server_id(candidate.name)) == candidate.started_at
+        ]
+        entries = [entry for instance in removed_instances if (entry := self.entry(instance)) is not None]
         for entry in entries:
             self.addresses.pop(entry.server, None)
         return entries
 
     def _drop_deferred(self, received: EndpointList) -> None:
-        """Drop the deferred list, which one that is not older supersedes; after changes a complete one is needed."""
-        overtaken = self.refetch_needed or self.stale_snapshot is not None
-        self.refetch_needed = not received.complete and overtaken
+        """Drop the deferred list, which a later list supersedes.
+
+        If the later list contains only changes, the complete list has to be fetched.
+        """
+        was_deferred = self.refetch_needed or self.stale_snapshot is not None
+        self.refetch_needed = not received.complete and was_deferred
         self.stale_snapshot = None
 
     def _defer(self, received: EndpointList, now: float) -> None:
         logger.warning(
-            "endpoint list deferred: generation={} duration_s={:g} reason=it lists servers that drain or have left "
-            "by generation {}",
+            "endpoint list deferred: generation={} duration_s={:g} reason=it contradicts the draining "
+            "or removal of servers in generation {}",
             received.generation,
             MAX_LIST_AGE_MS / 1000.0,
             self.generation,
@@ -222,21 +229,24 @@
         self.stale_snapshot = StaleSnapshot.from_list(received, first_received_at)
 
     def _unreadable_entries(self, complete: EndpointList, read: set[ServerId]) -> dict[ServerId, EndpointEntry]:
-        """Known servers that a complete list may name in an entry that can't be used: they have not left."""
-        named = {server_id(name) for name in complete.unreadable}
-        named |= {server_id(instance.name) for instance in complete.instances}  # of an unknown zone, say
-        any_server = "" in complete.unreadable
+        """Return the cached entries of servers that a complete list contains only as unusable entries.
+
+        These servers have not been removed. An unreadable entry without a name may be that of any server.
+        """
+        unusable = {server_id(name) for name in complete.unreadable}
+        unusable |= {server_id(instance.name) for instance in complete.instances}  # includes those of unknown zones
+        may_be_any_server = "" in complete.unreadable
         return {
             server: entry
             for server, entry in self.entries.items()
-            if server not in read and (any_server or server in named)
+            if server not in read and (may_be_any_server or server in unusable)
         }
 
     def _unlisted(self, listed: dict[ServerId, EndpointEntry]) -> dict[ServerId, float]:
-        """The known servers that are not among these, and when their processes had started."""
+        """Return the start times of the processes of cached servers that are no longer listed."""
         return {server: entry.started_at for server, entry in self.entries.items() if server not in listed}
 
-    def _note_restarts(self, listed: Iterable[EndpointEntry]) -> None:
+    def _record_restarts(self, listed: Iterable[EndpointEntry]) -> None:
         for entry in listed:
             known = self._known_process(entry.server)
             if known is not None and entry.started_at > known.started_at:
--- a/stackwheel/state/messages.py
+++ b/stackwheel/state/messages.py
@@ -1,6 +1,7 @@
-"""What may be posted to the planner actor's mailbox.
+"""Messages that may be posted to the planner actor's mailbox.
 
-A `ProxyStream` opens a stream, an `EndpointList` is what discovery has sent; the rest is defined here.
+Besides the messages defined here, these are `ProxyStream`, which opens a stream, `EndpointList`, which contains a
+response of discovery, and some events of the policy.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """A proxy's stream has ended; ignored if another connection carries the proxy by now."""
+    """Message: the stream of a proxy has ended; ignored if the proxy has moved to another connection."""
 
     proxy: int
     connection: StreamConnection
@@ -23,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamMessage:
-    """A proxy has sent something over its stream; ignored if another connection carries the proxy by now.
+    """Message: a proxy has sent a message over its stream; ignored if the proxy has moved to another connection.
 
     Attributes:
-        proxy: the proxy's number.
-        event: what it sent; None: nothing that can be used, but it shows that the proxy is alive.
-        connection: where it arrived.
+        proxy: number of the proxy.
+        event: event that the message contains; None if the message only shows that the proxy is alive.
+        connection: connection over which the message was received.
     """
 
     proxy: int
@@ -38,17 +39,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListFailed:
-    """A call for the endpoint list has failed, or the watch has ended."""
+    """Message: a call for the endpoint list has failed, or the watch has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckTarget:
-    """What a health check was meant for.
+    """The policy and the server process for which a health check was started.
 
     Attributes:
-        incarnation: of the policy that asked for it.
-        started_at: when the server's process had started, Unix ms; negative if it is not listed.
-        address: where it was called.
+        incarnation: incarnation of the policy that started the health check.
+        started_at: start time of the server's process, Unix ms; negative if the server is not listed.
+        address: address of the server.
     """
 
     incarnation: int
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckCompleted:
-    """A health check has ended; ignored unless its target is still the present one."""
+    """Message: a health check has ended; ignored if the policy, the server's process or its address has changed."""
 
     target: HealthCheckTarget
     result: HealthCheckResult
@@ -66,11 +67,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerElapsed:
-    """A timer has elapsed; ignored unless the policy that set it is still running.
+    """Message: a timer has elapsed; ignored if the policy that set it is no longer running.
 
     Attributes:
-        incarnation: of the policy that set it.
-        token: that of its `SetTimer`.
+        incarnation: incarnation of the policy that set the timer.
+        token: token of its `SetTimer` action.
     """
 
     incarnation: int
@@ -78,7 +79,7 @@
 
 
 Report: TypeAlias = LoadReport | DemandReport | GossipReceived
-"""What may be dropped when the mailbox is full: the next one brings newer figures."""
+"""Messages that may be lost because a later one contains newer figures."""
 
 PlannerMessage: TypeAlias = (
     ProxyStream
@@ -90,4 +91,4 @@
     | TimerElapsed
     | Report
 )
-"""Whatever may be posted to the mailbox."""
+"""Any message that may be posted to the mailbox."""
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -1,4 +1,4 @@
-"""The planner's actor: one mailbox, and one call of the policy for all that arrived since the last."""
+"""The planner actor, which collects messages in a mailbox and passes them to the policy in batches."""
 
 from __future__ import annotations
 
@@ -47,22 +47,22 @@
 from stackwheel.state.table_updates import ProxyUpdate, TableUpdates
 
 MAX_MAILBOX_MESSAGES = 100_000
-"""Messages that may wait; beyond it only those that change what is known for good are taken."""
+"""Limit on queued messages; a full mailbox accepts only messages whose loss could not be made up for later."""
 
-MIN_RESTART_INTERVAL = 1000.0
-"""ms between two restarts of a policy that fails again and again."""
+MIN_RESTART_INTERVAL_MS = 1000.0
+"""Minimum time between two restarts of the policy."""
 
-NO_PROCESS = -1.0
-"""As the start time of a server that is not listed: no process has it."""
+NOT_LISTED_START_TIME = -1.0
+"""Start time used for servers that are not listed; no process has this start time."""
 
 
 class PolicyOptions(NamedTuple):
-    """What a policy is made of.
+    """How to create the policy.
 
     Attributes:
-        settings: what it is configured with.
-        seed: of its random numbers; each incarnation has its own.
-        factory: makes a policy from settings and seed.
+        settings: settings of the policy.
+        seed: random seed of the first incarnation; each later one uses the next integer.
+        factory: creates a policy from settings and a seed.
     """
 
     settings: Settings
@@ -70,28 +70,28 @@
     factory: Callable[[Settings, int], Planner] = Planner
 
     def create(self, incarnation: int) -> Planner:
-        """Make the policy of an incarnation, the first of which is 0."""
+        """Create the policy of an incarnation; the first one is 0."""
         return self.factory(self.settings, self.seed + incarnation)
 
 
 class PlannerActor:
-    """Owns the policy, the streams and the tables; nothing else changes them.
+    """Owns the policy, the streams and the tables, and is the only one to change them.
 
     Attributes:
-        policy: what each incarnation of the policy is made of.
-        batch_delay: ms from the first message that arrives to the batch that includes it.
+        policy: how to create each incarnation of the policy.
+        batch_delay: time from the first message of a batch until the batch is processed, ms.
         clock: the planner's clock.
         endpoints: the endpoint cache.
-        ports: where the policy's actions go.
-        streams: the joined proxies.
-        updates: the weight tables and the updates that follow from them.
-        planner: the policy; None from a failure to the restart.
-        incarnation: how often the policy was restarted.
-        failed_at: ms, when the policy was last due to restart.
-        mailbox: messages not yet processed, in order; at most `MAX_MAILBOX_MESSAGES` but for those that are always
-            taken, of which a connection or the discovery client posts few at a time.
+        ports: the transports that execute the policy's actions.
+        streams: the streams of the connected proxies.
+        updates: the weight tables and the updates that result from their changes.
+        planner: the current policy; None between a failure and the restart.
+        incarnation: number of restarts of the policy.
+        last_restart_at: scheduled time of the latest restart of the policy, ms.
+        mailbox: unprocessed messages in order of arrival. At most `MAX_MAILBOX_MESSAGES`, except for messages that
+            are always accepted, of which each connection and the discovery client post few at a time.
         mailbox_filled: set while the mailbox is not empty.
-        timers: the running timers of the present policy, which bounds them.
+        timers: pending timers of the current policy, which limits their number.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         ports: PlannerPorts,
         ack_timeout: float = math.inf,
     ) -> None:
-        """Set the actor up; `ack_timeout` (ms) is that of `ProxyStreams`."""
+        """Create the actor and the first policy; `ack_timeout` (ms) is passed to `ProxyStreams`."""
         self.policy = policy
         self.batch_delay = batch_delay
         self.clock = clock
@@ -113,22 +113,22 @@
         self.updates = TableUpdates(len(policy.settings.classes), self.streams)
         self.planner: Planner | None = policy.create(0)
         self.incarnation = 0
-        self.failed_at = -math.inf
+        self.last_restart_at = -math.inf
         self.mailbox: list[PlannerMessage] = []
         self.mailbox_filled = asyncio.Event()
         self.timers: set[asyncio.TimerHandle] = set()
 
-    # The mailbox
+    # Mailbox
 
     def post(self, message: PlannerMessage) -> None:
-        """Put a message into the mailbox.
+        """Append a message to the mailbox.
 
-        While the mailbox is full, only streams that open or end, endpoint lists and failed calls for them are taken.
-        All else is dropped, with a log line each: load and demand reports, gossip, acknowledgements, results of
-        health checks, and timers of the policy.
+        While the mailbox is full, only the opening and the end of streams, endpoint lists and failed calls for them
+        are accepted. All other messages are dropped and logged: load and demand reports, gossip, acknowledgements,
+        results of health checks, and timers of the policy.
         """
-        always_taken = isinstance(message, ProxyStream | StreamEnded | EndpointList | EndpointListFailed)
-        if len(self.mailbox) >= MAX_MAILBOX_MESSAGES and not always_taken:
+        is_always_accepted = isinstance(message, ProxyStream | StreamEnded | EndpointList | EndpointListFailed)
+        if len(self.mailbox) >= MAX_MAILBOX_MESSAGES and not is_always_accepted:
             logger.error("message dropped: kind={} reason=the mailbox is full", type(message).__name__)
             return
         self.mailbox.append(message)
@@ -141,11 +141,11 @@
             await asyncio.sleep(self.batch_delay / 1000.0)
             try:
                 self.process_batch()
-            except Exception as error:  # a fault of this package, not of the policy: it goes on as well
+            except Exception as error:  # a bug outside the policy must not stop the actor
                 logger.opt(exception=True).error("batch failed: reason={!r}", error)
 
     def process_batch(self) -> None:
-        """Process everything in the mailbox, in order, with one call of the policy."""
+        """Process all messages in the mailbox, in order, with one call of the policy."""
         messages = self.mailbox
         self.mailbox = []
         self.mailbox_filled.clear()
@@ -153,34 +153,34 @@
         confirmed = self.endpoints.confirmed_snapshot(self.clock.now())
         if confirmed is not None:
             logger.warning(
-                "endpoint list accepted: generation={} duration_s={:g} reason=it was deferred and nothing newer came",
+                "deferred endpoint list accepted: generation={} duration_s={:g} reason=no newer list was received",
                 confirmed.generation,
                 MAX_LIST_AGE_MS / 1000.0,
             )
             events.append(self.endpoints.apply(confirmed))
         if self.endpoints.take_refetch_needed():
-            logger.warning("endpoint list requested: kind=full reason=changes overtook a deferred list")
+            logger.warning("endpoint list requested: kind=full reason=changes superseded a deferred list")
             self.ports.fetch_endpoints()
         self.run_policy([*events, *self.streams.time_out(self.clock.now())])
         self._forget_removed_servers()
 
     def run_policy(self, events: list[Event]) -> None:
-        """Call the policy and carry out its actions; a policy that fails is restarted."""
+        """Call the policy and execute its actions; the policy is restarted if it raises an exception."""
         if self.planner is None:
             return
         started_at = self.clock.now()
         try:
-            updates = self._carry_out(self.planner.handle(started_at, events))
+            updates = self._execute(self.planner.handle(started_at, events))
             elapsed = self.clock.now() - started_at
             logger.opt(lazy=True).debug("{}", lambda: describe_batch(events, updates, elapsed))
         except Exception as error:
             logger.opt(exception=True).error("policy failed: count={} reason={!r}", len(events), error)
             self._restart_policy()
 
-    # Messages in
+    # Incoming messages
 
     def _events(self, message: PlannerMessage) -> Iterable[Event]:
-        """What a message means for the policy."""
+        """Apply a message to the state, and return the events that result for the policy."""
         match message:
             case ProxyStream():
                 return self.streams.join(message)
@@ -201,29 +201,34 @@
         return []
 
     def _health_check_events(self, target: HealthCheckTarget, result: HealthCheckResult) -> list[Event]:
-        """The result, unless the policy or the server's process or address is another one by now."""
+        """Return the result unless the policy, the server's process or its address has changed since the start."""
         return [result] if target == self._health_check_target(result.server) else []
 
     def _timer_events(self, incarnation: int, token: int) -> list[Event]:
-        """The timer of the present policy; none of an earlier one."""
+        """Return the event of a timer, or none if an earlier incarnation of the policy set it."""
         return [TimerFired(token)] if incarnation == self.incarnation else []
 
     def _stream_events(self, message: StreamMessage) -> list[Event]:
-        alive = self.streams.message_received(message.proxy, message.connection)
-        if alive is None:
+        stream_events = self.streams.message_received(message.proxy, message.connection)
+        if stream_events is None:
             return []
         match message.event:
             case Acknowledged():
-                return [*alive, *self._acknowledgement_events(message.event)]
+                return [*stream_events, *self._acknowledgement_events(message.event)]
             case DemandReport():
-                return [*alive, message.event]
-        return list(alive)
+                return [*stream_events, message.event]
+        return list(stream_events)
 
     def _acknowledgement_events(self, event: Acknowledged) -> list[Event]:
-        """The acknowledgement with the policy's nonce, unless an earlier policy set it or it can't be genuine."""
+        """Return the acknowledgement with the policy's nonce.
+
+        Acknowledgements of nonces of an earlier incarnation, and of nonces that are not pending or were sent too
+        recently, are ignored.
+        """
         if not self.streams.acknowledge(event.proxy, event.nonce, event.elapsed, self.clock.now()):
             logger.warning(
-                "acknowledgement ignored: proxy={} nonce={} duration_s={:g} reason=no such nonce was pending that long",
+                "acknowledgement ignored: proxy={} nonce={} duration_s={:g} "
+                "reason=the nonce is not pending or was sent more recently",
                 event.proxy,
                 event.nonce,
                 event.elapsed / 1000.0,
@@ -233,7 +238,7 @@
         return [] if nonce is None else [Acknowledged(event.proxy, nonce, event.elapsed)]
 
     def _is_current(self, report: Report) -> bool:
-        """Whether a report is of what is known now: its window may reach back to an earlier process of its server."""
+        """Return whether a report concerns a connected proxy or only the current process of its server."""
         match report:
             case LoadReport(server=server, window=window):
                 return not self.endpoints.predates_current_process(server, self.clock.now() - window)
@@ -243,24 +248,24 @@
                 return True
 
     def _health_check_target(self, server: ServerId) -> HealthCheckTarget:
-        """What a health check of that server is meant for now."""
+        """Return the current target of a health check of a server."""
         entry = self.endpoints.entries.get(server)
-        started_at = entry.started_at if entry is not None else NO_PROCESS
+        started_at = entry.started_at if entry is not None else NOT_LISTED_START_TIME
         return HealthCheckTarget(self.incarnation, started_at, self.endpoints.addresses.get(server, ""))
 
     def _forget_removed_servers(self) -> None:
-        """Forget removed servers beyond the bound that nothing names any more."""
+        """Forget removed servers in excess of the limit, unless a table, an ejection or a stream references them."""
         for server in self.endpoints.excess_removed():
             if not self.updates.references(server):
                 self.endpoints.forget(server)
                 self.updates.forget(server)
                 self.streams.forget(server)
 
-    # Actions out
+    # Actions of the policy
 
-    def _carry_out(self, actions: list[Action]) -> list[ProxyUpdate]:
-        """Send the updates that follow from a reply, then carry out its other actions in order."""
-        updates = self.updates.apply_action(actions)
+    def _execute(self, actions: list[Action]) -> list[ProxyUpdate]:
+        """Send the updates that result from the policy's actions, then execute the other actions in order."""
+        updates = self.updates.apply_actions(actions)
         streams = self.streams.by_proxy
         self.ports.deliver([(streams[update.proxy].connection, update) for update in updates])
         now = self.clock.now()
@@ -268,10 +273,10 @@
             if update.nonce is not None:
                 self.streams.nonce_sent(update.proxy, update.nonce, now)
         for action in actions:
-            self._carry_out_action(action)
+            self._execute_action(action)
         return updates
 
-    def _carry_out_action(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
             case SetTimer(delay, token):
                 self.set_timer(delay, token)
@@ -286,14 +291,14 @@
             case Log(text):
                 logger.info("policy message: {}", text)
             case _:
-                pass  # the tables have applied it
+                pass  # changes of tables have been applied by `TableUpdates`
 
     def set_timer(self, delay: float, token: int) -> None:
         """Post `TimerElapsed` after `delay` ms, unless the policy has been restarted by then."""
         incarnation = self.incarnation
 
         def fire() -> None:
-            """Post that the timer has elapsed."""
+            """Remove the timer and post `TimerElapsed`."""
             self.timers.discard(handle)
             self.post(TimerElapsed(incarnation, token))
 
@@ -303,21 +308,24 @@
     # Restart
 
     def _restart_policy(self) -> None:
-        """Drop a policy that failed, with its timers, and start a new one, `MIN_RESTART_INTERVAL` after the last."""
+        """Drop the failed policy with its timers, and schedule a new one.
+
+        Restarts are at least `MIN_RESTART_INTERVAL_MS` apart.
+        """
         for handle in self.timers:
             handle.cancel()
         self.timers.clear()
         self.incarnation += 1
         self.planner = None
         self.updates.restart()
-        delay = max(0.0, self.failed_at + MIN_RESTART_INTERVAL - self.clock.now())
-        self.failed_at = self.clock.now() + delay
+        delay = max(0.0, self.last_restart_at + MIN_RESTART_INTERVAL_MS - self.clock.now())
+        self.last_restart_at = self.clock.now() + delay
         asyncio.get_running_loop().call_later(delay / 1000.0, self._start_policy)
 
     def _start_policy(self) -> None:
-        """Start a policy from the endpoints and streams as known.
+        """Start a new policy with the cached endpoints and the open streams.
 
-        It asks for the list itself, so that a failed call of the former policy is nothing that it has to know.
+        The new policy requests the list itself, so queued failures of calls of the earlier policy are discarded.
         """
         self.mailbox = [message for message in self.mailbox if not isinstance(message, EndpointListFailed)]
         self.planner = self.policy.create(self.incarnation)
@@ -325,12 +333,12 @@
 
 
 def describe_batch(events: Sequence[Event], updates: Sequence[ProxyUpdate], elapsed: float) -> str:
-    """The log line of a batch that took `elapsed` ms: events by kind, updates sent, their lines and nonces."""
-    kinds = Counter(type(event).__name__ for event in events)
-    kinds_text = ",".join(f"{name}:{count}" for name, count in kinds.items())
+    """Return the log line of a batch that took `elapsed` ms: events by kind, number of updates, lines and nonces."""
+    event_counts = Counter(type(event).__name__ for event in events)
+    kinds = ",".join(f"{name}:{count}" for name, count in event_counts.items())
     lines = sum(update.cost() for update in updates)
-    nonces = ",".join(str(nonce) for nonce in sorted({one.nonce for one in updates if one.nonce is not None}))
+    nonces = ",".join(str(nonce) for nonce in sorted({sent.nonce for sent in updates if sent.nonce is not None}))
     return (
-        f"batch processed: kind={kinds_text or '-'} count={len(updates)} lines={lines} nonce={nonces or '-'} "
+        f"batch processed: kind={kinds or '-'} count={len(updates)} lines={lines} nonce={nonces or '-'} "
         f"duration_s={elapsed / 1000.0:.4f}"
     )
--- a/stackwheel/state/ports.py
+++ b/stackwheel/state/ports.py
@@ -1,4 +1,4 @@
-"""What the planner actor needs from the transports; types only."""
+"""The interface that the planner actor requires of the transports."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class PlannerPorts(Protocol):
-    """The planner's way out, whatever protocol is spoken there. No method may block or raise."""
+    """Outgoing calls of the planner, independent of the protocol. No method may block or raise an exception."""
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
-        """Send each proxy its update over its connection, in order."""
+        """Send each update over its connection, in the given order."""
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """Open the watch on the endpoint list, or close it."""
+        """Open or close the watch on the endpoint list."""
 
     def fetch_endpoints(self) -> None:
-        """Ask for the complete endpoint list once."""
+        """Fetch the complete endpoint list once."""
 
     def start_health_check(self, server: ServerId, target: HealthCheckTarget) -> None:
-        """Call a server; `HealthCheckCompleted` with this target follows."""
+        """Start a health check of a server; its result is posted as `HealthCheckCompleted` with this target."""
 
     def send_gossip(self, payload: bytes, peer: int | None) -> None:
-        """Send a datagram to the planner at that place, or to all others if `peer` is None."""
+        """Send a datagram to the planner with the index `peer`, or to all other planners if `peer` is None."""
--- a/stackwheel/state/server_ids.py
+++ b/stackwheel/state/server_ids.py
@@ -1,4 +1,4 @@
-"""The policy's ids for the servers that discovery names: the same at every planner and after every restart."""
+"""Server ids, which are derived from server names and therefore the same at all planners and after restarts."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from stackwheel.interface import ServerId
 
 ID_BYTES = 6
-"""Length of an id, as the simulator's wire has it."""
+"""Length of a server id, as defined by the simulator's wire format."""
 
 
 def server_id(name: str) -> ServerId:
-    """The id of the server with that name."""
+    """Return the id of the server with this name."""
     return ServerId(hashlib.blake2b(name.encode(), digest_size=ID_BYTES).digest())
 
 
 class ServerIds:
-    """Names by id, for writing updates; owned by the endpoint cache.
+    """Server names by id, which are required to encode updates; owned by the endpoint cache.
 
     Attributes:
-        names: of the servers that are listed, and of removed ones while a table or a proxy may name them.
+        names: names of the listed servers, and of removed servers that a table or a proxy may still reference.
     """
 
     def __init__(self) -> None:
         self.names: dict[ServerId, str] = {}
 
     def register(self, name: str) -> ServerId | None:
-        """The id of a listed server; None if another server has the same, which would then get its updates."""
+        """Store the name of a listed server and return its id; None if the id collides with that of another server."""
         server = server_id(name)
-        known = self.names.setdefault(server, name)
-        if known != name:
-            logger.error("endpoint left out: server={} reason=server {} has the same id", name, known)
+        registered_name = self.names.setdefault(server, name)
+        if registered_name != name:
+            logger.error("endpoint ignored: server={} reason=server {} has the same id", name, registered_name)
             return None
         return server
 
     def name(self, server: ServerId) -> str | None:
-        """The name of a server; None if it is not known."""
+        """Return the name of a server; None if it is unknown."""
         return self.names.get(server)
 
     def forget(self, server: ServerId) -> None:
-        """Forget a server."""
+        """Remove the name of a server."""
         self.names.pop(server, None)
--- a/stackwheel/state/streams.py
+++ b/stackwheel/state/streams.py
@@ -1,4 +1,4 @@
-"""The proxies joined to this planner, one stream each, and the acknowledgements each of them owes."""
+"""Streams of the proxies that are connected to this planner, and their pending acknowledgements."""
 
 from __future__ import annotations
 
@@ -12,39 +12,38 @@
 from stackwheel.interface import Event, ProxyJoined, ProxyLeft, ServerId
 
 MAX_PENDING_NONCES = 64
-"""Unacknowledged nonces remembered for a stream: more than are sent before it times out."""
+"""Limit on the unacknowledged nonces of a stream, which times out before it has as many."""
 
-CLOCK_TOLERANCE = 1000.0
-"""ms: by how much a proxy's own measure of an update's time may exceed the planner's, which starts later."""
+CLOCK_TOLERANCE_MS = 1000.0
+"""Maximum by which the duration stated in an acknowledgement may exceed the time since the nonce was sent."""
 
 
 class StreamConnection(Protocol):
-    """The connection that a stream uses. To the streams only its identity counts."""
+    """The connection of a stream. Connections are compared by identity."""
 
     def on_superseded(self) -> None:
-        """Another connection carries the proxy's stream from now on."""
+        """Handle the replacement of this connection by a newer connection of the same proxy."""
 
     def on_attached(self) -> None:
-        """This connection carries the proxy's stream from now on, even if it was superseded before."""
+        """Handle the attachment of this connection to a proxy's stream, possibly after it was superseded."""
 
 
 @dataclass(slots=True)
 class ProxyStream:
-    """A proxy's stream; owned by `ProxyStreams` once it has joined.
+    """The stream of a proxy; owned by `ProxyStreams` once the proxy has joined.
 
     Attributes:
-        proxy: the proxy's number.
-        zone: its zone.
-        expected_rate: requests per second that it expects.
-        newly_started: whether it has only its standing tables, so that no planner has ejected a server there.
-        connection: what carries the stream.
-        table_by_class: its table for each class; at most one entry a class.
-        ejected: servers that were ejected (True) or restored (False) over this stream; at most one entry a listed
-            or remembered server.
-        ack_pending_since: ms, when the first nonce was sent after which nothing has been received; None: no
-            acknowledgement is pending, or the proxy has sent something since.
-        pending_nonces: unacknowledged nonces, the oldest first, and when each was sent (ms); at most
-            `MAX_PENDING_NONCES`.
+        proxy: number of the proxy.
+        zone: index of the proxy's zone.
+        expected_rate: requests per second that the proxy expects.
+        newly_started: whether the proxy has only its standing tables, so that no planner has ejected servers there.
+        connection: connection of the stream.
+        table_by_class: assigned table by request class; at most one entry per class.
+        ejected: whether the latest update over this stream ejected (True) or restored (False) a server; at most one
+            entry per listed or remembered server.
+        ack_pending_since: time of the first nonce since the last received message, ms; None if no nonce has been
+            sent since then.
+        pending_nonces: time of sending by unacknowledged nonce, oldest first, ms; at most `MAX_PENDING_NONCES`.
     """
 
     proxy: int
@@ -58,31 +57,31 @@
     pending_nonces: dict[int, float] = field(default_factory=dict)
 
     def tables(self) -> set[int]:
-        """The tables assigned to it."""
+        """Return the tables that are assigned to the proxy."""
         return set(self.table_by_class.values())
 
     def joined_event(self) -> Event:
-        """The event that notifies the policy of it."""
+        """Return the event that notifies the policy of the proxy."""
         return ProxyJoined(self.proxy, self.zone, self.expected_rate, self.newly_started)
 
 
 def find_stream(streams: Mapping[int, ProxyStream], proxy: int, connection: StreamConnection) -> ProxyStream | None:
-    """The proxy's stream among these, if that connection carries it."""
+    """Return the stream of a proxy; None if there is none or it uses another connection."""
     stream = streams.get(proxy)
     return stream if stream is not None and stream.connection is connection else None
 
 
 class ProxyStreams:
-    """The streams of the joined proxies; owned by the planner actor.
+    """The streams of the connected proxies; owned by the planner actor.
 
-    A machine that vanishes gives no sign. A stream that leaves a nonce unacknowledged and sends nothing else for
-    `ack_timeout` ms times out: its proxy counts as left. Its connection stays open, and the first message that
-    arrives over it makes the proxy join again.
+    The connection of a machine that fails or is cut off may stay open. A stream therefore times out if a nonce
+    remains unacknowledged and nothing else is received for `ack_timeout`, and its proxy counts as having left. The
+    connection is not closed, and the next message over it makes the proxy join again.
 
     Attributes:
-        ack_timeout: ms.
-        by_proxy: the streams in use; at most one a proxy.
-        timed_out: those that timed out and whose connection is still open; at most one a proxy.
+        ack_timeout: time after which a stream times out, ms.
+        by_proxy: active streams; at most one per proxy.
+        timed_out: streams that have timed out and whose connections are still open; at most one per proxy.
     """
 
     def __init__(self, ack_timeout: float = math.inf) -> None:
@@ -91,20 +90,20 @@
         self.timed_out: dict[int, ProxyStream] = {}
 
     def join(self, stream: ProxyStream) -> Iterator[Event]:
-        """Add a proxy's stream in place of its former one, whose end is then ignored."""
+        """Add a proxy's stream, which replaces an earlier one; the end of the earlier one is then ignored."""
         active = self.by_proxy.pop(stream.proxy, None)
         timed_out = self.timed_out.pop(stream.proxy, None)
-        for former in (active, timed_out):
-            if former is not None and former.connection is not stream.connection:
-                former.connection.on_superseded()
-        stream.connection.on_attached()  # it may have joined, been superseded and joined again within one batch
+        for previous in (active, timed_out):
+            if previous is not None and previous.connection is not stream.connection:
+                previous.connection.on_superseded()
+        stream.connection.on_attached()  # the connection may have been superseded earlier in the same batch
         self.by_proxy[stream.proxy] = stream
         if active is not None:
             yield ProxyLeft(active.proxy)
         yield stream.joined_event()
 
     def leave(self, proxy: int, connection: StreamConnection) -> Iterator[Event]:
-        """Remove the proxy's stream, if that connection carried it."""
+        """Remove the stream of a proxy unless it uses another connection."""
         if find_stream(self.timed_out, proxy, connection) is not None:
             del self.timed_out[proxy]
         elif find_stream(self.by_proxy, proxy, connection) is not None:
@@ -112,10 +111,11 @@
             yield ProxyLeft(proxy)
 
     def message_received(self, proxy: int, connection: StreamConnection) -> Iterable[Event] | None:
-        """Note that a connection is alive.
+        """Reset the acknowledgement timeout of a stream over which a message was received.
 
         Returns:
-            The events that follow for the policy; None if that connection does not carry the proxy.
+            The events for the policy, which are not empty if the stream had timed out; None if the proxy's stream
+            does not use this connection.
         """
         stream = find_stream(self.by_proxy, proxy, connection)
         if stream is not None:
@@ -123,12 +123,12 @@
             return ()
         stream = find_stream(self.timed_out, proxy, connection)
         if stream is not None:
-            logger.info("stream resumed: connection={} reason=it sent a message after its timeout", connection)
+            logger.info("stream resumed: connection={} reason=a message was received after the timeout", connection)
             return self.join(ProxyStream(proxy, stream.zone, stream.expected_rate, False, connection))
         return None
 
     def nonce_sent(self, proxy: int, nonce: int, now: float) -> None:
-        """Note that a nonce has been sent to a joined proxy."""
+        """Record that a nonce was sent to a connected proxy; the oldest nonce is dropped if there are too many."""
         stream = self.by_proxy[proxy]
         if stream.ack_pending_since is None:
             stream.ack_pending_since = now
@@ -138,14 +138,14 @@
             del stream.pending_nonces[next(iter(stream.pending_nonces))]
 
     def acknowledge(self, proxy: int, nonce: int, elapsed: float, now: float) -> bool:
-        """Take an acknowledgement of a joined proxy in: updates before it have been applied as well.
+        """Remove an acknowledged nonce of a connected proxy, and all earlier ones, which are thereby acknowledged.
 
         Returns:
-            False if that nonce is not pending, or was sent less than `elapsed` ms ago.
+            False if the nonce is not pending, or was sent less than `elapsed` ms ago.
         """
         stream = self.by_proxy[proxy]
         sent_at = stream.pending_nonces.get(nonce)
-        if sent_at is None or elapsed > now - sent_at + CLOCK_TOLERANCE:
+        if sent_at is None or elapsed > now - sent_at + CLOCK_TOLERANCE_MS:
             return False
         for pending in list(stream.pending_nonces):
             del stream.pending_nonces[pending]
@@ -154,27 +154,28 @@
         return True
 
     def forget(self, server: ServerId) -> None:
-        """Forget ejections of a server that is remembered no longer."""
+        """Remove the ejections of a server that is no longer remembered."""
         for stream in self.by_proxy.values():
             stream.ejected.pop(server, None)
 
     def time_out(self, now: float) -> Iterator[Event]:
-        """Time out the streams that have sent nothing for too long."""
-        oldest = now - self.ack_timeout
+        """Remove the streams whose acknowledgements are overdue from the active ones."""
+        earliest_valid = now - self.ack_timeout
         expired = [
             stream
             for stream in self.by_proxy.values()
-            if stream.ack_pending_since is not None and stream.ack_pending_since < oldest
+            if stream.ack_pending_since is not None and stream.ack_pending_since < earliest_valid
         ]
         for stream in expired:
             logger.warning(
-                "stream timed out: connection={} reason=no message and no acknowledgement of a nonce", stream.connection
+                "stream timed out: connection={} reason=neither an acknowledgement nor another message was received",
+                stream.connection,
             )
             self.timed_out[stream.proxy] = self.by_proxy.pop(stream.proxy)
             yield ProxyLeft(stream.proxy)
 
     def rejoin(self) -> Iterator[Event]:
-        """The joins that a restarted policy is notified of; the proxies keep the tables that they have."""
+        """Return the joins that a restarted policy is notified of; the proxies keep their current tables."""
         for stream in self.by_proxy.values():
             stream.table_by_class = {}
             stream.newly_started = False
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -1,4 +1,4 @@
-"""The weight tables as the policy set them, and the one update that a reply of the policy means for each proxy."""
+"""The weight tables as set by the policy, and the updates that the policy's actions cause for each proxy."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 from stackwheel.state.streams import ProxyStream, ProxyStreams
 
 ALL_TABLES = 0xFFFF
-"""In `SetAdmission`: all tables, standing ones included."""
+"""Table number in `SetAdmission` that stands for all tables, including standing tables."""
 
 NONCES_PER_INCARNATION = 1 << 16
-"""The policy's nonces are below it; on the wire each incarnation of the policy has as many of its own."""
+"""Size of the range of nonces on the wire of one incarnation of the policy, whose own nonces are all smaller."""
 
 TableLines: TypeAlias = dict[ServerId, float]
-"""Weights above 0 by server, in the order in which they were set first."""
+"""Positive weights by server, in the order in which the servers were added."""
 
 ClassLevels: TypeAlias = dict[int, AdmissionLevel | None]
-"""Admission levels to send, by class; None: nothing to send."""
+"""Admission levels to send, by request class; None if the level of a class is not sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpdatePart:
-    """Lines and an admission level for some classes of a proxy.
+    """Lines and an admission level for some request classes of a proxy.
 
     Attributes:
-        classes: the classes.
-        complete: whether the lines replace the classes' table, instead of changing lines of it.
-        lines: servers and weights; 0 removes the line.
-        level: the admission level; None: unchanged, or none if the part is complete.
+        classes: indexes of the request classes.
+        complete: whether the lines replace all lines of the classes' table; otherwise they change single lines.
+        lines: servers and weights; a weight of 0 removes the line.
+        level: admission level; None leaves the level unchanged, or removes it if the part is complete.
     """
 
     classes: tuple[int, ...]
@@ -49,20 +49,20 @@
     level: AdmissionLevel | None = None
 
     def cost(self) -> int:
-        """Its lines, as the channel counts them."""
+        """Return the number of lines that the part counts for in the channel."""
         return len(self.lines) + self.complete + (self.level is not None)
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyUpdate:
-    """What one proxy is sent for one reply of the policy, to be applied as a whole.
+    """The update of one proxy for one list of the policy's actions, which the proxy applies as a whole.
 
     Attributes:
-        proxy: the proxy's number.
-        parts: changes of its tables.
-        eject: servers that it has to avoid.
-        restore: servers that it may use again.
-        nonce: what it has to acknowledge, if anything.
+        proxy: number of the proxy.
+        parts: changes of the proxy's tables.
+        eject: servers that the proxy has to avoid.
+        restore: servers that the proxy may use again.
+        nonce: nonce that the proxy has to acknowledge, if any.
     """
 
     proxy: int
@@ -72,22 +72,22 @@
     nonce: int | None = None
 
     def cost(self) -> int:
-        """Its lines, as the channel counts them, without what every message costs."""
+        """Return the number of lines that the update counts for in the channel, without the overhead per message."""
         parts = sum(part.cost() for part in self.parts)
         return parts + len(self.eject) + len(self.restore) + (self.nonce is not None)
 
 
 @dataclass(slots=True)
 class ReplyChanges:
-    """What one reply of the policy changed.
+    """The changes that one list of the policy's actions has made.
 
     Attributes:
-        lines: servers whose weight was set, by table, in order.
+        lines: servers whose weight was set, in order, by table.
         levels: classes whose admission level was set, by table.
         cleared: tables that were cleared.
         assigned: classes for which a table was assigned, by proxy.
         ejections: servers that were ejected or restored, in order.
-        nonce: the nonce to attach, if any.
+        nonce: the action that attaches a nonce, if any.
     """
 
     lines: dict[int, dict[ServerId, None]] = field(default_factory=dict)
@@ -98,13 +98,19 @@
     nonce: AttachNonce | None = None
 
     def level_changed(self, request_class: int, table: int | None) -> bool:
-        """Whether the admission level of a class was set, in its table or in all."""
+        """Return whether the admission level of a class was set in its table or for all tables."""
         in_table = table is not None and request_class in self.levels.get(table, ())
         return in_table or request_class in self.levels.get(ALL_TABLES, ())
 
 
 class PartsKey(NamedTuple):
-    """What determines the parts that a proxy is sent for classes which share a table."""
+    """The values that determine the parts for the classes of a proxy that share a table.
+
+    Attributes:
+        table: number of the table; None for the standing table.
+        complete: whether the complete table is sent.
+        levels: pairs of class and admission level to send.
+    """
 
     table: int | None
     complete: bool
@@ -112,24 +118,24 @@
 
 
 PartsCache: TypeAlias = dict[PartsKey, tuple[UpdatePart, ...]]
-"""Parts already made for one reply: proxies that use a table share them, so that each is encoded once."""
+"""Parts created for one list of actions; proxies with the same table share them, so that each is encoded once."""
 
 
 class TableUpdates:
     """The tables, their admission levels and the ejected servers; owned by the planner actor.
 
-    `SetEjection` is an action of the interface that the present policy does not use: it ejects a server by its
-    weights. The simulator's wire and the line protocol carry it, so it is translated here.
+    The current policy ejects a server by reducing its weights and does not use the `SetEjection` action. The action
+    is supported because it is part of the simulator's wire format and of the line protocol.
 
     Attributes:
-        classes: all request classes.
-        streams: the joined proxies, with the tables that each of them uses.
-        tables: lines by table; bounded by the tables that the policy sets.
+        classes: indexes of all request classes.
+        streams: the streams of the connected proxies, with the tables that each proxy uses.
+        tables: lines by table; their number is limited by the tables that the policy uses.
         levels: admission levels by table and class.
-        ejected: the servers that are ejected now.
-        ever_ejected: servers that have been ejected at some time, so that a proxy which joins with tables may still
-            avoid them; forgotten with the server.
-        first_nonce: what the nonce 0 of the present incarnation of the policy is on the wire.
+        ejected: servers that are currently ejected.
+        ever_ejected: servers that have been ejected at any time and that a proxy which joins with earlier tables
+            may therefore still avoid; entries are removed when the server is forgotten.
+        first_nonce: value on the wire of the nonce 0 of the current incarnation of the policy.
     """
 
     def __init__(self, class_count: int, streams: ProxyStreams) -> None:
@@ -142,18 +148,18 @@
         self.first_nonce = 0
 
     def restart(self) -> None:
-        """Drop the tables of a policy that failed; its nonces are recognized from now on."""
+        """Drop the tables of a failed policy, and start a new range of nonces."""
         self.tables = {}
         self.levels = {}
         self.ejected = {}
         self.first_nonce += NONCES_PER_INCARNATION
 
     def policy_nonce(self, nonce: int) -> int | None:
-        """The policy's nonce for one on the wire; None if an earlier incarnation set it."""
+        """Convert a nonce on the wire to the policy's nonce; None if it belongs to an earlier incarnation."""
         return nonce - self.first_nonce if nonce >= self.first_nonce else None
 
     def references(self, server: ServerId) -> bool:
-        """Whether a table, an ejection or a stream that ejected it still names a server."""
+        """Return whether a server is in a table, is ejected, or is avoided by a proxy due to an earlier ejection."""
         return (
             server in self.ejected
             or any(server in lines for lines in self.tables.values())
@@ -161,19 +167,19 @@
         )
 
     def forget(self, server: ServerId) -> None:
-        """Forget a server that nothing references."""
+        """Remove the record of ejections of a server that is no longer referenced."""
         self.ever_ejected.pop(server, None)
 
-    def apply_action(self, actions: Iterable[Action]) -> list[ProxyUpdate]:
-        """Bring the tables to the end state of a reply.
+    def apply_actions(self, actions: Iterable[Action]) -> list[ProxyUpdate]:
+        """Apply a list of the policy's actions to the tables.
 
         Returns:
-            An update for each proxy that the reply concerns, in the order in which the proxies joined.
+            One update for each proxy that is affected by the final state, in the order in which the proxies joined.
         """
         changes = ReplyChanges()
         for action in actions:
             self._apply_action(action, changes)
-        if changes == ReplyChanges():  # most batches change nothing
+        if changes == ReplyChanges():  # the usual case
             return []
         cache: PartsCache = {}
         updates = [self._update(stream, changes, cache) for stream in self.streams.by_proxy.values()]
@@ -182,17 +188,18 @@
         return [update for update in updates if update.parts or update.eject or update.restore]
 
     def admission_level(self, request_class: int, table: int | None) -> AdmissionLevel | None:
-        """The admission level of a class.
+        """Return the admission level of a class; None if it has none.
 
-        Where both its table and all tables have a level, the lower one holds, with the retry mode of the table.
+        If a level is set both for the class's table and for all tables, the result combines the lower admitted share
+        or rate with the retry mode of the table.
         """
-        everywhere = self.levels.get(ALL_TABLES, {}).get(request_class)
-        of_table = self.levels.get(table, {}).get(request_class) if table is not None else None
-        if of_table is None or everywhere is None:
-            return of_table or everywhere
-        return AdmissionLevel(min(of_table.admitted, everywhere.admitted), of_table.retry)
+        global_level = self.levels.get(ALL_TABLES, {}).get(request_class)
+        table_level = self.levels.get(table, {}).get(request_class) if table is not None else None
+        if table_level is None or global_level is None:
+            return table_level or global_level
+        return AdmissionLevel(min(table_level.admitted, global_level.admitted), table_level.retry)
 
-    # Actions in
+    # Actions of the policy
 
     def _apply_action(self, action: Action, changes: ReplyChanges) -> None:
         match action:
@@ -211,10 +218,10 @@
             case AttachNonce():
                 changes.nonce = action
             case _:
-                pass  # the actor carries it out
+                pass  # other actions are executed by the actor
 
     def _set_weight(self, action: SetWeight, changes: ReplyChanges) -> None:
-        """Set a line of a table; weight 0 removes it, and proxies are sent the 0."""
+        """Set a line of a table; a weight of 0 removes it, and is sent to the proxies."""
         lines = self.tables.setdefault(action.table, {})
         if action.weight <= 0:
             lines.pop(action.server, None)
@@ -242,7 +249,7 @@
             self.ever_ejected[action.server] = None
         changes.ejections[action.server] = None
 
-    # Updates out
+    # Updates of the proxies
 
     def _update(self, stream: ProxyStream, changes: ReplyChanges, cache: PartsCache) -> ProxyUpdate:
         parts = tuple(self._parts(stream, changes, cache))
@@ -251,14 +258,14 @@
         return ProxyUpdate(stream.proxy, parts, eject, restore, nonce)
 
     def _parts(self, stream: ProxyStream, changes: ReplyChanges, cache: PartsCache) -> Iterator[UpdatePart]:
-        """Group the proxy's classes by table: those that share one share its lines."""
+        """Create the parts for a proxy; classes that share a table share the parts with its lines."""
         groups: dict[tuple[int | None, bool], ClassLevels] = {}
         for request_class in self.classes:
             table = stream.table_by_class.get(request_class)
             complete = request_class in changes.assigned.get(stream.proxy, ()) or table in changes.cleared
-            sends_level = complete or changes.level_changed(request_class, table)
-            if sends_level or (table is not None and table in changes.lines):
-                level = self.admission_level(request_class, table) if sends_level else None
+            includes_level = complete or changes.level_changed(request_class, table)
+            if includes_level or (table is not None and table in changes.lines):
+                level = self.admission_level(request_class, table) if includes_level else None
                 groups.setdefault((table, complete), {})[request_class] = level
         for (table, complete), levels in groups.items():
             key = PartsKey(table, complete, tuple(levels.items()))
@@ -269,9 +276,9 @@
     def _table_parts(
         self, table: int | None, complete: bool, levels: ClassLevels, changes: ReplyChanges
     ) -> Iterator[UpdatePart]:
-        """A table's lines for its classes, with their level if all have the same, else levels in parts that follow.
+        """Create a part with the lines of a table, and parts with the levels of the classes if these differ.
 
-        Of a changed table these are the changed lines alone; one that has been removed has weight 0.
+        If the part is not complete, it contains only the changed lines; removed lines have a weight of 0.
         """
         lines = self.tables.get(table, {}) if table is not None else {}
         if not complete and table is not None:
@@ -284,45 +291,50 @@
             yield from self._level_parts(levels, distinct)
 
     def _level_parts(self, levels: ClassLevels, distinct: tuple[AdmissionLevel | None, ...]) -> Iterator[UpdatePart]:
-        """A part for each distinct level, without lines, for the classes that have it."""
+        """Create a part without lines for each distinct level and the classes that have it."""
         for level in distinct:
             if level is not None:
-                classes = tuple(one for one, class_level in levels.items() if class_level == level)
+                classes = tuple(class_index for class_index, class_level in levels.items() if class_level == level)
                 yield UpdatePart(classes, False, (), level)
 
     def _ejections(
         self, stream: ProxyStream, changes: ReplyChanges, parts: tuple[UpdatePart, ...]
     ) -> tuple[tuple[ServerId, ...], tuple[ServerId, ...]]:
-        """The servers that a proxy has to be sent as ejected, and those to restore, as they stand now.
+        """Return the servers to eject and the servers to restore at a proxy, and record them in its stream.
 
-        These are the changed ones that it may use, and any that these parts add to its tables.
+        The candidates are the servers with changed ejections that the proxy may use, and the servers that the parts
+        add to its tables.
         """
-        if not (self.ever_ejected or changes.ejections):  # a policy that ejects nothing pays nothing
+        if not (self.ever_ejected or changes.ejections):  # avoids the computation for policies that do not eject
             return (), ()
         added = [server for part in parts for server, weight in part.lines if weight > 0]
         changed = [server for server in changes.ejections if self._may_use(stream, server)]
         eject: list[ServerId] = []
         restore: list[ServerId] = []
         for server in dict.fromkeys([*changed, *added]):
-            ejected = server in self.ejected
-            if ejected != self._believed_ejected(stream, server):
-                (eject if ejected else restore).append(server)
-                stream.ejected[server] = ejected
+            is_ejected = server in self.ejected
+            if is_ejected != self._is_assumed_ejected(stream, server):
+                (eject if is_ejected else restore).append(server)
+                stream.ejected[server] = is_ejected
         return tuple(eject), tuple(restore)
 
     def _may_use(self, stream: ProxyStream, server: ServerId) -> bool:
-        """Whether a proxy may use or avoid a server: one of its tables has it, or it has tables of another planner."""
+        """Return whether a proxy may use or avoid a server.
+
+        This holds for servers in the tables of the proxy and for servers that were ejected there, and for all
+        servers if some of its tables were not assigned by this planner.
+        """
         return (
             len(stream.table_by_class) < len(self.classes)
             or stream.ejected.get(server, False)
             or any(server in self.tables.get(table, {}) for table in stream.tables())
         )
 
-    def _believed_ejected(self, stream: ProxyStream, server: ServerId) -> bool:
-        """Whether a proxy avoids a server as far as is known.
+    def _is_assumed_ejected(self, stream: ProxyStream, server: ServerId) -> bool:
+        """Return whether a proxy is assumed to avoid a server.
 
-        Over a stream that has not named the server, a proxy that ran before may still avoid one that was ejected
-        at some time and no longer is.
+        If no ejection of the server was sent over the stream, a proxy that is not newly started may still avoid it
+        because of an earlier ejection that has since ended.
         """
-        unknown = not stream.newly_started and server in self.ever_ejected and server not in self.ejected
-        return stream.ejected.get(server, unknown)
+        default = not stream.newly_started and server in self.ever_ejected and server not in self.ejected
+        return stream.ejected.get(server, default)
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -55,7 +55,7 @@
 
     def apply(self, *actions: Action) -> dict[int, ProxyUpdate]:
         """Apply one reply of the policy and have the proxies read what is encoded; the updates by proxy."""
-        updates = self.updates.apply_action(actions)
+        updates = self.updates.apply_actions(actions)
         for update, data in zip(updates, self.encoder.encode(updates), strict=True):
             assert data.endswith(b"\r\n")
             for line in data.decode().split("\r\n")[:-1]:
