--- a/stackwheel/forwarder/__init__.py
+++ b/stackwheel/forwarder/__init__.py
@@ -1,1 +1,1 @@
-"""A proxy as the protocol defines it: reads updates, keeps tables, chooses servers. No I/O, no clock of its own."""
+"""A proxy as defined by the protocol: it parses updates, stores tables and chooses servers, without I/O or a clock."""
--- a/stackwheel/forwarder/state.py
+++ b/stackwheel/forwarder/state.py
@@ -1,4 +1,4 @@
-"""What a proxy keeps: tables, admission levels and ejected servers; and the choice of a server that follows."""
+"""State of a proxy (tables, admission levels and ejected servers), and the choice of servers for requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from stackwheel.forwarder.updates import MAX_VALUE_SHOWN, ConfigUpdate, ConfigUpdatePart, InvalidUpdateError
+from stackwheel.forwarder.updates import MAX_QUOTED_CHARACTERS, ConfigUpdate, ConfigUpdatePart, InvalidUpdateError
 from stackwheel.interface import AdmissionLevel, AdmissionMode, LoadBalancingPolicy, Retry
 
 
@@ -16,11 +16,11 @@
     """The table and admission level of one request class.
 
     Attributes:
-        lines: weights above 0 by server.
-        level: the admission level, if any.
-        available: servers of the lines that are not ejected, in order.
-        cumulative_weights: for each of these, the sum of the weights up to it.
-        round_robin_credit: what weighted round robin owes each of these.
+        lines: positive weights by server.
+        level: admission level, if any.
+        available: servers in the table that are not ejected, in the order of the lines.
+        cumulative_weights: running totals of the weights of the available servers.
+        round_robin_credit: credit of the available servers in smooth weighted round robin.
     """
 
     lines: dict[str, float] = field(default_factory=dict)
@@ -31,22 +31,22 @@
 
 
 class ForwarderState:
-    """The tables of one proxy. It applies an update as a whole, or raises and applies nothing of it.
+    """The tables of one proxy. An update is applied as a whole, or not at all if it is invalid.
 
     Attributes:
-        class_tables: a table for each request class.
-        known_servers: all that discovery has ever listed; an update may name no other.
-        ejected: servers to avoid, whatever the tables say; they stay so when the stream changes.
+        class_tables: tables by name of the request class.
+        known_servers: names of all servers that discovery has ever listed; updates with other servers are invalid.
+        ejected: servers that are not used regardless of their weights; ejections outlast the stream.
     """
 
     def __init__(self, classes: Iterable[str], known_servers: Collection[str]) -> None:
-        """Start without tables; `known_servers` may grow while this state is in use."""
+        """Create empty tables; the caller may add to `known_servers` later."""
         self.class_tables: dict[str, ClassTable] = {name: ClassTable() for name in classes}
         self.known_servers = known_servers
         self.ejected: dict[str, None] = {}
 
     def install_standing_table(self, servers: Iterable[str]) -> None:
-        """Set the standing table that a new proxy starts with: equal weights, for every class."""
+        """Set the standing table with which a new proxy starts, which has equal weights, for all classes."""
         lines = dict.fromkeys(servers, 1.0)
         for table in self.class_tables.values():
             table.lines = dict(lines)
@@ -56,7 +56,7 @@
         """Apply an update.
 
         Raises:
-            InvalidUpdateError: it names an unknown class or server; nothing of it has been applied.
+            InvalidUpdateError: the update contains an unknown class or server; no part of it has been applied.
         """
         for part in update.parts:
             self._check(part)
@@ -66,7 +66,7 @@
             self.update_available_servers(table)
 
     def update_available_servers(self, table: ClassTable) -> None:
-        """Compute what follows from the lines of a table and the ejected servers."""
+        """Recompute the available servers and cumulative weights after lines or ejections have changed."""
         table.available = [server for server in table.lines if server not in self.ejected]
         table.cumulative_weights = []
         total = 0.0
@@ -75,18 +75,21 @@
             table.cumulative_weights.append(total)
 
     def has_no_servers(self, request_class: str) -> bool:
-        """Whether no server is available for a class."""
+        """Return whether no server is available for a class."""
         return not self.class_tables[request_class].available
 
     def traffic_shares(self, request_class: str, avoided: Collection[str] = ()) -> dict[str, float]:
-        """The share of a class's requests that each server gets by weight, while some servers are avoided."""
+        """Return the expected share of a class's requests by server.
+
+        Servers in `avoided` receive requests only if no other server is available.
+        """
         table = self.class_tables[request_class]
         servers = [server for server in table.available if server not in avoided] or table.available
         total = sum(table.lines[server] for server in servers)
         return {server: table.lines[server] / total for server in servers}
 
     def admits(self, request_class: str, mode: AdmissionMode, rng: random.Random, rate: float) -> bool:
-        """Whether a request is admitted; `rate`: requests per second of the class at this proxy."""
+        """Return whether to admit a request of a class of which `rate` requests per second arrive at this proxy."""
         level = self.class_tables[request_class].level
         if level is None or mode == "off":
             return True
@@ -94,17 +97,19 @@
         return share >= 1.0 or rng.random() < share
 
     def retry_mode(self, request_class: str, default: Retry) -> Retry:
-        """When a failed attempt of a class may be retried."""
+        """Return the retry mode for a class; `default` if the class has no admission level."""
         level = self.class_tables[request_class].level
         return default if level is None else level.retry
 
     def _check(self, part: ConfigUpdatePart) -> None:
         for name in part.classes:
             if name not in self.class_tables:
-                raise InvalidUpdateError("routes", f"unknown class {name[:MAX_VALUE_SHOWN]!r}")
+                raise InvalidUpdateError("routes", f"unknown class {name[:MAX_QUOTED_CHARACTERS]!r}")
         for name in (*(name for name, _ in part.lines), *part.eject, *part.restore):
             if name not in self.known_servers:
-                raise InvalidUpdateError("endpoints", f"server {name[:MAX_VALUE_SHOWN]!r} was never listed")
+                raise InvalidUpdateError(
+                    "endpoints", f"server {name[:MAX_QUOTED_CHARACTERS]!r} was never in the endpoint list"
+                )
 
     def _apply_part(self, part: ConfigUpdatePart) -> None:
         for name in part.classes or self.class_tables:
@@ -121,7 +126,7 @@
 
 
 def admitted_share(level: AdmissionLevel, mode: AdmissionMode, rate: float) -> float:
-    """The share of requests that a level admits while `rate` requests per second arrive; may be over 1."""
+    """Return the share of requests that a level admits at `rate` requests per second; it may exceed 1."""
     if mode == "share":
         return level.admitted
     return level.admitted / rate if rate > 0 else 1.0
@@ -139,14 +144,14 @@
 
     Args:
         table: the table of the request's class.
-        policy: how to choose among its servers.
+        policy: the load balancing policy.
         rng: source of random numbers.
-        in_flight: this proxy's requests in flight by server.
-        avoided: servers that failed too often in a row; used only if no other is left.
-        attempted: servers that the request was sent to before; never used again.
+        in_flight: number of this proxy's requests in flight by server.
+        avoided: servers with too many consecutive failures, which are chosen only if no other server is available.
+        attempted: servers of earlier attempts of the request, which are never chosen.
 
     Returns:
-        The server; None if none is left.
+        The name of the server; None if no server is available.
     """
     chosen = _choose(table, policy, rng, in_flight, [*avoided, *attempted])
     if chosen is None and avoided:
@@ -162,39 +167,39 @@
     excluded: Collection[str],
 ) -> str | None:
     if policy == "round":
-        return next_in_round(table, excluded)
+        return next_in_round_robin(table, excluded)
     if policy == "two":
         return less_loaded_of_two(table, rng, in_flight, excluded)
     return draw(table, rng, excluded)
 
 
 def draw(table: ClassTable, rng: random.Random, excluded: Collection[str]) -> str | None:
-    """Draw a server at random by weight."""
+    """Choose a server at random with probabilities proportional to the weights; None if all are excluded."""
     if not excluded:
-        return _draw_any(table, rng)
+        return _draw_from_all(table, rng)
     servers = [server for server in table.available if server not in excluded]
     if not servers:
         return None
-    place = rng.random() * sum(table.lines[server] for server in servers)
+    remaining_weight = rng.random() * sum(table.lines[server] for server in servers)
     for server in servers:
-        place -= table.lines[server]
-        if place < 0:
+        remaining_weight -= table.lines[server]
+        if remaining_weight < 0:
             return server
     return servers[-1]
 
 
-def _draw_any(table: ClassTable, rng: random.Random) -> str | None:
+def _draw_from_all(table: ClassTable, rng: random.Random) -> str | None:
     if not table.available:
         return None
-    sums = table.cumulative_weights
-    place = bisect(sums, rng.random() * sums[-1])
-    return table.available[min(place, len(table.available) - 1)]
+    running_totals = table.cumulative_weights
+    index = bisect(running_totals, rng.random() * running_totals[-1])
+    return table.available[min(index, len(table.available) - 1)]
 
 
 def less_loaded_of_two(
     table: ClassTable, rng: random.Random, in_flight: Mapping[str, int], excluded: Collection[str]
 ) -> str | None:
-    """Draw two servers by weight and take the one with fewer requests of this proxy in flight."""
+    """Choose two servers at random by weight, and return the one with fewer requests of this proxy in flight."""
     first = draw(table, rng, excluded)
     if first is None:
         return None
@@ -204,8 +209,11 @@
     return first
 
 
-def next_in_round(table: ClassTable, excluded: Collection[str]) -> str | None:
-    """The next server of a smooth weighted round robin: each gains its weight, the one owed most pays for all."""
+def next_in_round_robin(table: ClassTable, excluded: Collection[str]) -> str | None:
+    """Return the next server in smooth weighted round robin; None if all are excluded.
+
+    Each server gains credit by its weight. The server with the highest credit is chosen and pays the total weight.
+    """
     servers = [server for server in table.available if server not in excluded]
     if not servers:
         return None
--- a/stackwheel/forwarder/updates.py
+++ b/stackwheel/forwarder/updates.py
@@ -1,4 +1,4 @@
-"""Updates as a proxy reads them from its stream: lines in, complete updates of typed parts out."""
+"""Parser that converts the lines of a proxy's stream to updates of its tables."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 KIND = "CONFIG"
 FIELDS = frozenset(("routes", "full", "endpoints", "admit", "policy", "eject", "restore", "nonce_out", "continued"))
 MAX_PARTS = 64
-"""Parts of one update, as the protocol bounds them."""
+"""Limit of the protocol on the parts of one update."""
 
-MAX_VALUE_SHOWN = 40
-"""Characters of a value that an error shows."""
+MAX_QUOTED_CHARACTERS = 40
+"""Length to which values are truncated in error messages."""
 
-FIGURE = re.compile(r"[0-9]+(\.[0-9]+)?")
+NUMBER_PATTERN = re.compile(r"[0-9]+(\.[0-9]+)?")
 RETRY_MODES = {str(int(mode)): mode for mode in Retry}
 
 
 class InvalidUpdateError(InvalidInputError):
-    """An update that a proxy can't apply: by the protocol it resets the stream."""
+    """An update is invalid; the protocol requires that the proxy resets the stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigUpdatePart:
-    """One line of an update.
+    """One part of an update, which is one line on the wire.
 
     Attributes:
-        classes: the request classes that it changes; empty: all of them.
-        complete: whether the lines replace those of the classes' tables, and the level theirs.
-        lines: servers and weights; 0 removes the line.
-        level: the admission level; None: unchanged, or none if the part is complete.
-        eject: servers to avoid.
-        restore: servers to use again.
-        nonce: what to acknowledge once the update is applied.
+        classes: names of the request classes that the part changes; empty for all classes.
+        complete: whether the part replaces the lines and admission levels of the classes' tables.
+        lines: server names and weights; a weight of 0 removes the line.
+        level: admission level; None leaves the level unchanged, or removes it if the part is complete.
+        eject: names of servers that the proxy has to avoid.
+        restore: names of servers that the proxy may use again.
+        nonce: nonce to acknowledge after the update has been applied, if any.
     """
 
     classes: tuple[str, ...] = ()
@@ -49,46 +49,46 @@
     nonce: int | None = None
 
     def cost(self) -> int:
-        """Lines, as the channel counts them."""
-        lists = len(self.lines) + len(self.eject) + len(self.restore)
-        return lists + self.complete + (self.level is not None) + (self.nonce is not None)
+        """Return the number of lines that the part counts for in the channel."""
+        servers = len(self.lines) + len(self.eject) + len(self.restore)
+        return servers + self.complete + (self.level is not None) + (self.nonce is not None)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigUpdate:
-    """An update of a proxy, to be applied as a whole or not at all."""
+    """An update of a proxy's tables, which is applied as a whole or not at all."""
 
     parts: tuple[ConfigUpdatePart, ...]
 
     def cost(self) -> int:
-        """Lines, as the channel counts them, without what every message costs."""
+        """Return the number of lines that the update counts for in the channel, without the overhead per message."""
         return sum(part.cost() for part in self.parts)
 
     def nonces(self) -> tuple[int, ...]:
-        """What to acknowledge once it is applied, in order."""
+        """Return the nonces to acknowledge after the update has been applied, in order."""
         return tuple(part.nonce for part in self.parts if part.nonce is not None)
 
 
 class ConfigUpdateReader:
-    """Collects the parts of an update until it is complete; one reader serves one stream."""
+    """Collects the parts of updates until they are complete; each stream has its own reader."""
 
     def __init__(self) -> None:
         self.parts: list[ConfigUpdatePart] = []
 
     def feed_line(self, line: str) -> ConfigUpdate | None:
-        """Read a line, without its end.
+        """Parse a line, which has no line terminator.
 
         Returns:
-            The update that it completes; None while more parts are to come.
+            The update that the line completes; None if more parts follow.
 
         Raises:
-            InvalidUpdateError: the line is no part of an update, or one too many.
+            InvalidUpdateError: the line is not a valid part, or the update has too many parts.
         """
         part, continued = read_part(line)
         self.parts.append(part)
         if continued:
             if len(self.parts) >= MAX_PARTS:
-                raise InvalidUpdateError("continued", f"an update of over {MAX_PARTS} parts")
+                raise InvalidUpdateError("continued", f"update has more than {MAX_PARTS} parts")
             return None
         update = ConfigUpdate(tuple(self.parts))
         self.parts = []
@@ -96,18 +96,18 @@
 
 
 class UpdateLine(NamedTuple):
-    """A part, and whether more parts of its update follow."""
+    """A part, and whether more parts of the same update follow."""
 
     part: ConfigUpdatePart
     continued: bool
 
 
 def read_part(line: str) -> UpdateLine:
-    """Read one line of an update; `InvalidUpdateError` names the field that can't be used."""
+    """Parse one line of an update; raises InvalidUpdateError with the name of the invalid field."""
     fields = read_fields(line)
     if ("admit" in fields) != ("policy" in fields):
-        raise InvalidUpdateError("admit, policy", "one without the other")
-    level = AdmissionLevel(read_figure("admit", fields["admit"]), read_retry(fields)) if "admit" in fields else None
+        raise InvalidUpdateError("admit, policy", "only one of the two fields is present")
+    level = AdmissionLevel(read_number("admit", fields["admit"]), read_retry(fields)) if "admit" in fields else None
     nonce = read_nonce(fields["nonce_out"]) if "nonce_out" in fields else None
     part = ConfigUpdatePart(
         classes=tuple(fields["routes"].split("+")) if "routes" in fields else (),
@@ -122,62 +122,62 @@
 
 
 def read_fields(line: str) -> dict[str, str]:
-    """The fields of a line by name: each is known and given once."""
+    """Split a line into its fields by name; unknown and repeated fields are invalid."""
     kind, *tokens = line.split(" ")
     if kind != KIND:
-        raise InvalidUpdateError("kind", f"{shown(kind)} is not {KIND}")
+        raise InvalidUpdateError("kind", f"expected {KIND}, got {quoted(kind)}")
     fields: dict[str, str] = {}
     for token in tokens:
         name, equals, value = token.partition("=")
         if not equals or name not in FIELDS or name in fields:
-            raise InvalidUpdateError("field", f"{shown(token)} is unknown, repeated or not name=value")
+            raise InvalidUpdateError("field", f"unknown, repeated or not of the form name=value: {quoted(token)}")
         fields[name] = value
     return fields
 
 
 def read_names(fields: dict[str, str], field: str) -> tuple[str, ...]:
-    """A list of names; empty if the field is missing or empty."""
+    """Parse a list of names; it is empty if the field is absent or empty."""
     return tuple(fields[field].split(",")) if fields.get(field) else ()
 
 
 def read_line(text: str) -> tuple[str, float]:
-    """A line of a table: server and weight."""
+    """Parse a line of a table, which consists of a server name and a weight."""
     name, colon, weight = text.rpartition(":")
     if not colon or not name:
-        raise InvalidUpdateError("endpoints", f"{shown(text)} is not name:weight")
-    return name, read_figure("endpoints", weight)
+        raise InvalidUpdateError("endpoints", f"not of the form name:weight: {quoted(text)}")
+    return name, read_number("endpoints", weight)
 
 
-def read_figure(field: str, text: str) -> float:
-    """A finite figure of 0 or more, without sign or exponent."""
-    if not FIGURE.fullmatch(text) or not math.isfinite(float(text)):
-        raise InvalidUpdateError(field, f"{shown(text)} is no figure")
+def read_number(field: str, text: str) -> float:
+    """Parse a finite, non-negative decimal number without sign and exponent."""
+    if not NUMBER_PATTERN.fullmatch(text) or not math.isfinite(float(text)):
+        raise InvalidUpdateError(field, f"not a non-negative decimal number: {quoted(text)}")
     return float(text)
 
 
 def read_nonce(text: str) -> int:
-    """A nonce: decimal digits."""
+    """Parse a nonce, which consists of decimal digits."""
     if not text.isdecimal():
-        raise InvalidUpdateError("nonce_out", f"{shown(text)} is no number")
+        raise InvalidUpdateError("nonce_out", f"not an integer: {quoted(text)}")
     return int(text)
 
 
 def read_retry(fields: dict[str, str]) -> Retry:
-    """The retry mode of a level."""
+    """Parse the retry mode of an admission level."""
     mode = RETRY_MODES.get(fields["policy"])
     if mode is None:
-        raise InvalidUpdateError("policy", f"{shown(fields['policy'])} is no retry mode")
+        raise InvalidUpdateError("policy", f"not a retry mode: {quoted(fields['policy'])}")
     return mode
 
 
 def read_flag(fields: dict[str, str], name: str) -> bool:
-    """A flag, 0 or 1; 0 if it is missing."""
+    """Parse a flag, which is 0 or 1; an absent flag is false."""
     text = fields.get(name, "0")
     if text not in ("0", "1"):
-        raise InvalidUpdateError(name, f"{shown(text)} is neither 0 nor 1")
+        raise InvalidUpdateError(name, f"neither 0 nor 1: {quoted(text)}")
     return text == "1"
 
 
-def shown(value: str) -> str:
-    """A value as an error shows it."""
-    return repr(value[:MAX_VALUE_SHOWN])
+def quoted(value: str) -> str:
+    """Return a value in quotes, truncated for an error message."""
+    return repr(value[:MAX_QUOTED_CHARACTERS])
--- a/tests/forwarder/test_forwarder.py
+++ b/tests/forwarder/test_forwarder.py
@@ -1,4 +1,4 @@
-"""The proxy of the protocol: updates read strictly, applied as a whole or not at all, and the choice by the table."""
+"""The proxy of the protocol: strict parsing of updates, their application, admission and the choice of servers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def forwarder(*lines: str) -> ForwarderState:
-    """A proxy with the standing table a, b that has applied these lines, each an update."""
+    """Create a proxy with the standing table a, b, and apply the lines, each of which is an update."""
     state = ForwarderState(("read", "write"), KNOWN_SERVERS)
     state.install_standing_table(("a", "b"))
     for line in lines:
@@ -35,7 +35,7 @@
     return state
 
 
-def test_an_update_is_complete_with_its_last_part() -> None:
+def test_an_update_is_returned_with_its_last_part() -> None:
     reader = ConfigUpdateReader()
     assert reader.feed_line("CONFIG routes=read full=1 endpoints=a:1,b:0.5 continued=1") is None
     update = reader.feed_line("CONFIG routes=write admit=0.5 policy=1 nonce_out=7")
@@ -48,30 +48,30 @@
 @pytest.mark.parametrize(
     ("line", "message"),
     [
-        ("PONG", "kind: 'PONG' is not CONFIG"),
-        ("CONFIG what=1", "field: 'what=1' is unknown, repeated or not name=value"),
-        ("CONFIG routes=read routes=read", "field: 'routes=read' is unknown, repeated or not name=value"),
-        ("CONFIG admit=0.5", "admit, policy: one without the other"),
-        ("CONFIG policy=1", "admit, policy: one without the other"),
-        ("CONFIG endpoints=a", "endpoints: 'a' is not name:weight"),
-        ("CONFIG endpoints=a:-1", "endpoints: '-1' is no figure"),
-        ("CONFIG endpoints=a:1e5", "endpoints: '1e5' is no figure"),
-        ("CONFIG endpoints=:1", "endpoints: ':1' is not name:weight"),
-        ("CONFIG admit=x policy=1", "admit: 'x' is no figure"),
-        ("CONFIG admit=1 policy=4", "policy: '4' is no retry mode"),
-        ("CONFIG full=2", "full: '2' is neither 0 nor 1"),
-        ("CONFIG nonce_out=x", "nonce_out: 'x' is no number"),
-        ("CONFIG full", "field: 'full' is unknown, repeated or not name=value"),
+        ("PONG", "kind: expected CONFIG, got 'PONG'"),
+        ("CONFIG what=1", "field: unknown, repeated or not of the form name=value: 'what=1'"),
+        ("CONFIG routes=read routes=read", "field: unknown, repeated or not of the form name=value: 'routes=read'"),
+        ("CONFIG admit=0.5", "admit, policy: only one of the two fields is present"),
+        ("CONFIG policy=1", "admit, policy: only one of the two fields is present"),
+        ("CONFIG endpoints=a", "endpoints: not of the form name:weight: 'a'"),
+        ("CONFIG endpoints=a:-1", "endpoints: not a non-negative decimal number: '-1'"),
+        ("CONFIG endpoints=a:1e5", "endpoints: not a non-negative decimal number: '1e5'"),
+        ("CONFIG endpoints=:1", "endpoints: not of the form name:weight: ':1'"),
+        ("CONFIG admit=x policy=1", "admit: not a non-negative decimal number: 'x'"),
+        ("CONFIG admit=1 policy=4", "policy: not a retry mode: '4'"),
+        ("CONFIG full=2", "full: neither 0 nor 1: '2'"),
+        ("CONFIG nonce_out=x", "nonce_out: not an integer: 'x'"),
+        ("CONFIG full", "field: unknown, repeated or not of the form name=value: 'full'"),
     ],
 )
-def test_a_line_that_cannot_be_read_is_an_invalid_update(line: str, message: str) -> None:
+def test_a_malformed_line_raises_an_error_with_field_problem_and_value(line: str, message: str) -> None:
     with pytest.raises(InvalidUpdateError) as raised:
         ConfigUpdateReader().feed_line(line)
     assert isinstance(raised.value, InvalidInputError)
     assert str(raised.value) == message
 
 
-def test_an_update_of_too_many_parts_is_invalid() -> None:
+def test_an_update_with_too_many_parts_is_invalid() -> None:
     reader = ConfigUpdateReader()
     for _ in range(63):
         assert reader.feed_line("CONFIG endpoints=a:1 continued=1") is None
@@ -80,14 +80,14 @@
 
 
 @pytest.mark.parametrize("invalid", ["CONFIG routes=other endpoints=a:1", "CONFIG endpoints=z:1", "CONFIG eject=z"])
-def test_nothing_of_an_invalid_update_is_applied(invalid: str) -> None:
+def test_no_part_of_an_invalid_update_is_applied(invalid: str) -> None:
     state = forwarder()
     with pytest.raises(InvalidUpdateError):
         state.apply(read_update("CONFIG routes=read full=1 endpoints=c:1 continued=1", invalid))
     assert state.class_tables["read"].lines == {"a": 1.0, "b": 1.0}
 
 
-def test_changes_complete_tables_levels_and_ejections() -> None:
+def test_updates_change_or_replace_tables_and_set_levels_and_ejections() -> None:
     state = forwarder("CONFIG routes=read endpoints=a:0,c:2", "CONFIG routes=read admit=0.5 policy=2")
     assert state.class_tables["read"].lines == {"b": 1.0, "c": 2.0}
     assert state.class_tables["write"].lines == {"a": 1.0, "b": 1.0}
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("policy", ["weighted", "round"])
-def test_the_choice_follows_the_weights(policy: LoadBalancingPolicy) -> None:
+def test_servers_are_chosen_in_proportion_to_their_weights(policy: LoadBalancingPolicy) -> None:
     table = forwarder("CONFIG routes=read full=1 endpoints=a:5,b:3,c:2").class_tables["read"]
     rng = random.Random(1)
     chosen = Counter(choose(table, policy, rng, {}) for _ in range(DRAWS))
@@ -112,13 +112,13 @@
     assert chosen["c"] / DRAWS == pytest.approx(0.2, abs=0.03)
 
 
-def test_weighted_round_robin_is_smooth() -> None:
+def test_weighted_round_robin_interleaves_the_servers() -> None:
     table = forwarder("CONFIG routes=read full=1 endpoints=a:2,b:1").class_tables["read"]
     rng = random.Random(1)
     assert [choose(table, "round", rng, {}) for _ in range(6)] == ["a", "b", "a", "a", "b", "a"]
 
 
-def test_of_two_servers_the_one_with_fewer_requests_in_flight() -> None:
+def test_the_server_with_fewer_requests_in_flight_is_chosen_from_two() -> None:
     table = forwarder("CONFIG routes=read full=1 endpoints=a:1,b:1").class_tables["read"]
     rng = random.Random(1)
     assert {choose(table, "two", rng, {"a": 3}) for _ in range(50)} == {"b"}
@@ -130,18 +130,18 @@
     st.sampled_from(("two", "weighted", "round")),
     st.integers(0, 99),
 )
-def test_an_attempted_server_is_never_chosen_and_an_avoided_one_only_if_no_other_is_left(
+def test_an_attempted_server_is_never_chosen_and_an_avoided_one_only_as_last_resort(
     avoided: set[str], attempted: set[str], policy: LoadBalancingPolicy, seed: int
 ) -> None:
     table = forwarder("CONFIG routes=read full=1 endpoints=a:1,b:1,c:0.01").class_tables["read"]
     chosen = choose(table, policy, random.Random(seed), {}, sorted(avoided), sorted(attempted))
-    left = {"a", "b", "c"} - attempted
+    candidates = {"a", "b", "c"} - attempted
     assert chosen not in attempted
-    assert (chosen is None) == (not left)
-    assert chosen not in avoided or not left - avoided
+    assert (chosen is None) == (not candidates)
+    assert chosen not in avoided or not candidates - avoided
 
 
-def test_admission_by_share_and_by_rate() -> None:
+def test_requests_are_admitted_by_share_or_by_rate() -> None:
     state = forwarder("CONFIG routes=read admit=0.25 policy=1")
     rng = random.Random(1)
     by_share = sum(state.admits("read", "share", rng, 8.0) for _ in range(DRAWS)) / DRAWS
--- a/tests/proxy_model.py
+++ b/tests/proxy_model.py
@@ -1,7 +1,7 @@
-"""What a proxy has after the lines of its stream, for tests of whoever writes them.
+"""Model of a proxy that applies the lines of its stream, for tests of the components that write these lines.
 
-The tables are those of `stackwheel/forwarder`, which shares nothing with the encoder and the updates under test but
-the types of the interface; its own tests hold it to the protocol line by line.
+It uses the tables of `stackwheel/forwarder`, which shares only the types of the interface with the encoder and the
+table updates under test, and has its own tests.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 class ProxyTables:
-    """The tables of one proxy and what each update cost.
+    """The tables of one proxy, and the cost of each applied update.
 
     Attributes:
-        classes: the request classes.
-        servers: names of the servers that discovery has listed; a test may add to it.
-        costs: lines of each update applied.
+        classes: names of the request classes.
+        servers: names of the servers that discovery has listed; tests may add names.
+        costs: number of lines of each applied update.
     """
 
     def __init__(self, classes: tuple[str, ...], servers: set[str]) -> None:
@@ -28,37 +28,40 @@
         self._state = ForwarderState(classes, servers)
 
     def apply_line(self, line: str) -> list[int]:
-        """Read a line of the stream; the nonces to acknowledge once it completes an update.
+        """Parse a line of the stream, and apply the update if the line completes one.
+
+        Returns:
+            The nonces to acknowledge.
 
         Raises:
-            InvalidUpdateError: a proxy would reset the stream.
-            AssertionError: a part names a server twice, which costs lines for nothing.
+            InvalidUpdateError: the update is invalid, so that a proxy would reset the stream.
+            AssertionError: a part contains a server twice, which wastes lines of the channel.
         """
         update = self._reader.feed_line(line)
         if update is None:
             return []
         for part in update.parts:
             servers = [name for name, _ in part.lines]
-            assert len(set(servers)) == len(servers), f"a server twice in one part: {line!r}"
+            assert len(set(servers)) == len(servers), f"repeated server in one part: {line!r}"
         self._state.apply(update)
         self.costs.append(update.cost())
         return list(update.nonces())
 
     @property
     def lines(self) -> dict[str, dict[str, float]]:
-        """Weights by class and server."""
+        """Return the weights by class and server."""
         return {name: table.lines for name, table in self._state.class_tables.items()}
 
     @property
     def levels(self) -> dict[str, AdmissionLevel]:
-        """Admission levels of the classes that have one."""
+        """Return the admission levels of the classes that have one."""
         return {name: table.level for name, table in self._state.class_tables.items() if table.level is not None}
 
     @property
     def ejected(self) -> set[str]:
-        """Servers that the proxy avoids."""
+        """Return the ejected servers."""
         return set(self._state.ejected)
 
     def available_lines(self, name: str) -> dict[str, float]:
-        """The lines of a class that the proxy may use."""
+        """Return the lines of a class without ejected servers."""
         return {server: weight for server, weight in self.lines[name].items() if server not in self.ejected}
