--- a/tests/state/test_clock.py
+++ b/tests/state/test_clock.py
@@ -9,7 +9,7 @@
 from stackwheel.state.clock import Clock
 
 
-def test_the_clock_gives_unix_time_and_never_steps(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_returns_unix_time_and_ignores_steps_of_the_wall_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     assert abs(clock.now() - time.time() * 1000.0) < 1000.0
     before = clock.now()
--- a/tests/state/test_endpoint_cache.py
+++ b/tests/state/test_endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The endpoint cache: older lists, restarted generations, earlier processes, entries that can't be read."""
+"""The endpoint cache: older lists, restarted generations, earlier processes, unreadable entries."""
 
 from typing import NoReturn
 
@@ -28,7 +28,7 @@
 
 
 class PolicyView:
-    """An endpoint cache and the endpoints as a policy knows them that is told its updates, and nothing else."""
+    """An endpoint cache, and the endpoints that a policy knows from the cache's updates alone."""
 
     def __init__(self, *lists: EndpointList) -> None:
         self.cache = EndpointCache(("east", "west"), ("small",), ServerIds())
@@ -48,17 +48,18 @@
         return {str(self.cache.server_ids.name(server)) for server in ready}
 
 
-OVERTAKEN_LIST = complete_list(41, instance("a"), instance("b"), instance("c"))  # the state before b drained and c left
+OVERTAKEN_LIST = complete_list(41, instance("a"), instance("b"), instance("c"))
+"""The state before b started to drain and c was removed."""
 
 
-def test_an_older_complete_list_revives_nothing() -> None:
-    """It was accepted, and what drained or had left was ready again."""
+def test_an_older_complete_list_does_not_revive_servers() -> None:
+    """Guards against draining and removed servers becoming ready again."""
     view = PolicyView(delta(42, instance("b", DRAINING)), delta(43, instance("c", REMOVED)), delta(44, instance("d")))
     view.apply(OVERTAKEN_LIST, now=1000.0)
     assert view.ready() == {"a", "d"}
     assert view.cache.generation == 44
     assert view.cache.confirmed_snapshot(1000.0 + MAX_LIST_AGE_MS - 1.0) is None
-    view.apply(delta(45, instance("e")), now=2000.0)  # generations go on from the known one: the list was stale
+    view.apply(delta(45, instance("e")), now=2000.0)  # continues the known generations, so the deferred list is stale
     assert view.cache.confirmed_snapshot(1e9) is None
     assert view.ready() == {"a", "d", "e"}
 
@@ -67,7 +68,7 @@
     view = PolicyView(delta(42, instance("b", DRAINING)), delta(43, instance("c", REMOVED)), delta(44, instance("d")))
     view.apply(complete_list(1, instance("a"), instance("b"), instance("c")), now=1000.0)
     view.apply(delta(2, instance("f"), instance("a", DRAINING)), now=2000.0)
-    assert view.ready() == {"d", "f"}  # drains count from any generation
+    assert view.ready() == {"d", "f"}  # draining is applied from any generation
     confirmed = view.cache.confirmed_snapshot(1000.0 + MAX_LIST_AGE_MS)
     assert confirmed is not None
     view.apply(confirmed, now=1000.0 + MAX_LIST_AGE_MS)
@@ -78,12 +79,12 @@
     assert view.cache.confirmed_snapshot(1e9) is None
 
 
-def test_changes_that_overtake_a_deferred_list_cause_one_fetch() -> None:
-    """Discovery restarted its generations without c and reached the old ones before the list was accepted: c stayed."""
+def test_changes_that_supersede_a_deferred_list_cause_one_fetch() -> None:
+    """Guards against c staying listed after discovery restarted without it and soon reached the known generation."""
     view = PolicyView(delta(42, instance("b", DRAINING)))
     assert not view.cache.take_refetch_needed()
     view.apply(complete_list(1, instance("a"), instance("b")), now=1000.0)
-    assert not view.cache.take_refetch_needed()  # it may still be accepted
+    assert not view.cache.take_refetch_needed()  # the deferred list may still be accepted
     view.apply(delta(42, instance("d")), now=2000.0)
     assert view.ready() == {"a", "c", "d"}
     assert view.cache.take_refetch_needed()
@@ -94,22 +95,22 @@
 
 
 @pytest.mark.parametrize("answer", [complete_list(42, instance("a")), complete_list(7, instance("a"), restarted=True)])
-def test_a_complete_list_that_arrives_unasked_needs_no_fetch(answer: EndpointList) -> None:
+def test_no_fetch_is_needed_after_a_complete_list_arrives_unrequested(answer: EndpointList) -> None:
     view = PolicyView(delta(42, instance("b", DRAINING)))
     view.apply(complete_list(1, instance("a"), instance("b")), delta(42, instance("d")), answer)
     assert view.ready() == {"a"}
     assert not view.cache.take_refetch_needed()
 
 
-def test_restarted_generations_that_revive_nothing_are_accepted_at_once() -> None:
-    """Its removals bind from the time they are told: they may not wait."""
+def test_restarted_generations_that_revive_no_server_are_accepted_at_once() -> None:
+    """Guards against deferring removals, which planners have to observe from their notification."""
     view = PolicyView(delta(42, instance("b", DRAINING)))
     view.apply(complete_list(1, instance("a")))
     assert view.ready() == {"a"}
     assert view.cache.generation == 1
 
 
-def test_the_list_of_a_discovery_that_moved_is_accepted() -> None:
+def test_a_list_with_explicitly_restarted_generations_is_accepted() -> None:
     view = PolicyView(delta(42, instance("b", REMOVED)))
     view.apply(complete_list(7, instance("b"), restarted=True))
     assert view.ready() == {"b"}
@@ -117,12 +118,12 @@
 
 
 @pytest.mark.parametrize("availability", [DRAINING, REMOVED])
-def test_an_older_entry_of_an_earlier_process_removes_nothing(availability: Availability) -> None:
-    """The drain of a server's earlier process, told by an older generation, took its new process out."""
+def test_an_older_entry_of_an_earlier_process_does_not_affect_the_current_process(availability: Availability) -> None:
+    """Guards against the drain or removal of an earlier process being applied to its successor."""
     view = PolicyView(delta(42, instance("b", REMOVED, 100.0)), delta(43, instance("b", READY, 500.0)))
     view.apply(delta(41, instance("b", availability, 100.0)))
     assert view.ready() == {"a", "b", "c"}
-    view.apply(delta(41, instance("b", availability, 500.0)))  # but that of the present process does
+    view.apply(delta(41, instance("b", availability, 500.0)))  # an entry of the current process is applied
     assert view.ready() == {"a", "c"}
 
 
@@ -136,12 +137,12 @@
 def test_a_late_drain_of_a_removed_server_reaches_the_policy_where_removal_is_advisory(
     removal_is_advisory: bool,
 ) -> None:
-    """The policy keeps what the list dropped there; an older generation's drain of it was ignored (seed 700451)."""
+    """Guards against ignoring the drain of a server that the policy still uses after its removal."""
     view = PolicyView(
         delta(41, instance("c", READY, 100.0)), delta(43, instance("b", REMOVED), instance("c", REMOVED, 100.0))
     )
     view.cache.removal_is_advisory = removal_is_advisory
-    # The drain of c is of its earlier process.
+    # The entry of c belongs to an earlier process than the removed one.
     update = view.cache.apply(delta(42, instance("a"), instance("b", DRAINING), instance("c", DRAINING)))
     notified = [(view.cache.server_ids.name(entry.server), entry.availability) for entry in update.entries]
     assert notified == ([("b", DRAINING)] if removal_is_advisory else [])
@@ -151,20 +152,20 @@
 
 
 @pytest.mark.parametrize(("unreadable", "ready"), [(("b",), {"a", "b"}), (("",), {"a", "b", "c"}), ((), {"a"})])
-def test_an_unreadable_entry_is_no_removal(unreadable: tuple[str, ...], ready: set[str]) -> None:
-    """A complete list without it took a good server away; an entry without a name may be any server's."""
+def test_an_unreadable_entry_does_not_remove_its_server(unreadable: tuple[str, ...], ready: set[str]) -> None:
+    """Guards against removing a server whose entry is malformed; an entry without a name may be that of any server."""
     view = PolicyView()
     view.apply(complete_list(41, instance("a"), unreadable=unreadable))
     assert view.ready() == ready
 
 
-def test_an_unknown_zone_is_no_removal() -> None:
+def test_an_entry_with_an_unknown_zone_does_not_remove_its_server() -> None:
     view = PolicyView()
     view.apply(complete_list(41, instance("a"), instance("b", zone="moon"), instance("new", zone="moon")))
     assert view.ready() == {"a", "b"}
 
 
-def test_of_repeated_entries_the_latest_process_or_the_last_entry_counts() -> None:
+def test_repeated_entries_are_reduced_to_the_latest_process_and_its_last_entry() -> None:
     view = PolicyView()
     view.apply(
         delta(
@@ -189,36 +190,36 @@
     cache = view.cache
     assert cache.predates_current_process(server_id("b"), 4999.0)
     assert not cache.predates_current_process(server_id("b"), 5000.0)
-    assert not cache.predates_current_process(server_id("new"), 4000.0)  # it had no earlier process
+    assert not cache.predates_current_process(server_id("new"), 4000.0)  # had no earlier process
     view.apply(complete_list(43, instance("a", READY, 7000.0)))
     assert cache.predates_current_process(server_id("a"), 6000.0)
     assert list(cache.restarted) == [server_id("a")]
 
 
 class LookupOnly(dict[face.ServerId, object]):
-    """A mapping that may be looked into and changed, but not iterated over."""
+    """A dict that supports lookups and changes, but not iteration."""
 
     def __iter__(self) -> NoReturn:
-        raise AssertionError("iterated over")
+        raise AssertionError("unexpected iteration over the whole mapping")
 
     keys = items = values = __iter__  # type: ignore[assignment]
 
 
 @pytest.mark.parametrize("generation", [41, 3])
-def test_changes_cost_by_what_they_name_and_not_by_the_size_of_the_list(generation: int) -> None:
-    """Each list of changes copied all that is listed and all that was removed."""
+def test_applying_changes_does_not_iterate_over_the_whole_list(generation: int) -> None:
+    """Guards against a cost per change that grows with the number of listed and removed servers."""
     view = PolicyView(delta(40, instance("c", REMOVED, 100.0)))
     cache = view.cache
     cache.entries, cache.removed = LookupOnly(cache.entries), LookupOnly(cache.removed)  # type: ignore[assignment]
-    named = (instance("a", DRAINING), instance("b", REMOVED), instance("c", READY, 500.0), instance("d"))
-    update = cache.apply(delta(generation, *named))
+    changed = (instance("a", DRAINING), instance("b", REMOVED), instance("c", READY, 500.0), instance("d"))
+    update = cache.apply(delta(generation, *changed))
     assert [str(cache.server_ids.name(entry.server)) for entry in update.entries] == ["a", "b", "c", "d"]
-    assert {str(cache.server_ids.name(s)) for s in dict.__iter__(cache.entries)} == {"a", "c", "d"}
+    assert {str(cache.server_ids.name(listed)) for listed in dict.__iter__(cache.entries)} == {"a", "c", "d"}
     assert list(cache.restarted) == [server_id("c")]
     assert list(dict.__iter__(cache.removed)) == [server_id("b")]
 
 
-def test_unknown_zones_are_rejected_and_unknown_kinds_accepted() -> None:
+def test_entries_with_unknown_zones_are_ignored_and_those_with_unknown_kinds_accepted() -> None:
     endpoints = EndpointCache(("east",), ("small",), ServerIds())
     event = endpoints.apply(
         EndpointList(
--- a/tests/state/test_planner_actor.py
+++ b/tests/state/test_planner_actor.py
@@ -1,4 +1,4 @@
-"""The planner actor: batches, events in, actions out."""
+"""The planner actor: batches of messages, events for the policy, execution of its actions."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from stackwheel.state.server_ids import server_id
 
 
-def test_the_list_is_fetched_where_changes_overtake_a_deferred_one() -> None:
-    """Discovery restarted its generations and reached the old ones: who had left by its first list stayed listed."""
+def test_the_list_is_fetched_if_changes_supersede_a_deferred_one() -> None:
+    """Guards against a server staying listed after discovery restarted without it and reached the known generation."""
     harness = ActorHarness()
     draining = replace(ready_instance("s-0"), availability=Availability.DRAINING)
     harness.process(EndpointList(5, False, (draining,)))
-    harness.process(endpoint_list("s-0", generation=1))  # shows s-0 as ready again and lacks s-1
+    harness.process(endpoint_list("s-0", generation=1))  # lists s-0 as ready again, without s-1
     assert ("fetch",) not in harness.ports.calls
     harness.process(endpoint_list("s-2", complete=False, generation=5))
     harness.process()
@@ -41,22 +41,22 @@
     assert set(harness.actor.endpoints.entries) == {server_id("s-0"), server_id("s-2")}
 
 
-def test_a_batch_has_all_messages_in_order() -> None:
+def test_a_batch_contains_the_events_of_all_messages_in_order() -> None:
     harness = ActorHarness()
     connection = FakeConnection()
     demand = face.DemandReport(1, 0, 5, 0, 1000.0)
     load = face.LoadReport(0, server_id("s-0"), 5, 0, 40.0, 1000.0)
     harness.process(proxy_stream(1, connection))
     harness.send_nonce(7)
-    got = harness.process(
+    events = harness.process(
         StreamMessage(1, demand, connection), load, demand, StreamMessage(1, face.Acknowledged(1, 7, 3.0), connection)
     )
-    assert got == [demand, load, demand, face.Acknowledged(1, 7, 3.0)]
+    assert events == [demand, load, demand, face.Acknowledged(1, 7, 3.0)]
     assert harness.actor.mailbox == []
     assert len(harness.policies[0].batches) == 3
 
 
-def test_endpoint_lists_reach_the_policy() -> None:
+def test_endpoint_lists_are_passed_to_the_policy_as_updates() -> None:
     harness = ActorHarness()
     (delta,) = harness.process(endpoint_list("s-2", complete=False, generation=4))
     assert isinstance(delta, face.EndpointUpdate)
@@ -70,10 +70,10 @@
     assert isinstance(full, face.EndpointUpdate)
     assert full.kind is face.UpdateKind.FULL
     assert list(harness.actor.endpoints.entries) == [server_id("s-1")]
-    assert harness.actor.endpoints.server_ids.name(server_id("s-0")) == "s-0"  # removed, but remembered
+    assert harness.actor.endpoints.server_ids.name(server_id("s-0")) == "s-0"  # removed servers are remembered
 
 
-def test_actions_reach_the_ports() -> None:
+def test_actions_are_executed_by_calls_of_the_ports() -> None:
     harness = ActorHarness()
     server = server_id("s-0")
     harness.policies[0].replies = [
@@ -82,7 +82,7 @@
             face.FetchEndpoints(),
             face.StartHealthCheck(server),
             face.SendGossip(b"hi", 1),
-            face.Log("a word"),
+            face.Log("a message"),
             face.SetWeight(0, server, 1.0),
             face.AssignTable(2, 0, ()),
             face.AttachNonce(3, False),
@@ -97,7 +97,7 @@
     assert others == [("watch", True), ("fetch",), ("health check", server, target), ("gossip", b"hi", 1)]
 
 
-def test_an_elapsed_timer_is_an_event() -> None:
+def test_an_elapsed_timer_is_passed_to_the_policy() -> None:
     async def run() -> None:
         harness = ActorHarness()
         harness.policies[0].replies = [[face.SetTimer(1.0, 77)]]
@@ -109,20 +109,20 @@
     asyncio.run(run())
 
 
-def test_a_full_mailbox_drops_reports_and_takes_streams(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_mailbox_drops_reports_and_accepts_streams(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("stackwheel.state.planner_actor.MAX_MAILBOX_MESSAGES", 2)
     harness = ActorHarness()
     report = face.LoadReport(0, server_id("s-0"), 5, 0, 40.0, 1000.0)
-    got = harness.process(report, report, report, proxy_stream(1, FakeConnection()))
-    assert got == [report, report, face.ProxyJoined(1, 0, 20.0, True)]
+    events = harness.process(report, report, report, proxy_stream(1, FakeConnection()))
+    assert events == [report, report, face.ProxyJoined(1, 0, 20.0, True)]
 
 
-def test_a_failure_outside_the_policy_loses_that_batch_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failure_outside_the_policy_affects_only_the_current_batch(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
         harness = ActorHarness()
         running = asyncio.create_task(harness.actor.run())
-        with monkeypatch.context() as broken:
-            broken.setattr(harness.actor.endpoints, "apply", lambda *_: 1 / 0)
+        with monkeypatch.context() as patches:
+            patches.setattr(harness.actor.endpoints, "apply", lambda *_: 1 / 0)
             harness.actor.post(endpoint_list("s-2"))
             while harness.actor.mailbox:
                 await asyncio.sleep(0.001)
@@ -137,31 +137,31 @@
 
 
 @pytest.mark.parametrize("moved", [False, True])
-def test_a_health_check_counts_only_for_its_target(moved: bool) -> None:
-    """The server restarted under its id, or moved to another address, while the health check was in flight."""
+def test_a_health_check_result_is_ignored_if_its_target_has_changed(moved: bool) -> None:
+    """Covers a restart of the server under its id, and a change of its address."""
     harness = ActorHarness()
     server = server_id("s-0")
     harness.policies[0].replies = [[face.StartHealthCheck(server)]]
     harness.process()
     target = harness.ports.calls[-1][2]
-    returned = ready_instance("s-0", "127.0.0.1:2") if moved else ready_instance("s-0", started_at=900.0)
-    harness.process(EndpointList(2, False, (returned,)))
+    changed = ready_instance("s-0", "127.0.0.1:2") if moved else ready_instance("s-0", started_at=900.0)
+    harness.process(EndpointList(2, False, (changed,)))
     assert harness.process(HealthCheckCompleted(target, face.HealthCheckResult(server, 2, 5.0))) == []
 
 
-def test_a_report_of_an_earlier_process_is_ignored() -> None:
+def test_a_load_report_that_includes_an_earlier_process_is_ignored() -> None:
     clock = ManualClock()
     harness = ActorHarness(clock)
     clock.time = 10_000.0
     report = face.LoadReport(0, server_id("s-0"), 5, 5, 40.0, 1000.0)
     other = face.LoadReport(0, server_id("s-1"), 5, 5, 40.0, 1000.0)
     harness.process(EndpointList(2, False, (ready_instance("s-0", started_at=9_500.0),)))
-    assert harness.process(report, other) == [other]  # its window began before the process did
+    assert harness.process(report, other) == [other]  # the first report's window begins before the process started
     clock.time = 10_500.0
     assert harness.process(report) == [report]
 
 
-def test_a_deferred_list_is_accepted_in_time() -> None:
+def test_a_deferred_list_is_accepted_after_the_maximum_age_of_a_list() -> None:
     clock = ManualClock()
     harness = ActorHarness(clock)
     removed = replace(ready_instance("s-0"), availability=Availability.REMOVED)
--- a/tests/state/test_policy_restart.py
+++ b/tests/state/test_policy_restart.py
@@ -1,4 +1,4 @@
-"""A policy that fails: restart, its backoff, and what belongs to the failed one."""
+"""Restart of a failed policy: restored state, backoff, and late results for the failed policy."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from stackwheel.state.table_updates import NONCES_PER_INCARNATION
 
 
-def test_a_failed_policy_is_restarted_from_endpoints_and_streams() -> None:
+def test_a_failed_policy_is_restarted_with_the_cached_endpoints_and_open_streams() -> None:
     async def run() -> None:
         harness = ActorHarness()
         connection = FakeConnection()
@@ -38,7 +38,7 @@
             KeyError("table"),
         ]
         harness.process()
-        harness.process(proxy_stream(2, FakeConnection()))  # the policy fails, but the stream has joined
+        harness.process(proxy_stream(2, FakeConnection()))  # the policy fails after the stream has joined
         await asyncio.sleep(0.01)
         assert [policy.seed for policy in harness.policies] == [SEED, SEED + 1]
         (start,) = harness.policies[1].batches
@@ -59,11 +59,11 @@
     asyncio.run(run())
 
 
-def test_a_second_restart_waits_but_endpoint_lists_are_applied() -> None:
+def test_endpoint_lists_are_applied_while_a_second_restart_is_delayed() -> None:
     async def run() -> None:
         harness = ActorHarness()
         for _ in range(2):
-            harness.policies[-1].replies = [ValueError("no"), ValueError("no")]
+            harness.policies[-1].replies = [ValueError("failed"), ValueError("failed")]
             harness.actor.post(TimerElapsed(harness.actor.incarnation, 1))
             harness.actor.process_batch()
             await asyncio.sleep(0.01)
@@ -76,8 +76,8 @@
     asyncio.run(run())
 
 
-def test_results_for_a_failed_policy_do_not_reach_the_next() -> None:
-    """Its elapsed timers in the mailbox, its health checks in flight and its list call reached the new one."""
+def test_results_for_a_failed_policy_are_not_passed_to_the_next_one() -> None:
+    """Covers elapsed timers in the mailbox, health checks in flight and a failed call for the endpoint list."""
 
     async def run() -> None:
         harness = ActorHarness()
@@ -87,13 +87,13 @@
         ((_, _, target),) = [call for call in harness.ports.calls if call[0] == "health check"]
         while not harness.actor.mailbox:  # until the timer has elapsed
             await asyncio.sleep(0)
-        fired = harness.actor.mailbox.pop()
+        elapsed_timer = harness.actor.mailbox.pop()
         harness.process(face.DemandReport(0, 0, 1, 0, 1000.0))  # the policy fails
-        harness.actor.post(fired)
+        harness.actor.post(elapsed_timer)
         harness.actor.post(EndpointListFailed())
         while len(harness.policies) < 2:
             await asyncio.sleep(0)
-        harness.actor.post(fired)
+        harness.actor.post(elapsed_timer)
         harness.actor.post(HealthCheckCompleted(target, face.HealthCheckResult(server, 1, 5.0)))
         assert harness.process() == []
         harness.policies[1].replies = [[face.StartHealthCheck(server)]]
--- a/tests/state/test_server_ids.py
+++ b/tests/state/test_server_ids.py
@@ -1,4 +1,4 @@
-"""Ids of servers."""
+"""Server ids."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from stackwheel.state.server_ids import ServerIds, server_id
 
 
-def test_ids_are_the_same_at_every_planner_and_collisions_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ids_are_derived_from_names_and_collisions_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     assert server_id("s-5be2a07c") == bytes.fromhex("3178665d73ea")
     assert len(server_id("x")) == 6
     monkeypatch.setattr("stackwheel.state.server_ids.server_id", lambda _name: face.ServerId(b"\0" * 6))
--- a/tests/state/test_state_bounds.py
+++ b/tests/state/test_state_bounds.py
@@ -1,4 +1,4 @@
-"""What is remembered of removed servers is bounded."""
+"""Limits on the state that is stored for removed servers."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 def replace_server(
     number: int, actor: PlannerActor, ports: RecordingPorts, clock: ManualClock, connection: FakeConnection
 ) -> None:
-    """A server with a new id is added, the oldest drains and is removed; reports and gossip name all of them."""
+    """Add a server with a new id, and drain and remove the oldest one; reports and gossip contain all servers."""
 
-    def post_entry(place: int, availability: Availability) -> None:
+    def post_entry(server_number: int, availability: Availability) -> None:
         entry = Instance(
-            f"s-{place}",
-            f"127.0.0.1:{place}",
-            ("east", "west")[place % 2],
+            f"s-{server_number}",
+            f"127.0.0.1:{server_number}",
+            ("east", "west")[server_number % 2],
             "small",
             0,
             availability,
@@ -50,8 +50,8 @@
     def process() -> None:
         clock.time += 400.0
         actor.post(StreamMessage(1, None, connection))
-        for place in range(number - 4, number + 1):
-            actor.post(face.LoadReport(0, server_id(f"s-{place}"), 20, 0, 60.0, 1000.0))
+        for reported_number in range(number - 4, number + 1):
+            actor.post(face.LoadReport(0, server_id(f"s-{reported_number}"), 20, 0, 60.0, 1000.0))
         actor.post(face.GossipReceived(1, gossip.encode(1, {server_id(f"s-{number}"): 0.9})[0]))
         actor.post(face.DemandReport(1, 0, 40, 0, 1000.0))
         actor.process_batch()
@@ -64,14 +64,14 @@
     post_entry(number - 4, Availability.DRAINING)
     process()
     post_entry(number - 4, Availability.REMOVED)
-    if number % 10 == 0:  # the stream ends and is opened again
+    if number % 10 == 0:  # the proxy reconnects
         actor.post(StreamEnded(1, connection))
         actor.post(proxy_stream(1, connection, newly_started=False))
     process()
 
 
-def test_state_does_not_grow_with_the_servers_ever_listed() -> None:
-    """Each new server has a new id, and all that had ever been listed stayed known."""
+def test_state_does_not_grow_with_the_number_of_servers_ever_listed() -> None:
+    """Guards against storing every server id that was ever listed."""
 
     async def run() -> None:
         clock = ManualClock(100_000.0)
@@ -114,7 +114,7 @@
     asyncio.run(run())
 
 
-def test_a_removed_server_that_a_table_names_is_remembered() -> None:
+def test_a_removed_server_is_remembered_while_a_table_references_it() -> None:
     harness = ActorHarness()
     server = server_id("s-0")
     harness.policies[0].replies = [[face.SetWeight(0, server, 1.0), face.AssignTable(1, 0, ())]]
@@ -126,6 +126,6 @@
     harness.policies[0].replies = [[face.SetWeight(0, server, 0.0)]]
     harness.process()
     assert harness.actor.endpoints.server_ids.name(server) is None
-    harness.process(endpoint_list("s-0", generation=300))  # it may return
+    harness.process(endpoint_list("s-0", generation=300))  # a forgotten server may be listed again
     assert harness.actor.endpoints.server_ids.name(server) == "s-0"
     assert server in harness.actor.endpoints.addresses
--- a/tests/state/test_streams.py
+++ b/tests/state/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of proxies: superseded, timed out, resumed; acknowledgements."""
+"""Streams of proxies: replacement, timeout and resumption of streams, and acknowledgements."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert (old.superseded_count, new.superseded_count) == (1, 0)
     ack = face.Acknowledged(1, 7, 3.0)
     harness.send_nonce(7)
-    assert harness.process(StreamMessage(1, ack, old), StreamEnded(1, old)) == []  # of the superseded stream
+    assert harness.process(StreamMessage(1, ack, old), StreamEnded(1, old)) == []  # the stream was superseded
     assert harness.process(StreamMessage(1, ack, new), StreamEnded(1, new)) == [ack, face.ProxyLeft(1)]
     assert harness.process(StreamEnded(1, new)) == []
 
@@ -48,7 +48,7 @@
 
 
 def test_a_stream_without_acknowledgement_times_out_and_resumes() -> None:
-    """A machine that is cut off gives no sign: its demand stayed counted and its nonces pending."""
+    """Guards against counting the demand and waiting for the nonces of a machine whose connection is cut off."""
     clock = ManualClock()
     harness = ActorHarness(clock)
     connection, other = FakeConnection(), FakeConnection()
@@ -73,7 +73,7 @@
     assert connection.superseded_count == 0
 
 
-def test_a_timed_out_stream_that_ends_or_is_superseded_leaves_only_once() -> None:
+def test_a_proxy_leaves_only_once_if_its_stream_times_out_and_then_ends_or_is_superseded() -> None:
     clock = ManualClock()
     harness = ActorHarness(clock)
     connections = FakeConnection(), FakeConnection()
@@ -89,7 +89,7 @@
     assert harness.process(StreamMessage(2, face.Acknowledged(2, 3, 1.0), connections[1])) == []
 
 
-def test_unexpected_acknowledgements_are_ignored_but_show_that_the_proxy_is_alive() -> None:
+def test_invalid_acknowledgements_are_ignored_but_reset_the_timeout() -> None:
     clock = ManualClock()
     harness = ActorHarness(clock)
     connection = FakeConnection()
@@ -97,16 +97,18 @@
     for nonce in (3, 4, 5):
         harness.send_nonce(nonce)
     clock.time = 4900.0
-    never, early = face.Acknowledged(1, 8, 1.0), face.Acknowledged(1, 4, 5901.0)
+    never_sent, too_early = face.Acknowledged(1, 8, 1.0), face.Acknowledged(1, 4, 5901.0)
     assert (
         harness.process(
-            StreamMessage(1, never, connection), StreamMessage(1, early, connection), StreamMessage(1, None, connection)
+            StreamMessage(1, never_sent, connection),
+            StreamMessage(1, too_early, connection),
+            StreamMessage(1, None, connection),
         )
         == []
     )
-    clock.time = 5100.0  # past the timeout since the nonces, but it has sent something
-    real = face.Acknowledged(1, 4, 4000.0)
-    assert harness.process(StreamMessage(1, real, connection)) == [real]
+    clock.time = 5100.0  # the timeout since the nonces has passed, but other messages were received
+    valid = face.Acknowledged(1, 4, 4000.0)
+    assert harness.process(StreamMessage(1, valid, connection)) == [valid]
     assert harness.process(StreamMessage(1, face.Acknowledged(1, 3, 10.0), connection)) == []
     last = face.Acknowledged(1, 5, 10.0)
     assert harness.process(StreamMessage(1, last, connection)) == [last]
@@ -123,7 +125,7 @@
     assert harness.process(StreamMessage(1, None, connection)) == [face.ProxyJoined(1, 0, 20.0, False)]
 
 
-def test_pending_nonces_are_bounded() -> None:
+def test_the_number_of_pending_nonces_is_limited() -> None:
     harness = ActorHarness()
     connection = FakeConnection()
     harness.process(proxy_stream(1, connection))
@@ -145,27 +147,27 @@
     ],
     ids=" ".join,
 )
-def test_two_streams_of_one_proxy_in_every_order(order: tuple[str, ...]) -> None:
-    """Joins and leaves alternate, only the carrying connection's acknowledgements count, and nothing is left over."""
+def test_events_of_two_streams_of_one_proxy_are_consistent_in_every_order(order: tuple[str, ...]) -> None:
+    """Joins and leaves alternate, only the current connection's acknowledgements count, and no stream remains."""
     harness = ActorHarness()
     connections = {"a": FakeConnection(), "b": FakeConnection()}
-    joined, carrier = False, ""
+    joined, current = False, ""
     for step in order:
-        what, who = step.split()
-        connection = connections[who]
-        if what == "join":
+        operation, name = step.split()
+        connection = connections[name]
+        if operation == "join":
             events = harness.process(proxy_stream(1, connection))
             assert [type(event) for event in events] == [face.ProxyLeft] * joined + [face.ProxyJoined]
-            joined, carrier = True, who
+            joined, current = True, name
             harness.send_nonce(5)
-        elif what == "ack":
+        elif operation == "ack":
             ack = face.Acknowledged(1, 5, 1.0)
-            assert harness.process(StreamMessage(1, ack, connection)) == ([ack] if joined and who == carrier else [])
+            assert harness.process(StreamMessage(1, ack, connection)) == ([ack] if joined and name == current else [])
         else:
             assert harness.process(StreamEnded(1, connection)) == (
-                [face.ProxyLeft(1)] if joined and who == carrier else []
+                [face.ProxyLeft(1)] if joined and name == current else []
             )
-            joined = joined and who != carrier
+            joined = joined and name != current
     assert not joined
     assert not harness.actor.streams.by_proxy
     assert not harness.actor.streams.timed_out
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -1,4 +1,4 @@
-"""Updates of tables: a proxy that reads what is encoded must have what the policy set."""
+"""Table updates: proxies that parse the encoded updates have the tables that the policy has set."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class UpdatesHarness:
-    """The tables under test, with proxies that apply the encoded updates."""
+    """The table updates under test, with proxies that apply the encoded updates."""
 
     def __init__(self, *restarted: str) -> None:
         self.ids = ServerIds()
@@ -54,7 +54,7 @@
         self.proxies.setdefault(proxy, ProxyTables(CLASSES, set(SERVERS)))
 
     def apply(self, *actions: Action) -> dict[int, ProxyUpdate]:
-        """Apply one reply of the policy and have the proxies read what is encoded; the updates by proxy."""
+        """Apply a list of the policy's actions, pass the encoded updates to the proxies, and return them by proxy."""
         updates = self.updates.apply_actions(actions)
         for update, data in zip(updates, self.encoder.encode(updates), strict=True):
             assert data.endswith(b"\r\n")
@@ -64,7 +64,7 @@
         return {update.proxy: update for update in updates}
 
 
-def test_one_reply_is_one_update_to_its_end_state() -> None:
+def test_one_list_of_actions_results_in_one_update_to_the_final_state() -> None:
     harness = UpdatesHarness()
     harness.join(0)
     harness.join(1)
@@ -76,14 +76,14 @@
         face.SetAdmission(7, (0,), 0.5, Retry.NEVER),
         face.AttachNonce(4, False),
     )
-    assert list(sent) == [0]  # the other proxy uses none of these tables
+    assert list(sent) == [0]  # the other proxy does not use the table
     assert sent[0].parts == (UpdatePart((0,), False, ((ONE, 0.0), (TWO, 3.0)), (0.5, Retry.NEVER)),)
     assert sent[0].nonce == 4
     assert harness.proxies[0].lines["read"] == {"s-1": 3.0}
 
 
-def test_assignment_costs_what_the_policy_charges() -> None:
-    """A complete table: its lines, its level and the table itself; the nonce is part of the message's overhead."""
+def test_the_cost_of_an_assignment_includes_lines_level_table_and_nonce() -> None:
+    """Guards against a cost that differs from the one the policy assumes for a complete table."""
     harness = UpdatesHarness()
     harness.join(0)
     level = face.SetAdmission(7, (0,), 1.0, Retry.ONCE_IF_NOT_EXECUTED)
@@ -97,7 +97,7 @@
     assert sent[0].cost() == (2 + 2) + 1
 
 
-def test_a_table_for_all_classes() -> None:
+def test_a_table_can_be_assigned_for_all_classes() -> None:
     harness = UpdatesHarness()
     harness.join(0)
     harness.apply(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, ()))
@@ -114,13 +114,13 @@
     assert harness.proxies[0].levels == {"read": (0.4, 0)}
 
 
-def test_of_two_levels_the_lower_holds_with_the_retry_mode_of_the_table() -> None:
+def test_the_lower_of_two_levels_applies_with_the_retry_mode_of_the_table() -> None:
     harness = UpdatesHarness()
     harness.join(0)
     harness.apply(
         face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, (0,)), face.SetAdmission(ALL_TABLES, (), 0.5, Retry.TWICE)
     )
-    assert harness.proxies[0].levels == {"read": (0.5, 3), "write": (0.5, 3)}  # standing tables too
+    assert harness.proxies[0].levels == {"read": (0.5, 3), "write": (0.5, 3)}  # "write" uses its standing table
     harness.apply(face.SetAdmission(7, (0,), 0.8, Retry.NEVER))
     assert harness.proxies[0].levels["read"] == (0.5, 0)
     harness.apply(face.SetAdmission(ALL_TABLES, (0,), 0.9, Retry.TWICE))
@@ -138,7 +138,7 @@
     assert harness.proxies[0].levels == {}
 
 
-def test_ejections_reach_the_proxies_that_may_use_the_server() -> None:
+def test_ejections_are_sent_to_the_proxies_that_may_use_the_server() -> None:
     harness = UpdatesHarness()
     for proxy in range(3):
         harness.join(proxy)
@@ -146,15 +146,15 @@
         face.SetWeight(7, ONE, 1.0), face.SetWeight(8, TWO, 1.0), face.AssignTable(0, 7, ()), face.AssignTable(1, 8, ())
     )
     sent = harness.apply(face.SetEjection(ONE, True))
-    assert list(sent) == [0, 2]  # it is in the table of one, and the third may have tables of another planner
-    assert harness.apply(face.SetEjection(ONE, True)) == {}  # they were told
+    assert list(sent) == [0, 2]  # the server is in a table of proxy 0; proxy 2 may have tables of another planner
+    assert harness.apply(face.SetEjection(ONE, True)) == {}  # both proxies have been notified
     harness.join(3)
-    assert list(harness.apply(face.SetEjection(ONE, True))) == [3]  # it has joined since
+    assert list(harness.apply(face.SetEjection(ONE, True))) == [3]  # the others have been notified
     assert list(harness.apply(face.SetEjection(ONE, False))) == [0, 2, 3]
     assert all(not proxy.ejected for proxy in harness.proxies.values())
 
 
-def test_an_ejected_server_in_a_new_table_is_ejected_there() -> None:
+def test_the_ejection_of_a_server_is_sent_with_a_new_table_that_contains_it() -> None:
     harness = UpdatesHarness()
     harness.apply(face.SetEjection(ONE, True))
     harness.join(0)
@@ -163,8 +163,8 @@
     assert harness.proxies[0].available_lines("read") == {}
 
 
-def test_no_restore_is_sent_that_the_policy_does_not_count() -> None:
-    """After a release each complete table restored every new server: the channel carried twice what was charged."""
+def test_a_complete_table_does_not_restore_servers_that_were_never_ejected() -> None:
+    """Guards against sending lines whose cost the policy does not include."""
     harness = UpdatesHarness("s-0", "s-1")
     harness.join(0, newly_started=False)
     sent = harness.apply(face.SetWeight(7, ONE, 1.0), face.SetWeight(7, TWO, 1.0), face.AssignTable(0, 7, ()))
@@ -172,7 +172,7 @@
     assert sent[0].cost() == 3
 
 
-def test_nonces_of_an_earlier_incarnation_are_recognized() -> None:
+def test_nonces_of_an_earlier_incarnation_are_distinguished() -> None:
     harness = UpdatesHarness()
     harness.join(0)
     assert harness.apply(face.AttachNonce(5, True))[0].nonce == 5
@@ -204,7 +204,7 @@
 )
 
 
-def expected(updates: TableUpdates, stream: ProxyStream, request_class: int) -> Iterator[tuple[ServerId, float]]:
+def expected_lines(updates: TableUpdates, stream: ProxyStream, request_class: int) -> Iterator[tuple[ServerId, float]]:
     for server, weight in updates.tables.get(stream.table_by_class[request_class], {}).items():
         if server not in updates.ejected:
             yield server, weight
@@ -212,7 +212,9 @@
 
 @hypothesis_settings(deadline=None)
 @given(st.lists(st.lists(actions, max_size=8), max_size=8), st.booleans())
-def test_proxies_have_what_was_set(replies: list[list[Action]], newly_started: bool) -> None:
+def test_proxies_have_the_tables_and_levels_that_the_policy_has_set(
+    replies: list[list[Action]], newly_started: bool
+) -> None:
     harness = UpdatesHarness(*SERVERS)
     for proxy in range(3):
         harness.join(proxy, newly_started)
@@ -224,14 +226,14 @@
                 name = CLASSES[request_class]
                 assert tables.available_lines(name) == {
                     harness.ids.name(server): weight
-                    for server, weight in expected(harness.updates, stream, request_class)
+                    for server, weight in expected_lines(harness.updates, stream, request_class)
                 }
                 level = harness.updates.admission_level(request_class, table)
                 assert tables.levels.get(name) == (level and (level[0], int(level[1])))
 
 
-def test_classes_that_share_a_table_share_its_lines_whatever_their_levels() -> None:
-    """A line for three classes was sent three times as soon as their levels differed."""
+def test_lines_of_a_shared_table_are_sent_once_even_if_the_levels_of_its_classes_differ() -> None:
+    """Guards against sending a line once per class."""
     harness = UpdatesHarness()
     harness.join(0)
     levels = [face.SetAdmission(7, (request_class,), 0.5 + request_class / 4, Retry.NEVER) for request_class in (0, 1)]
