--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -74,7 +74,7 @@
             The event that notifies the policy.
         """
         received = replace(endpoint_list, instances=latest_by_name(endpoint_list.instances))
-        late_drains = self._late_drains(received) if self.removal_is_advisory else []
+        late_draining_entries = self._late_draining_entries(received) if self.removal_is_advisory else []
         accepted = self.discard_stale(received, now)
         entries = [entry for instance in accepted.instances if (entry := self.entry(instance)) is not None]
         listed = {entry.server: entry for entry in entries if entry.availability is not Availability.REMOVED}
@@ -93,7 +93,7 @@
             self.removed.pop(server, None)
         self.generation = accepted.generation
         kind = UpdateKind.FULL if accepted.complete else UpdateKind.DELTA
-        return EndpointUpdate(kind, accepted.generation, (*entries, *late_drains))
+        return EndpointUpdate(kind, accepted.generation, (*entries, *late_draining_entries))
 
     def discard_stale(self, received: EndpointList, now: float) -> EndpointList:
         """Remove the entries that are out of date from a list whose generation is older than the cached one.
@@ -191,7 +191,7 @@
     def _freshness(self, instance: Instance) -> EntryFreshness:
         return entry_freshness(instance, self._known_process(server_id(instance.name)))
 
-    def _late_drains(self, received: EndpointList) -> list[EndpointEntry]:
+    def _late_draining_entries(self, received: EndpointList) -> list[EndpointEntry]:
         """Return draining entries of removed processes, from changes of an older generation.
 
         If removal is advisory, the policy may still use these servers and has to be notified that they are draining.
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class ReplyChanges:
+class TableChanges:
     """The changes that one list of the policy's actions has made.
 
     Attributes:
@@ -176,10 +176,10 @@
         Returns:
             One update for each proxy that is affected by the final state, in the order in which the proxies joined.
         """
-        changes = ReplyChanges()
+        changes = TableChanges()
         for action in actions:
             self._apply_action(action, changes)
-        if changes == ReplyChanges():  # the usual case
+        if changes == TableChanges():  # the usual case
             return []
         cache: PartsCache = {}
         updates = [self._update(stream, changes, cache) for stream in self.streams.by_proxy.values()]
@@ -201,7 +201,7 @@
 
     # Actions of the policy
 
-    def _apply_action(self, action: Action, changes: ReplyChanges) -> None:
+    def _apply_action(self, action: Action, changes: TableChanges) -> None:
         match action:
             case SetWeight():
                 self._set_weight(action, changes)
@@ -220,7 +220,7 @@
             case _:
                 pass  # other actions are executed by the actor
 
-    def _set_weight(self, action: SetWeight, changes: ReplyChanges) -> None:
+    def _set_weight(self, action: SetWeight, changes: TableChanges) -> None:
         """Set a line of a table; a weight of 0 removes it, and is sent to the proxies."""
         lines = self.tables.setdefault(action.table, {})
         if action.weight <= 0:
@@ -229,7 +229,7 @@
             lines[action.server] = action.weight
         changes.lines.setdefault(action.table, {})[action.server] = None
 
-    def _assign_table(self, action: AssignTable, changes: ReplyChanges) -> None:
+    def _assign_table(self, action: AssignTable, changes: TableChanges) -> None:
         stream = self.streams.by_proxy.get(action.proxy)
         if stream is None:
             return
@@ -237,12 +237,12 @@
         stream.table_by_class.update(dict.fromkeys(classes, action.table))
         changes.assigned.setdefault(action.proxy, set()).update(classes)
 
-    def _set_admission(self, action: SetAdmission, changes: ReplyChanges) -> None:
+    def _set_admission(self, action: SetAdmission, changes: TableChanges) -> None:
         for request_class in action.classes or self.classes:
             self.levels.setdefault(action.table, {})[request_class] = AdmissionLevel(action.admitted, action.retry)
             changes.levels.setdefault(action.table, set()).add(request_class)
 
-    def _set_ejection(self, action: SetEjection, changes: ReplyChanges) -> None:
+    def _set_ejection(self, action: SetEjection, changes: TableChanges) -> None:
         self.ejected.pop(action.server, None)
         if action.ejected:
             self.ejected[action.server] = None
@@ -251,13 +251,13 @@
 
     # Updates of the proxies
 
-    def _update(self, stream: ProxyStream, changes: ReplyChanges, cache: PartsCache) -> ProxyUpdate:
+    def _update(self, stream: ProxyStream, changes: TableChanges, cache: PartsCache) -> ProxyUpdate:
         parts = tuple(self._parts(stream, changes, cache))
         eject, restore = self._ejections(stream, changes, parts)
         nonce = self.first_nonce + changes.nonce.nonce if changes.nonce is not None else None
         return ProxyUpdate(stream.proxy, parts, eject, restore, nonce)
 
-    def _parts(self, stream: ProxyStream, changes: ReplyChanges, cache: PartsCache) -> Iterator[UpdatePart]:
+    def _parts(self, stream: ProxyStream, changes: TableChanges, cache: PartsCache) -> Iterator[UpdatePart]:
         """Create the parts for a proxy; classes that share a table share the parts with its lines."""
         groups: dict[tuple[int | None, bool], ClassLevels] = {}
         for request_class in self.classes:
@@ -274,7 +274,7 @@
             yield from cache[key]
 
     def _table_parts(
-        self, table: int | None, complete: bool, levels: ClassLevels, changes: ReplyChanges
+        self, table: int | None, complete: bool, levels: ClassLevels, changes: TableChanges
     ) -> Iterator[UpdatePart]:
         """Create a part with the lines of a table, and parts with the levels of the classes if these differ.
 
@@ -298,7 +298,7 @@
                 yield UpdatePart(classes, False, (), level)
 
     def _ejections(
-        self, stream: ProxyStream, changes: ReplyChanges, parts: tuple[UpdatePart, ...]
+        self, stream: ProxyStream, changes: TableChanges, parts: tuple[UpdatePart, ...]
     ) -> tuple[tuple[ServerId, ...], tuple[ServerId, ...]]:
         """Return the servers to eject and the servers to restore at a proxy, and record them in its stream.
 
