--- a/stackwheel/config_language/schema.py
+++ b/stackwheel/config_language/schema.py
@@ -10,40 +10,40 @@
 from msgspec import Struct
 
 SCHEMA = """\
-// Optional functions of an installation. All of them are off by default.
+// What an installation adds to the plain planner. Everything is off unless it is turned on here.
 
 #Milliseconds: number & >=0 & <=86400000
 #Seconds:      number & >0 & <=604800
 #Folder:       string & =~"^/[^\\u0000]*$"
 
-files: {                                        // weight tables and reports exchanged as files
+files: {                                        // tables, orders and answers as files
     on:      bool | *false
-    out:     #Folder | *"/var/lib/stackwheel/out"     // output folder, a subfolder per zone and differing forwarder
-    answers: #Folder | *"/var/lib/stackwheel/answers" // folder into which forwarders write reports
-    state:   #Folder | *"/var/lib/stackwheel/state"   // folder for the persistent state of readers
-    keys:    string | *""                       // path of the key file; if empty, files are not signed
-    life:    #Milliseconds & >=1000 | *30000    // ms for which a table is valid after its creation
-    whole_every: int & >=1 & <=1000 | *20       // number of change files between two complete files
-    under_way:   int & >=1 & <=64 | *16         // maximum number of concurrent writes
-    poll:    #Milliseconds & >=50 | *1000       // ms between polls of folders that cannot be watched
-    pace: {                                     // rate limit for each target
-        cap:   int & >=0 & <=1000 | *0          // maximum number of files per span; 0: unlimited
-        span:  #Milliseconds & >=100 | *10000   // length of the span, ms
-        least: #Milliseconds | *100             // minimum ms between two files
+    out:     #Folder | *"/var/lib/stackwheel/out"     // a folder for each zone, and for each forwarder that differs
+    answers: #Folder | *"/var/lib/stackwheel/answers" // where forwarders put theirs
+    state:   #Folder | *"/var/lib/stackwheel/state"   // what a reader must not forget
+    keys:    string | *""                       // a file of keys; without it files are not signed
+    life:    #Milliseconds & >=1000 | *30000    // a table may be used so long after it was made
+    whole_every: int & >=1 & <=1000 | *20       // changes between two whole files
+    under_way:   int & >=1 & <=64 | *16         // writes at once
+    poll:    #Milliseconds & >=50 | *1000       // where folders can't be watched, how often they are looked at
+    pace: {                                     // for one target
+        cap:   int & >=0 & <=1000 | *0          // files within the span; 0: no such limit
+        span:  #Milliseconds & >=100 | *10000
+        least: #Milliseconds | *100             // between two
     }
-    silent: {                                   // forwarders that receive nothing from their planner
-        silence: #Milliseconds & >=500 | *3000  // ms without a message after which a stream loses precedence
-        life:    #Milliseconds | *30000         // ms for which its tables remain valid after that
-        keep:    #Milliseconds | *10000         // ms for which expired tables are kept
-        after:   *"even" | "refuse"             // after that: distribute requests evenly or refuse them
+    silent: {                                   // a forwarder whose planner says nothing
+        silence: #Milliseconds & >=500 | *3000  // a stream unheard of for so long does not prevail
+        life:    #Milliseconds | *30000         // of its tables from then on
+        keep:    #Milliseconds | *10000         // of tables that are over their time
+        after:   *"even" | "refuse"             // then
     }
 }
 
-relay: {                                        // a relay process, `stackwheel relay`; planners ignore it
+relay: {                                        // a relay process, `stackwheel relay`; planners take no notice of it
     on:       bool | *false
-    name:     string | *""                      // name of the relay in the cell plan
-    upstream: string | *""                      // address of the discovery service, or comma-separated replicas
-    plan:     string | *"cells.json"            // path of the cell plan, relative to this file
+    name:     string | *""                      // its name in the plan
+    upstream: string | *""                      // the registry, "host:port", or its replicas with commas between
+    plan:     string | *"cells.json"            // the cell plan's file; relative to this file
 }
 """
 
