--- a/stackwheel/files/atomic_replace.py
+++ b/stackwheel/files/atomic_replace.py
@@ -10,7 +10,7 @@
 import errno
 from collections.abc import Iterator
 
-from stackwheel.files.disk import PART_SUFFIX, Disk, join
+from stackwheel.files.disk import TEMPORARY_SUFFIX, Disk, join
 from stackwheel.files.errors import ReplaceError, ReplaceStep
 
 
@@ -20,7 +20,7 @@
     Raises:
         ReplaceError: a step failed. Only when the last one did is the new file in place.
     """
-    temporary = join(folder, f".{name}{PART_SUFFIX}")
+    temporary = join(folder, f".{name}{TEMPORARY_SUFFIX}")
     try:
         _write_synced(disk, temporary, data)
         with _step(ReplaceStep.RENAME):
--- a/stackwheel/files/disk.py
+++ b/stackwheel/files/disk.py
@@ -12,7 +12,7 @@
 from stackwheel.files.errors import FileRejectedError, Stage
 
 SUFFIX = ".table"
-PART_SUFFIX = ".part"  # of a temporary file that has not been renamed yet
+TEMPORARY_SUFFIX = ".part"  # of a temporary file that has not been renamed yet
 MAX_NAME_LENGTH = 120  # characters; the longest name of ours has under 100
 READ_CHUNK_BYTES = 1 << 20
 
--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -17,7 +17,7 @@
 from stackwheel.files.disk import Disk, SystemDisk
 from stackwheel.files.environment import FileEnvironment, unix_ms
 from stackwheel.files.file_builder import PublisherSettings
-from stackwheel.files.publisher import FilePublisher, Folders
+from stackwheel.files.publisher import FilePublisher, PublisherFolders
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
 from stackwheel.files.reader import FileReader, ReaderConfig
@@ -183,7 +183,7 @@
     return FilePublisher(
         PublisherState("n0", names, 4, settings, ids.name, 1),
         PushScheduler(PushLimits(), 1),
-        Folders(str(folder / "out"), str(folder / "answers")),
+        PublisherFolders(str(folder / "out"), str(folder / "answers")),
         FileEnvironment(disk, unix_ms),
         posted.append,
         KEYS,
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Folders:
+class PublisherFolders:
     """Where a planner's files are.
 
     Attributes:
@@ -60,7 +60,7 @@
         self,
         state: PublisherState,
         scheduler: PushScheduler,
-        folders: Folders,
+        folders: PublisherFolders,
         environment: FileEnvironment,
         post: Callable[[PlannerMessage], None],
         keys: KeyRing = NO_KEYS,
--- a/stackwheel/files/reader.py
+++ b/stackwheel/files/reader.py
@@ -98,7 +98,7 @@
         apply_delay: ms from their making to their use.
         sequence: of the newest status.
         incarnation: of this process.
-        memory_saved: whether the memory could be saved the last time.
+        is_memory_saved: whether the memory could be saved the last time.
     """
 
     def __init__(
@@ -120,7 +120,7 @@
         self.apply_delay = 0.0
         self.sequence = 0
         self.incarnation = Incarnation()
-        self.memory_saved = True
+        self.is_memory_saved = True
 
     async def start(self) -> ReaderMemory:
         """Load the memory, or begin one that takes no reservation made before now."""
@@ -203,7 +203,7 @@
         saved = await self._record(acceptance, now)
         current = acceptance.current
         update = current.update
-        if self.expired(update):  # the disk took longer than the file may be used
+        if self.is_expired(update):  # the disk took longer than the file may be used
             return FileRejected(name, Stage.AGE, "its time was over once the memory was kept")
         if self.newest is None or update.created_at >= self.newest.update.created_at:
             self.newest = current
@@ -222,12 +222,12 @@
             failure = error
             # The reservations come again with the next file, and take effect once the memory can be saved.
             self.acceptor.memory = ReaderMemory(1, memory.valid_since, memory.applied, former.reservations)
-        if self.memory_saved != (failure is None):
-            self.memory_saved = failure is None
+        if self.is_memory_saved != (failure is None):
+            self.is_memory_saved = failure is None
             _log_memory_state(failure)
         return failure is None
 
-    def expired(self, update: TableUpdate) -> bool:
+    def is_expired(self, update: TableUpdate) -> bool:
         """Whether an update may no longer be used."""
         return update.expires_at <= self.now()
 
--- a/stackwheel/service/file_transport.py
+++ b/stackwheel/service/file_transport.py
@@ -14,7 +14,7 @@
 from stackwheel.files.errors import KeyFileError
 from stackwheel.files.file_builder import PublisherSettings
 from stackwheel.files.key_file import load_keys
-from stackwheel.files.publisher import FilePublisher, Folders
+from stackwheel.files.publisher import FilePublisher, PublisherFolders
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
 from stackwheel.service.ports import PlannerContext, ProxyTransport, TransportSetupError
@@ -51,7 +51,7 @@
     return FilePublisher(
         state,
         PushScheduler(limits, config.seed, files.max_concurrent_writes),
-        Folders(files.output_folder, files.reports_folder),
+        PublisherFolders(files.output_folder, files.reports_folder),
         FileEnvironment(SystemDisk(), context.clock.now),
         context.post,
         keys,
--- a/stackwheel/trials/defects/files.py
+++ b/stackwheel/trials/defects/files.py
@@ -78,7 +78,7 @@
     original = Acceptor.validate
     return [
         Patch(Acceptor, "validate", lambda self, update, now: original(self, update, min(now, update.created_at))),
-        Patch(FileReader, "expired", returns(False)),
+        Patch(FileReader, "is_expired", returns(False)),
     ]
 
 
--- a/stackwheel/trials/disks.py
+++ b/stackwheel/trials/disks.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from stackwheel.files.disk import PART_SUFFIX
+from stackwheel.files.disk import TEMPORARY_SUFFIX
 from stackwheel.trials.loop import do_nothing
 
 DEFAULT_DELAY_S = 0.002  # that an operation takes
@@ -50,7 +50,7 @@
     def create(self, path: str) -> int:
         """Open a file for writing; return its handle."""
         self.check_present()
-        if not path.endswith(PART_SUFFIX):
+        if not path.endswith(TEMPORARY_SUFFIX):
             self.on_written_in_place(path)
             self.files[path] = b""
         self.handle_count += 1
@@ -75,7 +75,7 @@
     def close(self, handle: int) -> None:
         """Close an open file."""
         file = self.open_files.pop(handle)
-        if not file.path.endswith(PART_SUFFIX):
+        if not file.path.endswith(TEMPORARY_SUFFIX):
             self.on_renamed(file.path, bytes(file.data))
         else:
             self.files[file.path] = bytes(file.data)
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -17,7 +17,7 @@
 from stackwheel.files.environment import FileEnvironment
 from stackwheel.files.file_builder import PublisherSettings
 from stackwheel.files.outcomes import FileApplied
-from stackwheel.files.publisher import FilePublisher, Folders
+from stackwheel.files.publisher import FilePublisher, PublisherFolders
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
 from stackwheel.files.records import FileVersion, Reservation
@@ -161,7 +161,7 @@
         publisher = FilePublisher(
             state,
             scheduler,
-            Folders("/out", "/answers"),
+            PublisherFolders("/out", "/answers"),
             FileEnvironment(disk, context.clock.now, self.disk_runner(disk)),
             partial(self.publisher_posted, planner, context),
             KEYS,
--- a/stackwheel/trials/file_proxies.py
+++ b/stackwheel/trials/file_proxies.py
@@ -83,7 +83,7 @@
         while True:
             for event in await self.reader.poll():
                 if isinstance(event, FileApplied):
-                    self.observer.file_used(self.proxy, event, self.reader.memory_saved)
+                    self.observer.file_used(self.proxy, event, self.reader.is_memory_saved)
                     self.apply_file(event)
             self.apply_choice()
             if loop.now - self.reported_at >= self.context.shape.report_interval / 1000.0:
--- a/tests/files/test_publisher.py
+++ b/tests/files/test_publisher.py
@@ -16,7 +16,7 @@
 from stackwheel.files.environment import system_environment, unix_ms
 from stackwheel.files.file_builder import PublisherSettings
 from stackwheel.files.outcomes import FileApplied
-from stackwheel.files.publisher import FilePublisher, Folders
+from stackwheel.files.publisher import FilePublisher, PublisherFolders
 from stackwheel.files.publisher_state import PublisherState
 from stackwheel.files.push_scheduler import PushLimits, PushScheduler
 from stackwheel.files.reader import FileReader, ReaderConfig, StatusReport
@@ -63,7 +63,7 @@
         ids = ServerIds()
         ids.register("a")
         state = PublisherState("n0", NAMES, 4, PublisherSettings(30_000.0, 20, 1000.0), ids.name, 7)
-        folders = Folders(str(self.root / "out"), str(self.root / "answers"))
+        folders = PublisherFolders(str(self.root / "out"), str(self.root / "answers"))
         scheduler = PushScheduler(PushLimits(), 1)
         return FilePublisher(
             state, scheduler, folders, system_environment(), self.posted.append, KEYS, poll_interval_s=0.02
