--- a/stackwheel/trials/context.py
+++ b/stackwheel/trials/context.py
@@ -73,7 +73,7 @@
         """The virtual time in ms, as the checker takes it."""
         return self.loop.now * 1000.0
 
-    def later(self, delay: float, callback: Callable[..., object], *args: object) -> None:
+    def schedule_after(self, delay: float, callback: Callable[..., object], *args: object) -> None:
         """Run something that belongs to no machine after a delay in s."""
         self.loop.schedule_at(self.loop.now + delay, None, callback, *args)
 
--- a/stackwheel/trials/endpoint_faults.py
+++ b/stackwheel/trials/endpoint_faults.py
@@ -27,27 +27,27 @@
     servers = servers_of(world, fault.servers)
     for index, server in enumerate(servers):
         delay = index * fault.span / max(1, len(servers))
-        world.context.later(delay, world.fleet.replace, server.slot)
+        world.context.schedule_after(delay, world.fleet.replace, server.slot)
 
 
 def fail_requests(fault: faults.Fail, world: World) -> None:
     """Let servers fail a share of their requests."""
     for server in servers_of(world, fault.servers):
         server.failing_share = fault.share
-        world.context.later(fault.span, setattr, server, "failing_share", 0.0)
+        world.context.schedule_after(fault.span, setattr, server, "failing_share", 0.0)
 
 
 def slow_down(fault: faults.Slow, world: World) -> None:
     """Take a share of servers' machines."""
     for server in servers_of(world, fault.servers):
         server.seized_share = min(MAX_SEIZED_SHARE, fault.share)
-        world.context.later(fault.span, setattr, server, "seized_share", 0.0)
+        world.context.schedule_after(fault.span, setattr, server, "seized_share", 0.0)
 
 
 def disturb_discovery(fault: faults.DiscoveryFault, world: World) -> None:
     """Let discovery refuse, fail, fall silent or be late."""
     world.discovery.set_fault(fault.mode, fault.delay)
-    world.context.later(fault.span, end_discovery_fault, world, fault.mode)
+    world.context.schedule_after(fault.span, end_discovery_fault, world, fault.mode)
 
 
 def end_discovery_fault(world: World, mode: str) -> None:
@@ -55,7 +55,7 @@
     if world.discovery.fault == mode:
         world.discovery.set_fault("", 0.0)
         for planner in world.planners:
-            world.notifications.reachable_now(planner.number)
+            world.notifications.mark_reachable(planner.number)
 
 
 def delay_watches(fault: faults.Lag, world: World) -> None:
@@ -63,7 +63,7 @@
     delays = world.discovery.watch_delays
     for relay in relays_of(world, fault.machines):
         delays[relay.machine.name] = fault.delay
-        world.context.later(fault.span, delays.pop, relay.machine.name, None)
+        world.context.schedule_after(fault.span, delays.pop, relay.machine.name, None)
 
 
 def make_unreadable(fault: faults.Unreadable, world: World) -> None:
@@ -72,7 +72,7 @@
     world.discovery.unreadable.update(dict.fromkeys(names))
     if world.relays is not None:
         world.relays.checks.forget(names)
-    world.context.later(fault.span, make_readable, world, names)
+    world.context.schedule_after(fault.span, make_readable, world, names)
 
 
 def make_readable(world: World, names: list[str]) -> None:
--- a/stackwheel/trials/fault_targets.py
+++ b/stackwheel/trials/fault_targets.py
@@ -22,7 +22,7 @@
 
 def servers_of(world: World, names: NameList) -> list[Server]:
     """The present servers of the slots that names stand for."""
-    return [world.fleet.present[slot] for slot in machine_numbers(names, world.shape, "server")]
+    return [world.fleet.current_servers[slot] for slot in machine_numbers(names, world.shape, "server")]
 
 
 def relays_of(world: World, names: NameList) -> list[RelayHost]:
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -115,7 +115,7 @@
             self.disks[planner.machine.name].on_renamed = partial(self.file_published, planner)
         for disk in self.disks.values():
             disk.on_written_in_place = partial(self.written_in_place, disk.owner)
-        context.later(RESERVATION_INTERVAL_S, self.make_reservations)
+        context.schedule_after(RESERVATION_INTERVAL_S, self.make_reservations)
 
     def report(self, detail: str, proxy: int | None = None) -> None:
         """Report that a file was used that may not be."""
@@ -190,7 +190,7 @@
             class_name = self.context.shape.classes[-1].name
             reservation = Reservation(f"b{self.reservations_made}", class_name, 1, now + RESERVATION_LIFETIME_MS, now)
             planner.publisher.state.reserve(reservation, now)
-        self.context.later(RESERVATION_INTERVAL_S, self.make_reservations)
+        self.context.schedule_after(RESERVATION_INTERVAL_S, self.make_reservations)
 
     # Pushes.
 
@@ -217,12 +217,12 @@
         disk = self.disks[proxy.machine.name]
         if generator.random() < fault.torn:
             first = generator.randrange(1, len(data))
-            context.later(delay, self.copy_beginning, disk, path, data, first)
+            context.schedule_after(delay, self.copy_beginning, disk, path, data, first)
             delay += TORN_SECOND_STEP_S * generator.random()
-        context.later(delay, disk.files.__setitem__, path, data)
+        context.schedule_after(delay, disk.files.__setitem__, path, data)
         if generator.random() < fault.duplicated:
             again = delay + DUPLICATE_DELAY_S * generator.random()
-            context.later(again, disk.files.__setitem__, path, data)
+            context.schedule_after(again, disk.files.__setitem__, path, data)
         if self.recent_files and generator.random() < fault.stale:
             stale = generator.choice(self.recent_files)
             folder = path.rpartition("/")[0]
@@ -240,7 +240,7 @@
         self.fault = fault
         if fault.max_delay > LARGE_DELAY_S or fault.lost or fault.torn:
             self.proxies_left(list(self.joined))
-        self.context.later(span, self.end_fault, fault)
+        self.context.schedule_after(span, self.end_fault, fault)
 
     def end_fault(self, fault: PushFault) -> None:
         """A fault ends, unless another has replaced it."""
@@ -286,7 +286,7 @@
             generator = self.context.random
             delay = generator.uniform(*PUSH_DURATION_S) + self.fault.max_delay * generator.random()
             disk = self.disks[planner.machine.name]
-            self.context.later(delay, self.answer_arrived, proxy, planner, disk, path, data)
+            self.context.schedule_after(delay, self.answer_arrived, proxy, planner, disk, path, data)
 
     def answer_arrived(self, proxy: Proxy, planner: PlannerHost, disk: SimulatedDisk, path: str, data: bytes) -> None:
         """A proxy's answer lies in its planner's folder: the proxy counts as joined again, if all is sound."""
--- a/stackwheel/trials/fleet.py
+++ b/stackwheel/trials/fleet.py
@@ -23,7 +23,7 @@
 
     Attributes:
         servers: By name, former ones included.
-        present: By slot: the server that has the place now.
+        current_servers: By slot: the server that runs there now.
         warming_up: By name: servers whose slow start is not over.
         listed_names: Names that discovery has ever listed.
         cell_records: What discovery lists of the planners' servers.
@@ -46,7 +46,7 @@
         for number in range(shape.servers):
             server = Server(f"s-{number}", number, zone_of(number, shape), shape)
             self.servers[server.name] = server
-        self.present = list(self.servers.values())
+        self.current_servers = list(self.servers.values())
         self.created = shape.servers
         self.warming_up: dict[str, Server] = {}
         self.listed_names: dict[str, None] = {}
@@ -75,7 +75,7 @@
         """Let discovery learn of changes, a moment late."""
         records = tuple(self.record_of(server) for server in servers)
         self.listed_names.update(dict.fromkeys(record.name for record in records))
-        self.context.later(self.context.random.uniform(*LIST_CHANGE_DELAY_S), self.change_list, records)
+        self.context.schedule_after(self.context.random.uniform(*LIST_CHANGE_DELAY_S), self.change_list, records)
 
     def change_list(self, records: tuple[ServerRecord, ...]) -> None:
         """Discovery has learnt of changes."""
@@ -109,11 +109,11 @@
         server.availability = Availability.REMOVED
         self.schedule_list_change(server)
         if restart_after:
-            self.context.later(restart_after, self.restart, server, server.incarnation)
+            self.context.schedule_after(restart_after, self.restart, server, server.incarnation)
 
     def restart(self, server: Server, incarnation: int) -> None:
         """Start a server that crashed, unless it has been started or replaced meanwhile."""
-        if server.incarnation == incarnation and self.present[server.slot] is server:
+        if server.incarnation == incarnation and self.current_servers[server.slot] is server:
             self.start(server)
 
     def drain(self, server: Server, removed_after: float, restart_after: float) -> None:
@@ -122,7 +122,7 @@
             return
         server.availability = Availability.DRAINING
         self.schedule_list_change(server)
-        self.context.later(removed_after, self.end_drained, server, server.incarnation, restart_after)
+        self.context.schedule_after(removed_after, self.end_drained, server, server.incarnation, restart_after)
 
     def end_drained(self, server: Server, incarnation: int, restart_after: float) -> None:
         """End a server that was drained, if it is still the same incarnation."""
@@ -131,13 +131,13 @@
 
     def replace(self, slot: int) -> None:
         """Drain the server of a slot for good and start a new one in its place."""
-        former = self.present[slot]
+        former = self.current_servers[slot]
         self.drain(former, REPLACEMENT_DRAIN_S, 0.0)
         server = Server(f"s-{self.created}", self.created, former.zone, self.context.shape)
         server.slot = slot
         self.created += 1
         self.servers[server.name] = server
-        self.present[slot] = server
+        self.current_servers[slot] = server
         self.start(server)
 
     # What servers report.
--- a/stackwheel/trials/load_faults.py
+++ b/stackwheel/trials/load_faults.py
@@ -15,17 +15,17 @@
     """Change the demand of proxies by a factor."""
     for proxy in proxies_of(world, fault.proxies):
         proxy.demand_factor = fault.factor
-        world.context.later(fault.span, setattr, proxy, "demand_factor", 1.0)
+        world.context.schedule_after(fault.span, setattr, proxy, "demand_factor", 1.0)
     world.clients.rates_changed()
-    world.context.later(fault.span, world.clients.rates_changed)
+    world.context.schedule_after(fault.span, world.clients.rates_changed)
 
 
 def disturb_reports(fault: faults.Reports, world: World) -> None:
     """Let reports be late or malformed, and reset the collectors' connections if the flag is set."""
     world.reports.delay = fault.delay
     world.reports.malformed_share = fault.malformed
-    world.context.later(fault.span, setattr, world.reports, "delay", 0.0)
-    world.context.later(fault.span, setattr, world.reports, "malformed_share", 0.0)
+    world.context.schedule_after(fault.span, setattr, world.reports, "delay", 0.0)
+    world.context.schedule_after(fault.span, setattr, world.reports, "malformed_share", 0.0)
     if fault.resets_connections:
         for collector in world.collectors:
             if collector.transport is not None:
@@ -59,8 +59,8 @@
     """Let one disk be full, missing or slow for the span of the fault."""
     if fault.mode == "slow":
         disk.delay = fault.delay
-        world.context.later(fault.span, setattr, disk, "delay", DEFAULT_DELAY_S)
+        world.context.schedule_after(fault.span, setattr, disk, "delay", DEFAULT_DELAY_S)
         return
     attribute = "missing" if fault.mode == "gone" else "full"
     setattr(disk, attribute, True)
-    world.context.later(fault.span, setattr, disk, attribute, False)
+    world.context.schedule_after(fault.span, setattr, disk, attribute, False)
--- a/stackwheel/trials/monitor.py
+++ b/stackwheel/trials/monitor.py
@@ -120,7 +120,7 @@
             if planner.running and not planner.machine.stalled and checker.planners.get(planner.number) is not None:
                 for reason in exceeded_bounds(planner.bounded_sizes()):
                     checker.report_violation(self.context.now_ms(), Rule.BOUNDED, reason, planner.number)
-        self.context.later(BOUNDS_INTERVAL_S, self.check_bounds)
+        self.context.schedule_after(BOUNDS_INTERVAL_S, self.check_bounds)
 
     def error_logged(self, message: Any) -> None:
         """Something was logged as an error: no task may die, no batch fail."""
--- a/stackwheel/trials/network_faults.py
+++ b/stackwheel/trials/network_faults.py
@@ -29,8 +29,8 @@
     paths = list(dict.fromkeys(paths))
     for source, target in paths:
         world.network.cut(source, target)
-    world.streams_cut()
-    world.context.later(fault.span, heal, world, paths)
+    world.count_cut_streams_as_left()
+    world.context.schedule_after(fault.span, heal, world, paths)
 
 
 def heal(world: World, paths: list[tuple[str, str]]) -> None:
@@ -43,7 +43,7 @@
             continue
         world.channels.allow_burst(planner.number)
         if "discovery" in touched:
-            world.notifications.reachable_now(planner.number)
+            world.notifications.mark_reachable(planner.number)
 
 
 def reset_streams(fault: faults.Reset, world: World) -> None:
@@ -81,7 +81,7 @@
     """Slow the network down, fragment writes, and let updates take longer."""
     change_conditions(world, fault.span, latency_factor=fault.latency_factor, fragmented=fault.fragmented)
     world.context.transit_factor = fault.transit_factor
-    world.context.later(fault.span, setattr, world.context, "transit_factor", 1.0)
+    world.context.schedule_after(fault.span, setattr, world.context, "transit_factor", 1.0)
 
 
 def change_conditions(world: World, span: float, **figures: float) -> None:
@@ -89,7 +89,7 @@
     defaults = Conditions()
     for name, value in figures.items():
         setattr(world.network.conditions, name, value)
-        world.context.later(span, setattr, world.network.conditions, name, getattr(defaults, name))
+        world.context.schedule_after(span, setattr, world.network.conditions, name, getattr(defaults, name))
 
 
 class UnidentifiedClient(LineProtocol):
--- a/stackwheel/trials/notifications.py
+++ b/stackwheel/trials/notifications.py
@@ -36,10 +36,10 @@
 
     def planner_started(self, planner: int) -> None:
         """A planner begins with the list as it is now."""
-        self.reachable_now(planner)
+        self.mark_reachable(planner)
         self.notified_generation[planner] = self.discovery.generation
 
-    def reachable_now(self, planner: int) -> None:
+    def mark_reachable(self, planner: int) -> None:
         """The way to discovery is open from now on."""
         self.reachable_since[planner] = self.context.loop.now
 
@@ -77,7 +77,7 @@
 
     def update_sent(self, call: DiscoveryCall, update: SentUpdate) -> None:
         """What was written counts as received after a while, where the path is open, whether it arrived or not."""
-        self.context.later(NOTIFICATION_DEADLINE_MS / 1000.0, self.count_as_received, call, update)
+        self.context.schedule_after(NOTIFICATION_DEADLINE_MS / 1000.0, self.count_as_received, call, update)
 
     def count_as_received(self, call: DiscoveryCall, update: SentUpdate) -> None:
         """The time has passed after which an update counts."""
@@ -100,7 +100,7 @@
     def expect_polls(self) -> None:
         """The list has changed: planners that neither watch nor poll in time count as notified."""
         delay = self.context.shape.list_poll_deadline / 1000.0 + NOTIFICATION_DEADLINE_MS / 1000.0
-        self.context.later(delay, self.poll_deadline_passed, self.discovery.generation, self.context.loop.now)
+        self.context.schedule_after(delay, self.poll_deadline_passed, self.discovery.generation, self.context.loop.now)
 
     def poll_deadline_passed(self, generation: int, since: float) -> None:
         """Planners that could have polled since a generation came up count as having received the list."""
--- a/stackwheel/trials/process_faults.py
+++ b/stackwheel/trials/process_faults.py
@@ -21,7 +21,7 @@
     for relay in relays_of(world, fault.planners):
         if relay.running:
             relay.kill(fault.resets_connections)
-            world.context.later(max(MIN_RESTART_S, fault.restart_after), relay.start)
+            world.context.schedule_after(max(MIN_RESTART_S, fault.restart_after), relay.start)
 
 
 def kill_planner(world: World, planner: PlannerHost, restart_after: float, resets_connections: bool = True) -> None:
@@ -32,14 +32,14 @@
     if not resets_connections:
         for proxy in world.proxies:
             proxy.planner_vanished(planner.number)
-    world.context.later(max(MIN_RESTART_S, restart_after), planner.start)
+    world.context.schedule_after(max(MIN_RESTART_S, restart_after), planner.start)
 
 
 def stall(fault: faults.Stall, world: World) -> None:
     """Stall processes, as often as the fault demands."""
     period = max(fault.period, fault.span + STALL_PAUSE_S)
     for repetition in range(fault.repetitions):
-        world.context.later(repetition * period, stall_once, world, fault)
+        world.context.schedule_after(repetition * period, stall_once, world, fault)
 
 
 def stall_once(world: World, fault: faults.Stall) -> None:
@@ -58,7 +58,7 @@
 def stall_machine(world: World, machine: Machine, span: float) -> None:
     """Stall a machine for a span (s)."""
     world.loop.set_stalled(machine, True)
-    world.context.later(span, world.loop.set_stalled, machine, False)
+    world.context.schedule_after(span, world.loop.set_stalled, machine, False)
 
 
 def stall_planner(world: World, planner: PlannerHost, span: float) -> None:
@@ -73,7 +73,7 @@
     world.loop.set_stalled(proxy.process, True)
     world.loop.set_stalled(proxy.machine, stops_reading)
     world.checker.suspend_proxy_limits(proxy.number, world.context.now_ms() + span * 1000.0)
-    world.context.later(span, wake_proxy, world, proxy, proxy.machine, proxy.process)
+    world.context.schedule_after(span, wake_proxy, world, proxy, proxy.machine, proxy.process)
 
 
 def wake_proxy(world: World, proxy: Proxy, machine: Machine, process: Machine) -> None:
@@ -95,7 +95,7 @@
     if not proxy.machine.alive:
         return
     proxy.stop()
-    world.context.later(max(MIN_RESTART_S, restart_after), proxy.start_new_incarnation)
+    world.context.schedule_after(max(MIN_RESTART_S, restart_after), proxy.start_new_incarnation)
 
 
 def lose_zone(fault: faults.LoseZone, world: World) -> None:
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -203,7 +203,7 @@
         self.other_records[number] = now
         self.discovery.change([now])
         self.checks.remember([now])
-        self.context.later(self.random.uniform(*OTHER_CHANGE_INTERVAL_S), self.change_other_cell)
+        self.context.schedule_after(self.random.uniform(*OTHER_CHANGE_INTERVAL_S), self.change_other_cell)
 
     # The run.
 
@@ -225,7 +225,7 @@
         for planner in self.planners:
             self.checks.pass_time(planner.number, self.open_since(planner.number))
             self.checks.check_planner(planner)
-        self.context.later(CHECK_INTERVAL_S, self.check_paths)
+        self.context.schedule_after(CHECK_INTERVAL_S, self.check_paths)
 
     def check_path(self, relay: RelayHost, planner: PlannerHost, now: float) -> None:
         """Note whether a path is open, and since when between the present incarnations."""
--- a/stackwheel/trials/requests.py
+++ b/stackwheel/trials/requests.py
@@ -126,7 +126,7 @@
             request = Request(self.request_count, class_index, now, deadline, context.shape.client_retries)
             proxy = self.proxies[proxy_index]
             context.loop.schedule_at(now, proxy.process, proxy.receive_request, request)
-        context.later(context.random.expovariate(max(1.0, total)), self.make_next_request)
+        context.schedule_after(context.random.expovariate(max(1.0, total)), self.make_next_request)
 
     def finish(self, request: Request, proxy: RequestReceiver, good: bool, decided_at: float) -> None:
         """A final answer goes to a client at once; the client may ask again.
--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -36,7 +36,7 @@
                 continue
             load = sum(self.load_from(proxy, server, now) for proxy in self.proxies)
             checker.warming_server_load(name, load, server.capacity(now), now * 1000.0)
-        self.context.later(CHECK_INTERVAL_S, self.check)
+        self.context.schedule_after(CHECK_INTERVAL_S, self.check)
 
     def load_from(self, proxy: Proxy, server: Server, now: float) -> float:
         """Work a second (ms of a core) that a proxy sends to a server which its planner knows to be warming up."""
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -80,7 +80,7 @@
         if self.shape.files:
             self.files = FileExchange(self.context, self.fleet, self.planners, self.proxies)
             self.proxy_parts.start_reading_files = self.files.start_proxy
-        self.clients.set_demand(self.fleet.present)
+        self.clients.set_demand(self.fleet.current_servers)
 
         self.monitor = Monitor(self.context, self.channels, self.planners, self.relays)
         self.warmup_monitor = WarmupMonitor(self.context, self.fleet, self.channels, self.proxies)
@@ -169,9 +169,9 @@
             first_report = FIRST_REPORT_S + REPORT_STAGGER_S * collector.planner.number
             self.loop.schedule_at(COLLECTOR_START_S, collector.machine, collector.dial)
             self.loop.schedule_at(first_report, collector.machine, collector.send_load_reports)
-        self.context.later(FIRST_REQUEST_S, self.clients.make_next_request)
-        self.context.later(WARMUP_CHECK_S, self.warmup_monitor.check)
-        self.context.later(BOUNDS_INTERVAL_S, self.monitor.check_bounds)
+        self.context.schedule_after(FIRST_REQUEST_S, self.clients.make_next_request)
+        self.context.schedule_after(WARMUP_CHECK_S, self.warmup_monitor.check)
+        self.context.schedule_after(BOUNDS_INTERVAL_S, self.monitor.check_bounds)
 
     # What planners' machines need (`PlannerEnvironment`).
 
@@ -232,7 +232,7 @@
 
     # What concerns several parts.
 
-    def streams_cut(self) -> None:
+    def count_cut_streams_as_left(self) -> None:
         """A cut has begun: streams across it count as left; who hears nothing any more finds that out."""
         if self.files is not None:
             self.files.cut_began()
--- a/tests/trials/test_failure_scenarios.py
+++ b/tests/trials/test_failure_scenarios.py
@@ -84,7 +84,7 @@
             if removes and not killed:
                 killed.append(self.loop.now)
                 planner = self.planners[stream.planner]
-                self.context.later(0.0, kill_planner, self, planner, 0.5, resets_connections)
+                self.context.schedule_after(0.0, kill_planner, self, planner, 0.5, resets_connections)
 
     world = KillingWorld(faults.Drain(8.0, ("server-0",), 15.0))
     world.run_without_verdicts()
@@ -155,7 +155,7 @@
     world = ObservedWorld(faults.LoseZone(8.0, 0, 4.0, proxies=True), faults.Kill(8.1, ("planners",), 3.0))
     world.run_without_verdicts()
     assert [planner.incarnation for planner in world.planners] == [2, 2]
-    returned = [server for server in world.fleet.present if server.zone == 0]
+    returned = [server for server in world.fleet.current_servers if server.zone == 0]
     assert all(server.incarnation == 1 and server.alive and not server.overloaded for server in returned)
     used = {attempt.server for attempt in world.recorded_attempts if attempt.at > 26.0}
     assert used >= {server.name for server in returned}
@@ -193,9 +193,9 @@
     def observe() -> None:
         nonlocal largest
         largest = max(largest, len(planner.machine.parked_callbacks))
-        world.context.later(0.1, observe)
+        world.context.schedule_after(0.1, observe)
 
-    world.context.later(6.0, observe)
+    world.context.schedule_after(6.0, observe)
     world.run_without_verdicts()
     assert largest > 20
 
--- a/tests/trials/test_relay_scenarios.py
+++ b/tests/trials/test_relay_scenarios.py
@@ -68,7 +68,7 @@
         for relay in world.relays.hosts if world.relays is not None else ():
             if relay.service is not None and not hasattr(relay.service.cache.answer, "watched"):
                 relay.service.cache.answer = watched(relay.service.cache.answer)  # type: ignore[method-assign]
-        world.context.later(0.05, watch_relays)
+        world.context.schedule_after(0.05, watch_relays)
 
     def watched(original: Any) -> Any:
         def answer(*args: Any) -> Any:
@@ -81,7 +81,7 @@
         answer.watched = True  # type: ignore[attr-defined]
         return answer
 
-    world.context.later(0.01, watch_relays)
+    world.context.schedule_after(0.01, watch_relays)
     assert verdicts(world) == []
     assert "behind what the caller knows" in reasons
 
