--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -37,7 +37,7 @@
     run_seeds,
 )
 from stackwheel.trials.script import Script, ScriptError, describe, encode, load
-from stackwheel.trials.shrink import MAX_RUNS, Shrinker, Shrunk
+from stackwheel.trials.shrink import MAX_RUNS, Shrinker, ShrinkResult
 from stackwheel.trials.simulation import run_script
 
 MAX_SEEDS = 10_000_000  # of one run; more would take weeks
@@ -144,7 +144,7 @@
     except OSError as error:
         raise click.UsageError(f"{out}: {error.strerror or error}") from error
     click.echo("\n".join(describe(shrunk.script)))
-    click.echo(f"breaks at {shrunk.at:.2f} s: {shrunk.rule.value}; {shrunk.runs} trials; saved as {out}")
+    click.echo(f"breaks at {shrunk.broken_at:.2f} s: {shrunk.rule.value}; {shrunk.runs} trials; saved as {out}")
     return 0
 
 
@@ -232,7 +232,7 @@
     return stopped
 
 
-def shrink_script(script: Script, name: str, rule_name: str | None, max_runs: int) -> Shrunk:
+def shrink_script(script: Script, name: str, rule_name: str | None, max_runs: int) -> ShrinkResult:
     """Shrink a script by the rule that it breaks first, or by a given one; a usage error if it breaks none."""
     rule = None if rule_name is None else Rule[rule_name.upper()]
     violations = [violation for violation in run_script(script).verdicts if rule in (None, violation.rule)]
--- a/stackwheel/cli/trial_output.py
+++ b/stackwheel/cli/trial_output.py
@@ -10,8 +10,8 @@
 
 from stackwheel.trials.defects.planting import Defect
 from stackwheel.trials.defects.search import SearchResult
-from stackwheel.trials.measure import Row
-from stackwheel.trials.runner import Summary, by_rule
+from stackwheel.trials.measure import Measurement
+from stackwheel.trials.runner import Summary, group_by_rule
 from stackwheel.trials.simulation import Result
 
 MAX_BROKEN_SEEDS = 20  # shown one by one
@@ -36,7 +36,7 @@
     """Broken seeds, if there are any, and one line on the run."""
     if summary.broken:
         console.print(broken_seeds_table(summary))
-        for rule, results in by_rule(summary.broken).items():
+        for rule, results in group_by_rule(summary.broken).items():
             console.print(f"{rule.value}: {len(results)} seeds, the first {results[0].seed}")
     console.print(summary_line(summary, jobs, stopped))
 
@@ -110,7 +110,7 @@
     return f"{defect.name:26} {defect.layer:16} {result.seeds_run:>5} {result.seed:>6}  {rule}"
 
 
-def measurement_line(row: Row) -> str:
+def measurement_line(row: Measurement) -> str:
     """What a virtual second costs at one size."""
     return (
         f"{row.proxies:4} proxies {row.servers:4} servers {row.planners} planners: "
--- a/stackwheel/trials/defects/planting.py
+++ b/stackwheel/trials/defects/planting.py
@@ -25,14 +25,14 @@
     Attributes:
         name: How the command line names it.
         layer: The part of the program that it is planted in.
-        visible_rules: The rules that it may break.
+        expected_rules: The rules that it may break.
         patches: Makes the patches; called anew at each planting.
         description: What the program does wrong, in a few words.
     """
 
     name: str
     layer: str
-    visible_rules: tuple[Rule, ...]
+    expected_rules: tuple[Rule, ...]
     patches: Callable[[], Sequence[Patch]]
     description: str
 
--- a/stackwheel/trials/defects/search.py
+++ b/stackwheel/trials/defects/search.py
@@ -11,7 +11,7 @@
 from stackwheel.trials.defects.files import FILE_DEFECTS
 from stackwheel.trials.defects.planting import Defect, planted
 from stackwheel.trials.defects.relay import RELAY_DEFECTS
-from stackwheel.trials.runner import SeedResult, leave_interrupts, run_seed
+from stackwheel.trials.runner import SeedResult, ignore_interrupts, run_seed
 
 NO_SEED = -1
 
@@ -33,9 +33,9 @@
     rule: Rule | None
 
 
-def rules_showing(defect: Defect, result: SeedResult) -> set[Rule]:
+def detecting_rules(defect: Defect, result: SeedResult) -> set[Rule]:
     """Return the broken rules of a run that show the defect."""
-    return {verdict.rule for verdict in result.verdicts if verdict.rule in defect.visible_rules}
+    return {verdict.rule for verdict in result.verdicts if verdict.rule in defect.expected_rules}
 
 
 def search(name: str, seeds: Sequence[int]) -> SearchResult:
@@ -46,7 +46,7 @@
     relays = defect in RELAY_DEFECTS
     for count, seed in enumerate(seeds, 1):
         with planted(defect):
-            showing = rules_showing(defect, run_seed(seed, files, relays))
+            showing = detecting_rules(defect, run_seed(seed, files, relays))
         if not showing:
             continue
         broken_anyway = {verdict.rule for verdict in run_seed(seed, files, relays).verdicts}
@@ -58,5 +58,5 @@
 
 def search_all(names: Sequence[str], seeds: Sequence[int], jobs: int) -> Iterator[SearchResult]:
     """Search for each defect in a process of its own; results come in the order of the names."""
-    with ProcessPoolExecutor(jobs, initializer=leave_interrupts) as pool:
+    with ProcessPoolExecutor(jobs, initializer=ignore_interrupts) as pool:
         yield from pool.map(search, names, [seeds] * len(names))
--- a/stackwheel/trials/measure.py
+++ b/stackwheel/trials/measure.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class Measurement:
     """One size, measured.
 
     Attributes:
@@ -123,13 +123,13 @@
         return call
 
 
-def measure(span: float) -> Iterator[Row]:
+def measure(span: float) -> Iterator[Measurement]:
     """Measure each size over a span of virtual seconds."""
     for size in SIZES:
         began = time.process_time()
         result = run_world(World(script_of(size, span)))
         cpu_seconds = time.process_time() - began
-        yield Row(
+        yield Measurement(
             size.planners,
             size.proxies,
             size.servers,
--- a/stackwheel/trials/relay_checks.py
+++ b/stackwheel/trials/relay_checks.py
@@ -108,7 +108,7 @@
         self.deviations: dict[tuple[int, int], dict[str, float]] = {}
         self.history: dict[str, list[ServerRecord]] = {}
         self.last_notified: dict[int, dict[str, int]] = {}
-        self.remember(tuple(discovery.records.values()))
+        self.add_to_history(tuple(discovery.records.values()))
 
     def report(self, detail: str, planner: int | None, server: str | None = None) -> None:
         """Report that a planner does not hold its part of the registry's list."""
@@ -121,7 +121,7 @@
         self.last_notified[planner] = {name: len(records) - 1 for name, records in self.history.items()}
         self.unnotified[planner] = deque()
 
-    def remember(self, records: Sequence[ServerRecord]) -> None:
+    def add_to_history(self, records: Sequence[ServerRecord]) -> None:
         """Add to the history."""
         for record in records:
             self.history.setdefault(record.name, []).append(record)
@@ -134,12 +134,12 @@
 
     def records_changed(self, records: Sequence[ServerRecord]) -> None:
         """The registry has written a change."""
-        self.remember(records)
+        self.add_to_history(records)
         readable = tuple(record for record in records if record.name not in self.discovery.unreadable)
         for changes in self.unnotified.values():
             changes.append(UnnotifiedChange(self.context.loop.now, readable))
 
-    def forget(self, names: Sequence[str]) -> None:
+    def discard_unnotified(self, names: Sequence[str]) -> None:
         """Entries of servers can't be read from here on: nothing of them counts until they are sent again."""
         for planner, changes in self.unnotified.items():
             self.unnotified[planner] = deque(
@@ -149,7 +149,7 @@
                 for change in changes
             )
 
-    def pass_time(self, planner: int, open_since: float | None) -> None:
+    def assume_notified(self, planner: int, open_since: float | None) -> None:
         """Count changes as notified after a while, where a path has been open long enough.
 
         That is for as long as a planner may take until it polls, and the time until what was written counts.
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -202,7 +202,7 @@
             now = self.other_record(number, (EPOCH_S + self.context.loop.now) * 1000.0)
         self.other_records[number] = now
         self.discovery.change([now])
-        self.checks.remember([now])
+        self.checks.add_to_history([now])
         self.context.later(self.random.uniform(*OTHER_CHANGE_INTERVAL_S), self.change_other_cell)
 
     # The run.
@@ -223,7 +223,7 @@
         if self.is_disturbed():
             self.last_change_at = now
         for planner in self.planners:
-            self.checks.pass_time(planner.number, self.open_since(planner.number))
+            self.checks.assume_notified(planner.number, self.open_since(planner.number))
             self.checks.check_planner(planner)
         self.context.later(CHECK_INTERVAL_S, self.check_paths)
 
--- a/stackwheel/trials/runner.py
+++ b/stackwheel/trials/runner.py
@@ -130,7 +130,7 @@
     return [run_seed(seed, relays=True) for seed in seeds]
 
 
-def leave_interrupts() -> None:
+def ignore_interrupts() -> None:
     """Ctrl-C goes to every process of the terminal; the first one decides."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
@@ -146,7 +146,7 @@
             yield from chunk([seed])
         return
     chunks = [seeds[at : at + CHUNK_SEEDS] for at in range(0, len(seeds), CHUNK_SEEDS)]
-    pool = ProcessPoolExecutor(jobs, initializer=leave_interrupts)
+    pool = ProcessPoolExecutor(jobs, initializer=ignore_interrupts)
     running: dict[Future[list[SeedResult]], int] = {}
     done: dict[int, list[SeedResult]] = {}
     submitted = 0
@@ -170,7 +170,7 @@
     return os.cpu_count() or 1
 
 
-def by_rule(results: Sequence[SeedResult]) -> dict[Rule, list[SeedResult]]:
+def group_by_rule(results: Sequence[SeedResult]) -> dict[Rule, list[SeedResult]]:
     """The results that broke each rule, in the order in which rules come up."""
     groups: dict[Rule, list[SeedResult]] = {}
     for result in results:
--- a/stackwheel/trials/shrink.py
+++ b/stackwheel/trials/shrink.py
@@ -26,12 +26,12 @@
 
 
 @dataclass(slots=True)
-class Shrunk:
+class ShrinkResult:
     """The smallest script found, the rule that it breaks, when (s), and how many trials that took."""
 
     script: Script
     rule: Rule
-    at: float
+    broken_at: float
     runs: int
 
 
@@ -40,7 +40,7 @@
 
     Attributes:
         best: The smallest script so far.
-        at: When it breaks the rule, in s.
+        broken_at: When it breaks the rule, in s.
         runs: Trials so far.
     """
 
@@ -55,7 +55,7 @@
         self.rule = rule
         self.runs_left = max_runs
         self.find_break = find_break or first_break
-        self.at = 0.0
+        self.broken_at = 0.0
         self.runs = 0
 
     def still_breaks(self, script: Script) -> bool:
@@ -68,14 +68,14 @@
             return False
         self.runs_left -= 1
         self.runs += 1
-        at = self.find_break(script, self.rule)
-        if at is None:
+        broken_at = self.find_break(script, self.rule)
+        if broken_at is None:
             return False
         self.best = script
-        self.at = at
+        self.broken_at = broken_at
         return True
 
-    def run(self) -> Shrunk:
+    def run(self) -> ShrinkResult:
         """Shrink the script; the result is the script itself where nothing smaller breaks the rule.
 
         Raises:
@@ -91,11 +91,11 @@
             self.drop_names()
             self.reduce_shape()
             self.shorten()
-        return Shrunk(self.best, self.rule, self.at, self.runs)
+        return ShrinkResult(self.best, self.rule, self.broken_at, self.runs)
 
     def shorten(self) -> None:
         """End the script soon after the break."""
-        span = round(min(self.best.span, self.at + KEPT_AFTER_BREAK_S), 1)
+        span = round(min(self.best.span, self.broken_at + KEPT_AFTER_BREAK_S), 1)
         if span < self.best.span:
             faults = tuple(fault for fault in self.best.faults if fault.at <= span)
             self.still_breaks(msgspec.structs.replace(self.best, span=span, faults=faults))
@@ -165,7 +165,7 @@
     return min(times) / 1000.0 if times else None
 
 
-def shrink(script: Script, rule: Rule | None = None, max_runs: int = MAX_RUNS) -> Shrunk:
+def shrink(script: Script, rule: Rule | None = None, max_runs: int = MAX_RUNS) -> ShrinkResult:
     """Shrink a script; where no rule is named, by the one that breaks first.
 
     Raises:
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -149,4 +149,4 @@
 
 def test_defects_cover_all_rules() -> None:
     assert len(ALL_DEFECTS) >= 15
-    assert {rule for defect in ALL_DEFECTS for rule in defect.visible_rules} == set(Rule)
+    assert {rule for defect in ALL_DEFECTS for rule in defect.expected_rules} == set(Rule)
--- a/tests/trials/test_defects.py
+++ b/tests/trials/test_defects.py
@@ -7,7 +7,7 @@
 from stackwheel.trials.defects.catalogue import ALL_DEFECTS
 from stackwheel.trials.defects.files import FILE_DEFECTS
 from stackwheel.trials.defects.planting import Defect, planted
-from stackwheel.trials.defects.search import rules_showing
+from stackwheel.trials.defects.search import detecting_rules
 from stackwheel.trials.runner import run_seed
 
 FIRST_SEEDS: dict[str, int] = {  # the first that shows each
@@ -51,7 +51,7 @@
 def test_each_defect_is_found(defect: Defect) -> None:
     seed = FIRST_SEEDS[defect.name]
     with planted(defect):
-        showing = rules_showing(defect, run_seed(seed, defect in FILE_DEFECTS))
+        showing = detecting_rules(defect, run_seed(seed, defect in FILE_DEFECTS))
     assert showing, f"{defect.description}: not found on seed {seed}"
     assert not showing <= {verdict.rule for verdict in run_seed(seed, defect in FILE_DEFECTS).verdicts}
 
--- a/tests/trials/test_relay_checks.py
+++ b/tests/trials/test_relay_checks.py
@@ -74,8 +74,8 @@
     assert world.relays is not None
     checks = world.relays.checks
     state = StreamState()
-    checks.remember([change_in_registry(world, "s-1", Availability.DRAINING)])
-    checks.remember([change_in_registry(world, "s-1", Availability.READY)])
+    checks.add_to_history([change_in_registry(world, "s-1", Availability.DRAINING)])
+    checks.add_to_history([change_in_registry(world, "s-1", Availability.READY)])
     checks.read_document(0, state, list_document(5, ("s-1", "terminating")))
     checks.read_document(0, state, list_document(6, ("s-1", "in_service")))
     assert world.checker.violations == []
@@ -133,7 +133,7 @@
         (111.1, 95.0, True),
     ):
         world.loop.now = now
-        checks.pass_time(0, open_since)
+        checks.assume_notified(0, open_since)
         assert ("s-1" in away) is notified
-    checks.pass_time(1, 0.0)
+    checks.assume_notified(1, 0.0)
     assert "s-1" in world.checker.planners[1].unavailable_since
--- a/tests/trials/test_relay_scenarios.py
+++ b/tests/trials/test_relay_scenarios.py
@@ -12,7 +12,7 @@
 from stackwheel.relay.messages import UnavailableError
 from stackwheel.trials.defects.planting import Defect, planted
 from stackwheel.trials.defects.relay import RELAY_DEFECTS
-from stackwheel.trials.defects.search import rules_showing
+from stackwheel.trials.defects.search import detecting_rules
 from stackwheel.trials.draw import draw
 from stackwheel.trials.network import Dial
 from stackwheel.trials.runner import run_one
@@ -51,7 +51,7 @@
 def test_each_defect_of_a_relay_is_found(defect: Defect) -> None:
     """Without it the script keeps every rule: see test_stored_script_breaks_no_rule."""
     with planted(defect):
-        assert rules_showing(defect, run_one(stored_script(SCRIPT_OF_DEFECT[defect.name])))
+        assert detecting_rules(defect, run_one(stored_script(SCRIPT_OF_DEFECT[defect.name])))
 
 
 def test_relay_trial_replays_and_its_seeds_draw_other_scripts() -> None:
