--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -1,4 +1,4 @@
-"""The actor of one accepted connection: reads messages, writes its mailbox, and closes on errors of its own."""
+"""An accepted connection: decodes and dispatches the messages it receives, and writes the messages queued for it."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from stackwheel.wire.connection_limits import BufferBudget, RateLimiter
 from stackwheel.wire.line_codec import (
     MAX_MESSAGE_BYTES,
+    MAX_QUOTED_CHARACTERS,
     MAX_UNIDENTIFIED_BYTES,
     NACK,
     PONG,
-    SHOWN_CHARACTERS,
     LineSplitter,
     check_partial_line,
     decode,
@@ -35,22 +35,22 @@
     Message,
     PingMessage,
     ProtocolViolationError,
-    columns_in_order,
+    order_columns,
 )
 
 
 class ConnectionContext(NamedTuple):
-    """What all connections of one planner share.
+    """Resources shared by all connections of a planner.
 
     Attributes:
-        names: zones, classes and load columns of the settings.
-        proxy_count: proxies are numbered below it.
+        names: configured names of the zones, request classes and load columns.
+        proxy_count: number of proxies; proxies are numbered from 0.
         post: puts an item into the planner actor's mailbox; never blocks.
-        on_identified: called with True once a connection is a stream or a collector, and with False once its proxy has
-            another stream.
-        limiter: the limiter of a proxy, whatever connection it has.
-        buffer_budget: the common limit on buffered bytes.
-        is_listed: whether a server is in the endpoint list.
+        on_identified: called with True when a connection has identified itself as a stream or a collector, and with
+            False when its proxy has opened another stream.
+        limiter: returns the rate limiter of a proxy, which is shared by its successive connections.
+        buffer_budget: limit on the bytes that all connections buffer.
+        is_listed: returns whether a server is in the endpoint list.
     """
 
     names: ConfiguredNames
@@ -63,22 +63,23 @@
 
 
 class Connection:
-    """One connection: a proxy's stream, a collector, or unidentified. All times are s of the event loop's clock.
+    """A connection: the stream of a proxy, a collector, or not identified yet.
 
     Attributes:
-        proxy: the proxy whose stream this is or was, if any.
-        zone: the zone whose collector this is, if any.
-        unidentified_since: when it was accepted, or when its proxy got another stream.
-        last_received_at: when data last came.
-        messages_received: lines so far, skipped ones among them.
-        messages_rejected: of these, those that were skipped because they can't be used.
-        unsent_bytes: in the mailbox.
-        closing: whether this side has closed it.
-        is_superseded: whether its proxy has another stream.
+        proxy: number of the proxy whose stream the connection is or was; None for other connections.
+        zone: index of the zone whose collector the connection is; None for other connections.
+        unidentified_since: when the connection was accepted or its proxy opened another stream, in s of the event
+            loop's clock.
+        last_received_at: when data was last received, in s of the event loop's clock.
+        messages_received: number of lines received, including skipped ones.
+        messages_rejected: number of lines skipped because they were malformed.
+        unsent_bytes: size of the messages in the mailbox.
+        is_closing: whether this side has closed the connection.
+        is_superseded: whether the proxy has opened another stream.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, context: ConnectionContext) -> None:
-        """Start unidentified."""
+        """Create an unidentified connection from the streams of an accepted socket."""
         self.reader = reader
         self.writer = writer
         self.context = context
@@ -90,14 +91,14 @@
         self.messages_received = 0
         self.messages_rejected = 0
         self.unsent_bytes = 0
-        self.closing = False
+        self.is_closing = False
         self.is_superseded = False
         self.mailbox: asyncio.Queue[bytes] = asyncio.Queue()
         host, port = (writer.get_extra_info("peername") or ("?", 0))[:2]
         self.address = f"{host}:{port}"
 
     def __str__(self) -> str:
-        """Role and address, as they stand in the log."""
+        """Return the role and the address of the peer, as shown in the log."""
         if self.zone is not None:
             role = "collector"
         elif self.proxy is not None:
@@ -107,13 +108,13 @@
         return f"{role}@{self.address}"
 
     @property
-    def unidentified(self) -> bool:
-        """Whether it has never been a stream or a collector."""
+    def is_unidentified(self) -> bool:
+        """Whether the connection has never been a stream or a collector."""
         return self.proxy is None and self.zone is None
 
     async def run(self) -> None:
-        """Serve the connection until either side ends it; an error of its own is logged and ends only this one."""
-        writing = asyncio.create_task(self.write())
+        """Serve the connection until either side closes it; unexpected errors are logged and close the connection."""
+        write_task = asyncio.create_task(self.write())
         try:
             await self.read()
         except OSError as error:
@@ -121,15 +122,15 @@
         except Exception as error:
             logger.exception("connection failed unexpectedly: connection={} reason={!r}", self, error)
         finally:
-            writing.cancel()
+            write_task.cancel()
             self.writer.transport.abort()
-            self.closing = True
+            self.is_closing = True
             self.context.buffer_budget.account(self, 0)
             if self.proxy is not None:
                 self.context.post(StreamEnded(self.proxy, self))
 
     async def read(self) -> None:
-        """Handle lines until the connection ends or has to be closed."""
+        """Read and handle lines until the connection ends or has to be closed."""
         while data := await self.reader.read(timing.READ_BYTES):
             self.last_received_at = asyncio.get_running_loop().time()
             try:
@@ -138,48 +139,56 @@
                 self.close(str(error))
                 return
             self.account_buffers()
-            if self.closing:
+            if self.is_closing:
                 return
-        pending = len(self.splitter.pending)
-        if pending and not self.closing:
+        partial_line_bytes = len(self.splitter.pending)
+        if partial_line_bytes and not self.is_closing:
             logger.warning(
-                "connection ended inside a line: connection={} count={} bytes={}", self, self.messages_received, pending
+                "connection ended inside a line: connection={} count={} bytes={}",
+                self,
+                self.messages_received,
+                partial_line_bytes,
             )
 
     def handle_data(self, data: bytes) -> None:
-        """Handle all complete lines; ProtocolViolationError if one of them, or the line begun, is no message."""
+        """Handle the lines that are complete after adding `data`.
+
+        Raises:
+            ProtocolViolationError: a line, or the incomplete line at the end, is not a message of the protocol.
+        """
         for line in self.splitter.feed(data):
             self.messages_received += 1
             try:
                 self.handle_line(line)
             except ProtocolViolationError as error:
                 raise ProtocolViolationError(f"in message {self.messages_received}", str(error)) from error
-        place = f"after message {self.messages_received}"
+        location = f"after message {self.messages_received}"
         if self.splitter.is_oversized:
-            raise ProtocolViolationError(place, f"a line over {self.splitter.max_line_bytes} bytes")
+            raise ProtocolViolationError(location, f"line longer than {self.splitter.max_line_bytes} bytes")
         if self.splitter.pending:
             try:
                 check_partial_line(self.splitter.pending)
             except ProtocolViolationError as error:
-                raise ProtocolViolationError(place, str(error)) from error
+                raise ProtocolViolationError(location, str(error)) from error
 
     def handle_line(self, line: bytes) -> None:
-        """Process one line; a malformed message is skipped, but no excuse for an unidentified connection.
+        """Decode and dispatch one line; a malformed message of an identified connection is skipped.
 
         Raises:
-            ProtocolViolationError: the connection has to be closed.
+            ProtocolViolationError: the line is not a message, or an unidentified connection has sent a malformed
+                message or more than MAX_UNIDENTIFIED_BYTES.
         """
         try:
             self.dispatch(decode(line, self.context.names))
         except MalformedMessageError as error:
-            if self.unidentified:
+            if self.is_unidentified:
                 raise ProtocolViolationError(error.location, error.problem) from error
             self.skip_message(error)
-        if self.unidentified and self.splitter.consumed_bytes > MAX_UNIDENTIFIED_BYTES:
-            raise ProtocolViolationError("", f"over {MAX_UNIDENTIFIED_BYTES} bytes without identifying itself")
+        if self.is_unidentified and self.splitter.consumed_bytes > MAX_UNIDENTIFIED_BYTES:
+            raise ProtocolViolationError("", f"not identified within the first {MAX_UNIDENTIFIED_BYTES} bytes")
 
     def skip_message(self, error: MalformedMessageError) -> None:
-        """Count and log a message that can't be used; from a proxy it is a sign of life all the same."""
+        """Count and log a malformed message; one from a proxy still shows the planner that the proxy is alive."""
         self.messages_rejected += 1
         logger.warning(
             "message skipped: connection={} count={} reason=message {}: {}",
@@ -192,10 +201,11 @@
             self.context.post(StreamMessage(self.proxy, None, self))
 
     def dispatch(self, message: Message) -> None:
-        """Answer a message or post it to the planner actor, by the role of this connection.
+        """Answer a message or post it to the planner actor, according to the role of this connection.
 
         Raises:
-            MalformedMessageError: a connection of this role may not send it.
+            MalformedMessageError: the message is not allowed on a connection of this role, or refers to an unknown
+                proxy or server.
         """
         if isinstance(message, PingMessage):
             self.send(PONG)
@@ -207,7 +217,7 @@
             self.dispatch_unidentified(message)
 
     def dispatch_unidentified(self, message: Message) -> None:
-        """The first message identifies the connection as a collector or as the stream of a proxy."""
+        """Handle the message that identifies the connection as a collector or as the stream of a proxy."""
         match message:
             case CollectorMessage(zone):
                 self.zone = zone
@@ -215,52 +225,52 @@
             case JoinMessage():
                 self.join(message)
             case _:
-                raise not_expected(message)
+                raise unexpected_message_error(message)
 
     def dispatch_from_collector(self, message: Message) -> None:
-        """Reports of any zone and any proxy."""
+        """Handle a message of a collector, which sends reports of any zone and any proxy."""
         match message:
             case LoadMessage():
                 self.post_load_report(message)
             case DemandMessage() if message.proxy < self.context.proxy_count:
                 self.context.post(demand_report(message))
             case DemandMessage() | AckMessage():
-                raise not_served(message)
+                raise wrong_proxy_error(message)
             case CollectorMessage() if message.zone == self.zone:
-                pass  # it is this collector already
+                pass  # repeated identification
             case _:
-                raise not_expected(message)
+                raise unexpected_message_error(message)
 
     def dispatch_from_proxy(self, message: Message) -> None:
-        """Reports and acknowledgements of the connection's own proxy; it may also join again."""
+        """Handle a message of a joined proxy, which sends its own reports and acknowledgements and may join again."""
         match message:
             case DemandMessage() if message.proxy == self.proxy:
                 self.context.post(StreamMessage(message.proxy, demand_report(message), self))
             case AckMessage(proxy, nonce, elapsed) if proxy == self.proxy:
                 self.context.post(StreamMessage(proxy, face.Acknowledged(proxy, nonce, elapsed), self))
             case DemandMessage() | AckMessage():
-                raise not_served(message)
+                raise wrong_proxy_error(message)
             case JoinMessage() if message.proxy == self.proxy:
                 self.join(message)
             case _:
-                raise not_expected(message)
+                raise unexpected_message_error(message)
 
     def join(self, message: JoinMessage) -> None:
-        """Become the stream of a proxy; MalformedMessageError if there is no such proxy."""
+        """Make the connection the stream of a proxy; raises MalformedMessageError if the proxy's number is too high."""
         proxy_count = self.context.proxy_count
         if message.proxy >= proxy_count:
-            raise MalformedMessageError(f"{message.KIND} id", f"no proxy below {proxy_count}: {message.proxy}")
+            raise MalformedMessageError(f"{message.KIND} id", f"not below {proxy_count}: {message.proxy}")
         self.proxy = message.proxy
         self.mark_identified()
         stream = ProxyStream(message.proxy, message.zone, message.expected_rate, message.newly_started, self)
         self.context.post(stream)
 
     def post_load_report(self, message: LoadMessage) -> None:
-        """Post a load report; MalformedMessageError if its server is not in the endpoint list."""
+        """Post a load report; raises MalformedMessageError if its server is not in the endpoint list."""
         server = server_id(message.server_name)
         if not self.context.is_listed(server):
-            shown = message.server_name[:SHOWN_CHARACTERS]
-            raise MalformedMessageError(f"{message.KIND} target", f"not in the endpoint list: {shown!r}")
+            quoted_name = message.server_name[:MAX_QUOTED_CHARACTERS]
+            raise MalformedMessageError(f"{message.KIND} target", f"not in the endpoint list: {quoted_name!r}")
         report = face.LoadReport(
             message.zone,
             server,
@@ -268,22 +278,22 @@
             message.failures,
             message.mean_latency,
             message.window,
-            columns_in_order(message.load, self.context.names.columns),
+            order_columns(message.load, self.context.names.columns),
         )
         self.context.post(report)
 
     def mark_identified(self) -> None:
-        """Allow messages of full size, and report that the connection has a role."""
+        """Raise the line limit to that of identified connections, and report the identification."""
         self.splitter.max_line_bytes = MAX_MESSAGE_BYTES
         self.context.on_identified(self, True)
 
     def on_superseded(self) -> None:
-        """Its proxy has another stream now: this connection has to identify itself again.
+        """Require a new identification, because the proxy has opened another stream.
 
-        Its queued updates are dropped, as the proxy gets its full state on the new stream and each message counts
-        against the proxy's limit.
+        Queued updates are dropped: the proxy receives its full state on the new stream, and each message written
+        counts against its message cap.
         """
-        if self.closing:  # the planner actor has not processed the end yet
+        if self.is_closing:  # the planner actor has not processed StreamEnded yet
             return
         self.is_superseded = True
         self.splitter.max_line_bytes = MAX_UNIDENTIFIED_BYTES
@@ -291,39 +301,39 @@
         self.context.on_identified(self, False)
 
     def on_attached(self) -> None:
-        """The planner actor takes this connection for the stream of its proxy."""
-        if not self.closing and self.is_superseded:
+        """Restore the identification, because the planner actor uses this connection as the proxy's stream again."""
+        if not self.is_closing and self.is_superseded:
             self.is_superseded = False
             self.mark_identified()
 
     def account_buffers(self) -> None:
-        """Report what this connection buffers to the common budget."""
-        if not self.closing:
+        """Report the bytes that this connection buffers to the common budget."""
+        if not self.is_closing:
             self.context.buffer_budget.account(self, len(self.splitter.pending) + self.unsent_bytes)
 
     def close(self, reason: str) -> None:
-        """Abort the connection and drop what is unsent; an unidentified one is sent NACK first."""
-        if self.closing:
+        """Abort the connection and drop unsent messages; sends NACK first if the connection is unidentified."""
+        if self.is_closing:
             return
         logger.warning("connection closed: connection={} reason={}", self, reason)
-        if self.unidentified:
+        if self.is_unidentified:
             self.writer.write(NACK)
-        self.closing = True
+        self.is_closing = True
         self.writer.transport.abort()
 
     def send(self, data: bytes) -> None:
-        """Queue data without waiting; a connection with more than MAX_UNSENT_BYTES bytes queued is closed."""
+        """Queue data without waiting; closes the connection if more than MAX_UNSENT_BYTES are queued."""
         self.unsent_bytes += len(data)
         if self.unsent_bytes > timing.MAX_UNSENT_BYTES:
-            self.close(f"{self.unsent_bytes} bytes unread by the other side")
+            self.close(f"{self.unsent_bytes} bytes unread by the client, over the maximum of {timing.MAX_UNSENT_BYTES}")
             return
         self.mailbox.put_nowait(data)
         self.account_buffers()
 
     async def write(self) -> None:
-        """Write the mailbox until the connection ends.
+        """Write queued messages until the connection ends.
 
-        An update is dropped if the proxy gets another stream while the message cap delays it.
+        An update is dropped if the proxy opens another stream while the message cap delays the update.
         """
         try:
             while True:
@@ -331,26 +341,26 @@
                 limiter = None if data is PONG or self.proxy is None else self.context.limiter(self.proxy)
                 if limiter is not None:
                     await self.wait_for_message_cap(limiter)
-                if self.closing:
+                if self.is_closing:
                     return
                 if limiter is None or not self.is_superseded:
                     await self.write_message(data, limiter)
                 self.unsent_bytes -= len(data)
                 self.account_buffers()
         except OSError:
-            return  # the reader gets it too, and logs it
-        except Exception as error:  # else the stream would look alive, and nothing would reach it any more
+            return  # the reader receives the same error and logs it
+        except Exception as error:  # close the connection, as it would otherwise stay open without being written to
             logger.exception("connection failed unexpectedly: connection={} reason={!r}", self, error)
-            self.close("writing failed")
+            self.close("write failed")
 
     async def wait_for_message_cap(self, limiter: RateLimiter) -> None:
-        """Wait until the proxy may be sent another message, or has another stream."""
+        """Wait until the message cap allows another message, or the proxy has opened another stream."""
         now = asyncio.get_running_loop().time
         while not self.is_superseded and (delay := limiter.delay(now())) > 0:
             await asyncio.sleep(delay)
 
     async def write_message(self, data: bytes, limiter: RateLimiter | None) -> None:
-        """Write one message and count it."""
+        """Write one message, and count it against the message cap if there is a limiter."""
         if limiter is not None:
             limiter.record_write(asyncio.get_running_loop().time())
         self.writer.write(data)
@@ -358,15 +368,15 @@
 
 
 def demand_report(message: DemandMessage) -> face.DemandReport:
-    """A demand report as the policy knows it."""
+    """Convert a received demand report to the policy's event."""
     return face.DemandReport(message.proxy, message.request_class, message.requests, message.unanswered, message.window)
 
 
-def not_expected(message: Message) -> MalformedMessageError:
-    """The error for a message that a connection of this role never sends."""
+def unexpected_message_error(message: Message) -> MalformedMessageError:
+    """Create the error for a message that is not allowed on a connection of this role."""
     return MalformedMessageError(message.KIND, "not expected on this connection")
 
 
-def not_served(message: DemandMessage | AckMessage) -> MalformedMessageError:
-    """The error for a message of a proxy that this connection does not speak for."""
+def wrong_proxy_error(message: DemandMessage | AckMessage) -> MalformedMessageError:
+    """Create the error for a message that refers to another proxy than that of the connection."""
     return MalformedMessageError(f"{message.KIND} id", f"not the proxy of this connection: {message.proxy}")
--- a/stackwheel/wire/connection_limits.py
+++ b/stackwheel/wire/connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits on accepted connections: messages written to one proxy, and bytes buffered for all connections together."""
+"""Limits on accepted connections: messages written to one proxy, and total bytes buffered for all connections."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
     """A sliding-window limit on the messages written to one proxy."""
 
     def __init__(self, cap: int, window: float) -> None:
-        """Allow at most `cap` messages within any `window` ms; a cap of 0 means no limit."""
+        """Allow at most `cap` messages within any period of `window` ms; a cap of 0 means no limit."""
         self.window_s = window / 1000.0
         self.written_at: deque[float] | None = deque(maxlen=cap) if cap else None
 
     def delay(self, now: float) -> float:
-        """Seconds until another message may be written; `now` in s."""
+        """Return the time until another message may be written, in s; `now` is in s."""
         if self.written_at is None or len(self.written_at) < (self.written_at.maxlen or 0):
             return 0.0
         return max(0.0, self.written_at[0] + self.window_s - now)
 
     def record_write(self, now: float) -> None:
-        """Count a message written at `now`, in s."""
+        """Count a message that is written at `now`, in s."""
         if self.written_at is not None:
             self.written_at.append(now)
 
 
 class BufferOwner(Protocol):
-    """A connection as the buffer budget knows it."""
+    """The part of a connection that the buffer budget uses."""
 
     def close(self, reason: str) -> None:
-        """Abort the connection and drop what it has buffered."""
+        """Abort the connection and drop its buffered data."""
 
 
 class BufferBudget:
-    """A common limit on the bytes buffered by all connections: partial lines received and messages not yet written.
+    """Limit on the total bytes that connections buffer: partial lines received and messages not yet written.
 
-    While the total is over the limit, the connection that buffers most is closed.
+    While the total exceeds the limit, the connection that buffers the most bytes is closed.
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """Start with nothing buffered."""
+        """Create a budget without any buffered bytes."""
         self.max_bytes = max_bytes
         self.total_bytes = 0
         self.bytes_by_connection: dict[BufferOwner, int] = {}
 
     def account(self, connection: BufferOwner, byte_count: int) -> None:
-        """Set the bytes that a connection buffers; closes connections until the total is within the limit."""
+        """Set the number of bytes that a connection buffers; closes connections until the total is within the limit."""
         self.total_bytes += byte_count - self.bytes_by_connection.pop(connection, 0)
         if byte_count:
             self.bytes_by_connection[connection] = byte_count
         while self.total_bytes > self.max_bytes:
             largest = max(self.bytes_by_connection, key=self.bytes_by_connection.__getitem__)
             self.total_bytes -= self.bytes_by_connection.pop(largest)
-            largest.close(f"it buffers most of the {self.max_bytes} bytes that all connections may buffer")
+            largest.close(f"largest buffer while all connections together exceed {self.max_bytes} buffered bytes")
--- a/stackwheel/wire/connection_table.py
+++ b/stackwheel/wire/connection_table.py
@@ -1,4 +1,4 @@
-"""Accepted connections within the limit on descriptors: who is counted, who is evicted, and for how long one waits."""
+"""The table of accepted connections, which keeps them within the limit on descriptors by evicting and waiting."""
 
 from __future__ import annotations
 
@@ -8,27 +8,28 @@
 from stackwheel.wire import timing
 from stackwheel.wire.connection import Connection
 
-NO_DESCRIPTOR = "no free descriptor"  # reason for closing; the next words say why it was this connection
+NO_FREE_DESCRIPTOR = "no free descriptor"  # first part of the reason for closing an evicted connection
 
 
 class ConnectionTable:
-    """All accepted connections, and the descriptors that they and health checks hold.
+    """All accepted connections, and the number of descriptors in use by them and by health checks.
 
-    A descriptor counts until its socket is closed, which is some turns of the event loop after the connection ended.
+    A descriptor is in use until its socket is closed, which takes several iterations of the event loop after the end
+    of the connection.
 
     Attributes:
-        max_descriptors: that the process may hold in all.
-        arriving: connections accepted, but not attended yet.
-        connections: attended, until their sockets are closed; the oldest first.
-        closing: of these, those that ended or are being closed.
-        unidentified: those that are neither streams nor collectors; the oldest first.
-        collectors: of each zone; reports of the older ones count too.
-        health_checks_in_flight: health checks that hold a descriptor.
-        released: set whenever a descriptor has been given back.
+        max_descriptors: maximum number of descriptors of the process.
+        arriving: number of accepted connections that are being set up.
+        connections: connections that have been set up and whose sockets are open, the oldest first.
+        closing: those of `connections` that have ended or are being closed.
+        unidentified: those of `connections` that are neither streams nor collectors, the oldest first.
+        collectors: collectors by zone index; reports of all of them are accepted.
+        health_checks_in_flight: number of health checks that hold a descriptor.
+        released: set when a descriptor has been released.
     """
 
     def __init__(self, max_descriptors: int) -> None:
-        """Start without any connection."""
+        """Create a table without connections."""
         self.max_descriptors = max_descriptors
         self.arriving = 0
         self.connections: dict[Connection, None] = {}
@@ -40,40 +41,40 @@
 
     @property
     def capacity(self) -> int:
-        """Descriptors that connections and health checks may hold."""
+        """Maximum number of descriptors for connections and health checks."""
         return max(1, self.max_descriptors - timing.RESERVED_DESCRIPTORS)
 
     @property
     def in_use(self) -> int:
-        """Descriptors that connections and health checks hold, connections being closed among them."""
+        """Number of descriptors in use by connections, including those being closed, and by health checks."""
         return self.arriving + len(self.connections) + self.health_checks_in_flight
 
     def at_capacity(self) -> bool:
-        """Whether no descriptor is free for another connection or health check."""
+        """Return whether no descriptor is free for another connection or health check."""
         return self.in_use >= self.capacity
 
     def add(self, connection: Connection) -> None:
-        """Count a connection that is attended from now on."""
+        """Add a connection that has been set up."""
         self.connections[connection] = None
         self.on_identified(connection, False)
 
     def on_ended(self, connection: Connection) -> None:
-        """The connection has ended, but its socket is still open."""
+        """Mark a connection as closing: it has ended, but its socket is still open."""
         self.closing.add(connection)
         self.unidentified.pop(connection, None)
         if connection.zone is not None:
             self.collectors[connection.zone].remove(connection)
 
     def remove(self, connection: Connection) -> None:
-        """The connection's socket is closed."""
+        """Remove a connection whose socket is closed."""
         self.connections.pop(connection, None)
         self.closing.discard(connection)
         self.released.set()
 
     def on_identified(self, connection: Connection, identified: bool) -> None:
-        """Track unidentified connections and each zone's collectors.
+        """Update the unidentified connections and the collectors after a change of a connection's identification.
 
-        Over MAX_COLLECTORS_PER_ZONE collectors of a zone, the one that has been idle longest is closed.
+        If a zone then has more than MAX_COLLECTORS_PER_ZONE collectors, the longest idle one of the others is closed.
         """
         self.unidentified.pop(connection, None)
         if not identified:
@@ -83,63 +84,67 @@
             self.collectors[connection.zone] = [*others, connection]
             if len(others) >= timing.MAX_COLLECTORS_PER_ZONE:
                 longest_idle = min(others, key=lambda other: other.last_received_at)
-                longest_idle.close("its zone has newer collectors")
+                longest_idle.close("replaced by a newer collector of its zone")
 
     async def wait_for_capacity(self) -> None:
-        """Wait until another connection may be accepted: an evicted one counts until its socket is closed."""
+        """Wait until a descriptor is free for another connection; evicts one if necessary and waits for its close."""
         while self.at_capacity():
             self.released.clear()
             if self.closing or self.evict_one():
                 await self.released.wait()
             else:
-                await asyncio.sleep(timing.FIRST_READ_MS / 5000.0)  # a fifth of it, in s
+                await asyncio.sleep(timing.FIRST_READ_GRACE_MS / 5000.0)  # a fifth of the grace period, in s
 
     def reserve_capacity(self) -> None:
-        """Close the oldest unidentified connections until a burst within one turn of the event loop finds capacity.
+        """Close the oldest unidentified connections until `accept_reserve` descriptors are free for a burst.
 
-        Those whose first bytes may still be unread stay, and so does who is identified.
+        Connections whose first bytes may still be unread are not closed.
         """
         excess = self.in_use - len(self.closing) - (self.capacity - timing.accept_reserve(self.capacity))
-        latest_start = asyncio.get_running_loop().time() - timing.BURST_FIRST_READ_MS / 1000.0
+        latest_start = asyncio.get_running_loop().time() - timing.BURST_FIRST_READ_GRACE_MS / 1000.0
         for connection in list(islice(self.unidentified, max(0, excess))):
             if connection.unidentified_since > latest_start:
                 return
-            self.close_unidentified(connection, f"{NO_DESCRIPTOR}, oldest unidentified connection")
+            self.close_unidentified(connection, f"{NO_FREE_DESCRIPTOR}, oldest unidentified connection")
 
     def evict_one(self) -> bool:
-        """Close the oldest unidentified connection, or else the one idle longest; whether one is being closed.
+        """Close the oldest unidentified connection or, if all are identified, the longest idle connection.
 
-        An unidentified one whose first bytes may still be unread is not closed.
+        Unidentified connections whose first bytes may still be unread, and connections that have been idle for less
+        than MIN_IDLE_BEFORE_EVICTION_MS, are not closed.
+
+        Returns:
+            Whether a connection is being closed.
         """
         now = asyncio.get_running_loop().time()
         oldest = next(iter(self.unidentified), None)
         if oldest is not None:
-            if oldest.unidentified_since > now - timing.FIRST_READ_MS / 1000.0:
+            if oldest.unidentified_since > now - timing.FIRST_READ_GRACE_MS / 1000.0:
                 return False
-            self.close_unidentified(oldest, f"{NO_DESCRIPTOR}, oldest unidentified connection")
+            self.close_unidentified(oldest, f"{NO_FREE_DESCRIPTOR}, oldest unidentified connection")
             return True
         idle = min(self.connections, key=lambda connection: connection.last_received_at, default=None)
-        if idle is None or idle.closing or idle.last_received_at > now - timing.IDLE_CONNECTION_MS / 1000.0:
+        if idle is None or idle.is_closing or idle.last_received_at > now - timing.MIN_IDLE_BEFORE_EVICTION_MS / 1000.0:
             return False
-        idle.close(f"{NO_DESCRIPTOR}, longest idle connection")
+        idle.close(f"{NO_FREE_DESCRIPTOR}, longest idle connection")
         return True
 
     def close_unidentified(self, connection: Connection, reason: str) -> None:
-        """Close a connection that has not identified itself; its descriptor counts until the socket is closed."""
+        """Close an unidentified connection; its descriptor is in use until the socket is closed."""
         self.unidentified.pop(connection, None)
         self.closing.add(connection)
         connection.close(reason)
 
     async def sweep(self) -> None:
-        """Close connections that are unidentified IDENTIFY_TIMEOUT_MS after they were accepted, whatever they sent."""
+        """Close connections that remain unidentified for IDENTIFY_TIMEOUT_MS, whatever they send."""
         loop = asyncio.get_running_loop()
         while True:
             sweep_due = loop.time() + timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0
             await asyncio.sleep(timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0)
-            # A process that was suspended has not read yet what arrived meanwhile.
+            # If this process was suspended, read the data that arrived in the meantime first.
             if loop.time() > sweep_due + timing.STALL_GRACE_MS / 1000.0:
                 await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
             accepted_before = loop.time() - timing.IDENTIFY_TIMEOUT_MS / 1000.0
-            late = [other for other in self.unidentified if other.unidentified_since < accepted_before]
-            for connection in late:
+            overdue = [other for other in self.unidentified if other.unidentified_since < accepted_before]
+            for connection in overdue:
                 self.close_unidentified(connection, f"not identified within {timing.IDENTIFY_TIMEOUT_MS / 1000.0:g} s")
--- a/stackwheel/wire/datagrams.py
+++ b/stackwheel/wire/datagrams.py
@@ -1,4 +1,4 @@
-"""Gossip between planners as datagrams; a sender is known by its address."""
+"""Exchange of gossip datagrams between planners; the sender of a datagram is identified by its address."""
 
 from __future__ import annotations
 
@@ -11,64 +11,64 @@
 from stackwheel.wire.http import split_address
 
 MAX_DATAGRAM_BYTES = 256
-"""The protocol's limit on one gossip message."""
+"""Maximum size of a gossip message in the protocol."""
 
-NO_ADDRESS = ":0"
-"""Stands for a group address that is not configured."""
+UNSET_ADDRESS = ":0"
+"""Placeholder for a group address that is not configured."""
 
 
 class GossipProtocol(asyncio.DatagramProtocol):
-    """The datagram socket of one planner.
+    """The gossip socket of a planner.
 
     Attributes:
-        peers: addresses of all planners, this one included, by their numbers.
-        numbers: the numbers by address.
-        group_address: where a datagram reaches all planners.
+        peers: addresses of all planners by planner index, including this planner.
+        index_by_address: planner indexes by address.
+        group_address: address that delivers a datagram to all planners.
     """
 
     def __init__(
         self,
         peers: Sequence[str],
         group_address: str,
-        planner_number: int,
+        planner_index: int,
         post: Callable[[face.GossipReceived], None],
     ) -> None:
-        """Make the protocol of planner `planner_number`; `post` gets what its peers send."""
-        self.planner_number = planner_number
+        """Create the protocol of the planner with index `planner_index`; `post` receives the datagrams of its peers."""
+        self.planner_index = planner_index
         self.post = post
         self.update_peers(peers, group_address)
         self.transport: asyncio.DatagramTransport | None = None
 
     def update_peers(self, peers: Sequence[str], group_address: str) -> None:
-        """Use the addresses of a configuration; an empty `group_address` stands for none."""
+        """Replace the addresses of the planners; an empty `group_address` means that there is none."""
         self.peers = [split_address(peer) for peer in peers]
-        self.numbers = {peer: number for number, peer in enumerate(self.peers)}
-        self.group_address = split_address(group_address or NO_ADDRESS)
+        self.index_by_address = {peer: index for index, peer in enumerate(self.peers)}
+        self.group_address = split_address(group_address or UNSET_ADDRESS)
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
-        """Keep the transport; datagrams can be sent from now on."""
+        """Store the transport, which is needed to send datagrams."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        """Post a datagram of another planner; one of unknown origin or over the limit is dropped."""
-        sender = self.numbers.get(address[:2])
+        """Post a datagram of another planner; drops datagrams from unknown addresses and oversized ones."""
+        sender = self.index_by_address.get(address[:2])
         if len(data) > MAX_DATAGRAM_BYTES:
-            self._log_dropped(data, address, "too large")
+            self._log_dropped(data, address, f"larger than {MAX_DATAGRAM_BYTES} bytes")
         elif sender is None:
-            self._log_dropped(data, address, "unknown sender")
-        elif sender != self.planner_number:
+            self._log_dropped(data, address, "sender is not a configured peer")
+        elif sender != self.planner_index:
             self.post(face.GossipReceived(sender, data))
 
     def error_received(self, error: Exception) -> None:
-        """Log a datagram that could not be delivered: a peer is down, and there is nothing to do."""
+        """Log a datagram that could not be delivered, for example because a peer is down; it is not sent again."""
         logger.debug("gossip not delivered: reason={}", error)
 
     def send(self, payload: bytes, peer: int | None) -> None:
-        """Send a datagram to the planner of that number, or to all where it is None."""
+        """Send a datagram to the planner with index `peer`, or to all planners if `peer` is None."""
         if len(payload) > MAX_DATAGRAM_BYTES:
-            self._log_not_sent(payload, peer, "too large")
+            self._log_not_sent(payload, peer, f"larger than {MAX_DATAGRAM_BYTES} bytes")
         elif peer is not None and not 0 <= peer < len(self.peers):
-            self._log_not_sent(payload, peer, "unknown planner")
+            self._log_not_sent(payload, peer, f"not one of {len(self.peers)} configured peers")
         elif self.transport is not None:
             self.transport.sendto(payload, self.group_address if peer is None else self.peers[peer])
 
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -120,7 +120,7 @@
         self.options = options
         self.post = post
         self.random = random or Random(0)
-        max_delay_ms = timing.MAX_RETRY_DELAY_RATIO * options.poll_deadline_ms
+        max_delay_ms = timing.MAX_RETRY_DELAY_SHARE * options.poll_deadline_ms
         self.backoff = Backoff(timing.CONNECT_TIMEOUT_MS, max_delay_ms, self.random)
         self.source = address
         self.replica_index = 0
--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -8,8 +8,8 @@
 from stackwheel.state.clock import Clock
 from stackwheel.wire import timing
 from stackwheel.wire.http import Call, CallError, Stage, exchange
-from stackwheel.wire.line_codec import FieldError, read_load
-from stackwheel.wire.messages import columns_in_order
+from stackwheel.wire.line_codec import FieldError, parse_load
+from stackwheel.wire.messages import order_columns
 
 LIVENESS_PATH = "/health/live"
 LOAD_REPORT_PATH = "/stats"
@@ -26,16 +26,16 @@
     started_at = clock.now()
     try:
         body = await exchange(
-            call, timing.HEALTH_CHECK_TIMEOUT_MS, timing.HEALTH_CHECK_TIMEOUT_MS, timing.MAX_HEALTH_CHECK_BYTES
+            call, timing.HEALTH_CHECK_TIMEOUT_MS, timing.HEALTH_CHECK_TIMEOUT_MS, timing.MAX_HEALTH_CHECK_RESPONSE_BYTES
         )
     except CallError as error:
         return face.HealthCheckResult(server, outcome_of(error), clock.now() - started_at)
     elapsed = clock.now() - started_at
     try:
-        load = read_load(body.decode().strip(), "=") if names.health_check_returns_load else ()
+        load = parse_load(body.decode().strip(), "=") if names.health_check_returns_load else ()
     except (UnicodeDecodeError, FieldError):
         return face.HealthCheckResult(server, HealthCheckOutcome.ERROR, elapsed)
-    return face.HealthCheckResult(server, HealthCheckOutcome.OK, elapsed, columns_in_order(load, names.columns))
+    return face.HealthCheckResult(server, HealthCheckOutcome.OK, elapsed, order_columns(load, names.columns))
 
 
 def outcome_of(error: CallError) -> HealthCheckOutcome:
--- a/stackwheel/wire/messages.py
+++ b/stackwheel/wire/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the line protocol as typed values: zones and request classes by their index in the settings."""
+"""Typed messages of the line protocol, which identify zones and request classes by their index in the settings."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PingMessage:
-    """A request for a sign of life; the answer is PONG."""
+    """A request for the response PONG, which shows that the planner is alive."""
 
     KIND: ClassVar[str] = "PING"
 
 
 @dataclass(frozen=True, slots=True)
 class CollectorMessage:
-    """The connection identifies itself as the collector of a zone."""
+    """Identifies a connection as the collector of a zone.
+
+    Attributes:
+        zone: index of the zone.
+    """
 
     KIND: ClassVar[str] = "SOURCE"
 
@@ -27,16 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadMessage:
-    """A load report: what the proxies of one zone measured at one server.
+    """A load report: measurements of one server by the proxies of one zone.
 
     Attributes:
         zone: index of the zone.
-        server_name: the server's name, as discovery lists it.
-        attempts: requests sent to the server.
-        failures: of these, those that failed.
-        mean_latency: of the successful ones, in ms.
-        window: the time that the report covers, in ms.
-        load: the server's own figures, by load column.
+        server_name: name of the server in the endpoint list.
+        attempts: number of requests sent to the server.
+        failures: number of these requests that failed.
+        mean_latency: mean latency of the successful requests, ms.
+        window: duration of the period that the report covers, ms.
+        load: pairs of load column and value, as reported by the server itself.
     """
 
     KIND: ClassVar[str] = "LOAD"
@@ -52,7 +56,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandMessage:
-    """A demand report: requests of one class that reached one proxy within `window` ms."""
+    """A demand report: requests of one class that arrived at one proxy.
+
+    Attributes:
+        proxy: number of the proxy.
+        request_class: index of the request class.
+        requests: number of requests that arrived.
+        unanswered: number of these requests that received no response.
+        window: duration of the period that the report covers, ms.
+    """
 
     KIND: ClassVar[str] = "RATE"
 
@@ -65,13 +77,13 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinMessage:
-    """The connection is the stream of a proxy from now on.
+    """Identifies a connection as the stream of a proxy.
 
     Attributes:
         proxy: number of the proxy.
         zone: index of the proxy's zone.
-        expected_rate: requests per second that the proxy expects.
-        newly_started: whether the proxy has no tables of an earlier stream.
+        expected_rate: request rate that the proxy expects, requests per second.
+        newly_started: whether the proxy has no tables from an earlier stream.
     """
 
     KIND: ClassVar[str] = "SUBSCRIBE"
@@ -84,7 +96,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AckMessage:
-    """The proxy has applied the update that carried a nonce, `elapsed` ms after the planner sent it."""
+    """An acknowledgement of an update that the proxy has applied.
+
+    Attributes:
+        proxy: number of the proxy.
+        nonce: nonce of the update.
+        elapsed: time until the update was applied, as reported by the proxy, ms.
+    """
 
     KIND: ClassVar[str] = "ACK"
 
@@ -97,19 +115,20 @@
 
 
 class MalformedMessageError(InvalidInputError):
-    """A message of a known kind can't be used; it is skipped as a whole and those around it count."""
+    """A message of a known kind is invalid; it is skipped, and the connection continues with the next message."""
 
 
 class ProtocolViolationError(InvalidInputError):
-    """The bytes are no message of the protocol: nothing that follows on the connection can be trusted."""
+    """The received bytes are not a message of the protocol; the connection has to be closed."""
 
 
-def columns_in_order(load: tuple[tuple[str, float], ...], columns: tuple[str, ...]) -> tuple[float, ...]:
-    """The figures of a load report in the order of the settings' columns.
+def order_columns(load: tuple[tuple[str, float], ...], columns: tuple[str, ...]) -> tuple[float, ...]:
+    """Return the values of a load report in the order of the configured columns.
 
-    A column that the report lacks is NaN, one that the settings lack is dropped; a report without any column is empty.
+    Columns that are missing in the report are NaN and columns that are not configured are dropped. The result is empty
+    if the report has no columns.
     """
     if not load:
         return ()
-    figures = dict(load)
-    return tuple(figures.get(column, math.nan) for column in columns)
+    values = dict(load)
+    return tuple(values.get(column, math.nan) for column in columns)
--- a/stackwheel/wire/task_supervisor.py
+++ b/stackwheel/wire/task_supervisor.py
@@ -1,4 +1,4 @@
-"""Background tasks of the transport: kept while they run, logged when they fail, restarted where needed."""
+"""Background tasks of the transport: holds references to them, logs failures and restarts essential tasks."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class TaskSupervisor:
-    """Starts tasks and holds them until they end.
+    """Starts tasks and holds references to them until they end.
 
     Attributes:
-        tasks: those that run.
+        tasks: running tasks.
     """
 
     def __init__(self) -> None:
-        """Start without any task."""
+        """Create a supervisor without tasks."""
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self, work: Work) -> None:
-        """Run a task; an error that ends it is logged."""
+        """Run a task in the background, and log the error if it fails."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._on_done)
 
     def supervise(self, name: str, work: Callable[[], Work]) -> None:
-        """Run a task that the process can't do without: after an unexpected error it is logged and restarted."""
+        """Run an essential task in the background, and restart it after an unexpected error."""
 
         async def restart_on_error() -> None:
-            """Run the work until it returns; pause after an unexpected error."""
+            """Run the work until it returns; waits for TASK_RESTART_MS after an unexpected error."""
             while True:
                 try:
                     return await work()
--- a/stackwheel/wire/timing.py
+++ b/stackwheel/wire/timing.py
@@ -1,130 +1,139 @@
-"""Times and bounds of the transport, each with its unit in the name and its source. No decisions."""
+"""Timeouts, intervals and limits of the planner's network connections; each constant has its unit in its name."""
 
 from __future__ import annotations
 
-# --- Calls and watches of the discovery service, and calls in general ---
+# --- Calls to the discovery service and to servers ---
 
-# The protocol: a watch writes an empty line this often while nothing changes.
+# The discovery protocol requires an empty line on a watch at this interval while the endpoint list does not change.
 HEARTBEAT_INTERVAL_MS = 2000.0
 
-# A watch that is quiet for longer is lost: what it would deliver counts as known after 6 s.
+# A watch that delivers no bytes for this time is abandoned, well before the protocol assumes that a list has been
+# delivered (LINE_TIMEOUT_MS).
 WATCH_SILENCE_TIMEOUT_MS = 1.5 * HEARTBEAT_INTERVAL_MS
 
-# For one line of a watch from its first byte to its end: by then its content counts as known, received or not.
+# Maximum time from the end of one line of a watch to the end of the next. After this time the protocol assumes that
+# an endpoint list has been delivered.
 LINE_TIMEOUT_MS = 3 * HEARTBEAT_INTERVAL_MS
 
-# For the answer to a call: discovery rejects what has waited too long before that.
+# Maximum time until the response to a call. The discovery service rejects calls that it cannot answer within it.
 RESPONSE_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS
 
-# For a TCP connection: a machine that is cut off gives no sign.
+# Maximum time to establish a TCP connection. A host without network connectivity does not refuse connections.
 CONNECT_TIMEOUT_MS = 0.5 * HEARTBEAT_INTERVAL_MS
 
-# For bytes that are ready to be read when a timeout expires: this process itself may have been stalled.
+# Additional time after an expired timeout to read data that is already in the socket's buffer, because this process
+# itself may have been suspended.
 STALL_GRACE_MS = 50.0
 
-# For a health check: longer than the time within which a server answers or rejects one.
+# Timeout of a health check, which is longer than a server takes to answer or reject one.
 HEALTH_CHECK_TIMEOUT_MS = 0.25 * HEARTBEAT_INTERVAL_MS
 
-# Share of the list poll deadline: a failed call is repeated after that much of it at the latest.
-MAX_RETRY_DELAY_RATIO = 0.4
+# Maximum delay before a failed call is repeated, as a share of the deadline for polling the endpoint list.
+MAX_RETRY_DELAY_SHARE = 0.4
 
-# Of an answer's body, or of one line of a watch.
+# Maximum size of a response body, and of one line of a watch.
 MAX_BODY_BYTES = 16 << 20
 
-# Of the answer to a health check: a load report is one line.
-MAX_HEALTH_CHECK_BYTES = 64 << 10
+# Maximum size of the response to a health check, whose load report is a single line.
+MAX_HEALTH_CHECK_RESPONSE_BYTES = 64 << 10
 
 # --- Accepted connections ---
 
-# For a new connection to identify itself, from its acceptance: the protocol grants 3 s from connecting, at least 1 s.
+# Maximum time from accepting a connection to its identification. The protocol allows 3 s from the start of connecting
+# and requires at least 1 s.
 IDENTIFY_TIMEOUT_MS = 1500.0
 
-# Between two searches for connections that have not identified themselves in time.
+# Interval at which connections that exceed IDENTIFY_TIMEOUT_MS are closed.
 UNIDENTIFIED_SWEEP_INTERVAL_MS = 250.0
 
-# A joined proxy or collector sends something each report interval; one that is idle for longer is closed before a new
-# connection has to wait.
-IDLE_CONNECTION_MS = 10_000.0
+# Minimum idle time before an identified connection may be closed to accept another one. Joined proxies and collectors
+# send a message in each report interval.
+MIN_IDLE_BEFORE_EVICTION_MS = 10_000.0
 
-# Bytes that arrived together with a connection have been read by then.
-FIRST_READ_MS = 50.0
+# Time within which the bytes that a client sends while it connects have been read.
+FIRST_READ_GRACE_MS = 50.0
 
-# The same while many connections arrive at once and a turn of the event loop takes up to 60 ms. It delays nobody: it
-# applies while descriptors are still free.
-BURST_FIRST_READ_MS = 4 * FIRST_READ_MS
+# Same as FIRST_READ_GRACE_MS while many connections arrive at once and one iteration of the event loop takes longer.
+# It applies only while descriptors are still available, so that no connection has to wait for it.
+BURST_FIRST_READ_GRACE_MS = 4 * FIRST_READ_GRACE_MS
 
-# That a client may leave unread; the protocol's own limit towards the planner is half of it.
+# Maximum size of the messages queued for a client that does not read. The protocol allows the client half of it for
+# the opposite direction.
 MAX_UNSENT_BYTES = 256 * 1024
 
-# One read of a connection.
+# Maximum size of one read from a connection.
 READ_BYTES = 64 * 1024
 
-# The kernel's receive buffer of a connection: this much of a flood waits there at once.
+# Size of the kernel's receive buffer of a connection, which limits the unread data of a client that sends too much.
 RECEIVE_BUFFER_BYTES = 32 * 1024
 
-# Connections: a new collector connects before the old one is seen to end.
+# Maximum number of collectors per zone. A new collector may connect before the end of the previous connection is
+# detected.
 MAX_COLLECTORS_PER_ZONE = 2
 
-# Before the listener accepts again after a connection that could not be accepted.
+# Delay after a failure to accept a connection.
 ACCEPT_RETRY_MS = 10.0
 
-# Before a task of the transport starts again after a defect of its own: soon, but no storm.
+# Delay before a background task is restarted after an unexpected error.
 TASK_RESTART_MS = 100.0
 
-# Connections that are set up at once.
+# Maximum number of accepted connections that are being set up at the same time.
 MAX_CONCURRENT_ACCEPTS = 64
 
-# Connections within one turn of the event loop: up to 67 were seen to wait, where 1,100 came in a second.
-MAX_ARRIVALS_PER_TURN = 128
+# Number of connections that may arrive within one iteration of the event loop when all proxies connect at once.
+MAX_ARRIVALS_PER_LOOP_ITERATION = 128
 
-# Connections that wait to be accepted: every proxy may connect at once. The kernel's usual maximum.
+# Maximum number of connections that wait to be accepted, as all proxies may connect at once; the usual maximum of the
+# kernel.
 LISTEN_BACKLOG = 4096
 
-# Descriptors that connections and health checks leave to the rest of the process, each counted until it is closed:
-# 3 standard streams, 3 of the event loop, 1 listener, 1 datagram socket, 1 file being read, 4 calls for the endpoint
-# list (a watch, its successor with a complete list, a fetch) and as many that have just been abandoned, 1 connection
-# accepted in the turn in which a health check took the last place: 18. The others are for what the process inherits.
+# Number of descriptors that are not available to connections and health checks. The process needs 18: 3 for standard
+# streams, 3 for the event loop, 1 for the listener, 1 for gossip, 1 for a file being read, 4 for discovery calls (a
+# watch, its successor, the complete list that the successor needs, a fetch), 4 for discovery calls that were cancelled
+# but are not closed yet, and 1 for a connection accepted in the same iteration of the event loop as the last health
+# check. The others are a margin for inherited descriptors.
 RESERVED_DESCRIPTORS = 32
 
 # --- Streams of joined proxies ---
 
-# By which a batch starts earlier or later than the report interval says, and by which writes follow it.
+# Maximum deviation of the start of a batch from the report interval, and of the writes that follow it.
 BATCH_JITTER_MS = 50.0
 
-# Report intervals without a message after which a stream is lost: a proxy with requests reports in each.
+# Number of report intervals without a message after which a stream is considered lost. A proxy that receives requests
+# reports in each interval.
 MAX_SILENT_REPORT_INTERVALS = 4
 
 # --- Memory ---
 
-# The part of the memory limit that buffered messages may take, as its divisor; the program itself takes 17 MB.
+# The memory limit divided by this is the maximum total size of buffered messages.
 BUFFER_MEMORY_DIVISOR = 4
 
 
 def accept_reserve(capacity: int) -> int:
-    """Of the connections that may be open, how many unidentified ones leave free: at most a quarter."""
-    return min(MAX_ARRIVALS_PER_TURN, capacity // 4)
+    """Return how many of `capacity` connections unidentified ones have to leave free: at most a quarter."""
+    return min(MAX_ARRIVALS_PER_LOOP_ITERATION, capacity // 4)
 
 
 def watch_renewal_interval(planners: int) -> float:
-    """How long, in ms, a watch may deliver no change before it is renewed.
+    """Return the time without a change after which a watch is renewed, in ms.
 
-    Its updates may have stopped while its heartbeat goes on. A watch is renewed no sooner than its content counts as
-    known, and all planners together make at most one such call a heartbeat.
+    A faulty watch may continue to send heartbeats without any updates. The interval is at least LINE_TIMEOUT_MS, and
+    all planners together renew at most one watch per HEARTBEAT_INTERVAL_MS.
     """
     return max(LINE_TIMEOUT_MS, planners * HEARTBEAT_INTERVAL_MS)
 
 
 def stream_silence_timeout(report_interval: float, queue_drain_time: float, transit_time: float) -> float:
-    """How long, in ms, a joined proxy may send nothing and leave a nonce unacknowledged.
+    """Return the time for which a joined proxy may send nothing while it has a nonce to acknowledge, in ms.
 
     Args:
-        report_interval: ms between two reports of a proxy.
-        queue_drain_time: ms that an acknowledgement may wait in a full queue.
-        transit_time: ms that an update takes to the proxy, and its acknowledgement back.
+        report_interval: time between two reports of a proxy, ms.
+        queue_drain_time: maximum time that an acknowledgement waits in a full queue, ms.
+        transit_time: transit time of an update to the proxy, and of its acknowledgement back, ms.
     """
     return MAX_SILENT_REPORT_INTERVALS * report_interval + queue_drain_time + 2 * transit_time
 
 
 def buffer_limit_bytes(memory_mb: float) -> int:
-    """Bytes that the partial lines and mailboxes of all connections may take together."""
+    """Return the maximum total size of the partial lines and mailboxes of all connections, in bytes."""
     return int(memory_mb * (1 << 20)) // BUFFER_MEMORY_DIVISOR
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -1,4 +1,4 @@
-"""The network side of a planner: listener and connections, discovery client, health checks and gossip datagrams."""
+"""The sockets of a planner: listener and connections, discovery client, health checks and gossip datagrams."""
 
 from __future__ import annotations
 
@@ -31,18 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """Where the planner listens and whom it calls, and its limits on descriptors and memory.
-
-    All addresses are "host:port".
+    """Addresses of a planner and of its remote services, each "host:port", and its limits on descriptors and memory.
 
     Attributes:
-        listen: where proxies and collectors connect.
-        discovery: the discovery service; several replicas of one service have commas between them.
-        peer_listen: where this planner receives gossip; empty if it does not.
-        peers: the gossip addresses of all planners, by planner index; this one's own among them.
-        peers_all: the address that reaches all planners; empty if there is none.
-        sockets: descriptors that the process may hold.
-        memory_mb: memory that the process may use, in MB.
+        listen: listening address for proxies and collectors.
+        discovery: address of the discovery service; comma-separated addresses if it has several replicas.
+        peer_listen: local address for gossip; empty if this planner does not receive gossip.
+        peers: gossip addresses of all planners by planner index, including this planner.
+        peers_all: gossip address that reaches all planners; empty if there is none.
+        sockets: maximum number of descriptors of the process.
+        memory_mb: maximum memory of the process, in MB.
     """
 
     listen: str
@@ -55,7 +53,7 @@
 
 
 def open_listener(address: str) -> socket.socket:
-    """A non-blocking listening socket; OSError if the address can't be bound."""
+    """Open a non-blocking listening socket; raises OSError if the address cannot be bound."""
     listener = socket.create_server(split_address(address), backlog=timing.LISTEN_BACKLOG)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, timing.RECEIVE_BUFFER_BYTES)
     listener.setblocking(False)
@@ -63,12 +61,12 @@
 
 
 class SocketTransport:
-    """The planner's ports on sockets.
+    """The planner actor's access to the network, implemented with sockets.
 
     Attributes:
         connection_table: all accepted connections.
-        limiters: of proxies, whatever connection they have.
-        buffer_budget: the common limit on bytes that connections buffer.
+        limiters: rate limiters by proxy number, each shared by the successive connections of a proxy.
+        buffer_budget: limit on the bytes that all connections buffer.
         supervisor: all background tasks.
         post: puts an item into the planner actor's mailbox.
     """
@@ -83,7 +81,7 @@
         listen_at: Callable[[str], socket.socket] = open_listener,
         seed: int = 0,
     ) -> None:
-        """Put the parts together; nothing is opened before `open`."""
+        """Create the transport without opening any socket; see `open`."""
         self.addresses = addresses
         self.settings = settings
         self.names = names
@@ -119,7 +117,7 @@
             self._post_item,
             random,
             DiscoveryOptions(
-                # the setting's negation: unless the policy has to ask for the list, it is watched from the start
+                # The client watches the endpoint list from the start unless the policy has to request it.
                 always_watch=not settings.endpoint_list_on_request,
                 poll_deadline_ms=settings.list_poll_deadline,
                 renewal_interval_ms=timing.watch_renewal_interval(settings.planner_count),
@@ -127,7 +125,14 @@
         )
 
     async def open(self, post: Callable[[PlannerMessage], None]) -> None:
-        """Start everything, the listener last; `post` gets what arrives. OSError if an address can't be bound."""
+        """Open the sockets and start the background tasks.
+
+        Args:
+            post: receives everything that arrives for the planner actor.
+
+        Raises:
+            OSError: an address cannot be bound.
+        """
         self.post = post
         loop = asyncio.get_running_loop()
         if self.settings.gossip_enabled and self.addresses.peer_listen:
@@ -140,7 +145,7 @@
         self.supervisor.supervise("sweep", self.connection_table.sweep)
 
     def update_addresses(self, addresses: Addresses) -> None:
-        """Apply a reloaded configuration; connections that are open stay."""
+        """Apply the addresses and limits of a reloaded configuration; open connections are not closed."""
         self.addresses = addresses
         self.connection_table.max_descriptors = addresses.sockets
         self.buffer_budget.max_bytes = timing.buffer_limit_bytes(addresses.memory_mb)
@@ -148,9 +153,9 @@
         self.discovery.send(ChangeAddress(addresses.discovery))
 
     async def listen(self, listener: socket.socket) -> None:
-        """Accept all pending connections in one go, so that proxies that come together join in one batch.
+        """Accept all pending connections without a pause, so that proxies that connect together join in one batch.
 
-        Not asyncio's own server: short of descriptors it retries and logs without a pause.
+        asyncio's own server is not used because it retries and logs without a delay when no descriptor is free.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -169,7 +174,7 @@
             self.connection_table.reserve_capacity()
 
     async def serve_connection(self, accepted: socket.socket) -> None:
-        """Attend an accepted connection until its socket is closed."""
+        """Set up and run an accepted connection until its socket is closed."""
         try:
             reader, writer = await asyncio.open_connection(sock=accepted, limit=timing.READ_BYTES)
         except OSError as error:
@@ -191,11 +196,11 @@
         self.connection_table.remove(connection)
 
     def is_listed(self, server: ServerId) -> bool:
-        """Whether an endpoint list has named the server."""
+        """Return whether any endpoint list so far contained the server."""
         return self.endpoints.server_ids.name(server) is not None
 
     def limiter(self, proxy: int) -> RateLimiter:
-        """A proxy's limiter: it outlives the proxy's streams, so that a new one does not start a new count."""
+        """Return the rate limiter of a proxy, which counts the messages of all its successive streams together."""
         if proxy not in self.limiters:
             self.limiters[proxy] = RateLimiter(
                 self.settings.message_cap, self.settings.message_window + timing.BATCH_JITTER_MS
@@ -203,14 +208,14 @@
         return self.limiters[proxy]
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
-        """Queue updates at those streams that run over sockets."""
+        """Queue updates on the connections of this transport; updates for other connections are ignored."""
         encoded = self.encoder.encode([update for _, update in messages])
         for (stream_connection, _), data in zip(messages, encoded, strict=True):
             if isinstance(stream_connection, Connection):
                 stream_connection.send(data)
 
     def watch_endpoints(self, on: bool) -> None:
-        """Open a watch of the endpoint list, or end it."""
+        """Start or stop watching the endpoint list."""
         self.discovery.send(Command.WATCH if on else Command.STOP)
 
     def fetch_endpoints(self) -> None:
@@ -218,13 +223,13 @@
         self.discovery.send(Command.FETCH)
 
     def start_health_check(self, server: ServerId, target: HealthCheckTarget) -> None:
-        """Check a server; dropped where no descriptor is free."""
+        """Start a health check of a server; does nothing if no descriptor is free."""
         self.health_checks.start(server, target)
 
     def send_gossip(self, payload: bytes, peer: int | None) -> None:
-        """Send a datagram to one planner, or to all of them."""
+        """Send a datagram to the planner with index `peer`, or to all planners if `peer` is None."""
         self.datagrams.send(payload, peer)
 
 
 def discard(_item: PlannerMessage) -> None:
-    """Stands in for the planner's mailbox until the transport is opened."""
+    """Ignore an item; used as `post` until the transport is opened."""
--- a/tests/wire/test_descriptors.py
+++ b/tests/wire/test_descriptors.py
@@ -75,7 +75,7 @@
     open: up to 64 descriptors over the limit."""
 
     async def work() -> None:
-        monkeypatch.setattr(timing, "FIRST_READ_MS", 1000.0)
+        monkeypatch.setattr(timing, "FIRST_READ_GRACE_MS", 1000.0)
         harness = TransportHarness(proxies=2 * CAPACITY, sockets=timing.RESERVED_DESCRIPTORS + CAPACITY)
         counter = await open_counted(harness)
         for _ in range(CAPACITY - 1):
--- a/tests/wire/test_line_codec.py
+++ b/tests/wire/test_line_codec.py
@@ -29,7 +29,7 @@
     MalformedMessageError,
     PingMessage,
     ProtocolViolationError,
-    columns_in_order,
+    order_columns,
 )
 
 NAMES = ConfiguredNames(
@@ -148,7 +148,7 @@
 def test_an_error_names_kind_field_and_value() -> None:
     with pytest.raises(MalformedMessageError) as caught:
         decode(b"LOAD site=a target=s count=2 fail=3 mean=1 over=1", NAMES)
-    assert str(caught.value) == "LOAD fail: no integer from 0 to 2: '3'"
+    assert str(caught.value) == "LOAD fail: not an integer from 0 to 2: '3'"
 
 
 @pytest.mark.parametrize("pending", [b"x", b"RATES", b"\x16\x03", b"PINGG", b"GET / ", b"RATE id=1 la\x00", b"ACK \n"])
@@ -296,8 +296,8 @@
 
 
 def test_load_columns_are_in_the_order_of_the_settings() -> None:
-    assert columns_in_order((("utilization", 0.5), ("other", 1.0), ("outstanding", 3.0)), NAMES.columns) == (3.0, 0.5)
-    incomplete = columns_in_order((("utilization", 0.5),), NAMES.columns)
+    assert order_columns((("utilization", 0.5), ("other", 1.0), ("outstanding", 3.0)), NAMES.columns) == (3.0, 0.5)
+    incomplete = order_columns((("utilization", 0.5),), NAMES.columns)
     assert math.isnan(incomplete[0])
     assert incomplete[1] == 0.5
-    assert columns_in_order((), NAMES.columns) == ()
+    assert order_columns((), NAMES.columns) == ()
--- a/tests/wire/test_transport.py
+++ b/tests/wire/test_transport.py
@@ -253,7 +253,7 @@
 
 def test_without_unidentified_connections_the_longest_idle_is_evicted(monkeypatch: Any) -> None:
     async def work() -> None:
-        monkeypatch.setattr("stackwheel.wire.timing.IDLE_CONNECTION_MS", 50.0)
+        monkeypatch.setattr("stackwheel.wire.timing.MIN_IDLE_BEFORE_EVICTION_MS", 50.0)
         harness = TransportHarness(sockets=32 + 2)
         await harness.open()
         proxies = [harness.connect(f"SUBSCRIBE id={n} site=east rps=1 new=1\r\n".encode()) for n in range(2)]
