--- a/stackwheel/wire/byte_budget.py
+++ b/stackwheel/wire/byte_budget.py
@@ -1,4 +1,4 @@
-"""A bound on the bytes of responses in flight, reserved and released in the order of the requests."""
+"""A limit on the total size of the responses that are being sent, with reservations in the order of the requests."""
 
 from __future__ import annotations
 
@@ -11,17 +11,21 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Waiter:
-    size: int  # bytes that it will reserve
+    """A pending reservation of `size` bytes; `admitted` is resolved when they have been reserved."""
+
+    size: int
     admitted: asyncio.Future[None]
 
 
 class ByteBudget:
-    """At most so many bytes at once; a response that is larger than the limit is admitted alone.
+    """Limits the number of bytes that are reserved at the same time.
+
+    A reservation that is larger than the limit is admitted when no other bytes are reserved.
 
     Attributes:
-        limit_bytes: that may be reserved at once.
-        reserved_bytes: that are reserved now.
-        waiting: who waits for capacity, the first to come first.
+        limit_bytes: maximum number of reserved bytes.
+        reserved_bytes: number of reserved bytes.
+        waiting: pending reservations in the order of the requests.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -30,12 +34,12 @@
         self.waiting: deque[_Waiter] = deque()
 
     def has_capacity(self, size: int) -> bool:
-        """Whether `reserve` would not wait."""
+        """Return whether `reserve` would reserve `size` bytes without waiting."""
         return not self.waiting and self._fits(size)
 
     @asynccontextmanager
     async def reserve(self, size: int) -> AsyncIterator[None]:
-        """Reserve so many bytes, once those who asked before have theirs; they are released at the end."""
+        """Reserve `size` bytes after all earlier requests, and release them when the context ends."""
         if self.has_capacity(size):
             self.reserved_bytes += size
         else:
@@ -54,7 +58,7 @@
             if waiter in self.waiting:
                 self.waiting.remove(waiter)
                 self._admit()
-            else:  # cancelled after its bytes had been reserved
+            else:  # cancelled after the bytes were reserved
                 self._release(size)
             raise
 
--- a/stackwheel/wire/endpoint_list_server.py
+++ b/stackwheel/wire/endpoint_list_server.py
@@ -20,7 +20,7 @@
 from stackwheel.wire.byte_budget import ByteBudget
 from stackwheel.wire.endpoint_requests import MAX_REQUEST_HEAD_BYTES, ListRequest, RequestRejectedError, read_request
 from stackwheel.wire.endpoint_watch import EndpointWatch, chunk
-from stackwheel.wire.http import split_address, within
+from stackwheel.wire.http import split_address, wait_for_result
 
 MAX_SNAPSHOT_BYTES = 64 << 20  # of snapshots being sent, each of which may wait unread: 512 of 512 servers
 SEND_BUFFER_BYTES = 64 << 10  # in the kernel, of a connection: what a slow reader leaves unread there
@@ -236,11 +236,11 @@
     async def _send_last(writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write the last bytes of a connection; a caller that does not read loses them."""
         writer.write(data)
-        await within(timing.LINE_TIMEOUT_MS, writer.drain())
+        await wait_for_result(timing.LINE_TIMEOUT_MS, writer.drain())
         with contextlib.suppress(OSError, RuntimeError):
             writer.write_eof()
             writer.close()
-            await within(timing.RESPONSE_TIMEOUT_MS, writer.wait_closed())
+            await wait_for_result(timing.RESPONSE_TIMEOUT_MS, writer.wait_closed())
 
     async def _watch(
         self, cell: str, delta: bytes | None, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/stackwheel/wire/endpoint_requests.py
+++ b/stackwheel/wire/endpoint_requests.py
@@ -12,7 +12,7 @@
 from stackwheel.errors import StackwheelError
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH
-from stackwheel.wire.http import within
+from stackwheel.wire.http import wait_for_result
 
 MAX_REQUEST_HEAD_BYTES = 8 << 10  # a planner's has some 150
 REQUEST_TIMEOUT_MS = timing.RESPONSE_TIMEOUT_MS  # for the complete request: a caller gives up its call after that
@@ -51,7 +51,7 @@
     """
     http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_REQUEST_HEAD_BYTES)
     try:
-        return await within(REQUEST_TIMEOUT_MS, _next_request(http, reader))
+        return await wait_for_result(REQUEST_TIMEOUT_MS, _next_request(http, reader))
     except h11.RemoteProtocolError as error:
         raise RequestRejectedError(error.error_status_hint, str(error)) from error
 
--- a/stackwheel/wire/endpoint_watch.py
+++ b/stackwheel/wire/endpoint_watch.py
@@ -10,7 +10,7 @@
 
 from stackwheel.wire import timing
 from stackwheel.wire.byte_budget import ByteBudget
-from stackwheel.wire.http import within
+from stackwheel.wire.http import wait_for_result
 
 MAX_PENDING_BYTES = 64 << 10  # deltas that wait for one watcher: beyond it a snapshot is hardly more
 HEARTBEAT_CHUNK = b"1\r\n\n\r\n"  # an empty line
@@ -113,7 +113,7 @@
         """Hand all of it to the network; a watcher that takes longer than `timeout` (ms) does not read."""
         self.is_writing = True
         self.writer.write(data)
-        drained = await within(timeout, self._drained())
+        drained = await wait_for_result(timeout, self._drained())
         self.is_writing = False
         if drained is None:
             self.end(f"not read for {timeout / 1000.0:g} s")
--- a/stackwheel/wire/health_check_runner.py
+++ b/stackwheel/wire/health_check_runner.py
@@ -1,4 +1,4 @@
-"""Runs the health checks that the policy asks for, within the limit on descriptors."""
+"""Runs the health checks that the policy requests, within the limit on descriptors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HealthCheckRunner:
-    """Starts health checks and posts how they ended."""
+    """Starts health checks and posts their results."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         supervisor: TaskSupervisor,
         post: Callable[[HealthCheckCompleted], None],
     ) -> None:
-        """Each health check holds one of the descriptors that `connections` counts until its socket is closed."""
+        """Create a runner whose health checks share the limit on descriptors with `connections`."""
         self.names = names
         self.clock = clock
         self.connections = connections
@@ -32,13 +32,14 @@
         self.post = post
 
     def start(self, server: ServerId, target: HealthCheckTarget) -> None:
-        """Check a server; dropped where no descriptor is free, as incoming connections need them."""
+        """Start a health check of a server; skipped if no descriptor is free, as connections have priority."""
         if self.connections.at_capacity():
             return
         if target.address:
-            self.connections.health_checks_in_flight += 1  # now, as many may be started in one turn of the loop
+            # Count the check before its task runs, as several may be started in one iteration of the event loop.
+            self.connections.health_checks_in_flight += 1
             self.supervisor.start(self._check(server, target))
-        else:  # no endpoint list has given its address
+        else:  # no endpoint list so far contained an address of the server
             self.post(HealthCheckCompleted(target, HealthCheckResult(server, HealthCheckOutcome.UNREACHABLE, 0.0)))
 
     async def _check(self, server: ServerId, target: HealthCheckTarget) -> None:
--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of a server: whether it answers, and its load report where it sends one."""
+"""Health checks of servers by HTTP: the outcome, and the load columns if the server reports them."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 LIVENESS_PATH = "/health/live"
 LOAD_REPORT_PATH = "/stats"
-REJECTED_STATUS = 503  # the server is there, but admits no more requests
+REJECTED_STATUS = 503  # the server is running, but does not accept more requests
 
 
 def health_check_call(address: str, names: ConfiguredNames) -> Call:
-    """The call that checks the server at an address, not opened yet."""
+    """Create the call of a health check, without opening it."""
     return Call(address, LOAD_REPORT_PATH if names.health_check_returns_load else LIVENESS_PATH)
 
 
 async def check_health(server: ServerId, call: Call, names: ConfiguredNames, clock: Clock) -> face.HealthCheckResult:
-    """Make the call; its outcome, its duration in ms and the load columns that the server reported."""
+    """Make the call of a health check, and return its outcome, its duration in ms and the reported load columns."""
     started_at = clock.now()
     try:
         body = await exchange(
@@ -39,7 +39,7 @@
 
 
 def outcome_of(error: CallError) -> HealthCheckOutcome:
-    """What a failed call says of the server."""
+    """Return the outcome of a health check whose call failed."""
     if error.stage is Stage.STATUS:
         return HealthCheckOutcome.REJECTED if error.status == REJECTED_STATUS else HealthCheckOutcome.ERROR
     if error.stage is Stage.CONNECT:
--- a/stackwheel/wire/http.py
+++ b/stackwheel/wire/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 calls: asyncio carries the bytes, h11 parses them, and an error states how far the call came."""
+"""HTTP/1.1 GET requests over asyncio streams, parsed by h11; errors state the stage at which a call failed."""
 
 from __future__ import annotations
 
@@ -19,24 +19,33 @@
 
 
 class Stage(StrEnum):
-    """How far a call had come when it failed."""
+    """The stage at which a call failed."""
 
-    CONNECT = "connect"  # no connection
-    HEAD = "head"  # request sent, no response yet
-    STATUS = "status"  # responded, with a status other than 200
-    BODY = "body"  # responded, but the body is not complete
-    CONTENT = "content"  # complete, but the body can't be used
+    CONNECT = "connect"
+    """The connection was not established."""
+
+    HEAD = "head"
+    """The head of the response was not received."""
+
+    STATUS = "status"
+    """The response had a status other than 200."""
+
+    BODY = "body"
+    """The body of the response was not received completely."""
+
+    CONTENT = "content"
+    """The body was received completely, but its content is invalid."""
 
 
 class CallError(StackwheelError):
-    """A call brought no usable response.
+    """A call failed or returned an invalid response.
 
     Attributes:
-        stage: how far the call had come.
-        reason: what went wrong there.
-        address: "host:port" that was called.
-        timed_out: whether a timeout expired, as opposed to a connection that ended or a response that was wrong.
-        status: the response's status where `stage` is STATUS, else 0.
+        stage: stage at which the call failed.
+        reason: description of the failure.
+        address: "host:port" of the server.
+        timed_out: whether a timeout expired; False if the connection ended or the response was invalid.
+        status: status of the response if `stage` is STATUS, otherwise 0.
     """
 
     def __init__(self, stage: Stage, reason: str, address: str, timed_out: bool = False, status: int = 0) -> None:
@@ -48,15 +57,20 @@
         self.status = status
 
 
-async def within(timeout_ms: float, work: Awaitable[T]) -> T | None:
-    """Wait for work at most so long, and cancel it then.
+async def wait_for_result(timeout_ms: float, awaitable: Awaitable[T]) -> T | None:
+    """Wait for an awaitable, and cancel it after a timeout.
 
-    What is ready when the timeout expires still counts, as this process itself may have been stalled.
+    A result that is available shortly after the timeout is still returned, because this process itself may have been
+    suspended.
+
+    Args:
+        timeout_ms: the timeout, which is extended by STALL_GRACE_MS.
+        awaitable: a coroutine, task or future.
 
     Returns:
-        The result, or None when the timeout has expired.
+        The result, or None if the timeout has expired.
     """
-    task = asyncio.ensure_future(work)
+    task = asyncio.ensure_future(awaitable)
     try:
         done, _ = await asyncio.wait({task}, timeout=timeout_ms / 1000.0)
         if not done:
@@ -68,26 +82,28 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of "host:port"; ValueError where the port is no number."""
+    """Split "host:port" into host and port; raises ValueError if the port is not a number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class Call:
-    """One GET on a connection of its own.
+    """A GET request on a new connection.
 
     Attributes:
-        address: "host:port" that is called.
-        target: path and query.
+        address: "host:port" of the server.
+        target: path and query of the request.
         protocol: h11's state of the connection.
-        connecting: the task that connects, from `open` on; its result owns the socket until `close`.
+        connect_task: task that opens the connection, whose result owns the socket; None before `open`.
+        reader: stream of received data; None before the connection is established.
+        writer: stream of sent data; None before the connection is established.
     """
 
     def __init__(self, address: str, target: str) -> None:
         self.address = address
         self.target = target
         self.protocol = h11.Connection(h11.CLIENT)
-        self.connecting: asyncio.Task[tuple[asyncio.StreamReader, asyncio.StreamWriter]] | None = None
+        self.connect_task: asyncio.Task[tuple[asyncio.StreamReader, asyncio.StreamWriter]] | None = None
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
 
@@ -95,34 +111,34 @@
         """Connect, send the request and read the head of the response.
 
         Raises:
-            CallError: no connection or no response in time, or a response with a status other than 200.
+            CallError: the connection or the response failed or timed out, or the status is not 200.
         """
         await self._connect(connect_timeout_ms)
         event = await self._request(response_timeout_ms)
         if event is None:
-            raise self._error(Stage.HEAD, "no answer in time", timed_out=True)
+            raise self._error(Stage.HEAD, f"no response within {response_timeout_ms:g} ms", timed_out=True)
         if not isinstance(event, h11.Response):
-            raise self._error(Stage.HEAD, "connection ended")
+            raise self._error(Stage.HEAD, "connection closed before the response")
         status = event.status_code
         if status != OK_STATUS:
-            raise CallError(Stage.STATUS, f"status {status}", self.address, status=status)
+            raise CallError(Stage.STATUS, f"status {status} instead of {OK_STATUS}", self.address, status=status)
 
     async def read_chunk(self, timeout_ms: float) -> bytes | None:
-        """The next piece of the body, however it is cut; None at its end.
+        """Return the next part of the body, in arbitrary portions; None at the end of the body.
 
         Raises:
-            CallError: the connection was reset, nothing came in time, or the bytes are no HTTP.
+            CallError: the connection failed, no data arrived within the timeout, or the data is not valid HTTP.
         """
         try:
-            event = await within(timeout_ms, self._next_event())
+            event = await wait_for_result(timeout_ms, self._next_event())
         except (OSError, h11.ProtocolError) as error:
             raise self._error(Stage.BODY, str(error) or type(error).__name__) from error
         if event is None:
-            raise self._error(Stage.BODY, "silence", timed_out=True)
+            raise self._error(Stage.BODY, f"no data within {timeout_ms:g} ms", timed_out=True)
         return bytes(event.data) if isinstance(event, h11.Data) else None
 
     async def read_body(self, timeout_ms: float, max_bytes: int = timing.MAX_BODY_BYTES) -> bytes:
-        """The complete body, all of it within the timeout.
+        """Return the complete body, which has to be received within the timeout.
 
         Raises:
             CallError: as for `read_chunk`, or the body is larger than `max_bytes`.
@@ -136,46 +152,46 @@
                 return bytes(body)
             body += chunk
             if len(body) > max_bytes:
-                raise self._error(Stage.BODY, f"over {max_bytes} bytes")
+                raise self._error(Stage.BODY, f"body larger than {max_bytes} bytes")
 
     def close(self) -> None:
-        """Abort the connection, also of a call that was cancelled just as its connection was established."""
+        """Abort the connection, even if the call was cancelled just when the connection was established."""
         writer = self._established_writer()
         if writer is not None:
             writer.transport.abort()
 
     async def wait_closed(self) -> None:
-        """Wait until the call holds no descriptor.
+        """Wait until the call has released its descriptor.
 
-        `close` only begins that: the transport closes its socket in a later turn of the event loop, and so does a
-        connecting task that was cancelled.
+        After `close`, and after a cancellation while connect_task, the socket is only closed in a later iteration of
+        the event loop.
         """
-        if self.connecting is None:
+        if self.connect_task is None:
             return
-        await asyncio.wait({self.connecting})
+        await asyncio.wait({self.connect_task})
         writer = self._established_writer()
         if writer is not None:
             await socket_closed(writer)
 
     async def _connect(self, timeout_ms: float) -> None:
         try:
-            self.connecting = asyncio.ensure_future(asyncio.open_connection(*split_address(self.address)))
-            streams = await within(timeout_ms, self.connecting)
-        except (OSError, ValueError, OverflowError) as error:  # the latter two: an address or port that is none
+            self.connect_task = asyncio.ensure_future(asyncio.open_connection(*split_address(self.address)))
+            streams = await wait_for_result(timeout_ms, self.connect_task)
+        except (OSError, ValueError, OverflowError) as error:  # invalid addresses raise ValueError or OverflowError
             raise self._error(Stage.CONNECT, str(error)) from error
         if streams is None:
-            raise self._error(Stage.CONNECT, "no connection in time", timed_out=True)
+            raise self._error(Stage.CONNECT, f"not connected within {timeout_ms:g} ms", timed_out=True)
         self.reader, self.writer = streams
 
     async def _request(self, timeout_ms: float) -> h11.Event | None:
-        """Send the request; the first event of the response, or None when the timeout has expired."""
+        """Send the request, and return the first event of the response; None if the timeout has expired."""
         assert self.writer is not None
         try:
             request = h11.Request(
                 method="GET", target=self.target, headers=[("Host", self.address), ("Accept", "application/json")]
             )
             self.writer.write(self.protocol.send(request) + self.protocol.send(h11.EndOfMessage()))
-            return await within(timeout_ms, self._next_event())
+            return await wait_for_result(timeout_ms, self._next_event())
         except (OSError, h11.ProtocolError) as error:
             raise self._error(Stage.HEAD, str(error) or type(error).__name__) from error
 
@@ -189,8 +205,8 @@
                 return event
 
     def _established_writer(self) -> asyncio.StreamWriter | None:
-        """The writer of a connection that was established, whether or not `open` took it."""
-        task = self.connecting
+        """Return the writer of an established connection, even if `open` was cancelled before it stored the writer."""
+        task = self.connect_task
         if task is None or not task.done() or task.cancelled() or task.exception() is not None:
             return None
         _, writer = task.result()
@@ -201,8 +217,8 @@
 
 
 async def socket_closed(writer: asyncio.StreamWriter) -> None:
-    """Wait until a transport that is being closed has closed its socket."""
-    with contextlib.suppress(Exception):  # what ended the connection; the reader got it too
+    """Wait until a transport that is closing has closed its socket."""
+    with contextlib.suppress(Exception):  # the error that ended the connection, which the reader has received too
         await writer.wait_closed()
 
 
@@ -213,14 +229,18 @@
     response_timeout_ms: float,
     max_bytes: int = timing.MAX_BODY_BYTES,
 ) -> bytes:
-    """The body of one GET, at most `max_bytes` of it; CallError where there is none."""
+    """Send a GET request, and return the body of the response; see `exchange`."""
     return await exchange(Call(address, target), connect_timeout_ms, response_timeout_ms, max_bytes)
 
 
 async def exchange(
     call: Call, connect_timeout_ms: float, response_timeout_ms: float, max_bytes: int = timing.MAX_BODY_BYTES
 ) -> bytes:
-    """The body of a call's response; the call is closed then, also where CallError is raised."""
+    """Send the request of a call, return the body of the response, and close the call.
+
+    Raises:
+        CallError: the call failed or timed out, the status is not 200, or the body is larger than `max_bytes`.
+    """
     try:
         await call.open(connect_timeout_ms, response_timeout_ms)
         return await call.read_body(response_timeout_ms, max_bytes)
--- a/stackwheel/wire/timing.py
+++ b/stackwheel/wire/timing.py
@@ -39,7 +39,7 @@
 
 # --- Accepted connections ---
 
-# Maximum time from accepting a connection to its identification. The protocol allows 3 s from the start of connecting
+# Maximum time from accepting a connection to its identification. The protocol allows 3 s from the start of connect_task
 # and requires at least 1 s.
 IDENTIFY_TIMEOUT_MS = 1500.0
 
--- a/stackwheel/wire/watch_renewal.py
+++ b/stackwheel/wire/watch_renewal.py
@@ -1,4 +1,4 @@
-"""When a watch is renewed that delivers no change."""
+"""Timer for the renewal of a watch that does not deliver changes."""
 
 from __future__ import annotations
 
@@ -6,34 +6,42 @@
 from random import Random
 
 RENEWAL_BACKOFF = 2.0
-"""Factor by which a renewal that brought nothing delays the next one."""
+"""Factor by which the interval grows after each renewal that did not deliver a list."""
 
-MIN_JITTER = 0.5
-"""Smallest factor of the jitter, which is spread evenly over 1.0 from there: no two planners renew in step."""
+MIN_JITTER_FACTOR = 0.5
+"""Lower bound of the jitter factor, which is distributed uniformly over an interval of length 1.0."""
 
 
 class RenewalTimer:
-    """When a watch is renewed that has delivered no change for long; each renewal without effect doubles the delay."""
+    """Decides when to renew a watch that has not delivered a change for an interval.
+
+    The interval grows with each renewal that does not deliver a list, and has jitter, which prevents planners from
+    renewing their watches simultaneously.
+
+    Attributes:
+        interval_ms: interval without a change before the first renewal, without jitter, ms.
+        random: source of the jitter.
+    """
 
     def __init__(self, interval_ms: float, random: Random) -> None:
         self.interval_ms = interval_ms
         self.random = random
         self._delay_ms = interval_ms
-        self._due_at = math.inf  # s, time of the event loop
+        self._due_at = math.inf  # s, clock of the event loop
 
     def restart(self, now: float) -> None:
-        """Start again: a list has come."""
+        """Restart the timer with the first interval, because a list has been received; `now` is in s."""
         self._delay_ms = self.interval_ms
         self._schedule(now)
 
     def is_due(self, now: float) -> bool:
-        """Whether the watch has to be renewed."""
+        """Return whether the watch has to be renewed; `now` is in s."""
         return now >= self._due_at
 
     def back_off(self, now: float) -> None:
-        """Wait for longer: the watch goes on where its renewal fails, and is renewed ever more seldom."""
+        """Restart the timer with a longer interval, because a renewal has been started; `now` is in s."""
         self._delay_ms *= RENEWAL_BACKOFF
         self._schedule(now)
 
     def _schedule(self, now: float) -> None:
-        self._due_at = now + self._delay_ms / 1000.0 * (MIN_JITTER + self.random.random())
+        self._due_at = now + self._delay_ms / 1000.0 * (MIN_JITTER_FACTOR + self.random.random())
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -8,7 +8,7 @@
 from fake_services import free_port
 from scripted_discovery import ScriptedDiscovery, run
 
-from stackwheel.wire.http import Call, CallError, Stage, get, within
+from stackwheel.wire.http import Call, CallError, Stage, get, wait_for_result
 
 LONG_MS = 10_000.0
 SHORT_MS = 20.0
@@ -83,7 +83,7 @@
         received.respond(b"x" * 5000)
         with pytest.raises(CallError) as caught:
             await task
-        assert caught.value.reason == "over 1000 bytes"
+        assert caught.value.reason == "body larger than 1000 bytes"
         await received.ended.wait()
 
     run(work)
@@ -96,7 +96,7 @@
         loop = asyncio.get_running_loop()
         ready = loop.create_future()
         loop.call_later(0.01, ready.set_result, "answer")
-        waiting = asyncio.ensure_future(within(5.0, ready))
+        waiting = asyncio.ensure_future(wait_for_result(5.0, ready))
         await asyncio.sleep(0)
         time.sleep(0.05)
         return await waiting
@@ -118,21 +118,21 @@
                 call.close()
 
         task = asyncio.create_task(open_and_hold())
-        while call.connecting is None:
+        while call.connect_task is None:
             await asyncio.sleep(0)
         if cancelled_when == "connected":  # in the very turn of the connection, before anybody took it
-            call.connecting.add_done_callback(lambda _: task.cancel())
+            call.connect_task.add_done_callback(lambda _: task.cancel())
         elif cancelled_when == "answered":
             (await discovery.calls.get()).respond(b"x")
             while call.protocol.their_state.__name__ != "DONE" and call.writer is None:
                 await asyncio.sleep(0)
         if cancelled_when != "connected":
             task.cancel()
-        await asyncio.wait({task, call.connecting})
+        await asyncio.wait({task, call.connect_task})
         assert call.writer is None or cancelled_when == "answered"
         await asyncio.sleep(0)
-        if not call.connecting.cancelled():
-            _, writer = call.connecting.result()
+        if not call.connect_task.cancelled():
+            _, writer = call.connect_task.result()
             assert writer.transport.is_closing()
 
     run(work)
