--- a/stackwheel/wire/discovery_calls.py
+++ b/stackwheel/wire/discovery_calls.py
@@ -1,4 +1,4 @@
-"""The two calls of the discovery service: the complete endpoint list, and a watch."""
+"""The two calls to the discovery service: fetching the complete endpoint list, and watching its changes."""
 
 from __future__ import annotations
 
@@ -8,86 +8,94 @@
 from stackwheel.endpoints import EndpointList, merge
 from stackwheel.errors import InvalidInputError
 from stackwheel.wire import timing
-from stackwheel.wire.discovery_protocol import INSTANCES_PATH, MAX_ERROR_SHOWN, parse_endpoint_list
+from stackwheel.wire.discovery_protocol import INSTANCES_PATH, MAX_LOGGED_ERROR_CHARACTERS, parse_endpoint_list
 from stackwheel.wire.http import Call, CallError, Stage, get
 
 
 class Heartbeat:
-    """An empty line of a watch: nothing has changed, and the service is alive."""
+    """An empty line of a watch, which shows that the service is alive while the endpoint list does not change."""
 
 
 WatchEvent = EndpointList | Heartbeat
 
 
 async def fetch_endpoint_list(address: str) -> EndpointList:
-    """The complete endpoint list of one replica.
+    """Fetch the complete endpoint list from one replica.
 
     Raises:
-        CallError: the call failed, or its answer is no endpoint list.
+        CallError: the call failed, or the body of its response is not an endpoint list.
     """
     body = await get(address, INSTANCES_PATH, timing.CONNECT_TIMEOUT_MS, timing.RESPONSE_TIMEOUT_MS)
     return _parse(body, address)
 
 
 def watch_call(replica: str, since: int | None) -> Call:
-    """The call of a watch, not opened yet: the changes after generation `since`, or all where it is None."""
-    resume = "" if since is None else f"&since={since}"
-    return Call(replica, f"{INSTANCES_PATH}?follow=1{resume}")
+    """Create the call of a watch, without opening it.
+
+    Args:
+        replica: address of the replica.
+        since: generation after which the watch resumes; None to start with the complete list.
+    """
+    resume_query = "" if since is None else f"&since={since}"
+    return Call(replica, f"{INSTANCES_PATH}?follow=1{resume_query}")
 
 
 async def watch_events(call: Call) -> AsyncIterator[WatchEvent]:
-    """The events of an open watch, one JSON object or empty line each.
+    """Yield the events of an open watch, one for each line.
 
     Raises:
-        CallError: how the watch ended; it has no other end.
+        CallError: the watch ended or failed; the iterator never ends normally.
     """
     loop = asyncio.get_running_loop()
     lines = LineSplitter(loop.time() * 1000.0)
-    silence_timeout_ms = timing.RESPONSE_TIMEOUT_MS  # of the first byte
+    silence_timeout_ms = timing.RESPONSE_TIMEOUT_MS  # until the first byte is received
     while True:
         line_timeout_ms = max(0.0, lines.deadline_ms - loop.time() * 1000.0)
         chunk = await call.read_chunk(min(silence_timeout_ms, line_timeout_ms))
         if chunk is None:
-            raise CallError(Stage.BODY, "watch ended", call.address)
+            raise CallError(Stage.BODY, "watch ended by the server", call.address)
         lines.append(chunk)
         silence_timeout_ms = timing.WATCH_SILENCE_TIMEOUT_MS
         while (line := lines.next_line(loop.time() * 1000.0)) is not None:
             yield _parse(line, call.address) if line else Heartbeat()
         if lines.partial and loop.time() * 1000.0 > lines.deadline_ms:
-            raise CallError(Stage.BODY, "a line without end", call.address, timed_out=True)
+            raise CallError(
+                Stage.BODY, f"line incomplete after {timing.LINE_TIMEOUT_MS:g} ms", call.address, timed_out=True
+            )
         if len(lines.partial) > timing.MAX_BODY_BYTES:
-            raise CallError(Stage.BODY, f"line over {timing.MAX_BODY_BYTES} bytes", call.address)
+            raise CallError(Stage.BODY, f"line longer than {timing.MAX_BODY_BYTES} bytes", call.address)
 
 
 async def handover_events(
-    call: Call, has_taken_over: Callable[[], bool], known_generation: Callable[[], int]
+    call: Call, is_source: Callable[[], bool], current_generation: Callable[[], int]
 ) -> AsyncIterator[WatchEvent]:
-    """The events of a watch at a new address, of which the first list is complete.
+    """Yield the events of a watch at a new address, beginning with a complete list.
 
-    The old address may have delivered more by then. A list that is behind is held back, and brought forward by the
-    changes that follow, until the next heartbeat at the latest, as the generations of the two may differ anyway.
+    The old address may have delivered a later generation in the meantime. A list with an earlier generation is
+    therefore held back, and changes that follow are merged into it, until it has reached the current generation. It is
+    yielded at the next heartbeat in any case, because the generations of the two addresses may be unrelated.
 
     Args:
         call: the open watch.
-        has_taken_over: whether the new address is the source of the list in force by now.
-        known_generation: the generation of the list in force.
+        is_source: returns whether the new address is the source of the current list.
+        current_generation: returns the generation of the current list.
 
     Raises:
-        CallError: how the watch ended, or that the complete list could not be fetched.
+        CallError: the watch ended or failed, or the complete list could not be fetched.
     """
     pending: EndpointList | None = None
     async for event in watch_events(call):
-        if has_taken_over():
+        if is_source():
             yield event
         elif isinstance(event, EndpointList):
-            pending = await _bring_forward(pending, event, call.address)
-        if pending is not None and (isinstance(event, Heartbeat) or pending.generation >= known_generation()):
+            pending = await _apply_update(pending, event, call.address)
+        if pending is not None and (isinstance(event, Heartbeat) or pending.generation >= current_generation()):
             yield pending
             pending = None
 
 
-async def _bring_forward(pending: EndpointList | None, update: EndpointList, replica: str) -> EndpointList:
-    """The complete list after an update; it is fetched where there is none that the update could apply to."""
+async def _apply_update(pending: EndpointList | None, update: EndpointList, replica: str) -> EndpointList:
+    """Return the complete list after an update; fetches it if there is no list to merge the update into."""
     if update.complete:
         return update
     if pending is None:
@@ -99,34 +107,34 @@
     try:
         return parse_endpoint_list(data)
     except InvalidInputError as error:
-        raise CallError(Stage.CONTENT, str(error)[:MAX_ERROR_SHOWN], address) from error
+        raise CallError(Stage.CONTENT, str(error)[:MAX_LOGGED_ERROR_CHARACTERS], address) from error
 
 
 class LineSplitter:
-    """Splits the bytes of a watch into lines, and knows by when the next one has to be complete.
+    """Splits the data of a watch into lines, and determines the deadline of the next line.
 
     Attributes:
-        partial: bytes of the line that is not complete yet.
-        deadline_ms: time of the event loop at which the line has to be complete.
+        partial: incomplete line at the end of the data received so far.
+        deadline_ms: time by which this line has to be complete, in ms of the event loop's clock.
     """
 
     def __init__(self, now_ms: float) -> None:
         self.partial = bytearray()
         self.deadline_ms = now_ms + timing.LINE_TIMEOUT_MS
-        self._searched = 0  # bytes of `partial` that hold no end of a line
+        self._search_start = 0  # offset in `partial` before which there is no line end
 
     def append(self, data: bytes) -> None:
-        """Add bytes as they were read."""
-        self._searched = len(self.partial)
+        """Add received data."""
+        self._search_start = len(self.partial)
         self.partial += data
 
     def next_line(self, now_ms: float) -> bytes | None:
-        """Take out the next complete line, without white space around it; None where there is none."""
-        end = self.partial.find(b"\n", self._searched)
+        """Remove and return the next complete line, without surrounding white space; None if there is none."""
+        end = self.partial.find(b"\n", self._search_start)
         if end < 0:
             return None
         line = bytes(self.partial[:end]).strip()
         del self.partial[: end + 1]
-        self._searched = 0
+        self._search_start = 0
         self.deadline_ms = now_ms + timing.LINE_TIMEOUT_MS
         return line
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -1,4 +1,4 @@
-"""The actor that asks the discovery service for the endpoint list and its changes, and posts what comes of it."""
+"""The actor that fetches and watches the endpoint list of the discovery service, and posts lists and failures."""
 
 from __future__ import annotations
 
@@ -29,27 +29,40 @@
 
 
 class Command(Enum):
-    """What the client can be asked to do; see `DiscoveryClient.send`."""
+    """Commands for the client; see `DiscoveryClient.send`."""
 
-    WATCH = auto()  # start a watch, in place of any that is open
-    STOP = auto()  # end the watches
-    FETCH = auto()  # fetch the complete list once
-    RENEW = auto()  # open a second watch, which takes over once it has delivered a list
-    HAND_OVER = auto()  # the same at a new address, after that has changed or the last attempt has failed
+    WATCH = auto()
+    """Start a watch, which replaces an open watch."""
+
+    STOP = auto()
+    """End all watches."""
+
+    FETCH = auto()
+    """Fetch the complete list once."""
+
+    RENEW = auto()
+    """Open a second watch, which replaces the first one when it has delivered a list."""
+
+    HAND_OVER = auto()
+    """Open a second watch at the new address, which replaces the watch at the old address in the same way."""
 
 
 class ChangeAddress(NamedTuple):
-    """The command to look for discovery at another address from now on: "host:port" or several with commas."""
+    """The command to use another discovery service.
+
+    Attributes:
+        address: "host:port" of the service, or the comma-separated addresses of its replicas.
+    """
 
     address: str
 
 
 class WatchEnd(NamedTuple):
-    """How one watch at one replica ended.
+    """The end of a watch at one replica.
 
     Attributes:
-        error: what ended it.
-        received_list: whether it has delivered an endpoint list.
+        error: error that ended the watch.
+        received_list: whether the watch had delivered an endpoint list.
     """
 
     error: CallError
@@ -57,13 +70,14 @@
 
 
 class DiscoveryOptions(NamedTuple):
-    """How a client gets the endpoint list.
+    """Options of a discovery client.
 
     Attributes:
-        always_watch: watch without being asked, and repeat a watch that failed, instead of posting the failure.
-        poll_deadline_ms: within which the list has to be asked for again; bounds the delays.
-        renewal_interval_ms: without a change after which a watch is renewed.
-        on_heartbeat: called for each heartbeat of a watch that has delivered its list.
+        always_watch: whether the client starts to watch without a command, and repeats failed watches instead of
+            posting the failures.
+        poll_deadline_ms: deadline for polling the list again, ms; the maximum retry delay is a share of it.
+        renewal_interval_ms: time without a change after which a watch is renewed, ms.
+        on_heartbeat: called for each heartbeat of a watch that has delivered a list.
     """
 
     always_watch: bool = False
@@ -73,29 +87,28 @@
 
 
 DEFAULT_OPTIONS = DiscoveryOptions()
-"""Only what commands ask for, once each."""
+"""Options of a client that only executes commands, without retries and renewals."""
 
 
 class DiscoveryClient:
-    """An actor whose mailbox holds commands; each call that it makes for one ends in one posted item.
+    """An actor that executes the commands in its mailbox. Each fetch, and each failed watch, posts one item.
 
-    After a change of address the old one is watched until the new one has answered. That answer counts as the
-    complete list, as what the old address delivered, and in which generations, says nothing of the new one. A watch
-    that delivers no change for long is renewed in the same way: its updates may have stopped though its heartbeat
-    goes on.
+    After a change of address, the client watches the old address until the new one has delivered a complete list,
+    because the generations of the two addresses are unrelated. A watch that has not delivered a change for the
+    renewal interval is replaced in the same way, because a faulty watch may send heartbeats without any updates.
 
-    An address may name several replicas of one service. A call that fails there goes to the next of them.
+    If a service has several replicas, a failed call is repeated at the next replica.
 
     Attributes:
-        address: where discovery is.
-        options: how the list is watched.
-        source: the address whose list is in force; another one than `address` during a hand-over.
-        generation: of the list in force.
-        replica_index: counts on to the replica that the next watch calls.
-        backoff: delays between attempts that fail.
-        watch_task: the watch whose list is in force, or that was asked for first.
-        successor_task: a watch that has delivered no list yet, and then replaces `watch_task`.
-        fetch_tasks: the fetches in flight.
+        address: address of the discovery service, or comma-separated addresses of its replicas.
+        options: options of the client.
+        source: address that delivered the current list; differs from `address` during a handover.
+        generation: generation of the current list.
+        replica_index: index of the replica that the next watch calls, modulo the number of replicas.
+        backoff: delays between failed attempts.
+        watch_task: the watch that delivered the current list, or the first watch; None while there is no watch.
+        successor_task: a second watch that replaces `watch_task` when it has delivered a list; None if there is none.
+        fetch_tasks: fetches in flight.
     """
 
     def __init__(
@@ -106,14 +119,14 @@
         random: Random | None = None,
         options: DiscoveryOptions = DEFAULT_OPTIONS,
     ) -> None:
-        """Make a client that is not started yet.
+        """Create a client; it executes commands while `run` is running.
 
         Args:
-            address: "host:port" of the service, or several of replicas with commas between.
-            generation: of the list that is known already; 0 for none.
-            post: gets each endpoint list, and each failure to get one.
-            random: for the jitter of delays.
-            options: how the list is watched.
+            address: "host:port" of the discovery service, or the comma-separated addresses of its replicas.
+            generation: generation of a list that is already known; 0 if there is none.
+            post: receives each endpoint list, and each failure to obtain one.
+            random: source of the jitter of delays.
+            options: options of the client.
         """
         self.address = address
         self.generation = generation
@@ -134,13 +147,13 @@
         self.mailbox.put_nowait(command)
 
     async def run(self) -> None:
-        """Carry out commands until cancelled."""
+        """Execute commands until cancelled."""
         if self.options.always_watch:
             self.send(Command.WATCH)
         while True:
-            self._carry_out(await self.mailbox.get())
+            self._execute(await self.mailbox.get())
 
-    def _carry_out(self, command: Command | ChangeAddress) -> None:
+    def _execute(self, command: Command | ChangeAddress) -> None:
         match command:
             case ChangeAddress(address):
                 self.change_address(address)
@@ -165,7 +178,7 @@
         task.add_done_callback(self.fetch_tasks.discard)
 
     def change_address(self, address: str) -> None:
-        """Look for the list elsewhere; without a watch there is nothing to hand over."""
+        """Use another discovery service, and start a handover to it if a watch is open."""
         if address == self.address:
             return
         logger.info("discovery address changed: source={} address={}", self.source, address)
@@ -178,7 +191,7 @@
             self.send(Command.HAND_OVER)
 
     def cancel_watches(self) -> None:
-        """End the watch and its successor."""
+        """Cancel the watch and its successor."""
         for task in (self.watch_task, self.successor_task):
             if task is not None:
                 task.cancel()
@@ -188,16 +201,20 @@
     # --- Fetching the complete list ---
 
     def fetch_address(self) -> str:
-        """Whose complete list counts: never that of an address whose watch has not taken over yet."""
+        """Return the address to fetch the list from: that of the open watch until a handover is complete."""
         return self.source if self.watch_task is not None else self.address
 
     async def fetch(self) -> None:
-        """Fetch the complete list, again where discovery moves meanwhile, so that an answer always comes."""
+        """Fetch the complete list; repeated if the address to fetch from changes in the meantime."""
         while not await self._fetch_from(self.fetch_address()):
             pass
 
     async def _fetch_from(self, address: str) -> bool:
-        """Fetch once, and post what came of it; False where that no longer counts, as discovery has moved."""
+        """Fetch the list once, and post the list or the failure.
+
+        Returns:
+            False if the result was discarded because the address to fetch from has changed.
+        """
         try:
             endpoints = await self._fetch_newest(address)
         except Exception as error:
@@ -208,16 +225,24 @@
             return True
         if address != self.fetch_address():
             return False
-        if self.watch_task is not None and endpoints.generation < self.generation:  # the watch has overtaken it
+        if self.watch_task is not None and endpoints.generation < self.generation:
+            # The watch has delivered a later generation, so servers that are missing here have not been removed.
             endpoints = replace(endpoints, complete=False)
         self.accept(endpoints, address)
         return True
 
     async def _fetch_newest(self, address: str) -> EndpointList:
-        """The complete list of the first replica that is not behind what is known; else the newest of them all."""
+        """Fetch the list from the replicas in turn, until one is at least as new as the current list.
+
+        Returns:
+            That list, or the newest list of all replicas if all are older.
+
+        Raises:
+            CallError: no replica returned a list.
+        """
         replicas = replica_addresses(address)
         newest: EndpointList | None = None
-        last_error = CallError(Stage.CONNECT, "no replica", address)
+        last_error = CallError(Stage.CONNECT, "no replica configured", address)
         for index in range(self.replica_index, self.replica_index + len(replicas)):
             try:
                 endpoints = await fetch_endpoint_list(replicas[index % len(replicas)])
@@ -235,10 +260,10 @@
     # --- Watching ---
 
     async def watch(self, address: str) -> None:
-        """Watch until it fails; every end is a failure, as a watch lasts as long as its connection.
+        """Watch the replicas of an address in turn until the watch has failed.
 
-        Where there are replicas, a watch that has lasted for a heartbeat is followed by one at the next replica at
-        once, and each is called once before the watch counts as failed.
+        The watch continues at the next replica without delay, and has failed when each replica has been called once
+        without a watch that delivered a list and lasted for at least one heartbeat interval.
         """
         replicas = replica_addresses(address)
         loop = asyncio.get_running_loop()
@@ -246,25 +271,25 @@
         while True:
             index = self.replica_index
             started_at = loop.time()
-            end = await self.watch_replica(address, replicas[index % len(replicas)])
+            watch_end = await self.watch_replica(address, replicas[index % len(replicas)])
             if asyncio.current_task() not in (self.watch_task, self.successor_task):
-                return  # another one has replaced it
+                return  # another watch has replaced this one
             self.replica_index = index + 1
-            has_lasted = end.received_list and loop.time() >= started_at + timing.HEARTBEAT_INTERVAL_MS / 1000.0
-            attempts_left = len(replicas) - 1 if has_lasted else attempts_left - 1
+            was_stable = watch_end.received_list and loop.time() >= started_at + timing.HEARTBEAT_INTERVAL_MS / 1000.0
+            attempts_left = len(replicas) - 1 if was_stable else attempts_left - 1
             if attempts_left <= 0:
                 break
             logger.warning(
                 "discovery call failed, next replica follows: source={} address={} stage={} reason={}",
                 address,
-                end.error.address,
-                end.error.stage,
-                end.error.reason,
+                watch_end.error.address,
+                watch_end.error.stage,
+                watch_end.error.reason,
             )
-        self._watch_failed(end.error, address)
+        self._on_watch_failed(watch_end.error, address)
 
     async def watch_replica(self, address: str, replica: str) -> WatchEnd:
-        """One watch at one replica, until its end."""
+        """Watch one replica until the watch ends, and return the reason."""
         received_list = False
         call = watch_call(replica, self.generation if address == self.source else None)
         renewal = RenewalTimer(self.options.renewal_interval_ms, self.random)
@@ -294,19 +319,19 @@
             return watch_events(call)
         return handover_events(call, lambda: address == self.source, lambda: self.generation)
 
-    def _watch_failed(self, error: CallError, address: str) -> None:
-        """Report the end of a watch, unless another watch goes on."""
+    def _on_watch_failed(self, error: CallError, address: str) -> None:
+        """Report the failure of a watch, unless another watch is open."""
         if self.successor_task is asyncio.current_task():
             self.successor_task = None
         elif self.watch_task is asyncio.current_task():
             self.watch_task = None
         else:
-            return  # another one has replaced it
+            return  # another watch has replaced this one
         if self.watch_task is None and self.successor_task is None:
             self.report_failure(error, address)
             return
         logger.info(
-            "discovery watch ended, another one goes on: source={} stage={} reason={}",
+            "discovery watch ended, another watch is open: source={} stage={} reason={}",
             address,
             error.stage,
             error.reason,
@@ -314,10 +339,10 @@
         if self.successor_task is None and self.source != self.address:
             self._send_after_backoff(Command.HAND_OVER)
 
-    # --- What comes of a call ---
+    # --- Results of calls ---
 
     def accept(self, endpoints: EndpointList, address: str) -> None:
-        """Post an endpoint list; that of a successor's watch makes its address the source."""
+        """Post an endpoint list, and complete a handover or renewal if the list is from the second watch."""
         self.backoff.reset()
         if address != self.source:
             logger.info("discovery source replaced: source={} address={}", self.source, address)
@@ -339,7 +364,7 @@
         self.post(endpoints)
 
     def report_failure(self, error: CallError, address: str) -> None:
-        """Post that the list could not be had; whoever asked for it decides when to ask again."""
+        """Log a failed call, and post the failure; a client that always watches schedules a new watch instead."""
         logger.warning("discovery call failed: source={} stage={} reason={}", address, error.stage, error.reason)
         if self.options.always_watch:
             self._send_after_backoff(Command.WATCH)
@@ -352,8 +377,8 @@
 
 
 def as_call_error(error: Exception, address: str) -> CallError:
-    """The error itself where it is a CallError; anything else is a defect, and logged with its traceback."""
+    """Convert an error to a CallError; unexpected errors are logged with their traceback."""
     if isinstance(error, CallError):
         return error
-    logger.exception("discovery call failed by a defect: source={} reason={!r}", address, error)
+    logger.exception("discovery call failed unexpectedly: source={} reason={!r}", address, error)
     return CallError(Stage.BODY, repr(error), address)
--- a/stackwheel/wire/discovery_protocol.py
+++ b/stackwheel/wire/discovery_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol of the discovery service: its path, its addresses and the JSON of an endpoint list."""
+"""Protocol of the discovery service: the path, the format of addresses, and the JSON format of endpoint lists."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 from stackwheel.interface import Availability
 
 INSTANCES_PATH = "/registry/instances"
-"""Answers with the complete list, and with `?follow=1` with a watch."""
+"""Path of the complete list and, with the query `?follow=1`, of a watch."""
 
-UNENCODABLE_NAME = re.compile(r"[\s,\x00-\x1f\x7f]")
-"""What a server's name can't hold: in a line of an update it would end the name."""
+INVALID_NAME = re.compile(r"[\s,\x00-\x1f\x7f]")
+"""Characters that a server's name must not contain, because they would end the name in a line of an update."""
 
 AVAILABILITY_BY_LIFECYCLE = {
     "in_service": Availability.READY,
     "terminating": Availability.DRAINING,
     "terminated": Availability.REMOVED,
 }
-"""The values of an entry's lifecycle."""
+"""Availability of a server by the lifecycle of its entry."""
 
-MAX_NAME_SHOWN = 40
-"""Characters of a name or a value in an error."""
+MAX_QUOTED_CHARACTERS = 40
+"""Maximum length of an invalid value in an error message."""
 
-MAX_ERROR_SHOWN = 200
-"""Characters of an error in a log line: an endpoint list may be wrong in every entry."""
+MAX_LOGGED_ERROR_CHARACTERS = 200
+"""Maximum length of an error message in the log."""
 
 
 def replica_addresses(address: str) -> list[str]:
-    """The addresses of a service that is named "host:port,host:port".
+    """Split the comma-separated addresses of a discovery service.
 
-    Its replicas have the same list in the same generations.
+    The replicas of a service have the same endpoint list with the same generations.
     """
     return address.split(",")
 
 
 def parse_endpoint_list(data: bytes) -> EndpointList:
-    """The endpoint list of a response's body; entries that can't be read are logged and left out.
+    """Parse the endpoint list in the body of a response; malformed entries are logged and skipped.
 
     Raises:
-        InvalidInputError: the body is no endpoint list.
+        InvalidInputError: the body is not an endpoint list.
     """
     try:
         return read_endpoint_list(json.loads(data), _log_unreadable_entry)
@@ -56,20 +56,20 @@
 
 
 def _log_unreadable_entry(error: InvalidInputError) -> None:
-    logger.warning("endpoint list entry left out: reason={}", str(error)[:MAX_ERROR_SHOWN])
+    logger.warning("endpoint list entry skipped: reason={}", str(error)[:MAX_LOGGED_ERROR_CHARACTERS])
 
 
 def read_endpoint_list(document: object, on_unreadable: Callable[[InvalidInputError], None]) -> EndpointList:
-    """The endpoint list of a JSON document.
+    """Convert a JSON document to an endpoint list.
 
-    An entry that can't be read does not make the list unusable: its name is kept in `unreadable`, and the others count.
+    Malformed entries are skipped, and their names are added to `unreadable` of the list.
 
     Args:
-        document: as `json.loads` returns it.
-        on_unreadable: called with the error of each entry that is left out; it may raise it.
+        document: the result of `json.loads`.
+        on_unreadable: called with the error of each malformed entry; it may raise the error.
 
     Raises:
-        InvalidInputError: the document is no endpoint list.
+        InvalidInputError: the document is not an endpoint list.
     """
     if not isinstance(document, dict):
         raise InvalidInputError("", "no list of instances")
@@ -82,34 +82,34 @@
         except InvalidInputError as error:
             name = item.get("instanceId") if isinstance(item, dict) else None
             unreadable.add(name if isinstance(name, str) else "")
-            place = f"list {generation}: entry {index} ({_shown(name)})"
-            place = f"{place}: {error.location}" if error.location else place
-            on_unreadable(InvalidInputError(place, error.problem))
+            location = f"list {generation}: entry {index} ({_quote(name)})"
+            location = f"{location}: {error.location}" if error.location else location
+            on_unreadable(InvalidInputError(location, error.problem))
     return EndpointList(generation, complete, tuple(instances), frozenset(unreadable))
 
 
 def _read_header(document: dict[str, object]) -> tuple[int, bool, list[object]]:
-    """Generation, whether the list is complete, and the entries, not read yet."""
+    """Return the generation, whether the list is complete, and the JSON of the entries."""
     items = _required(document, "instances")
     if not isinstance(items, list):
         raise InvalidInputError("instances", "not a list")
     generation = _required(document, "generation")
     if type(generation) is not int:
-        raise InvalidInputError("generation", f"a whole number expected, found {type(generation).__name__}")
+        raise InvalidInputError("generation", f"expected an integer, found {type(generation).__name__}")
     if generation < 0:
-        raise InvalidInputError("generation", f"negative: {_shown(generation)}")
+        raise InvalidInputError("generation", f"negative: {_quote(generation)}")
     complete = _required(document, "reset")
     if not isinstance(complete, bool):
-        raise InvalidInputError("reset", f"true or false expected, found {type(complete).__name__}")
+        raise InvalidInputError("reset", f"expected true or false, found {type(complete).__name__}")
     return generation, complete, items
 
 
 def _read_instance(item: object) -> Instance:
     if not isinstance(item, dict):
-        raise InvalidInputError("", f"an object expected, found {type(item).__name__}")
+        raise InvalidInputError("", f"expected an object, found {type(item).__name__}")
     name = _required_string(item, "instanceId")
-    if not name or UNENCODABLE_NAME.search(name):
-        raise InvalidInputError("instanceId", f"a name that no update can carry: {_shown(name)}")
+    if not name or INVALID_NAME.search(name):
+        raise InvalidInputError("instanceId", f"empty, or with a space, comma or control character: {_quote(name)}")
     return Instance(
         name=name,
         address=_required_string(item, "hostPort"),
@@ -125,7 +125,7 @@
 def _read_lifecycle(item: dict[str, object]) -> Availability:
     lifecycle = str(_required(item, "lifecycle"))
     if lifecycle not in AVAILABILITY_BY_LIFECYCLE:
-        raise InvalidInputError("lifecycle", f"none of {', '.join(AVAILABILITY_BY_LIFECYCLE)}: {_shown(lifecycle)}")
+        raise InvalidInputError("lifecycle", f"not one of {', '.join(AVAILABILITY_BY_LIFECYCLE)}: {_quote(lifecycle)}")
     return AVAILABILITY_BY_LIFECYCLE[lifecycle]
 
 
@@ -138,17 +138,17 @@
 def _required_string(record: dict[str, object], field: str) -> str:
     value = _required(record, field)
     if not isinstance(value, str):
-        raise InvalidInputError(field, f"a string expected, found {type(value).__name__}")
+        raise InvalidInputError(field, f"expected a string, found {type(value).__name__}")
     return value
 
 
 def _number(record: dict[str, object], field: str, default: float) -> float:
     value = record.get(field, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
-        raise InvalidInputError(field, f"not a number from 0 on: {_shown(value)}")
+        raise InvalidInputError(field, f"not a finite, non-negative number: {_quote(value)}")
     return float(value)
 
 
-def _shown(value: object) -> str:
-    """A value in an error, shortened."""
-    return repr(str(value)[:MAX_NAME_SHOWN])
+def _quote(value: object) -> str:
+    """Return an invalid value in quotes, truncated to MAX_QUOTED_CHARACTERS."""
+    return repr(str(value)[:MAX_QUOTED_CHARACTERS])
--- a/tests/wire/test_discovery_protocol.py
+++ b/tests/wire/test_discovery_protocol.py
@@ -48,8 +48,8 @@
     ("original", "replacement", "reason"),
     [
         (b"43", b"-1", "generation: negative: '-1'"),
-        (b"43", b'"x"', "generation: a whole number expected, found str"),
-        (b"false", b"0", "reset: true or false expected, found int"),
+        (b"43", b'"x"', "generation: expected an integer, found str"),
+        (b"false", b"0", "reset: expected true or false, found int"),
         (b'"reset":false,', b"", "reset: missing"),
         (b'"instances"', b'"servers"', "instances: missing"),
         (VALID, b"[]", "no list of instances"),
@@ -92,16 +92,20 @@
 @pytest.mark.parametrize(
     ("original", "replacement", "reason"),
     [
-        (b'"s-1"', b'"s 1"', "list 43: entry 0 ('s 1'): instanceId: a name that no update can carry: 's 1'"),
+        (
+            b'"s-1"',
+            b'"s 1"',
+            "list 43: entry 0 ('s 1'): instanceId: empty, or with a space, comma or control character: 's 1'",
+        ),
         (
             b"terminating",
             b"resting",
-            "list 43: entry 0 ('s-1'): lifecycle: none of in_service, terminating, terminated",
+            "list 43: entry 0 ('s-1'): lifecycle: not one of in_service, terminating, terminated",
         ),
-        (b"1.5", b"-1", "list 43: entry 0 ('s-1'): weight: not a number from 0 on: '-1'"),
+        (b"1.5", b"-1", "list 43: entry 0 ('s-1'): weight: not a finite, non-negative number: '-1'"),
         (b'"zone"', b'"z"', "list 43: entry 0 ('s-1'): zone: missing"),
-        (b'"h:1"', b"null", "list 43: entry 0 ('s-1'): hostPort: a string expected, found NoneType"),
-        (b'{"instanceId"', b'7,{"instanceId"', "list 43: entry 0 ('None'): an object expected, found int"),
+        (b'"h:1"', b"null", "list 43: entry 0 ('s-1'): hostPort: expected a string, found NoneType"),
+        (b'{"instanceId"', b'7,{"instanceId"', "list 43: entry 0 ('None'): expected an object, found int"),
     ],
 )
 def test_unreadable_entry_names_entry_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
