--- a/stackwheel/wire/__init__.py
+++ b/stackwheel/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Network I/O: the line protocol's messages and connections, HTTP calls, the discovery client and gossip datagrams."""
+"""Network I/O: the line protocol and its connections, HTTP calls, the discovery client, and gossip datagrams."""
--- a/stackwheel/wire/endpoint_list_server.py
+++ b/stackwheel/wire/endpoint_list_server.py
@@ -1,4 +1,4 @@
-"""The relay's server: lists and watches in the published format, one listener for each served cell."""
+"""The relay's HTTP server for endpoint lists and watches, with one listener for each cell that it serves."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from stackwheel.wire import timing
 from stackwheel.wire.byte_budget import ByteBudget
 from stackwheel.wire.endpoint_requests import MAX_REQUEST_HEAD_BYTES, ListRequest, RequestRejectedError, read_request
-from stackwheel.wire.endpoint_watch import EndpointWatch, chunk
+from stackwheel.wire.endpoint_watch import EndpointWatch, encode_chunk
 from stackwheel.wire.http import split_address, wait_for_result
 
-MAX_SNAPSHOT_BYTES = 64 << 20  # of snapshots being sent, each of which may wait unread: 512 of 512 servers
-SEND_BUFFER_BYTES = 64 << 10  # in the kernel, of a connection: what a slow reader leaves unread there
-HEARTBEAT_SLICES = 8  # heartbeats go out in so many slices of an interval, so that they don't all come at once
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted, of a cell: all of its planners and their retries
-MAX_REASON_CHARACTERS = 200  # of the body of a rejection
-TOO_MANY_CONNECTIONS = "too many connections"  # this and the next are bodies of 503 responses
-TOO_MANY_SNAPSHOTS = "too many whole answers under way"
+MAX_SNAPSHOT_BYTES = 64 << 20  # total size of the snapshots being sent: 512 snapshots of a cell with 512 servers
+SEND_BUFFER_BYTES = 64 << 10  # size of the kernel's send buffer of a connection
+HEARTBEAT_SLICES = 8  # groups of watches whose heartbeats are sent at different times within an interval
+LISTEN_BACKLOG = 1024  # connections to one cell that wait to be accepted: those of all its planners and their retries
+MAX_REASON_CHARACTERS = 200  # length of the body of a rejection
+TOO_MANY_CONNECTIONS = "too many connections"  # body of a 503 response
+TOO_MANY_SNAPSHOTS = "too many whole answers under way"  # body of a 503 response
 REASON_PHRASES: Final = {
     200: b"OK",
     400: b"Bad Request",
@@ -36,40 +36,41 @@
     405: b"Method Not Allowed",
     431: b"Request Header Fields Too Large",
     503: b"Service Unavailable",
-}  # any other status goes without a phrase
+}
+"""Reason phrases by status; responses with other statuses have an empty reason phrase."""
 
 
 def open_listener(address: str) -> socket.socket:
-    """A listener of the system.
+    """Open a listening socket.
 
     Raises:
-        OSError: the address can't be had.
+        OSError: the address cannot be bound.
     """
     listener = socket.create_server(split_address(address), backlog=LISTEN_BACKLOG)
-    listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)  # connections inherit it
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)  # accepted connections inherit it
     return listener
 
 
 @dataclass(slots=True)
 class CellListener:
-    """An open listener, and the cell that is served at its address."""
+    """An open listener, and the name of the cell that it serves."""
 
     cell: str
     server: asyncio.Server
 
 
 class EndpointListServer:
-    """Serves the lists of a watch cache.
+    """An HTTP server for the endpoint lists in a watch cache.
 
     Attributes:
-        cache: the lists; its clock is `now`, in ms.
-        open_listener: opens the listener at an address.
-        budget: bounds the bytes of all snapshots that are being sent.
-        max_connections: connections that may be open at once.
-        connections: connections that are open.
-        listeners: the open listeners by address.
-        watches: the open watches by cell, each with its heartbeat slice.
-        watches_opened: watches opened so far.
+        cache: cache of the endpoint lists; its times are in ms of the event loop's clock, see `now`.
+        open_listener: opens a listening socket at an address.
+        budget: limit on the total size of the snapshots that are being sent.
+        max_connections: maximum number of open connections.
+        connections: number of open connections.
+        listeners: open listeners by address.
+        watches: heartbeat slices of the open watches, by cell and watch.
+        watches_opened: number of watches opened so far.
     """
 
     def __init__(
@@ -90,16 +91,19 @@
 
     @staticmethod
     def now() -> float:
-        """The loop's time, in ms."""
+        """Return the time of the event loop's clock, in ms."""
         return asyncio.get_running_loop().time() * 1000.0
 
     # Listeners
 
     async def listen(self, cell_by_address: Mapping[str, str]) -> None:
-        """Listen at these addresses, each for its cell, and at no others. Open connections stay open.
+        """Open and close listeners so that exactly these cells are served; open connections are not closed.
+
+        Args:
+            cell_by_address: names of the cells by listening address.
 
         Raises:
-            OSError: an address can't be had; then the listeners are as they were.
+            OSError: an address cannot be bound; the listeners are unchanged.
         """
         added: dict[str, CellListener] = {}
         try:
@@ -122,21 +126,21 @@
         return await asyncio.start_server(serve, sock=listener, backlog=LISTEN_BACKLOG, limit=MAX_REQUEST_HEAD_BYTES)
 
     def close(self) -> None:
-        """Close all listeners; open connections stay open."""
+        """Close all listeners; open connections are not closed."""
         for listener in self.listeners.values():
             listener.server.close()
         self.listeners.clear()
 
-    # Actions of the cache
+    # Actions of the watch cache
 
     def perform(self, actions: Iterable[Action]) -> None:
-        """Perform the actions in one step: no call is answered in between."""
+        """Perform actions of the watch cache, without answering a request in between."""
         for action in actions:
             match action:
                 case SendDelta(cell, line):
-                    framed = chunk(line)
+                    encoded_chunk = encode_chunk(line)
                     for watch in self.watches.get(cell, ()):
-                        watch.enqueue(framed)
+                        watch.enqueue(encoded_chunk)
                 case SendSnapshot(cell):
                     for watch in self.watches.get(cell, ()):
                         watch.request_snapshot()
@@ -149,20 +153,21 @@
                 watch.end(reason)
 
     async def run_timers(self) -> None:
-        """Send heartbeats, and do what time alone brings about, until cancelled."""
-        step = timing.HEARTBEAT_INTERVAL_MS / HEARTBEAT_SLICES
+        """Send heartbeats, and advance the time of the watch cache, until cancelled."""
+        slice_interval_ms = timing.HEARTBEAT_INTERVAL_MS / HEARTBEAT_SLICES
         heartbeat_slice = 0
         while True:
-            due = self.now() + step
-            await asyncio.sleep(step / 1000.0)
-            if self.now() > due + timing.STALL_GRACE_MS:  # this process stood still: bytes that are ready to read count
+            due_at = self.now() + slice_interval_ms
+            await asyncio.sleep(slice_interval_ms / 1000.0)
+            # If this process was suspended, read the data that arrived in the meantime first.
+            if self.now() > due_at + timing.STALL_GRACE_MS:
                 await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
             self.perform(self.cache.tick(self.now()))
             heartbeat_slice = (heartbeat_slice + 1) % HEARTBEAT_SLICES
             self.send_heartbeats(heartbeat_slice)
 
     def send_heartbeats(self, heartbeat_slice: int) -> None:
-        """Send a heartbeat on the watches of a slice, while the list is the present one."""
+        """Send a heartbeat on the watches of a slice, if the cached lists are current."""
         if not self.cache.is_current(self.now()):
             return
         for watches in self.watches.values():
@@ -175,12 +180,12 @@
     async def _serve(self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         try:
-            writer.transport.set_write_buffer_limits(high=0)  # drained is what the kernel has taken
+            writer.transport.set_write_buffer_limits(high=0)  # drain() waits until the kernel has accepted all data
             await self._serve_request(address, reader, writer)
         except OSError as error:
-            logger.debug("connection closed: address={} reason={}", address, error)
+            logger.debug("connection lost: address={} reason={}", address, error)
         except Exception as error:
-            logger.exception("connection failed: address={} reason={!r}", address, error)
+            logger.exception("connection failed unexpectedly: address={} reason={!r}", address, error)
         finally:
             self.connections -= 1
             writer.transport.abort()
@@ -234,7 +239,7 @@
 
     @staticmethod
     async def _send_last(writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write the last bytes of a connection; a caller that does not read loses them."""
+        """Write data and close the connection; a client that does not read in time loses the data."""
         writer.write(data)
         await wait_for_result(timing.LINE_TIMEOUT_MS, writer.drain())
         with contextlib.suppress(OSError, RuntimeError):
@@ -245,9 +250,10 @@
     async def _watch(
         self, cell: str, delta: bytes | None, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a watch that begins with a delta, or with a snapshot where there is none.
+        """Serve a watch that begins with a delta or, if `delta` is None, with a snapshot.
 
-        Its first answer and its registration are one step: the next change is sent after the answer.
+        There is no await between queueing this first line and registering the watch, so that no change is lost and
+        all later changes follow the first line.
         """
         watch = EndpointWatch(writer, partial(self.cache.snapshot, cell), self.budget)
         self.watches_opened += 1
@@ -255,21 +261,21 @@
         if delta is None:
             watch.request_snapshot()
         else:
-            watch.enqueue(chunk(delta))
+            watch.enqueue(encode_chunk(delta))
         headers = [("Content-Type", "application/json"), ("Transfer-Encoding", "chunked")]
         writer.write(_response_head(HTTPStatus.OK, headers))
-        disconnection = asyncio.create_task(_end_on_disconnect(reader, watch))
+        disconnect_task = asyncio.create_task(_end_on_disconnect(reader, watch))
         try:
             await watch.run()
         finally:
-            disconnection.cancel()
+            disconnect_task.cancel()
             del self.watches[cell][watch]
             if not self.watches[cell]:
                 del self.watches[cell]
 
 
 async def _end_on_disconnect(reader: asyncio.StreamReader, watch: EndpointWatch) -> None:
-    """Read and drop what a watcher sends, and end the watch with its connection."""
+    """Read and discard data from a watcher, and end the watch when the watcher disconnects."""
     with contextlib.suppress(OSError):
         while await reader.read(MAX_REQUEST_HEAD_BYTES):
             pass
--- a/stackwheel/wire/endpoint_requests.py
+++ b/stackwheel/wire/endpoint_requests.py
@@ -1,4 +1,4 @@
-"""Requests for a cell's endpoint list: one GET on a connection, read within bounds of size and time."""
+"""Requests for a cell's endpoint list: one GET per connection, with limits on its size and duration."""
 
 from __future__ import annotations
 
@@ -14,26 +14,31 @@
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH
 from stackwheel.wire.http import wait_for_result
 
-MAX_REQUEST_HEAD_BYTES = 8 << 10  # a planner's has some 150
-REQUEST_TIMEOUT_MS = timing.RESPONSE_TIMEOUT_MS  # for the complete request: a caller gives up its call after that
-MAX_GENERATION_DIGITS = 18  # so that it fits into 64 bits
-MAX_QUERY_FIELDS = 16  # two are known
+MAX_REQUEST_HEAD_BYTES = 8 << 10
+REQUEST_TIMEOUT_MS = timing.RESPONSE_TIMEOUT_MS  # for the complete request; clients do not wait longer for a response
+MAX_GENERATION_DIGITS = 18  # 18 digits fit into 64 bits
+MAX_QUERY_FIELDS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class ListRequest:
-    """A request for the list, or for a watch (`follow`) that resumes after the generation `since`."""
+    """A request for the complete list or for a watch.
+
+    Attributes:
+        follow: whether the request is for a watch.
+        since: generation after which the watch resumes; None to start with the complete list.
+    """
 
     follow: bool
     since: int | None
 
 
 class RequestRejectedError(StackwheelError):
-    """A request that gets a response other than 200.
+    """The request is rejected with a status other than 200.
 
     Attributes:
-        status: the status of the response.
-        reason: the body of the response.
+        status: status of the response.
+        reason: body of the response.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -43,11 +48,14 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> ListRequest | None:
-    """The first request of a connection; None if the caller left or sent none within REQUEST_TIMEOUT_MS.
+    """Read the first request of a connection.
+
+    Returns:
+        The request, or None if the client disconnected or did not send a complete request within REQUEST_TIMEOUT_MS.
 
     Raises:
-        RequestRejectedError: it is malformed, or not a request for a list.
-        OSError: the connection broke.
+        RequestRejectedError: the request is malformed, or is not for an endpoint list.
+        OSError: the connection failed.
     """
     http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_REQUEST_HEAD_BYTES)
     try:
@@ -68,10 +76,11 @@
 
 
 def parse_request(request: h11.Request) -> ListRequest:
-    """What a request is for.
+    """Parse the target of an HTTP request.
 
     Raises:
-        RequestRejectedError: 404, 405 or 400.
+        RequestRejectedError: with status 400 for a malformed request, 404 for an unknown path and 405 for a method
+            other than GET.
     """
     try:
         target = urlsplit(request.target.decode("ascii"))
--- a/stackwheel/wire/endpoint_watch.py
+++ b/stackwheel/wire/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""One open watch: writes what waits for its watcher, and bounds what the watcher leaves unread."""
+"""One open watch of the relay's server: writes snapshots, deltas and heartbeats, and limits unread data."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from stackwheel.wire.byte_budget import ByteBudget
 from stackwheel.wire.http import wait_for_result
 
-MAX_PENDING_BYTES = 64 << 10  # deltas that wait for one watcher: beyond it a snapshot is hardly more
+MAX_PENDING_BYTES = 64 << 10  # size of the deltas queued for one watcher, above which a snapshot replaces them
 HEARTBEAT_CHUNK = b"1\r\n\n\r\n"  # an empty line
 
 
-def chunk(line: bytes) -> bytes:
-    """A line as one chunk of a response's body, framed once for all watchers."""
+def encode_chunk(line: bytes) -> bytes:
+    """Encode a line as one chunk of a response body."""
     return b"%x\r\n%b\r\n" % (len(line), line)
 
 
 class EndpointWatch:
     """One open watch. `enqueue`, `request_snapshot` and `send_heartbeat` never wait; `run` writes.
 
-    A slow watcher costs at most what it has not read of one write, and MAX_PENDING_BYTES. Beyond that its deltas are
-    dropped, and it gets a snapshot of the present state once it reads again.
+    The memory for a slow watcher is limited to one write and MAX_PENDING_BYTES. If more data would be queued, the
+    queued deltas are dropped, and the watcher receives a snapshot of the current list when it reads again.
 
     Attributes:
-        snapshot: the cell's complete list as one line; None if the cell is no longer served.
-        budget: bounds the bytes of all snapshots that are being sent.
-        pending: chunks that wait to be written.
-        pending_bytes: the size of `pending`.
-        is_snapshot_due: whether the watcher gets a snapshot next.
-        is_writing: whether a write waits for the watcher to read.
-        end_reason: why the watch ends; empty while it goes on.
-        wakeup: set when there is something to do.
+        snapshot: returns the cell's complete list as one line; None if the cell is not served any more.
+        budget: limit on the total size of the snapshots that are being sent.
+        pending: chunks to be written.
+        pending_bytes: total size of `pending`.
+        is_snapshot_due: whether a snapshot is written next.
+        is_writing: whether a write is waiting for the watcher to read.
+        end_reason: reason for ending the watch; empty while it is open.
+        wakeup: set when `run` has something to write, or has to end.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.wakeup = asyncio.Event()
 
     def enqueue(self, data: bytes) -> None:
-        """Send a chunk. It is dropped where a snapshot, which contains its changes, is due anyway."""
+        """Queue a chunk; it is dropped if a snapshot is due, because that will contain the changes of the chunk."""
         if self.is_snapshot_due:
             return
         if self.is_writing and self.pending_bytes + len(data) > MAX_PENDING_BYTES:
@@ -66,26 +66,26 @@
         self.wakeup.set()
 
     def request_snapshot(self) -> None:
-        """Send a snapshot in place of what waits."""
+        """Queue a snapshot, which replaces all pending chunks."""
         self._drop_pending()
         self.is_snapshot_due = True
         self.wakeup.set()
 
     def send_heartbeat(self) -> None:
-        """Send an empty line, unless more than that waits to be read."""
+        """Queue a heartbeat, unless other data is waiting to be written or read."""
         if not self.is_writing and not self.pending and not self.is_snapshot_due:
             self.enqueue(HEARTBEAT_CHUNK)
 
     def end(self, reason: str) -> None:
-        """End the watch; the first reason counts."""
+        """End the watch; if it is ended several times, the first reason is logged."""
         self.end_reason = self.end_reason or reason
         self.wakeup.set()
 
     async def run(self) -> None:
-        """Write until the watch ends.
+        """Write queued data until the watch ends.
 
         Raises:
-            OSError: the connection broke.
+            OSError: the connection failed.
         """
         while not self.end_reason:
             await self.wakeup.wait()
@@ -100,23 +100,23 @@
         logger.info("watch ended: reason={}", self.end_reason)
 
     async def _write_snapshot(self) -> None:
-        """Write the list as it is at this moment: what is enqueued from here on comes after it."""
+        """Write the current list; chunks that are queued afterwards follow it."""
         line = self.snapshot()
         self._drop_pending()
         self.is_snapshot_due = False
         if line is None:
             self.end("cell served elsewhere")
         elif not self.end_reason:
-            await self._write(chunk(line), timing.LINE_TIMEOUT_MS)
+            await self._write(encode_chunk(line), timing.LINE_TIMEOUT_MS)
 
     async def _write(self, data: bytes, timeout: float) -> None:
-        """Hand all of it to the network; a watcher that takes longer than `timeout` (ms) does not read."""
+        """Write data, and end the watch if the watcher does not read it within `timeout` ms."""
         self.is_writing = True
         self.writer.write(data)
         drained = await wait_for_result(timeout, self._drained())
         self.is_writing = False
         if drained is None:
-            self.end(f"not read for {timeout / 1000.0:g} s")
+            self.end(f"watcher did not read for {timeout / 1000.0:g} s")
 
     async def _drained(self) -> bool:
         await self.writer.drain()
--- a/tests/wire/test_endpoint_list_server.py
+++ b/tests/wire/test_endpoint_list_server.py
@@ -263,7 +263,7 @@
             relay.apply(large_delta(generation))
             await asyncio.sleep(0)
         await relay.watches(0)
-        assert watch.end_reason.startswith("not read for")
+        assert watch.end_reason.startswith("watcher did not read for")
 
     run(scenario)
 
