--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery sends them, and the endpoint cache that a planner builds from them."""
+"""Helpers for endpoint lists, for the relay's watch cache, and for the endpoint cache of a planner."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def deltas_by_cell(actions: tuple[Action, ...]) -> dict[str, dict[str, Availability]]:
-    """The changes that each cell is sent."""
+    """Return the availability of the servers in the delta for each cell."""
     return {
         action.cell: availability_by_name(decode_line(action.line))
         for action in actions
@@ -64,7 +64,7 @@
 
 
 def snapshot_cells(actions: tuple[Action, ...]) -> set[str]:
-    """The cells that are sent a snapshot."""
+    """Return the cells for which a snapshot is sent."""
     return {action.cell for action in actions if isinstance(action, SendSnapshot)}
 
 
@@ -81,7 +81,12 @@
 
 
 class PlannerView:
-    """A planner's endpoint cache, fed by the lines of a watch."""
+    """The endpoint cache of a planner, updated from the lines of a watch.
+
+    Attributes:
+        endpoints: the endpoint cache.
+        since: generation after which the next watch resumes; None before the first list.
+    """
 
     def __init__(self) -> None:
         self.endpoints = EndpointCache(ZONES, ("small",), ServerIds())
@@ -94,7 +99,7 @@
         self.since = generation if endpoint_list.complete else max(self.since or 0, generation)
 
     def open_watch(self, cache: WatchCache, cell: str, now: float) -> bool:
-        """Open a watch; whether it was answered."""
+        """Open a watch and apply its first line; returns False if the cache rejects the watch."""
         try:
             answer = cache.answer(cell, self.since, now)
         except UnavailableError:
--- a/tests/fake_services.py
+++ b/tests/fake_services.py
@@ -1,4 +1,4 @@
-"""A discovery service that fails as a test wants it to, free ports and the example's configuration."""
+"""A discovery service with configurable faults, free ports, and the example configuration."""
 
 from __future__ import annotations
 
@@ -24,17 +24,24 @@
     return module
 
 
-toy = load_example("toy_server")
+toy_server = load_example("toy_server")
 
 
-class FaultyDiscovery(toy.DiscoveryService):  # type: ignore[name-defined, misc]
-    """The toy's discovery, with what can go wrong, in the order given, before it does as it should."""
+class FaultyDiscovery(toy_server.DiscoveryService):  # type: ignore[name-defined, misc]
+    """The discovery service of the example, which answers its first calls with faults.
+
+    Attributes:
+        faults: faults of the next calls in their order; later calls are answered normally.
+        calls: for each call so far its fault, or "served" for a normal response.
+        open_writers: writers of all connections so far.
+        address: "host:port" of the service; empty before `start`.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.faults: list[str] = []
         self.calls: list[str] = []
-        self.open: set[asyncio.StreamWriter] = set()
+        self.open_writers: set[asyncio.StreamWriter] = set()
         self.address = ""
 
     async def start(self) -> None:
@@ -42,57 +49,59 @@
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
 
     async def stop(self) -> None:
-        """No new connection, and an end to those still open."""
+        """Close the listener and abort all connections."""
         self.server.close()
-        for writer in self.open:
+        for writer in self.open_writers:
             writer.transport.abort()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open.add(writer)
+        self.open_writers.add(writer)
         if not self.faults:
             self.calls.append("served")
             return await super().serve(reader, writer)
-        trouble = self.faults.pop(0)
-        self.calls.append(trouble)
+        fault = self.faults.pop(0)
+        self.calls.append(fault)
         await reader.readuntil(b"\r\n\r\n")
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        if trouble == "503":
+        if fault == "503":
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        elif trouble == "malformed JSON":
+        elif fault == "malformed JSON":
             writer.write(head + b'7\r\n{"a":1\n\r\n')
-        elif trouble == "not HTTP":
+        elif fault == "not HTTP":
             writer.write(b"what?\r\n\r\n")
-        elif trouble == "truncated body":
+        elif fault == "truncated body":
             writer.write(head + b'ff\r\n{"gene')
-        elif trouble in ("no response", "silent watch"):
+        elif fault in ("no response", "silent watch"):
             body = self.document(None)
-            if trouble == "silent watch":
+            if fault == "silent watch":
                 writer.write(head + f"{len(body):x}\r\n".encode() + body + b"\r\n")
             await asyncio.Event().wait()
-        elif trouble == "split body":
+        elif fault == "split body":
             body = self.document(None)
-            for at in range(0, len(body), 7):
-                piece = body[at : at + 7]
-                writer.write((head if at == 0 else b"") + f"{len(piece):x}\r\n".encode() + piece + b"\r\n")
+            for offset in range(0, len(body), 7):
+                part = body[offset : offset + 7]
+                writer.write((head if offset == 0 else b"") + f"{len(part):x}\r\n".encode() + part + b"\r\n")
                 await writer.drain()
                 await asyncio.sleep(0)
             await asyncio.Event().wait()
-        if trouble == "reset":
+        if fault == "reset":
             writer.transport.abort()
         writer.close()
         return None
 
 
 def free_port(host: str = "127.0.0.1", kind: int = socket.SOCK_STREAM) -> int:
-    with socket.socket(socket.AF_INET, kind) as found:
-        found.bind((host, 0))
-        return int(found.getsockname()[1])
+    with socket.socket(socket.AF_INET, kind) as sock:
+        sock.bind((host, 0))
+        return int(sock.getsockname()[1])
 
 
 def config(discovery: str, **changed: Any) -> dict[str, Any]:
-    """The example's configuration on free ports."""
-    found: dict[str, Any] = json.loads((ROOT / "examples" / "config.json").read_text())
+    """Return the example configuration with free ports, and with the fields in `changed` replaced."""
+    document: dict[str, Any] = json.loads((ROOT / "examples" / "config.json").read_text())
     peer = f"127.0.0.1:{free_port(kind=socket.SOCK_DGRAM)}"
-    found.update(listen=f"127.0.0.1:{free_port()}", discovery=discovery, peer_listen=peer, peers=[peer], peers_all=peer)
-    found.update(changed)
-    return found
+    document.update(
+        listen=f"127.0.0.1:{free_port()}", discovery=discovery, peer_listen=peer, peers=[peer], peers_all=peer
+    )
+    document.update(changed)
+    return document
--- a/tests/scripted_discovery.py
+++ b/tests/scripted_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service that a test scripts call by call, and the client under test beside it."""
+"""A discovery service whose responses a test controls call by call, and a harness for the client under test."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 TEST_TIMEOUT_S = 60.0
 
 
-def document(generation: int, complete: bool, *names: str) -> bytes:
-    """The JSON of an endpoint list with a ready server of each name."""
+def endpoint_list_json(generation: int, complete: bool, *names: str) -> bytes:
+    """Encode an endpoint list with a ready server for each name."""
     instances = [
         {"instanceId": name, "hostPort": "127.0.0.1:1", "zone": "east", "lifecycle": "in_service"} for name in names
     ]
@@ -26,7 +26,14 @@
 
 
 class ScriptedCall:
-    """One call to the service, which sends nothing but what the test sends."""
+    """One call to the service; the service sends only what the test sends.
+
+    Attributes:
+        target: path and query of the request.
+        writer: stream of the connection.
+        head_sent: whether the head of a watch's response has been sent.
+        ended: set when the client has closed the connection.
+    """
 
     def __init__(self, target: str, writer: asyncio.StreamWriter) -> None:
         self.target = target
@@ -36,7 +43,7 @@
 
     @property
     def is_watch(self) -> bool:
-        """Whether the call asks for a watch."""
+        """Whether the call is a watch."""
         return "follow=1" in self.target
 
     def respond(self, body: bytes, status: str = "200 OK") -> None:
@@ -44,18 +51,18 @@
         self.writer.write(f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
 
     def send(self, data: bytes) -> None:
-        """Send a piece of a watch, wherever it is cut."""
+        """Send data on a watch as one chunk, which may contain incomplete lines."""
         if not self.head_sent:
             self.writer.write(WATCH_HEAD)
         self.head_sent = True
         self.writer.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def send_list(self, generation: int, complete: bool, *names: str) -> None:
-        """Send a line of a watch with an endpoint list."""
-        self.send(document(generation, complete, *names) + b"\n")
+        """Send an endpoint list as a line of a watch."""
+        self.send(endpoint_list_json(generation, complete, *names) + b"\n")
 
     def send_heartbeat(self) -> None:
-        """Send an empty line of a watch."""
+        """Send an empty line on a watch."""
         self.send(b"\n")
 
     def reset(self) -> None:
@@ -64,21 +71,26 @@
 
 
 class ScriptedDiscovery:
-    """Listens, and queues each call for the test."""
+    """A service that queues each call for the test.
+
+    Attributes:
+        calls: calls that the test has not taken yet.
+        address: "host:port" of the service; empty before `start`.
+    """
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[ScriptedCall] = asyncio.Queue()
         self.address = ""
 
     async def start(self) -> ScriptedDiscovery:
-        """Listen on a port of the system's choice."""
+        """Listen on a free port."""
         server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Queue a call, and note when its connection has ended."""
+        """Queue a call, and set its `ended` event when the client closes the connection."""
         head = await reader.readuntil(b"\r\n\r\n")
         call = ScriptedCall(head.split(b" ")[1].decode(), writer)
         self.calls.put_nowait(call)
@@ -88,7 +100,13 @@
 
 
 class ClientHarness:
-    """A running client, and what it has posted."""
+    """A running discovery client.
+
+    Attributes:
+        posted: items that the client has posted and the test has not taken yet.
+        client: the client.
+        task: task that runs the client.
+    """
 
     def __init__(self, address: str, **options: Any) -> None:
         self.posted: asyncio.Queue[EndpointList | EndpointListFailed] = asyncio.Queue()
@@ -96,29 +114,29 @@
         self.task = asyncio.create_task(self.client.run())
 
     def send(self, command: Command | ChangeAddress) -> None:
-        """Give the client a command."""
+        """Send a command to the client."""
         self.client.send(command)
 
     async def next_list(self) -> tuple[int, bool, set[str]]:
-        """Generation, whether it is complete, and the names of the next posted item, which has to be a list."""
+        """Return the generation, completeness and server names of the next posted item, which has to be a list."""
         item = await self.posted.get()
         assert isinstance(item, EndpointList)
         return item.generation, item.complete, {instance.name for instance in item.instances}
 
     async def next_is_failure(self) -> bool:
-        """Whether the next posted item is a failure."""
+        """Return whether the next posted item is a failure."""
         return isinstance(await self.posted.get(), EndpointListFailed)
 
 
-def run(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test's coroutine with a time limit."""
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
+def run_async(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run the coroutine of a test with a time limit."""
+    asyncio.run(asyncio.wait_for(scenario(), TEST_TIMEOUT_S))
 
 
 async def start_watching(
     discovery: ScriptedDiscovery, generation: int, *names: str, **options: Any
 ) -> tuple[ClientHarness, ScriptedCall]:
-    """A client whose watch has delivered a complete list."""
+    """Start a client, and deliver a complete list on its watch."""
     harness = ClientHarness(discovery.address, **options)
     harness.send(Command.WATCH)
     watch = await discovery.calls.get()
--- a/tests/transport_harness.py
+++ b/tests/transport_harness.py
@@ -1,4 +1,4 @@
-"""The socket transport in the test's own process, with raw client sockets against its listener."""
+"""A harness that runs the socket transport in the test process, with raw client sockets."""
 
 import asyncio
 import socket
@@ -20,7 +20,14 @@
 
 
 class TransportHarness:
-    """A transport that knows one server, `s-0`, and posts into a list."""
+    """A transport whose endpoint list contains one server, `s-0`, and which posts into a list.
+
+    Attributes:
+        transport: the transport.
+        table: its table of connections.
+        posted: all items that the transport has posted.
+        listen_address: host and port of its listener.
+    """
 
     def __init__(self, server_address: str = "127.0.0.1:1", proxies: int = 8, **limits: float) -> None:
         document = config("127.0.0.1:1", limits=limits)
@@ -39,7 +46,7 @@
         await self.transport.open(self.posted.append)
 
     def connect(self, data: bytes) -> socket.socket:
-        """Connect and send without giving the listener a turn: the connection waits in the backlog."""
+        """Connect and send data without running the event loop, so that the connection waits in the backlog."""
         client = socket.create_connection(self.listen_address)
         client.sendall(data)
         return client
@@ -50,12 +57,12 @@
         await asyncio.sleep(0)
 
 
-def run_async(test: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
+def run_async(scenario: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scenario, TEST_TIMEOUT_S))
 
 
 async def read_until_closed(client: socket.socket) -> bytes:
-    """All that a connection brings until it ends."""
+    """Return all data received on a connection until the other side closes it."""
     client.setblocking(False)
     received = b""
     try:
--- a/tests/wire/test_connection_races.py
+++ b/tests/wire/test_connection_races.py
@@ -47,7 +47,7 @@
 def test_a_superseded_stream_writes_nothing_and_its_updates_do_not_count() -> None:
     """Its updates waited for the message cap and then went to a connection that no proxy follows."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         cap = harness.transport.settings.message_cap
@@ -68,13 +68,13 @@
         assert b"nonce_out=99" in await asyncio.get_running_loop().run_in_executor(None, new_end.recv, 65536)
         new_end.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_an_update_on_a_closed_connection_does_not_count() -> None:
     """An update in the mailbox of a closed connection was counted as written before the reader noticed the close."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         end, connection = await join(harness)
@@ -84,14 +84,14 @@
         assert not harness.transport.limiter(1).written_at
         end.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_a_connection_that_joins_again_within_a_batch_stays_identified() -> None:
     """Joined, superseded and joined again before the planner actor's turn: only the second was followed, and it was
     closed as unidentified after 1.5 s."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         first_end, first = await join(harness)
@@ -107,7 +107,7 @@
         for end in (first_end, second_end):
             end.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def attached_connection(harness: TransportHarness) -> object:
@@ -124,7 +124,7 @@
 def test_a_defect_in_a_write_ends_the_stream(monkeypatch: pytest.MonkeyPatch) -> None:
     """The task ended unnoticed: the stream looked alive, and nothing reached the proxy any more."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         end, connection = await join(harness)
@@ -138,11 +138,11 @@
         await wait_until(lambda: not harness.table.connections)
         assert isinstance(harness.posted[-1], StreamEnded)
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_a_connection_reset_before_it_is_set_up_leaves_nothing() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         await asyncio.sleep(0)
@@ -157,11 +157,11 @@
         await wait_until(lambda: open_descriptors() <= before)
         assert not harness.table.unidentified
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_a_connection_that_cannot_be_set_up_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         await asyncio.sleep(0)
@@ -181,13 +181,13 @@
         end.close()
         await wait_until(lambda: open_descriptors() <= before)
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_a_flood_on_one_connection_delays_no_other() -> None:
     """Each connection gets a turn of 64 KiB: others are answered while most of the flood is still unread."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         flooding, connection = await join(harness)
@@ -210,14 +210,14 @@
         for client in (flooding, pinging, other):
             client.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_a_message_cut_by_a_close_is_never_complete() -> None:
     """A message of several parts is one write; what a close leaves of it is never complete, and the next stream of the
     proxy begins with a message of its own."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         end, connection = await join(harness)
@@ -243,7 +243,7 @@
         assert received.count(b"\r\n") == 1
         new_end.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 @pytest.mark.parametrize("proxy_count", [40, 400])
@@ -251,7 +251,7 @@
     """PING behind many joins is answered before the policy handles them: nothing of the policy and of the endpoint list
     runs before PONG, whatever their number."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness(proxies=proxy_count)
         turns = 0
         await harness.open()
@@ -268,14 +268,14 @@
         for client in [*proxies, pinging]:
             client.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 @pytest.mark.parametrize("task", ["run", "listen", "sweep"])
 def test_a_supervised_task_that_fails_is_restarted(monkeypatch: pytest.MonkeyPatch, task: str) -> None:
     """A defect in the discovery client, the listener or the sweep ended it for ever; only a log line showed it."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.TASK_RESTART_MS", 1.0)
         harness = TransportHarness()
         owners = {"run": harness.transport.discovery, "listen": harness.transport, "sweep": harness.table}
@@ -296,14 +296,14 @@
         end, _ = await join(harness)
         end.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_health_checks_that_hang_stay_within_the_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
     """Health checks of unresponsive servers count from the moment they are started, leave descriptors to incoming
     connections, and hold nothing once their time is up."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.HEALTH_CHECK_TIMEOUT_MS", 100.0)
         silent = socket.create_server(("127.0.0.1", 0), backlog=0)
         address = "{}:{}".format(*silent.getsockname()[:2])
@@ -328,4 +328,4 @@
         for one in [*filled, silent]:
             one.close()
 
-    run_async(work())
+    run_async(scenario())
--- a/tests/wire/test_descriptors.py
+++ b/tests/wire/test_descriptors.py
@@ -74,7 +74,7 @@
     """One connection was accepted for each that was being closed, a burst in one turn, while all of those were still
     open: up to 64 descriptors over the limit."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(timing, "FIRST_READ_GRACE_MS", 1000.0)
         harness = TransportHarness(proxies=2 * CAPACITY, sockets=timing.RESERVED_DESCRIPTORS + CAPACITY)
         counter = await open_counted(harness)
@@ -90,14 +90,14 @@
         assert counter.max_in_use <= CAPACITY
         counter.close_all()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_unidentified_connections_leave_capacity_for_a_burst() -> None:
     """Unidentified connections held all descriptors, each new one waited for an eviction, and up to 39 lay in the
     backlog at once."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness(proxies=CAPACITY, sockets=timing.RESERVED_DESCRIPTORS + CAPACITY)
         counter = await open_counted(harness)
         for _ in range(CAPACITY - 1):
@@ -118,13 +118,13 @@
         assert counter.max_in_use <= CAPACITY
         counter.close_all()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_connections_that_end_by_themselves_count_until_their_sockets_are_closed() -> None:
     """Those that ended in one turn were removed in it and closed in the next; others were accepted in between."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness(proxies=2 * CAPACITY, sockets=timing.RESERVED_DESCRIPTORS + CAPACITY)
         counter = await open_counted(harness)
         joined = join_counter(harness)
@@ -138,13 +138,13 @@
         assert counter.max_in_use <= CAPACITY
         counter.close_all()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_health_checks_count_until_their_sockets_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     """In each turn: a health check that was over was no longer counted, but still held its descriptor."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(timing, "HEALTH_CHECK_TIMEOUT_MS", 50.0)
         silent = socket.create_server(("127.0.0.1", 0), backlog=64)  # the kernel connects, nobody answers
         address = "{}:{}".format(*silent.getsockname()[:2])
@@ -161,4 +161,4 @@
         assert max(max_uncounted, counter.in_use()) == 0
         silent.close()
 
-    run_async(work())
+    run_async(scenario())
--- a/tests/wire/test_discovery_calls.py
+++ b/tests/wire/test_discovery_calls.py
@@ -5,8 +5,8 @@
 from random import Random
 
 import pytest
-from canned_server import canned, run_against
-from scripted_discovery import ScriptedDiscovery, run, start_watching
+from canned_server import canned_response, run_with_server
+from scripted_discovery import ScriptedDiscovery, run_async, start_watching
 
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_calls import LineSplitter, fetch_endpoint_list, watch_call
@@ -30,7 +30,7 @@
 def test_fetched_document_that_is_no_list_is_failed_call(body: bytes) -> None:
     response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     with pytest.raises(CallError) as caught:
-        run_against(canned(response), fetch_endpoint_list)
+        run_with_server(canned_response(response), fetch_endpoint_list)
     assert caught.value.stage is Stage.CONTENT
     assert not caught.value.timed_out
     assert len(caught.value.reason) <= 200
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("line", INVALID_DOCUMENTS)
 def test_line_that_is_no_list_ends_watch(line: bytes) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a")
         watch.send(line + b"\n")
@@ -46,7 +46,7 @@
         await watch.ended.wait()
         assert harness.client.generation == 8
 
-    run(work)
+    run_async(scenario)
 
 
 def lines_of(splitter: LineSplitter, now_ms: float = 0.0) -> list[bytes]:
--- a/tests/wire/test_discovery_client.py
+++ b/tests/wire/test_discovery_client.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from scripted_discovery import ClientHarness, ScriptedDiscovery, document, run, start_watching
+from scripted_discovery import ClientHarness, ScriptedDiscovery, endpoint_list_json, run_async, start_watching
 
 from stackwheel.wire import timing
 from stackwheel.wire.discovery_client import ChangeAddress, Command
@@ -15,7 +15,7 @@
 def test_fetch_during_change_of_address_is_answered_by_new_address() -> None:
     """It ended with neither a list nor a failure."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         first = await ScriptedDiscovery().start()
         second = await ScriptedDiscovery().start()
         harness = ClientHarness(first.address)
@@ -24,19 +24,19 @@
         harness.send(ChangeAddress(second.address))
         while harness.client.address != second.address:
             await asyncio.sleep(0)
-        fetch.respond(document(8, True, "a"))
+        fetch.respond(endpoint_list_json(8, True, "a"))
         repeated = await second.calls.get()
         assert harness.posted.empty()
-        repeated.respond(document(3, True, "b"))
+        repeated.respond(endpoint_list_json(3, True, "b"))
         assert await harness.next_list() == (3, True, {"b"})
 
-    run(work)
+    run_async(scenario)
 
 
 def test_fetch_in_flight_at_change_of_address_does_not_replace_source() -> None:
     """Old watch, new watch and a fetch delivered in turn, and the source went back and forth."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         first = await ScriptedDiscovery().start()
         second = await ScriptedDiscovery().start()
         harness, old_watch = await start_watching(first, 8, "a")
@@ -44,7 +44,7 @@
         new_watch = await second.calls.get()
         harness.send(Command.FETCH)
         fetch = await first.calls.get()  # from the source of the list in force, not from who has not answered yet
-        fetch.respond(document(8, True, "a"))
+        fetch.respond(endpoint_list_json(8, True, "a"))
         assert await harness.next_list() == (8, True, {"a"})
         assert harness.client.source == first.address
         new_watch.send_list(9, True, "a", "z")
@@ -52,29 +52,29 @@
         assert harness.client.source == second.address
         await old_watch.ended.wait()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_fetch_overtaken_by_watch_is_not_complete() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a", "b")
         harness.send(Command.FETCH)
         fetch = await discovery.calls.get()
         watch.send_list(9, False, "c")
         assert await harness.next_list() == (9, False, {"c"})
-        fetch.respond(document(8, True, "a", "b"))
+        fetch.respond(endpoint_list_json(8, True, "a", "b"))
         assert await harness.next_list() == (8, False, {"a", "b"})
         assert harness.client.generation == 9
 
-    run(work)
+    run_async(scenario)
 
 
 def test_watch_that_never_completes_a_line_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     """Silence was measured by bytes alone: a drip kept it alive for ever."""
     monkeypatch.setattr(timing, "LINE_TIMEOUT_MS", 300.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a")
 
@@ -88,13 +88,13 @@
         await watch.ended.wait()
         dripping.cancel()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_heartbeats_count_as_lines(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timing, "LINE_TIMEOUT_MS", 200.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a")
         for _ in range(6):
@@ -103,13 +103,13 @@
         watch.send_list(9, False, "b")
         assert await harness.next_list() == (9, False, {"b"})
 
-    run(work)
+    run_async(scenario)
 
 
 def test_watch_whose_updates_stopped_is_renewed() -> None:
     """Its heartbeat goes on, so that nothing shows; what it no longer delivers, the next one does."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a", renewal_interval_ms=1.0)
         await asyncio.sleep(0.002)
@@ -131,7 +131,7 @@
         await watch.ended.wait()
         assert not successor.ended.is_set()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_renewals_of_all_planners_together_are_bounded() -> None:
@@ -144,7 +144,7 @@
 def test_client_that_always_watches_backs_off(monkeypatch: pytest.MonkeyPatch) -> None:
     """The client itself repeats the call here: it did once a second, all planners in step."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         delays: list[float] = []
         loop = asyncio.get_running_loop()
@@ -167,4 +167,4 @@
         assert delays[-1] == 8.0
         assert harness.client.backoff.failures == 0
 
-    run(work)
+    run_async(scenario)
--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -7,7 +7,14 @@
 
 import pytest
 from fake_services import config
-from scripted_discovery import ClientHarness, ScriptedCall, ScriptedDiscovery, document, run, start_watching
+from scripted_discovery import (
+    ClientHarness,
+    ScriptedCall,
+    ScriptedDiscovery,
+    endpoint_list_json,
+    run_async,
+    start_watching,
+)
 
 from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
@@ -43,7 +50,7 @@
 
 @pytest.mark.usefixtures("watch_lasts_at_once")
 def test_watch_that_ends_continues_at_next_replica_without_restart() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
         watch.send_list(9, False, "c")
         assert await harness.next_list() == (9, False, {"c"})
@@ -61,12 +68,12 @@
         third_watch = await first.calls.get()
         assert third_watch.target.endswith("follow=1&since=10")
 
-    run(work)
+    run_async(scenario)
 
 
 @pytest.mark.usefixtures("watch_lasts_at_once")
 def test_watch_fails_once_every_replica_was_called() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
         watch.reset()
         (await second.calls.get()).respond(b"", "503 Busy")
@@ -81,13 +88,13 @@
         third_watch.send_list(9, False, "c")
         assert await harness.next_list() == (9, False, {"c"})
 
-    run(work)
+    run_async(scenario)
 
 
 def test_replicas_that_end_each_watch_at_once_are_called_once_each() -> None:
     """Each delivered a list, and ended: without a bound the planner would go round and round."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
         watch.reset()
         next_watch = await second.calls.get()
@@ -98,41 +105,41 @@
         assert first.calls.empty()
         assert second.calls.empty()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_first_replica_that_is_down_costs_nothing() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         second = await ScriptedDiscovery().start()
         harness = ClientHarness(f"127.0.0.1:1,{second.address}")
         harness.send(Command.WATCH)
         (await second.calls.get()).send_list(3, True, "a")
         assert await harness.next_list() == (3, True, {"a"})
         harness.send(Command.FETCH)
-        (await second.calls.get()).respond(document(4, True, "b"))
+        (await second.calls.get()).respond(endpoint_list_json(4, True, "b"))
         assert await harness.next_list() == (4, True, {"b"})
 
-    run(work)
+    run_async(scenario)
 
 
 def test_fetch_prefers_replica_that_is_not_behind() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness, _, first, second = await watch_first_of_two()
         harness.send(Command.STOP)
         harness.send(Command.FETCH)
-        (await first.calls.get()).respond(document(7, True, "a"))
-        (await second.calls.get()).respond(document(9, True, "a", "c"))
+        (await first.calls.get()).respond(endpoint_list_json(7, True, "a"))
+        (await second.calls.get()).respond(endpoint_list_json(9, True, "a", "c"))
         assert await harness.next_list() == (9, True, {"a", "c"})
         harness.send(Command.FETCH)
-        (await first.calls.get()).respond(document(6, True, "a"))
-        (await second.calls.get()).respond(document(7, True, "b"))
+        (await first.calls.get()).respond(endpoint_list_json(6, True, "a"))
+        (await second.calls.get()).respond(endpoint_list_json(7, True, "b"))
         assert await harness.next_list() == (7, True, {"b"})  # all are behind: the newest of them
 
-    run(work)
+    run_async(scenario)
 
 
 def test_fetch_fails_once_all_replicas_have() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         first, second, both = await start_pair()
         harness = ClientHarness(both)
         harness.send(Command.FETCH)
@@ -141,11 +148,11 @@
         assert await harness.next_is_failure()
         assert harness.posted.empty()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_change_to_replicated_address_restarts_generations() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         old = await ScriptedDiscovery().start()
         harness, _ = await start_watching(old, 8, "a")
         first, second, both = await start_pair()
@@ -160,13 +167,13 @@
         assert endpoints.generations_restarted
         assert endpoints.generation == 3
 
-    run(work)
+    run_async(scenario)
 
 
 def test_single_address_is_called_once_whatever_happens() -> None:
     """As before there were replicas."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a")
         watch.reset()
@@ -181,13 +188,13 @@
         assert await harness.next_is_failure()
         assert discovery.calls.empty()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_heartbeats_count_once_watch_has_delivered_its_list() -> None:
     """A service whose heartbeat precedes its list would vouch for what another watch delivered."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         heartbeat = asyncio.Event()
         harness = ClientHarness(discovery.address, on_heartbeat=heartbeat.set)
@@ -200,7 +207,7 @@
         watch.send_heartbeat()
         await heartbeat.wait()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_configuration_accepts_replicas_and_names_a_wrong_one() -> None:
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -4,9 +4,16 @@
 import time
 
 import pytest
-from canned_server import OK_HEAD, UNAVAILABLE, After, Serve, canned, run_against
+from canned_server import (
+    OK_HEAD,
+    UNAVAILABLE_RESPONSE,
+    ConnectionEnd,
+    ConnectionHandler,
+    canned_response,
+    run_with_server,
+)
 from fake_services import free_port
-from scripted_discovery import ScriptedDiscovery, run
+from scripted_discovery import ScriptedDiscovery, run_async
 
 from stackwheel.wire.http import Call, CallError, Stage, get, wait_for_result
 
@@ -14,11 +21,11 @@
 SHORT_MS = 20.0
 
 
-def call(serve: Serve, response_timeout_ms: float = LONG_MS) -> bytes:
-    return run_against(serve, lambda address: get(address, "/x", LONG_MS, response_timeout_ms))
+def call(serve: ConnectionHandler, response_timeout_ms: float = LONG_MS) -> bytes:
+    return run_with_server(serve, lambda address: get(address, "/x", LONG_MS, response_timeout_ms))
 
 
-def call_error(serve: Serve, response_timeout_ms: float = LONG_MS) -> CallError:
+def call_error(serve: ConnectionHandler, response_timeout_ms: float = LONG_MS) -> CallError:
     with pytest.raises(CallError) as caught:
         call(serve, response_timeout_ms)
     return caught.value
@@ -31,29 +38,29 @@
 
 
 def test_body() -> None:
-    assert call(canned(OK_HEAD + b"body")) == b"body"
-    assert call(canned(b"HTTP/1.1 200 OK\r\n\r\nto the end")) == b"to the end"
+    assert call(canned_response(OK_HEAD + b"body")) == b"body"
+    assert call(canned_response(b"HTTP/1.1 200 OK\r\n\r\nto the end")) == b"to the end"
 
 
 @pytest.mark.parametrize(
     ("serve", "stage"),
     [
-        (canned(b""), Stage.HEAD),
-        (canned(b"", After.RESET), Stage.HEAD),
-        (canned(b"what\r\n\r\n"), Stage.HEAD),
-        (canned(UNAVAILABLE), Stage.STATUS),
-        (canned(OK_HEAD + b"bo"), Stage.BODY),
+        (canned_response(b""), Stage.HEAD),
+        (canned_response(b"", ConnectionEnd.RESET), Stage.HEAD),
+        (canned_response(b"what\r\n\r\n"), Stage.HEAD),
+        (canned_response(UNAVAILABLE_RESPONSE), Stage.STATUS),
+        (canned_response(OK_HEAD + b"bo"), Stage.BODY),
     ],
 )
-def test_error_states_stage(serve: Serve, stage: Stage) -> None:
+def test_error_states_stage(serve: ConnectionHandler, stage: Stage) -> None:
     error = call_error(serve)
     assert error.stage is stage
     assert not error.timed_out
 
 
 def test_silence_times_out() -> None:
-    before_head = call_error(canned(b"", After.KEEP_OPEN), SHORT_MS)
-    in_body = call_error(canned(OK_HEAD + b"bo", After.KEEP_OPEN), SHORT_MS)
+    before_head = call_error(canned_response(b"", ConnectionEnd.KEEP_OPEN), SHORT_MS)
+    in_body = call_error(canned_response(OK_HEAD + b"bo", ConnectionEnd.KEEP_OPEN), SHORT_MS)
     assert (before_head.stage, before_head.timed_out) == (Stage.HEAD, True)
     assert (in_body.stage, in_body.timed_out) == (Stage.BODY, True)
 
@@ -76,7 +83,7 @@
 
 
 def test_response_beyond_its_limit_is_cut_off() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         task = asyncio.create_task(get(discovery.address, "/stats", 5000.0, 5000.0, 1000))
         received = await discovery.calls.get()
@@ -86,13 +93,13 @@
         assert caught.value.reason == "body larger than 1000 bytes"
         await received.ended.wait()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_result_that_is_ready_when_timeout_expires_still_counts() -> None:
     """After this process was stalled, the answer and the end of its time come together."""
 
-    async def work() -> str | None:
+    async def scenario() -> str | None:
         loop = asyncio.get_running_loop()
         ready = loop.create_future()
         loop.call_later(0.01, ready.set_result, "answer")
@@ -101,12 +108,12 @@
         time.sleep(0.05)
         return await waiting
 
-    assert asyncio.run(work()) == "answer"
+    assert asyncio.run(scenario()) == "answer"
 
 
 @pytest.mark.parametrize("cancelled_when", ["connecting", "connected", "answered"])
 def test_call_cancelled_at_any_moment_holds_no_descriptor(cancelled_when: str) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         call = Call(discovery.address, "/x")
 
@@ -135,4 +142,4 @@
             _, writer = call.connect_task.result()
             assert writer.transport.is_closing()
 
-    run(work)
+    run_async(scenario)
--- a/tests/wire/test_transport.py
+++ b/tests/wire/test_transport.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from fake_services import toy
+from fake_services import toy_server
 from transport_harness import TransportHarness, read_until_closed, run_async, wait_until
 
 from stackwheel import interface as face
@@ -19,7 +19,7 @@
 def test_proxies_that_connect_together_join_in_one_batch() -> None:
     """Accepted one by one, thirty joins came in six batches, and the first tables were made for five proxies."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         proxies = [harness.connect(f"SUBSCRIBE id={n} site=east rps=1 new=1\r\n".encode()) for n in range(8)]
@@ -29,11 +29,11 @@
         for proxy in proxies:
             proxy.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_connections_are_set_up_a_limited_number_at_a_time(monkeypatch: Any) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.MAX_CONCURRENT_ACCEPTS", 3)
         harness = TransportHarness()
         await harness.open()
@@ -46,11 +46,11 @@
         for connection in clients:
             connection.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_reports_of_two_collectors_of_a_zone_count_and_a_third_replaces_the_longest_idle() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         report = b"LOAD site=east target=s-0 count=2 fail=0 mean=5 over=1000.0\r\n"
@@ -72,7 +72,7 @@
         third.close()
         await wait_until(lambda: not harness.table.collectors[0] and not harness.table.connections)
 
-    run_async(work())
+    run_async(scenario())
 
 
 async def send_slowly(connection: socket.socket, data: bytes) -> None:
@@ -86,7 +86,7 @@
 def test_identification_has_one_deadline_whatever_is_sent(monkeypatch: Any, data: bytes) -> None:
     """PING is answered but extends nothing, and neither do bytes that come one at a time."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.IDENTIFY_TIMEOUT_MS", 150.0)
         monkeypatch.setattr("stackwheel.wire.timing.UNIDENTIFIED_SWEEP_INTERVAL_MS", 10.0)
         harness = TransportHarness()
@@ -103,7 +103,7 @@
         assert not harness.table.unidentified
         joined.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 @pytest.mark.parametrize(
@@ -123,18 +123,18 @@
     ],
 )
 def test_an_unidentified_connection_that_is_rejected_gets_nack_at_once(data: bytes) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         received = await read_until_closed(harness.connect(data))
         assert received.endswith(b"NACK\r\n") or len(data) > 4096  # a close with unread data may discard NACK
         assert not harness.posted
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_a_malformed_message_is_skipped_and_those_around_it_count() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         proxy = harness.connect(
@@ -165,7 +165,7 @@
         proxy.close()
         collector.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 @pytest.mark.parametrize(
@@ -180,18 +180,18 @@
 def test_a_protocol_violation_closes_the_stream_and_the_proxy_counts_as_left(data: bytes) -> None:
     """At once, as the end of the line may never come."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         proxy = harness.connect(b"SUBSCRIBE id=1 site=east rps=1 new=1\r\n" + data)
         assert await read_until_closed(proxy) == b""
         assert [type(item) for item in harness.posted] == [ProxyStream, StreamEnded]
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_the_message_cap_counts_across_streams_of_a_proxy() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         cap = harness.transport.settings.message_cap
@@ -212,13 +212,13 @@
             await wait_until(lambda: not harness.table.connections)
             harness.posted.clear()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_a_close_does_not_wait_for_a_client_that_reads_nothing() -> None:
     """Nothing can be sent to it; it is closed all the same."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         client = harness.connect(b"PING\r\n" * 600 + b"what?\r\n")
@@ -226,13 +226,13 @@
         await wait_until(lambda: not harness.table.connections)
         client.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_proxies_among_many_unidentified_connections_all_join() -> None:
     """With few descriptors, proxies were once closed as unidentified before their first message was read."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness(proxies=40, sockets=32 + 60)
         await harness.open()
         clients = [harness.connect(b"") for _ in range(100)]
@@ -248,11 +248,11 @@
         for connection in [*clients, *proxies, late]:
             connection.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_without_unidentified_connections_the_longest_idle_is_evicted(monkeypatch: Any) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.MIN_IDLE_BEFORE_EVICTION_MS", 50.0)
         harness = TransportHarness(sockets=32 + 2)
         await harness.open()
@@ -263,13 +263,13 @@
         for proxy in proxies:
             proxy.close()
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_bytes_buffered_for_all_connections_are_limited() -> None:
     """Partial lines of several proxies: the connection with the largest is closed, the others stay."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness = TransportHarness(memory_mb=4)
         await harness.open()
         proxies = [harness.connect(f"SUBSCRIBE id={n} site=east rps=1 new=1\r\n".encode()) for n in range(3)]
@@ -288,12 +288,12 @@
         assert harness.transport.buffer_budget.total_bytes == 0
         assert not harness.transport.buffer_budget.bytes_by_connection
 
-    run_async(work())
+    run_async(scenario())
 
 
 def test_results_of_health_checks_are_posted() -> None:
-    async def work() -> None:
-        server = await asyncio.start_server(toy.serve_health_check, "127.0.0.1", 0)
+    async def scenario() -> None:
+        server = await asyncio.start_server(toy_server.serve_health_check, "127.0.0.1", 0)
         harness = TransportHarness("{}:{}".format(*server.sockets[0].getsockname()[:2]))
         await harness.open()
         listed = HealthCheckTarget(0, 0.0, harness.transport.endpoints.addresses[server_id("s-0")])
@@ -311,4 +311,4 @@
             without_address, face.HealthCheckResult(server_id("never listed"), 4, 0.0)
         )
 
-    run_async(work())
+    run_async(scenario())
