--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple, cast
 
 from stackwheel.cells.assignment import discovery_addresses, service_of
-from stackwheel.cells.plan import FORMAT_VERSION, Cell, Limits, Plan, Relay
+from stackwheel.cells.plan import PLAN_FORMAT_VERSION, Cell, Limits, Plan, Relay
 from stackwheel.interface import Availability
 from stackwheel.rules.violations import Rule
 from stackwheel.service.relay import RelayEnvironment, RelayService
@@ -96,7 +96,7 @@
     def process_ended(self, task: asyncio.Task[Any]) -> None:
         """The service has ended by itself, which it never should."""
         reason = "cancelled" if task.cancelled() else repr(task.exception())
-        self.context.checker.break_rule(self.context.now_ms(), Rule.UPRIGHT, f"{self.machine} ended: {reason}")
+        self.context.checker.report_violation(self.context.now_ms(), Rule.UPRIGHT, f"{self.machine} ended: {reason}")
 
     def kill(self, resets_connections: bool = True) -> None:
         """End the process; without resets its machine vanishes."""
@@ -152,7 +152,7 @@
         """The cell plan as it is now."""
         relays = tuple(Relay(f"relay-{number}", relay_host(number)) for number in range(self.context.shape.relays))
         cells = tuple(Cell(name, name, (), 0, 1, port + self.port_offset) for name, port in CELL_PORTS.items())
-        return Plan(FORMAT_VERSION, Limits(), dict.fromkeys(self.context.zones, "region-0"), relays, cells)
+        return Plan(PLAN_FORMAT_VERSION, Limits(), dict.fromkeys(self.context.zones, "region-0"), relays, cells)
 
     def addresses_of(self, planner: int) -> str:
         """Where a planner calls for its endpoint list, the preferred relay first."""
@@ -288,7 +288,7 @@
         silence = self.context.loop.now - relay.registry_received_at
         if silence > MAX_VOUCHING_S:
             detail = f"{relay.machine} vouches {silence:.2f} s after it heard the registry last"
-            self.context.checker.break_rule(self.context.now_ms(), Rule.VOUCHED, detail)
+            self.context.checker.report_violation(self.context.now_ms(), Rule.VOUCHED, detail)
 
     def settle(self) -> None:
         """Go on until all faults have ended for long enough; then everyone holds what the registry holds.
