--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -78,7 +78,7 @@
         names: ConfiguredNames,
         endpoints: EndpointCache,
         clock: Clock,
-        listen_at: Callable[[str], socket.socket] = open_listener,
+        open_listener: Callable[[str], socket.socket] = open_listener,
         seed: int = 0,
     ) -> None:
         """Create the transport without opening any socket; see `open`."""
@@ -86,7 +86,7 @@
         self.settings = settings
         self.names = names
         self.endpoints = endpoints
-        self.listen_at = listen_at
+        self.open_listener = open_listener
         self.post: Callable[[PlannerMessage], None] = discard
         self.encoder = Encoder(names, endpoints.server_ids)
         self.discovery = self._discovery_client(Random(seed))
@@ -139,7 +139,7 @@
             await loop.create_datagram_endpoint(
                 lambda: self.datagrams, local_addr=split_address(self.addresses.peer_listen)
             )
-        listener = self.listen_at(self.addresses.listen)
+        listener = self.open_listener(self.addresses.listen)
         self.supervisor.supervise("discovery client", self.discovery.run)
         self.supervisor.supervise("listener", lambda: self.listen(listener))
         self.supervisor.supervise("sweep", self.connection_table.sweep)
--- a/tests/wire/test_backoff.py
+++ b/tests/wire/test_backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts that fail."""
+"""Exponential backoff with jitter."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from stackwheel.wire.backoff import Backoff
 
 
-def test_delays_grow_and_differ_between_planners() -> None:
+def test_delays_grow_to_the_maximum_and_have_jitter() -> None:
     first_delays = {seed: Backoff(1000.0, 4000.0, Random(seed)).next_delay_ms() for seed in range(230)}
     assert len(set(first_delays.values())) == 230
     backoff = Backoff(1000.0, 4000.0, Random(1))
--- a/tests/wire/test_byte_budget.py
+++ b/tests/wire/test_byte_budget.py
@@ -1,4 +1,4 @@
-"""The bound on bytes of snapshots being sent: reserved in order, released on cancellation."""
+"""The limit on the bytes of responses being sent: order of reservations, and release on cancellation."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 TEST_TIMEOUT_S = 15
 
 
-def test_bytes_are_reserved_in_order_and_a_cancelled_wait_is_skipped() -> None:
+def test_reservations_are_granted_in_order_and_cancelled_ones_are_skipped() -> None:
     async def scenario() -> None:
         budget = ByteBudget(10)
         order: list[str] = []
@@ -44,7 +44,7 @@
     asyncio.run(asyncio.wait_for(scenario(), TEST_TIMEOUT_S))
 
 
-def test_a_reservation_that_is_cancelled_as_it_is_granted_is_released() -> None:
+def test_reservation_cancelled_after_being_granted_is_released() -> None:
     async def scenario() -> None:
         budget = ByteBudget(1)
 
@@ -56,7 +56,7 @@
             waiting = asyncio.create_task(reserve())
             while not budget.waiting:
                 await asyncio.sleep(0)
-        waiting.cancel()  # its turn has come, but it has not run since
+        waiting.cancel()  # the bytes are reserved, but the task has not run since
         await asyncio.wait([waiting])
         assert waiting.cancelled()
         assert budget.reserved_bytes == 0
--- a/tests/wire/test_connection_races.py
+++ b/tests/wire/test_connection_races.py
@@ -1,6 +1,6 @@
-"""Events between two awaits of the connections' code, forced to happen there every time.
+"""Race conditions of connections, each provoked deterministically.
 
-Closes, superseded streams, floods, defects of our own, and many connections at a process that has just started.
+The tests cover closes, superseded streams, floods, unexpected errors, and many simultaneous connections.
 """
 
 from __future__ import annotations
@@ -40,78 +40,77 @@
 
 
 def open_descriptors() -> int:
-    gc.collect()  # sockets of tests before
+    gc.collect()  # close sockets of earlier tests
     return len(os.listdir("/proc/self/fd"))
 
 
-def test_a_superseded_stream_writes_nothing_and_its_updates_do_not_count() -> None:
-    """Its updates waited for the message cap and then went to a connection that no proxy follows."""
+def test_superseded_stream_writes_nothing_and_does_not_use_the_message_cap() -> None:
+    """Updates delayed by the message cap must not be written to a connection that the proxy does not use any more."""
 
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
         cap = harness.transport.settings.message_cap
         limiter = harness.transport.limiters[1] = RateLimiter(cap, 300.0)
-        old_end, old = await join(harness)
+        old_client, old = await join(harness)
         for nonce in range(cap + 3):
             harness.transport.deliver([(old, update(nonce))])
         await wait_until(lambda: len(limiter.written_at or ()) == cap)
-        new_end, new = await join(harness)
+        new_client, new = await join(harness)
         old.on_superseded()
         counted = list(limiter.written_at or ())
-        await wait_until(lambda: old.unsent_bytes == 0)  # dropped, though the cap allows them by now
+        await wait_until(lambda: old.unsent_bytes == 0)  # the updates are dropped, although the cap allows them
         assert list(limiter.written_at or ()) == counted
         harness.transport.deliver([(new, update(99))])
         await wait_until(lambda: new.unsent_bytes == 0)
         assert list(limiter.written_at or ())[-1] > counted[-1]
-        old_end.close()
-        assert b"nonce_out=99" in await asyncio.get_running_loop().run_in_executor(None, new_end.recv, 65536)
-        new_end.close()
+        old_client.close()
+        assert b"nonce_out=99" in await asyncio.get_running_loop().run_in_executor(None, new_client.recv, 65536)
+        new_client.close()
 
     run_async(scenario())
 
 
-def test_an_update_on_a_closed_connection_does_not_count() -> None:
-    """An update in the mailbox of a closed connection was counted as written before the reader noticed the close."""
+def test_update_on_closed_connection_does_not_use_the_message_cap() -> None:
+    """An update in the mailbox of a closed connection must not be counted as written."""
 
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
-        end, connection = await join(harness)
+        joined_client, connection = await join(harness)
         harness.transport.deliver([(connection, update(1))])
-        connection.close("for the test")  # in the same turn: the writer wakes before the reader sees the end
+        connection.close("for the test")  # the writer task wakes up before the reader detects the close
         await wait_until(lambda: any(isinstance(item, StreamEnded) for item in harness.posted))
         assert not harness.transport.limiter(1).written_at
-        end.close()
+        joined_client.close()
 
     run_async(scenario())
 
 
-def test_a_connection_that_joins_again_within_a_batch_stays_identified() -> None:
-    """Joined, superseded and joined again before the planner actor's turn: only the second was followed, and it was
-    closed as unidentified after 1.5 s."""
+def test_connection_that_rejoins_within_a_batch_stays_identified() -> None:
+    """A stream that is superseded and joins again before the planner actor runs must not be closed as unidentified."""
 
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
-        first_end, first = await join(harness)
-        second_end, second = await join(harness)
-        first_end.sendall(JOIN)
+        first_client, first = await join(harness)
+        second_client, second = await join(harness)
+        first_client.sendall(JOIN)
         await wait_until(lambda: len(harness.posted) == 3)
         assert attached_connection(harness) == first
         assert first not in harness.table.unidentified
         assert second in harness.table.unidentified
         harness.transport.deliver([(first, update(5))])
         await wait_until(lambda: first.unsent_bytes == 0)
-        assert b"nonce_out=5" in await asyncio.get_running_loop().run_in_executor(None, first_end.recv, 65536)
-        for end in (first_end, second_end):
-            end.close()
+        assert b"nonce_out=5" in await asyncio.get_running_loop().run_in_executor(None, first_client.recv, 65536)
+        for joined_client in (first_client, second_client):
+            joined_client.close()
 
     run_async(scenario())
 
 
 def attached_connection(harness: TransportHarness) -> object:
-    """The planner actor's part: streams join in the order in which they were posted."""
+    """Process the posted streams in their order, as the planner actor does; returns the connection of proxy 1."""
     from stackwheel.state.streams import ProxyStreams
 
     streams = ProxyStreams()
@@ -121,27 +120,27 @@
     return streams.by_proxy[1].connection
 
 
-def test_a_defect_in_a_write_ends_the_stream(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The task ended unnoticed: the stream looked alive, and nothing reached the proxy any more."""
+def test_unexpected_error_in_a_write_closes_the_stream(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A stream without a running writer task must not stay open."""
 
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
-        end, connection = await join(harness)
+        joined_client, connection = await join(harness)
 
-        def fails(_now: float) -> None:
-            raise RuntimeError("a defect")
+        def fail(_now: float) -> None:
+            raise RuntimeError("unexpected")
 
-        monkeypatch.setattr(harness.transport.limiter(1), "record_write", fails)
+        monkeypatch.setattr(harness.transport.limiter(1), "record_write", fail)
         harness.transport.deliver([(connection, update(1))])
-        assert await read_until_closed(end) == b""
+        assert await read_until_closed(joined_client) == b""
         await wait_until(lambda: not harness.table.connections)
         assert isinstance(harness.posted[-1], StreamEnded)
 
     run_async(scenario())
 
 
-def test_a_connection_reset_before_it_is_set_up_leaves_nothing() -> None:
+def test_connection_reset_before_setup_leaves_no_descriptor() -> None:
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
@@ -150,17 +149,17 @@
         for _ in range(20):
             client = harness.connect(b"SUBSCR")
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            client.close()  # a reset, while it is in the backlog
-        end, _ = await join(harness)
+            client.close()  # resets the connection while it is in the backlog
+        joined_client, _ = await join(harness)
         await wait_until(lambda: len(harness.table.connections) == 1 and harness.table.arriving == 0)
-        end.close()
+        joined_client.close()
         await wait_until(lambda: open_descriptors() <= before)
         assert not harness.table.unidentified
 
     run_async(scenario())
 
 
-def test_a_connection_that_cannot_be_set_up_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_that_cannot_be_set_up_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
@@ -168,24 +167,24 @@
         before = open_descriptors()
         original = asyncio.open_connection
 
-        async def fails(**_options: Any) -> Any:
-            raise OSError("reset meanwhile")
+        async def fail(**_options: Any) -> Any:
+            raise OSError("connection reset")
 
-        monkeypatch.setattr(asyncio, "open_connection", fails)
+        monkeypatch.setattr(asyncio, "open_connection", fail)
         client = harness.connect(JOIN)
         assert await read_until_closed(client) == b""
         assert harness.table.arriving == 0
         client.close()
         monkeypatch.setattr(asyncio, "open_connection", original)
-        end, _ = await join(harness)
-        end.close()
+        joined_client, _ = await join(harness)
+        joined_client.close()
         await wait_until(lambda: open_descriptors() <= before)
 
     run_async(scenario())
 
 
-def test_a_flood_on_one_connection_delays_no_other() -> None:
-    """Each connection gets a turn of 64 KiB: others are answered while most of the flood is still unread."""
+def test_flood_on_one_connection_does_not_block_others() -> None:
+    """Other connections must be answered while most of the flood is still unread."""
 
     async def scenario() -> None:
         harness = TransportHarness()
@@ -213,58 +212,56 @@
     run_async(scenario())
 
 
-def test_a_message_cut_by_a_close_is_never_complete() -> None:
-    """A message of several parts is one write; what a close leaves of it is never complete, and the next stream of the
-    proxy begins with a message of its own."""
+def test_message_truncated_by_a_close_has_no_nonce() -> None:
+    """A proxy must not apply a partially written message, and its next stream must begin with a complete message."""
 
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
-        end, connection = await join(harness)
-        names = [face.ServerId(bytes([n // 256, n % 256, 1, 1, 1, 1])) for n in range(3000)]
-        for server in names:
-            harness.transport.endpoints.server_ids.names[server] = f"server-of-a-long-name-{server.hex()}"
-        parts = tuple(UpdatePart((index,), True, tuple((server, 1.0) for server in names)) for index in (0, 1))
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        joined_client, connection = await join(harness)
+        servers = [face.ServerId(bytes([n // 256, n % 256, 1, 1, 1, 1])) for n in range(3000)]
+        for server in servers:
+            harness.transport.endpoints.server_ids.names[server] = f"server-with-a-long-name-{server.hex()}"
+        parts = tuple(UpdatePart((index,), True, tuple((server, 1.0) for server in servers)) for index in (0, 1))
+        joined_client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         connection.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         harness.transport.deliver([(connection, ProxyUpdate(1, parts, (), (), 7))])
-        head = await asyncio.get_running_loop().run_in_executor(None, end.recv, 64)
+        head = await asyncio.get_running_loop().run_in_executor(None, joined_client.recv, 64)
         assert head.startswith(b"CONFIG routes=")
-        new_end, new = await join(harness)
+        new_client, new = await join(harness)
         connection.on_superseded()
         connection.close("for the test")
-        rest = head + await read_until_closed(end)
-        assert b"nonce_out" not in rest  # it never became complete
+        rest = head + await read_until_closed(joined_client)
+        assert b"nonce_out" not in rest  # the end of the message was not written
         harness.transport.deliver([(new, update(8))])
         await wait_until(lambda: new.unsent_bytes == 0)
-        received = await asyncio.get_running_loop().run_in_executor(None, new_end.recv, 65536)
+        received = await asyncio.get_running_loop().run_in_executor(None, new_client.recv, 65536)
         assert received.startswith(b"CONFIG ")
         assert received.endswith(b"nonce_out=8\r\n")
         assert received.count(b"\r\n") == 1
-        new_end.close()
+        new_client.close()
 
     run_async(scenario())
 
 
 @pytest.mark.parametrize("proxy_count", [40, 400])
-def test_the_work_before_pong_does_not_grow_with_waiting_connections(proxy_count: int) -> None:
-    """PING behind many joins is answered before the policy handles them: nothing of the policy and of the endpoint list
-    runs before PONG, whatever their number."""
+def test_event_loop_iterations_before_pong_are_limited(proxy_count: int) -> None:
+    """PING must be answered before the joins of all proxies that connected earlier have been processed."""
 
     async def scenario() -> None:
         harness = TransportHarness(proxies=proxy_count)
-        turns = 0
+        iterations = 0
         await harness.open()
         proxies = [harness.connect(f"SUBSCRIBE id={n} site=east rps=1 new=0\r\n".encode()) for n in range(proxy_count)]
         pinging = harness.connect(b"PING\r\n")
         pinging.setblocking(False)
         answered = asyncio.create_task(asyncio.get_running_loop().sock_recv(pinging, 10))
         while not answered.done():
-            turns += 1
+            iterations += 1
             await asyncio.sleep(0)
         assert answered.result() == b"PONG\r\n"
-        max_turns = 40 + 8 * proxy_count / 64  # some for each burst of 64 that is set up, none for each proxy
-        assert turns <= max_turns
+        max_iterations = 40 + 8 * proxy_count / 64  # 8 for each group of 64 connections that is set up at once
+        assert iterations <= max_iterations
         for client in [*proxies, pinging]:
             client.close()
 
@@ -272,8 +269,8 @@
 
 
 @pytest.mark.parametrize("task", ["run", "listen", "sweep"])
-def test_a_supervised_task_that_fails_is_restarted(monkeypatch: pytest.MonkeyPatch, task: str) -> None:
-    """A defect in the discovery client, the listener or the sweep ended it for ever; only a log line showed it."""
+def test_supervised_task_is_restarted_after_an_error(monkeypatch: pytest.MonkeyPatch, task: str) -> None:
+    """An unexpected error must not end the discovery client, the listener or the sweep permanently."""
 
     async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.TASK_RESTART_MS", 1.0)
@@ -287,30 +284,31 @@
             nonlocal calls
             calls += 1
             if calls == 1:
-                raise RuntimeError("a defect")
+                raise RuntimeError("unexpected")
             await original(*args)
 
         monkeypatch.setattr(owner, task, fail_once)
         await harness.open()
         await wait_until(lambda: calls == 2)
-        end, _ = await join(harness)
-        end.close()
+        joined_client, _ = await join(harness)
+        joined_client.close()
 
     run_async(scenario())
 
 
-def test_health_checks_that_hang_stay_within_the_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Health checks of unresponsive servers count from the moment they are started, leave descriptors to incoming
-    connections, and hold nothing once their time is up."""
+def test_hanging_health_checks_stay_within_the_descriptor_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Health checks of unresponsive servers must not exceed the limit, and must release descriptors on timeout."""
 
     async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.HEALTH_CHECK_TIMEOUT_MS", 100.0)
-        silent = socket.create_server(("127.0.0.1", 0), backlog=0)
-        address = "{}:{}".format(*silent.getsockname()[:2])
-        filled = [socket.socket() for _ in range(4)]
-        for one in filled:
-            one.setblocking(False)
-            one.connect_ex(silent.getsockname()[:2])  # its backlog is full: further connects get no answer
+        silent_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+        address = "{}:{}".format(*silent_listener.getsockname()[:2])
+        backlog_fillers = [socket.socket() for _ in range(4)]
+        for filler in backlog_fillers:
+            filler.setblocking(False)
+            filler.connect_ex(
+                silent_listener.getsockname()[:2]
+            )  # with a full backlog, the kernel ignores further connects
         harness = TransportHarness(address, sockets=32 + 10)
         await harness.open()
         await asyncio.sleep(0)
@@ -321,11 +319,11 @@
         for _ in range(50):
             harness.transport.start_health_check(server, HealthCheckTarget(0, entry.started_at, address))
         assert harness.table.health_checks_in_flight == 10
-        end, _ = await join(harness)  # waits for a descriptor, and gets it
+        joined_client, _ = await join(harness)  # waits until a health check releases its descriptor
         await wait_until(lambda: harness.table.health_checks_in_flight == 0)
-        end.close()
+        joined_client.close()
         await wait_until(lambda: open_descriptors() <= before)
-        for one in [*filled, silent]:
-            one.close()
+        for filler in [*backlog_fillers, silent_listener]:
+            filler.close()
 
     run_async(scenario())
--- a/tests/wire/test_descriptors.py
+++ b/tests/wire/test_descriptors.py
@@ -1,6 +1,6 @@
-"""Descriptors of connections, counted in the process itself: never over the limit, whatever happens in one turn.
+"""The limit on descriptors, checked against the descriptors that the process has open.
 
-A transport that was aborted holds its descriptor until a later turn of the event loop.
+An aborted transport holds its descriptor until a later iteration of the event loop.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from stackwheel.state.streams import ProxyStream
 from stackwheel.wire import timing
 
-CAPACITY = 60  # of connections, with the limits of these tests
+CAPACITY = 60  # maximum number of connections in these tests
 
 
 def open_descriptors() -> int:
@@ -30,22 +30,28 @@
 
 
 class DescriptorCounter:
-    """Counts the descriptors of accepted connections at each accept, the only moment at which their number grows."""
+    """Measures the maximum number of descriptors in use by accepted connections, after each accept.
+
+    Attributes:
+        clients: client sockets of the test.
+        before: number of descriptors that were open at the start.
+        max_in_use: maximum number of descriptors in use by accepted connections.
+    """
 
     def __init__(self, harness: TransportHarness) -> None:
-        gc.collect()  # sockets of tests before
+        gc.collect()  # close sockets of earlier tests
         self.clients: list[socket.socket] = []
         self.before = open_descriptors()
         self.max_in_use = 0
         loop = asyncio.get_running_loop()
         accept = loop.sock_accept
 
-        async def counted(listener: socket.socket) -> tuple[socket.socket, object]:
+        async def counting_accept(listener: socket.socket) -> tuple[socket.socket, object]:
             accepted = await accept(listener)
             self.max_in_use = max(self.max_in_use, self.in_use())
             return accepted
 
-        loop.sock_accept = counted  # type: ignore[method-assign]
+        loop.sock_accept = counting_accept  # type: ignore[method-assign]
         self.harness = harness
 
     def in_use(self) -> int:
@@ -55,7 +61,7 @@
         self.clients.append(self.harness.connect(data))
 
     def close_all(self) -> None:
-        """Close all clients so far in one turn."""
+        """Close all clients without running the event loop."""
         for client in self.clients:
             client.close()
         self.clients.clear()
@@ -63,7 +69,7 @@
 
 async def open_counted(harness: TransportHarness) -> DescriptorCounter:
     await harness.open()
-    return DescriptorCounter(harness)  # before the listener's first turn
+    return DescriptorCounter(harness)  # before the listener task runs
 
 
 def join_counter(harness: TransportHarness) -> Callable[[], int]:
@@ -71,8 +77,7 @@
 
 
 def test_evicted_connections_count_until_their_sockets_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One connection was accepted for each that was being closed, a burst in one turn, while all of those were still
-    open: up to 64 descriptors over the limit."""
+    """A connection must not be accepted in place of one that is being closed but still holds its descriptor."""
 
     async def scenario() -> None:
         monkeypatch.setattr(timing, "FIRST_READ_GRACE_MS", 1000.0)
@@ -81,7 +86,7 @@
         for _ in range(CAPACITY - 1):
             counter.connect(b"")
         await wait_until(lambda: len(harness.table.unidentified) == CAPACITY - 1)
-        for connection in harness.table.unidentified:  # all may be evicted at once
+        for connection in harness.table.unidentified:  # old enough to be evicted
             connection.unidentified_since -= 1.0
         for number in range(CAPACITY):
             counter.connect(join_message(number))
@@ -93,9 +98,8 @@
     run_async(scenario())
 
 
-def test_unidentified_connections_leave_capacity_for_a_burst() -> None:
-    """Unidentified connections held all descriptors, each new one waited for an eviction, and up to 39 lay in the
-    backlog at once."""
+def test_unidentified_connections_leave_capacity_for_a_burst_of_joins() -> None:
+    """Proxies that connect together must not each wait for the eviction of an unidentified connection."""
 
     async def scenario() -> None:
         harness = TransportHarness(proxies=CAPACITY, sockets=timing.RESERVED_DESCRIPTORS + CAPACITY)
@@ -111,7 +115,7 @@
         reserve = timing.accept_reserve(CAPACITY)
         assert 0 < reserve < CAPACITY
         assert len(harness.table.connections) == CAPACITY - reserve
-        for number in range(1, CAPACITY):  # identified connections may use all of it
+        for number in range(1, CAPACITY):  # identified connections may use the whole capacity
             counter.connect(join_message(number))
         await wait_until(lambda: joined() == CAPACITY)
         assert len(harness.table.connections) == CAPACITY
@@ -121,8 +125,8 @@
     run_async(scenario())
 
 
-def test_connections_that_end_by_themselves_count_until_their_sockets_are_closed() -> None:
-    """Those that ended in one turn were removed in it and closed in the next; others were accepted in between."""
+def test_connections_closed_by_clients_count_until_their_sockets_are_closed() -> None:
+    """Connections must not be accepted between the end of others and the close of their sockets."""
 
     async def scenario() -> None:
         harness = TransportHarness(proxies=2 * CAPACITY, sockets=timing.RESERVED_DESCRIPTORS + CAPACITY)
@@ -142,12 +146,12 @@
 
 
 def test_health_checks_count_until_their_sockets_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In each turn: a health check that was over was no longer counted, but still held its descriptor."""
+    """In no iteration of the event loop may a completed health check hold a descriptor that is not counted."""
 
     async def scenario() -> None:
         monkeypatch.setattr(timing, "HEALTH_CHECK_TIMEOUT_MS", 50.0)
-        silent = socket.create_server(("127.0.0.1", 0), backlog=64)  # the kernel connects, nobody answers
-        address = "{}:{}".format(*silent.getsockname()[:2])
+        silent_listener = socket.create_server(("127.0.0.1", 0), backlog=64)  # connects, but does not respond
+        address = "{}:{}".format(*silent_listener.getsockname()[:2])
         harness = TransportHarness(address, sockets=timing.RESERVED_DESCRIPTORS + CAPACITY)
         counter = await open_counted(harness)
         server, entry = next(iter(harness.transport.endpoints.entries.items()))
@@ -159,6 +163,6 @@
             await asyncio.sleep(0)
         assert len(harness.posted) == CAPACITY // 2
         assert max(max_uncounted, counter.in_use()) == 0
-        silent.close()
+        silent_listener.close()
 
     run_async(scenario())
