--- a/tests/wire/test_connection_races.py
+++ b/tests/wire/test_connection_races.py
@@ -306,9 +306,8 @@
         backlog_fillers = [socket.socket() for _ in range(4)]
         for filler in backlog_fillers:
             filler.setblocking(False)
-            filler.connect_ex(
-                silent_listener.getsockname()[:2]
-            )  # with a full backlog, the kernel ignores further connects
+            # With a full backlog, the kernel ignores further connects.
+            filler.connect_ex(silent_listener.getsockname()[:2])
         harness = TransportHarness(address, sockets=32 + 10)
         await harness.open()
         await asyncio.sleep(0)
--- a/tests/wire/test_discovery_calls.py
+++ b/tests/wire/test_discovery_calls.py
@@ -1,4 +1,4 @@
-"""The calls of the discovery service: unusable answers, and the lines, deadline and renewal of a watch."""
+"""Calls to the discovery service: invalid responses, and the lines, deadline and renewal of a watch."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("body", [*INVALID_DOCUMENTS, b""])
-def test_fetched_document_that_is_no_list_is_failed_call(body: bytes) -> None:
+def test_fetch_of_an_invalid_document_fails(body: bytes) -> None:
     response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     with pytest.raises(CallError) as caught:
         run_with_server(canned_response(response), fetch_endpoint_list)
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("line", INVALID_DOCUMENTS)
-def test_line_that_is_no_list_ends_watch(line: bytes) -> None:
+def test_watch_with_an_invalid_line_fails(line: bytes) -> None:
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a")
@@ -49,26 +49,26 @@
     run_async(scenario)
 
 
-def lines_of(splitter: LineSplitter, now_ms: float = 0.0) -> list[bytes]:
+def complete_lines(splitter: LineSplitter, now_ms: float = 0.0) -> list[bytes]:
     lines = []
     while (line := splitter.next_line(now_ms)) is not None:
         lines.append(line)
     return lines
 
 
-@pytest.mark.parametrize("piece_size", [1, 2, 3, 7, 100])
-def test_lines_do_not_depend_on_how_they_are_cut(piece_size: int) -> None:
+@pytest.mark.parametrize("chunk_size", [1, 2, 3, 7, 100])
+def test_lines_do_not_depend_on_the_division_into_chunks(chunk_size: int) -> None:
     data = b"{1}\n\n \r\n{22}\n{333"
     splitter = LineSplitter(0.0)
     lines = []
-    for start in range(0, len(data), piece_size):
-        splitter.append(data[start : start + piece_size])
-        lines += lines_of(splitter)
+    for start in range(0, len(data), chunk_size):
+        splitter.append(data[start : start + chunk_size])
+        lines += complete_lines(splitter)
     assert lines == [b"{1}", b"", b"", b"{22}"]
     assert splitter.partial == b"{333"
 
 
-def test_deadline_counts_from_the_last_complete_line() -> None:
+def test_line_deadline_restarts_with_each_complete_line() -> None:
     splitter = LineSplitter(100.0)
     assert splitter.deadline_ms == 100.0 + timing.LINE_TIMEOUT_MS
     splitter.append(b"{")
@@ -79,14 +79,14 @@
     assert splitter.deadline_ms == 300.0 + timing.LINE_TIMEOUT_MS
 
 
-def test_watch_resumes_after_a_generation() -> None:
+def test_watch_request_contains_the_generation_to_resume_after() -> None:
     assert watch_call("h:1", None).target == f"{INSTANCES_PATH}?follow=1"
     assert watch_call("h:1", 0).target == f"{INSTANCES_PATH}?follow=1&since=0"
 
 
-def test_renewal_is_due_ever_later_until_a_list_comes() -> None:
+def test_renewal_interval_grows_until_a_list_is_received() -> None:
     timer = RenewalTimer(1000.0, Random(1))
-    assert not timer.is_due(1e9)  # no list has come yet
+    assert not timer.is_due(1e9)  # never due before the first list
     timer.restart(0.0)
     assert not timer.is_due(0.49)
     assert timer.is_due(1.51)
--- a/tests/wire/test_discovery_client.py
+++ b/tests/wire/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery client against a scripted service: changes of address, overtaking, silence, renewal, backoff."""
+"""The discovery client with a scripted service: changes of address, concurrent calls, timeouts, renewal, backoff."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from stackwheel.wire.discovery_client import ChangeAddress, Command
 
 
-def test_fetch_during_change_of_address_is_answered_by_new_address() -> None:
-    """It ended with neither a list nor a failure."""
+def test_fetch_during_change_of_address_is_repeated_at_new_address() -> None:
+    """Each fetch command must result in a list or a failure."""
 
     async def scenario() -> None:
         first = await ScriptedDiscovery().start()
@@ -33,8 +33,8 @@
     run_async(scenario)
 
 
-def test_fetch_in_flight_at_change_of_address_does_not_replace_source() -> None:
-    """Old watch, new watch and a fetch delivered in turn, and the source went back and forth."""
+def test_fetch_during_handover_does_not_change_the_source() -> None:
+    """The source must not alternate between the old and the new address."""
 
     async def scenario() -> None:
         first = await ScriptedDiscovery().start()
@@ -43,7 +43,7 @@
         harness.send(ChangeAddress(second.address))
         new_watch = await second.calls.get()
         harness.send(Command.FETCH)
-        fetch = await first.calls.get()  # from the source of the list in force, not from who has not answered yet
+        fetch = await first.calls.get()  # the old address is still the source of the current list
         fetch.respond(endpoint_list_json(8, True, "a"))
         assert await harness.next_list() == (8, True, {"a"})
         assert harness.client.source == first.address
@@ -55,7 +55,7 @@
     run_async(scenario)
 
 
-def test_fetch_overtaken_by_watch_is_not_complete() -> None:
+def test_fetched_list_older_than_the_watch_is_posted_as_incomplete() -> None:
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a", "b")
@@ -71,27 +71,27 @@
 
 
 def test_watch_that_never_completes_a_line_fails(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Silence was measured by bytes alone: a drip kept it alive for ever."""
+    """Bytes of a line that is never completed must not keep a watch open."""
     monkeypatch.setattr(timing, "LINE_TIMEOUT_MS", 300.0)
 
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a")
 
-        async def drip() -> None:
+        async def send_partial_line() -> None:
             while True:
                 watch.send(b"{")
                 await asyncio.sleep(0.02)
 
-        dripping = asyncio.create_task(drip())
+        sending = asyncio.create_task(send_partial_line())
         assert await harness.next_is_failure()
         await watch.ended.wait()
-        dripping.cancel()
+        sending.cancel()
 
     run_async(scenario)
 
 
-def test_heartbeats_count_as_lines(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_heartbeats_restart_the_line_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timing, "LINE_TIMEOUT_MS", 200.0)
 
     async def scenario() -> None:
@@ -106,8 +106,8 @@
     run_async(scenario)
 
 
-def test_watch_whose_updates_stopped_is_renewed() -> None:
-    """Its heartbeat goes on, so that nothing shows; what it no longer delivers, the next one does."""
+def test_watch_without_changes_is_renewed() -> None:
+    """A faulty watch may send heartbeats without updates; a second watch must deliver the missing changes."""
 
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
@@ -119,7 +119,7 @@
         assert rejected.target.endswith("since=8")
         rejected.respond(b"", "503 Busy")
         await rejected.ended.wait()
-        assert not watch.ended.is_set()  # the old one goes on: nothing is lost
+        assert not watch.ended.is_set()  # a failed renewal does not end the first watch
         assert harness.posted.empty()
         watch.send_heartbeat()
         while discovery.calls.empty():
@@ -134,15 +134,15 @@
     run_async(scenario)
 
 
-def test_renewals_of_all_planners_together_are_bounded() -> None:
+def test_total_renewal_rate_of_all_planners_is_limited() -> None:
     for planners in (1, 5, 230, 1024):
         calls_per_second = planners * 1000.0 / timing.watch_renewal_interval(planners)
         assert calls_per_second <= 1000.0 / timing.HEARTBEAT_INTERVAL_MS
     assert timing.watch_renewal_interval(1) >= timing.LINE_TIMEOUT_MS
 
 
-def test_client_that_always_watches_backs_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client itself repeats the call here: it did once a second, all planners in step."""
+def test_client_that_always_watches_retries_with_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Repeated calls must not be sent at a fixed interval, simultaneously by all planners."""
 
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
--- a/tests/wire/test_discovery_protocol.py
+++ b/tests/wire/test_discovery_protocol.py
@@ -1,4 +1,4 @@
-"""The JSON of an endpoint list: what is read, and what a fault in it costs."""
+"""Parsing of endpoint lists: valid documents, invalid documents, and malformed entries."""
 
 import json
 import re
@@ -18,7 +18,7 @@
 )
 
 
-def test_endpoint_list() -> None:
+def test_endpoint_list_is_parsed() -> None:
     endpoints = parse_endpoint_list(VALID)
     assert (endpoints.generation, endpoints.complete) == (43, False)
     assert endpoints.instances == (Instance("s-1", "h:1", "a", "m2", 3, Availability.DRAINING, 1.5, 12.5),)
@@ -39,7 +39,7 @@
         (VALID, b"[" * 100_000),
     ],
 )
-def test_document_that_is_no_list_is_invalid_input(original: bytes, replacement: bytes) -> None:
+def test_invalid_document_raises_invalid_input_error(original: bytes, replacement: bytes) -> None:
     with pytest.raises(InvalidInputError):
         parse_endpoint_list(VALID.replace(original, replacement))
 
@@ -56,7 +56,7 @@
         (VALID, b"", "not JSON: Expecting value"),
     ],
 )
-def test_invalid_document_names_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
+def test_error_of_invalid_document_names_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
     with pytest.raises(InvalidInputError, match=re.escape(reason)):
         parse_endpoint_list(VALID.replace(original, replacement))
 
@@ -78,10 +78,10 @@
         (b'{"instanceId"', b'7,{"instanceId"', ""),
     ],
 )
-def test_unreadable_entry_is_left_out_and_named(original: bytes, replacement: bytes, unreadable_name: str) -> None:
-    """Once the whole list failed for it; now its neighbours count, and the reader knows what the list lacks."""
-    neighbour = b'{"instanceId":"s-0","hostPort":"h:1","zone":"a","lifecycle":"in_service"}'
-    data = VALID.replace(original, replacement).replace(b"]}]}", b"]}," + neighbour + b"]}")
+def test_malformed_entry_is_skipped_and_reported(original: bytes, replacement: bytes, unreadable_name: str) -> None:
+    """A malformed entry must not invalidate the list, and its name must be reported in `unreadable`."""
+    valid_entry = b'{"instanceId":"s-0","hostPort":"h:1","zone":"a","lifecycle":"in_service"}'
+    data = VALID.replace(original, replacement).replace(b"]}]}", b"]}," + valid_entry + b"]}")
     endpoints = parse_endpoint_list(data)
     names = {instance.name for instance in endpoints.instances}
     assert endpoints.unreadable == {unreadable_name}
@@ -108,14 +108,14 @@
         (b'{"instanceId"', b'7,{"instanceId"', "list 43: entry 0 ('None'): expected an object, found int"),
     ],
 )
-def test_unreadable_entry_names_entry_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
+def test_error_of_malformed_entry_names_entry_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
     errors: list[InvalidInputError] = []
     read_endpoint_list(json.loads(VALID.replace(original, replacement)), errors.append)
     assert len(errors) == 1
     assert str(errors[0]).startswith(reason)
 
 
-def test_unreadable_entry_of_cached_list_is_no_configuration() -> None:
+def test_malformed_entry_in_configured_list_is_rejected() -> None:
     document = config("127.0.0.1:1", known={"generation": 1, "reset": True, "instances": [{"instanceId": "s-0"}]})
     with pytest.raises(ValueError, match="known: list 1: entry 0"):
         read_config(document)
--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -1,4 +1,4 @@
-"""A client whose discovery has replicas: a call that fails goes to the next one, with the same generations."""
+"""The discovery client with a replicated service: a failed call is repeated at the next replica."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def start_pair() -> tuple[ScriptedDiscovery, ScriptedDiscovery, str]:
-    """Two replicas and the address that names both."""
+    """Start two replicas, and return them and the address with both."""
     first = await ScriptedDiscovery().start()
     second = await ScriptedDiscovery().start()
     return first, second, f"{first.address},{second.address}"
@@ -32,7 +32,7 @@
 async def watch_first_of_two(
     **options: Any,
 ) -> tuple[ClientHarness, ScriptedCall, ScriptedDiscovery, ScriptedDiscovery]:
-    """A client whose watch at the first of two replicas has delivered list 8."""
+    """Start a client, and deliver generation 8 on its watch at the first of two replicas."""
     first, second, both = await start_pair()
     harness = ClientHarness(both, **options)
     harness.send(Command.WATCH)
@@ -43,13 +43,13 @@
 
 
 @pytest.fixture
-def watch_lasts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A watch counts as one that has lasted from its first list on."""
+def without_minimum_watch_duration(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let a watch count as stable as soon as it has delivered a list."""
     monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 0.0)
 
 
-@pytest.mark.usefixtures("watch_lasts_at_once")
-def test_watch_that_ends_continues_at_next_replica_without_restart() -> None:
+@pytest.mark.usefixtures("without_minimum_watch_duration")
+def test_watch_continues_at_next_replica_after_a_reset() -> None:
     async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
         watch.send_list(9, False, "c")
@@ -57,22 +57,22 @@
         watch.reset()
         next_watch = await second.calls.get()
         assert next_watch.target.endswith("follow=1&since=9")
-        assert harness.posted.empty()  # no failure: the policy was notified of nothing
+        assert harness.posted.empty()  # no failure is posted
         next_watch.send_list(10, False, "d")
         endpoints = await harness.posted.get()
         assert isinstance(endpoints, EndpointList)
         assert endpoints.generation == 10
         assert not endpoints.generations_restarted
         assert not endpoints.complete
-        next_watch.reset()  # and back, with what the second replica has delivered
+        next_watch.reset()  # the watch returns to the first replica, with the generation of the second one
         third_watch = await first.calls.get()
         assert third_watch.target.endswith("follow=1&since=10")
 
     run_async(scenario)
 
 
-@pytest.mark.usefixtures("watch_lasts_at_once")
-def test_watch_fails_once_every_replica_was_called() -> None:
+@pytest.mark.usefixtures("without_minimum_watch_duration")
+def test_watch_fails_after_each_replica_has_been_called() -> None:
     async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
         watch.reset()
@@ -80,7 +80,7 @@
         assert await harness.next_is_failure()
         assert first.calls.empty()
         assert second.calls.empty()
-        harness.send(Command.WATCH)  # the policy asks again, when it decides to
+        harness.send(Command.WATCH)  # the policy requests another watch
         second_watch = await first.calls.get()
         assert second_watch.target.endswith("since=8")
         second_watch.respond(b"", "503 Busy")
@@ -91,8 +91,8 @@
     run_async(scenario)
 
 
-def test_replicas_that_end_each_watch_at_once_are_called_once_each() -> None:
-    """Each delivered a list, and ended: without a bound the planner would go round and round."""
+def test_replicas_that_end_watches_early_are_called_once_each() -> None:
+    """Replicas that deliver a list and then end the watch must not be called in an endless loop."""
 
     async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
@@ -108,7 +108,7 @@
     run_async(scenario)
 
 
-def test_first_replica_that_is_down_costs_nothing() -> None:
+def test_unreachable_first_replica_is_skipped() -> None:
     async def scenario() -> None:
         second = await ScriptedDiscovery().start()
         harness = ClientHarness(f"127.0.0.1:1,{second.address}")
@@ -122,7 +122,7 @@
     run_async(scenario)
 
 
-def test_fetch_prefers_replica_that_is_not_behind() -> None:
+def test_fetch_uses_first_replica_with_current_list() -> None:
     async def scenario() -> None:
         harness, _, first, second = await watch_first_of_two()
         harness.send(Command.STOP)
@@ -133,12 +133,12 @@
         harness.send(Command.FETCH)
         (await first.calls.get()).respond(endpoint_list_json(6, True, "a"))
         (await second.calls.get()).respond(endpoint_list_json(7, True, "b"))
-        assert await harness.next_list() == (7, True, {"b"})  # all are behind: the newest of them
+        assert await harness.next_list() == (7, True, {"b"})  # both are older than the current list: the newer one
 
     run_async(scenario)
 
 
-def test_fetch_fails_once_all_replicas_have() -> None:
+def test_fetch_fails_after_all_replicas_have_failed() -> None:
     async def scenario() -> None:
         first, second, both = await start_pair()
         harness = ClientHarness(both)
@@ -161,7 +161,7 @@
         new_watch = await second.calls.get()
         assert "since" not in new_watch.target
         new_watch.send_list(3, True, "b")
-        new_watch.send_heartbeat()  # its generations are others: nothing is behind
+        new_watch.send_heartbeat()  # ends the wait for a later generation, as the generations are unrelated
         endpoints = await harness.posted.get()
         assert isinstance(endpoints, EndpointList)
         assert endpoints.generations_restarted
@@ -170,9 +170,7 @@
     run_async(scenario)
 
 
-def test_single_address_is_called_once_whatever_happens() -> None:
-    """As before there were replicas."""
-
+def test_single_address_is_called_once_per_command() -> None:
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a")
@@ -191,8 +189,8 @@
     run_async(scenario)
 
 
-def test_heartbeats_count_once_watch_has_delivered_its_list() -> None:
-    """A service whose heartbeat precedes its list would vouch for what another watch delivered."""
+def test_heartbeats_before_the_first_list_are_not_reported() -> None:
+    """A heartbeat of a watch that has not delivered a list does not confirm the current list."""
 
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
@@ -210,9 +208,9 @@
     run_async(scenario)
 
 
-def test_configuration_accepts_replicas_and_names_a_wrong_one() -> None:
-    document_read = config("127.0.0.1:1,127.0.0.2:2")
-    assert read_config(document_read).addresses.discovery == "127.0.0.1:1,127.0.0.2:2"
-    for wrong in ("127.0.0.1:1,", ",127.0.0.1:1", "127.0.0.1:1,nowhere"):
+def test_configuration_accepts_replicas_and_rejects_invalid_addresses() -> None:
+    document = config("127.0.0.1:1,127.0.0.2:2")
+    assert read_config(document).addresses.discovery == "127.0.0.1:1,127.0.0.2:2"
+    for invalid_address in ("127.0.0.1:1,", ",127.0.0.1:1", "127.0.0.1:1,nowhere"):
         with pytest.raises(ValueError, match="discovery: not host:port"):
-            read_config(config(wrong))
+            read_config(config(invalid_address))
--- a/tests/wire/test_endpoint_list_server.py
+++ b/tests/wire/test_endpoint_list_server.py
@@ -1,4 +1,4 @@
-"""The relay's server on real sockets: requests, watches, heartbeats, slow readers, bounds."""
+"""The relay's server on real sockets: requests, watches, heartbeats, slow watchers, limits."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from stackwheel.wire.endpoint_watch import MAX_PENDING_BYTES
 
 
-def test_a_list_and_a_watch_send_the_entries_of_the_cell_and_their_changes() -> None:
+def test_list_and_watch_contain_only_servers_of_the_cell() -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"), instance("b-1"))
         head, _, body = (await (await relay.get_list()).receive_all()).partition(b"\r\n\r\n")
@@ -63,7 +63,7 @@
         (f"GET {LIST_PATH}?" + "x" * 3 * endpoint_requests.MAX_REQUEST_HEAD_BYTES, 431),
     ],
 )
-def test_bad_requests_are_rejected(request_line: str, status: int) -> None:
+def test_invalid_requests_are_rejected(request_line: str, status: int) -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"))
         assert await (await Caller.open(relay.address, request_line)).status() == status
@@ -71,7 +71,7 @@
     run(scenario)
 
 
-def test_calls_are_rejected_before_the_first_list_and_without_the_upstream() -> None:
+def test_requests_are_rejected_without_a_list_or_upstream() -> None:
     async def scenario() -> None:
         relay = await start_relay()
         for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1"):
@@ -84,7 +84,7 @@
     run(scenario)
 
 
-def test_a_connection_without_a_complete_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_without_a_complete_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_requests, "REQUEST_TIMEOUT_MS", 50.0)
 
     async def scenario() -> None:
@@ -99,7 +99,7 @@
     run(scenario)
 
 
-def test_connections_are_bounded() -> None:
+def test_number_of_connections_is_limited() -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"), max_connections=2)
         watchers = [await relay.watch(), await relay.watch()]
@@ -114,15 +114,16 @@
     run(scenario)
 
 
-# Between the first answer and what follows it
+# Order of the first line of a watch and later changes
 
 
-def test_a_drain_while_the_first_delta_is_being_written_is_sent_after_it() -> None:
+def test_change_during_write_of_first_delta_is_sent_after_it() -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"))
         for generation in range(6, 30):
             relay.apply(large_delta(generation))
-        relay.apply(delta_list(30, *(instance(f"a-{n}{NAME_PADDING * 40}") for n in range(400))))  # beyond all buffers
+        # This delta is larger than all buffers.
+        relay.apply(delta_list(30, *(instance(f"a-{n}{NAME_PADDING * 40}") for n in range(400))))
         watcher = await relay.watch(since=5, receive_buffer=4096)
         (watch,) = await relay.wait_for_watches(1)
         await wait_until_blocked(watch)
@@ -136,19 +137,19 @@
     run(scenario)
 
 
-def test_a_drain_before_the_snapshot_is_written_is_in_it() -> None:
+def test_change_before_write_of_snapshot_is_included_in_it() -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"), instance("a-2"), max_snapshot_bytes=1)
         watcher = await relay.watch()
         assert (await watcher.next_list()).complete
-        other = relay.server.budget.reserve(1)  # the snapshot that is due has to wait
-        await other.__aenter__()
+        other_reservation = relay.server.budget.reserve(1)  # uses the whole budget, so that the snapshot has to wait
+        await other_reservation.__aenter__()
         (watch,) = await relay.wait_for_watches(1)
         watch.request_snapshot()
-        while watch.wakeup.is_set():  # until it waits for its turn
+        while watch.wakeup.is_set():  # until the watch waits for the budget
             await asyncio.sleep(0)
         relay.apply(delta_list(6, instance("a-1", DRAINING)))
-        await other.__aexit__(None, None, None)
+        await other_reservation.__aexit__(None, None, None)
         assert await watcher.next_list() == snapshot_list(6, instance("a-2"), instance("a-1", DRAINING))
         relay.apply(delta_list(7, instance("a-1", REMOVED)))
         assert await watcher.next_list() == delta_list(7, instance("a-1", REMOVED))
@@ -171,7 +172,7 @@
         await wait_until_idle(watch)
         relay.lose_upstream(timing.WATCH_SILENCE_TIMEOUT_MS)
         relay.send_heartbeats()
-        assert not watch.pending  # nothing was sent
+        assert not watch.pending  # no heartbeat was queued
         relay.server.perform(relay.cache.tick(relay.server.now()))
         with pytest.raises(EOFError):
             await watcher.next_line()
@@ -197,7 +198,7 @@
     run(scenario)
 
 
-def test_restarted_generations_are_sent_to_all_watchers_as_a_snapshot() -> None:
+def test_all_watchers_receive_a_snapshot_after_restarted_generations() -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"), max_snapshot_bytes=1)
         watchers = [await relay.watch(since=5) for _ in range(5)]
@@ -210,10 +211,10 @@
     run(scenario)
 
 
-# Slow readers, and many at once
+# Slow watchers, and several watchers at once
 
 
-def test_what_a_slow_reader_leaves_unread_is_bounded_and_it_gets_a_snapshot() -> None:
+def test_slow_watcher_has_limited_buffer_and_receives_a_snapshot() -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"))
         watcher = await relay.watch(since=5, receive_buffer=4096)
@@ -237,18 +238,18 @@
         while received[-1].generation < last:
             received.append(await watcher.next_list())
             assert received[-1].generation > received[-2].generation
-        assert any(one.complete for one in received)
+        assert any(endpoint_list.complete for endpoint_list in received)
         assert len(received) < last - 5
-        present = cell_list(relay.cache)
-        assert availability_by_name(present)["a-1"] is DRAINING
-        assert len(present.instances) == 81
-        assert all(one.weight == last - 1 for one in present.instances if one.name != "a-1")
-        assert merge_lists(received) == {one.name: one for one in present.instances}
+        current = cell_list(relay.cache)
+        assert availability_by_name(current)["a-1"] is DRAINING
+        assert len(current.instances) == 81
+        assert all(entry.weight == last - 1 for entry in current.instances if entry.name != "a-1")
+        assert merge_lists(received) == {entry.name: entry for entry in current.instances}
 
     run(scenario)
 
 
-def test_the_watch_of_a_watcher_that_never_reads_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_ends_if_the_watcher_never_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timing, "WATCH_SILENCE_TIMEOUT_MS", 100.0)
 
     async def scenario() -> None:
@@ -268,7 +269,7 @@
     run(scenario)
 
 
-def test_snapshots_being_sent_are_bounded() -> None:
+def test_total_size_of_snapshots_being_sent_is_limited() -> None:
     async def scenario() -> None:
         relay = await start_relay(
             *(instance(f"a-{n}{NAME_PADDING * 40}") for n in range(400)), max_snapshot_bytes=7_000_000
@@ -279,12 +280,13 @@
         relay.cache.mark_upstream_alive(relay.server.now())
         for request in (f"GET {LIST_PATH}", f"GET {LIST_PATH}?follow=1", f"GET {LIST_PATH}?follow=1&since=4"):
             assert await (await Caller.open(relay.address, request)).status() == 503
-        resumed = await relay.watch(since=5)  # a delta is no snapshot
+        resumed = await relay.watch(since=5)  # deltas are not limited
         assert await resumed.next_list() == delta_list(5)
         assert (await slow[0].next_list()).complete
         while not relay.server.budget.has_capacity(len(relay.cache.snapshot("a") or b"")):
             await asyncio.sleep(0)
-        relay.cache.mark_upstream_alive(relay.server.now())  # reading may have taken long
+        # Reading the snapshot may have taken longer than the timeout of the upstream.
+        relay.cache.mark_upstream_alive(relay.server.now())
         assert await (await relay.get_list()).status() == 200
 
     run(scenario)
@@ -293,22 +295,22 @@
 # Listeners
 
 
-def test_listeners_follow_the_plan_or_stay_as_they_were() -> None:
+def test_listeners_stay_open_after_a_bind_error_and_close_on_removal() -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"))
         other = await start_relay(instance("a-1"))
         with pytest.raises(OSError, match="already in use"):
-            await relay.server.listen({other.address: "a"})  # taken
+            await relay.server.listen({other.address: "a"})  # address is in use
         assert await (await relay.get_list()).status() == 200
         await relay.server.listen({})
         with contextlib.suppress(ConnectionRefusedError):
             assert await (await relay.get_list()).receive_all() == b""
-            raise AssertionError("it still listens")
+            raise AssertionError("the server still listens")
 
     run(scenario)
 
 
-def test_the_watch_of_a_disconnected_watcher_is_removed() -> None:
+def test_watch_of_a_disconnected_watcher_is_removed() -> None:
     async def scenario() -> None:
         relay = await start_relay(instance("a-1"))
         watcher = await relay.watch()
--- a/tests/wire/test_health_checks.py
+++ b/tests/wire/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: what an answer, or the lack of one, says of a server."""
+"""Health checks: the outcome for each response or failure of a server."""
 
 import asyncio
 import math
@@ -29,7 +29,7 @@
     )
 
 
-def test_health_checks() -> None:
+def test_health_check_outcomes() -> None:
     assert check(toy_server.serve_health_check, LIVENESS).outcome == HealthCheckOutcome.OK == 1
     assert check(toy_server.serve_health_check, LIVENESS).load == ()
     load = check(toy_server.serve_health_check, LOAD_REPORTS).load
@@ -40,6 +40,6 @@
     internal_error = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
     assert check(canned_response(internal_error), LIVENESS).outcome == HealthCheckOutcome.ERROR == 0
     assert check(canned_response(b"", ConnectionEnd.RESET), LIVENESS).outcome == HealthCheckOutcome.RESET == 5
-    nobody = health_check_call(f"127.0.0.1:{free_port()}", LIVENESS)
-    unreachable = asyncio.run(check_health(SERVER, nobody, LIVENESS, Clock()))
+    refused_call = health_check_call(f"127.0.0.1:{free_port()}", LIVENESS)
+    unreachable = asyncio.run(check_health(SERVER, refused_call, LIVENESS, Clock()))
     assert unreachable.outcome == HealthCheckOutcome.UNREACHABLE == 4
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP calls: an error states how far the call had come, and a call that ends holds no descriptor."""
+"""HTTP calls: the stage of errors, timeouts, size limits, and the release of descriptors."""
 
 import asyncio
 import time
@@ -37,7 +37,7 @@
     return caught.value
 
 
-def test_body() -> None:
+def test_body_is_returned() -> None:
     assert call(canned_response(OK_HEAD + b"body")) == b"body"
     assert call(canned_response(b"HTTP/1.1 200 OK\r\n\r\nto the end")) == b"to the end"
 
@@ -52,27 +52,27 @@
         (canned_response(OK_HEAD + b"bo"), Stage.BODY),
     ],
 )
-def test_error_states_stage(serve: ConnectionHandler, stage: Stage) -> None:
+def test_error_has_the_stage_of_the_failure(serve: ConnectionHandler, stage: Stage) -> None:
     error = call_error(serve)
     assert error.stage is stage
     assert not error.timed_out
 
 
-def test_silence_times_out() -> None:
+def test_missing_data_times_out() -> None:
     before_head = call_error(canned_response(b"", ConnectionEnd.KEEP_OPEN), SHORT_MS)
     in_body = call_error(canned_response(OK_HEAD + b"bo", ConnectionEnd.KEEP_OPEN), SHORT_MS)
     assert (before_head.stage, before_head.timed_out) == (Stage.HEAD, True)
     assert (in_body.stage, in_body.timed_out) == (Stage.BODY, True)
 
 
-def test_nobody_listens() -> None:
+def test_unreachable_server_fails_to_connect() -> None:
     assert asyncio.run(error_at(f"127.0.0.1:{free_port()}")).stage is Stage.CONNECT
     assert asyncio.run(error_at("nowhere")).stage is Stage.CONNECT
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:99999999", "127.0.0.1:", "nowhere", ":-1"])
 def test_invalid_address_fails_to_connect(address: str) -> None:
-    """A port beyond 65535 raised OverflowError, which ended the health check with no answer."""
+    """A port over 65535 must not raise OverflowError instead of CallError."""
     assert asyncio.run(error_at(address)).stage is Stage.CONNECT
 
 
@@ -82,22 +82,22 @@
     assert str(error).startswith("nowhere: connect: ")
 
 
-def test_response_beyond_its_limit_is_cut_off() -> None:
+def test_response_over_the_size_limit_is_aborted() -> None:
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         task = asyncio.create_task(get(discovery.address, "/stats", 5000.0, 5000.0, 1000))
-        received = await discovery.calls.get()
-        received.respond(b"x" * 5000)
+        scripted_call = await discovery.calls.get()
+        scripted_call.respond(b"x" * 5000)
         with pytest.raises(CallError) as caught:
             await task
         assert caught.value.reason == "body larger than 1000 bytes"
-        await received.ended.wait()
+        await scripted_call.ended.wait()
 
     run_async(scenario)
 
 
-def test_result_that_is_ready_when_timeout_expires_still_counts() -> None:
-    """After this process was stalled, the answer and the end of its time come together."""
+def test_result_available_when_timeout_expires_is_returned() -> None:
+    """After this process was suspended, a result may become available at the same time as the timeout expires."""
 
     async def scenario() -> str | None:
         loop = asyncio.get_running_loop()
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("cancelled_when", ["connecting", "connected", "answered"])
-def test_call_cancelled_at_any_moment_holds_no_descriptor(cancelled_when: str) -> None:
+def test_cancelled_call_releases_its_descriptor(cancelled_when: str) -> None:
     async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         call = Call(discovery.address, "/x")
@@ -127,7 +127,7 @@
         task = asyncio.create_task(open_and_hold())
         while call.connect_task is None:
             await asyncio.sleep(0)
-        if cancelled_when == "connected":  # in the very turn of the connection, before anybody took it
+        if cancelled_when == "connected":  # after the connection is established, before `open` stores its streams
             call.connect_task.add_done_callback(lambda _: task.cancel())
         elif cancelled_when == "answered":
             (await discovery.calls.get()).respond(b"x")
--- a/tests/wire/test_line_codec.py
+++ b/tests/wire/test_line_codec.py
@@ -1,4 +1,4 @@
-"""The line codec: which lines become messages, which are rejected and how, and what is written."""
+"""The line codec: decoding of valid and invalid lines, and encoding of updates."""
 
 import math
 
@@ -53,7 +53,7 @@
         ("RATE over=1000.0 id=17 later=what:ever lane=write count=19 fail=0", DemandMessage(17, 1, 19, 0, 1000.0)),
     ],
 )
-def test_a_line_becomes_a_typed_message(line: str, message: object) -> None:
+def test_line_is_decoded_to_a_typed_message(line: str, message: object) -> None:
     assert decode(line.encode(), NAMES) == message
 
 
@@ -72,12 +72,12 @@
         b"GET / HTTP/1.1",
         b"CONFIG routes=read",
         b"RATERATE id=1",
-        b"RATE id=1 lane=read couRATE id=1 lane=read count=1 fail=0 over=1",  # the end of the first was lost
+        b"RATE id=1 lane=read couRATE id=1 lane=read count=1 fail=0 over=1",  # two messages, the end of the first is lost
         b"ACK id=1 seqRATE lane=read count=1 fail=0 over=1",
         b"RATE id=1 lane=read count=1 fail=0 over=1 id=2",
     ],
 )
-def test_bytes_that_are_no_message_are_a_protocol_violation(line: bytes) -> None:
+def test_invalid_bytes_are_a_protocol_violation(line: bytes) -> None:
     with pytest.raises(ProtocolViolationError):
         decode(line, NAMES)
 
@@ -104,12 +104,12 @@
 
 
 @pytest.mark.parametrize("kind", VALID_FIELDS)
-def test_a_valid_report_is_decoded(kind: str) -> None:
+def test_valid_report_is_decoded(kind: str) -> None:
     assert isinstance(decode(encode_fields(kind, VALID_FIELDS[kind]), NAMES), LoadMessage | DemandMessage | AckMessage)
 
 
 @pytest.mark.parametrize(("kind", "name"), KINDS_AND_FIELDS)
-def test_a_malformed_field_makes_only_its_message_malformed(kind: str, name: str) -> None:
+def test_malformed_or_missing_field_is_a_malformed_message(kind: str, name: str) -> None:
     fields = VALID_FIELDS[kind]
     allowed = {"s-zz", "-3", "nan", "1e+30", "inf", "[1]", "1e999", "1_0", "\u0663"} if name == "target" else set()
     for value in MALFORMED_VALUES - allowed:
@@ -140,19 +140,19 @@
         b"SOURCE",
     ],
 )
-def test_a_value_out_of_range_is_malformed(line: bytes) -> None:
+def test_value_out_of_range_is_a_malformed_message(line: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         decode(line, NAMES)
 
 
-def test_an_error_names_kind_field_and_value() -> None:
+def test_error_names_kind_field_and_value() -> None:
     with pytest.raises(MalformedMessageError) as caught:
         decode(b"LOAD site=a target=s count=2 fail=3 mean=1 over=1", NAMES)
     assert str(caught.value) == "LOAD fail: not an integer from 0 to 2: '3'"
 
 
 @pytest.mark.parametrize("pending", [b"x", b"RATES", b"\x16\x03", b"PINGG", b"GET / ", b"RATE id=1 la\x00", b"ACK \n"])
-def test_a_partial_line_that_can_not_become_a_message_is_a_violation(pending: bytes) -> None:
+def test_invalid_partial_line_is_a_protocol_violation(pending: bytes) -> None:
     with pytest.raises(ProtocolViolationError):
         check_partial_line(pending)
 
@@ -160,12 +160,12 @@
 @pytest.mark.parametrize(
     "pending", [b"R", b"RATE", b"RATE ", b"PING\r", b"RATE id=1 lane=re", b"SOURCE site=a\r", b"\r"]
 )
-def test_a_partial_line_that_may_become_a_message_is_waited_for(pending: bytes) -> None:
+def test_valid_partial_line_is_accepted(pending: bytes) -> None:
     check_partial_line(pending)
 
 
 def decode_or_reject(line: bytes) -> object:
-    """The message, or the error that is raised for the line."""
+    """Return the message, or the error that is raised for the line."""
     try:
         return decode(line, NAMES)
     except (MalformedMessageError, ProtocolViolationError) as error:
@@ -173,11 +173,11 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_a_typed_error(line: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_raise_a_typed_error(line: bytes) -> None:
     decode_or_reject(line)
 
 
-FIGURES = (
+NUMERIC_FIELDS = (
     "window",
     "mean_latency",
     "expected_rate",
@@ -190,27 +190,27 @@
 
 
 @given(st.text(st.sampled_from("SOURCEPINGLADT idsitelanecountfailover=:,.+-e019aé"), max_size=80))
-def test_every_decoded_figure_is_finite_and_not_negative(text: str) -> None:
+def test_decoded_numbers_are_finite_and_not_negative(text: str) -> None:
     message = decode_or_reject(text.encode())
-    assert all(0 <= getattr(message, name, 0.0) < math.inf for name in FIGURES)
+    assert all(0 <= getattr(message, name, 0.0) < math.inf for name in NUMERIC_FIELDS)
 
 
-def split_into_lines(data: bytes, step: int, splitter: LineSplitter) -> list[bytes]:
-    return [line for at in range(0, len(data), step) for line in splitter.feed(data[at : at + step])]
+def split_into_lines(data: bytes, read_size: int, splitter: LineSplitter) -> list[bytes]:
+    return [line for start in range(0, len(data), read_size) for line in splitter.feed(data[start : start + read_size])]
 
 
 @given(
     st.lists(st.binary(max_size=30).filter(lambda b: b"\r\n" not in b and not b.endswith(b"\r")), max_size=8),
     st.integers(1, 40),
 )
-def test_lines_are_complete_in_whatever_pieces_they_come(lines: list[bytes], step: int) -> None:
+def test_lines_do_not_depend_on_the_division_into_reads(lines: list[bytes], read_size: int) -> None:
     splitter = LineSplitter()
-    assert split_into_lines(b"".join(line + b"\r\n" for line in lines) + b"half", step, splitter) == lines
+    assert split_into_lines(b"".join(line + b"\r\n" for line in lines) + b"half", read_size, splitter) == lines
     assert bytes(splitter.pending) == b"half"
     assert not splitter.is_oversized
 
 
-def test_a_line_without_end_is_limited() -> None:
+def test_line_length_is_limited() -> None:
     splitter = LineSplitter()
     assert split_into_lines(b"x" * (MAX_UNIDENTIFIED_BYTES + 1), 100, splitter) == []
     assert splitter.is_oversized
@@ -226,13 +226,13 @@
 
 
 @given(st.floats(1e-300, 1e300))
-def test_a_positive_number_stays_positive_and_has_no_exponent(value: float) -> None:
+def test_positive_number_is_formatted_without_exponent(value: float) -> None:
     text = format_number(value)
     assert text.replace(".", "", 1).isdigit()
     assert math.isclose(float(text), value, rel_tol=1e-5)
 
 
-def test_numbers_are_written_with_six_significant_digits() -> None:
+def test_numbers_are_formatted_with_six_significant_digits() -> None:
     assert [format_number(v) for v in (0.0, 1.0, 0.5, 1e6, 1e-9, 2 / 3, 123456.7)] == [
         "0",
         "1",
@@ -249,7 +249,7 @@
     return ids, [server for name in names if (server := ids.register(name)) is not None]
 
 
-def test_the_lines_of_an_update_are_joined_by_continued() -> None:
+def test_update_with_several_parts_is_encoded_as_continued_lines() -> None:
     ids, (one, two, three) = register("s-1", "s-2", "s-3")
     parts = (
         UpdatePart((0, 1), True, ((one, 1.5), (two, 0.2)), (0.9, Retry.ONCE_IF_NOT_EXECUTED)),
@@ -263,7 +263,7 @@
     )
 
 
-def test_an_update_of_a_nonce_or_an_ejection_alone() -> None:
+def test_update_with_only_a_nonce_or_an_ejection_is_encoded() -> None:
     ids, (one,) = register("s-1")
     data = list(
         Encoder(NAMES, ids).encode(
@@ -277,7 +277,7 @@
     assert data == [b"CONFIG nonce_out=7\r\n", b"CONFIG routes=read full=1 nonce_out=7\r\n", b"CONFIG eject=s-1\r\n"]
 
 
-def test_the_lines_written_are_those_that_the_update_costs() -> None:
+def test_cost_of_an_update_matches_its_encoded_lines() -> None:
     ids, (one, two, three) = register("s-1", "s-2", "s-3")
     message = ProxyUpdate(
         17,
@@ -295,7 +295,7 @@
     assert tables.ejected == {"s-3"}
 
 
-def test_load_columns_are_in_the_order_of_the_settings() -> None:
+def test_load_columns_are_in_configured_order() -> None:
     assert order_columns((("utilization", 0.5), ("other", 1.0), ("outstanding", 3.0)), NAMES.columns) == (3.0, 0.5)
     incomplete = order_columns((("utilization", 0.5),), NAMES.columns)
     assert math.isnan(incomplete[0])
--- a/tests/wire/test_transport.py
+++ b/tests/wire/test_transport.py
@@ -1,4 +1,4 @@
-"""The listener in the test's own process: joins that come together, roles of connections, limits, health checks."""
+"""The socket transport: simultaneous joins, roles of connections, limits on connections, and health checks."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 
 def test_proxies_that_connect_together_join_in_one_batch() -> None:
-    """Accepted one by one, thirty joins came in six batches, and the first tables were made for five proxies."""
+    """Tables must be computed for all proxies that connect together, not for the first few of them."""
 
     async def scenario() -> None:
         harness = TransportHarness()
@@ -32,7 +32,7 @@
     run_async(scenario())
 
 
-def test_connections_are_set_up_a_limited_number_at_a_time(monkeypatch: Any) -> None:
+def test_number_of_concurrent_connection_setups_is_limited(monkeypatch: Any) -> None:
     async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.MAX_CONCURRENT_ACCEPTS", 3)
         harness = TransportHarness()
@@ -49,7 +49,7 @@
     run_async(scenario())
 
 
-def test_reports_of_two_collectors_of_a_zone_count_and_a_third_replaces_the_longest_idle() -> None:
+def test_third_collector_of_a_zone_replaces_the_longest_idle_one() -> None:
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
@@ -67,7 +67,7 @@
         third = harness.connect(b"SOURCE site=east\r\n" + report)
         await wait_until(lambda: len(harness.posted) == 4)
         second.setblocking(False)
-        assert await asyncio.get_running_loop().sock_recv(second, 10) == b""  # the longest idle
+        assert await asyncio.get_running_loop().sock_recv(second, 10) == b""  # the longest idle collector is closed
         first.close()
         third.close()
         await wait_until(lambda: not harness.table.collectors[0] and not harness.table.connections)
@@ -83,8 +83,8 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"SUBSC", b"PING\r\n", b"x"])
-def test_identification_has_one_deadline_whatever_is_sent(monkeypatch: Any, data: bytes) -> None:
-    """PING is answered but extends nothing, and neither do bytes that come one at a time."""
+def test_received_data_does_not_extend_the_identification_deadline(monkeypatch: Any, data: bytes) -> None:
+    """Neither PING nor data that is sent slowly may keep an unidentified connection open."""
 
     async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.IDENTIFY_TIMEOUT_MS", 150.0)
@@ -122,7 +122,7 @@
         b"PING\r\n" * 1000,
     ],
 )
-def test_an_unidentified_connection_that_is_rejected_gets_nack_at_once(data: bytes) -> None:
+def test_rejected_unidentified_connection_receives_nack(data: bytes) -> None:
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
@@ -133,7 +133,7 @@
     run_async(scenario())
 
 
-def test_a_malformed_message_is_skipped_and_those_around_it_count() -> None:
+def test_only_malformed_messages_are_skipped() -> None:
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
@@ -177,8 +177,8 @@
         b"what is this",
     ],
 )
-def test_a_protocol_violation_closes_the_stream_and_the_proxy_counts_as_left(data: bytes) -> None:
-    """At once, as the end of the line may never come."""
+def test_protocol_violation_closes_and_ends_the_stream(data: bytes) -> None:
+    """Invalid data must be rejected immediately, even if its line end is never received."""
 
     async def scenario() -> None:
         harness = TransportHarness()
@@ -190,7 +190,7 @@
     run_async(scenario())
 
 
-def test_the_message_cap_counts_across_streams_of_a_proxy() -> None:
+def test_message_cap_applies_across_streams_of_a_proxy() -> None:
     async def scenario() -> None:
         harness = TransportHarness()
         await harness.open()
@@ -215,8 +215,8 @@
     run_async(scenario())
 
 
-def test_a_close_does_not_wait_for_a_client_that_reads_nothing() -> None:
-    """Nothing can be sent to it; it is closed all the same."""
+def test_close_does_not_wait_for_a_client_that_does_not_read() -> None:
+    """The connection must be closed although NACK cannot be sent."""
 
     async def scenario() -> None:
         harness = TransportHarness()
@@ -229,8 +229,8 @@
     run_async(scenario())
 
 
-def test_proxies_among_many_unidentified_connections_all_join() -> None:
-    """With few descriptors, proxies were once closed as unidentified before their first message was read."""
+def test_proxies_join_among_many_unidentified_connections() -> None:
+    """With few descriptors, proxies must not be closed as unidentified before their first message is read."""
 
     async def scenario() -> None:
         harness = TransportHarness(proxies=40, sockets=32 + 60)
@@ -251,7 +251,7 @@
     run_async(scenario())
 
 
-def test_without_unidentified_connections_the_longest_idle_is_evicted(monkeypatch: Any) -> None:
+def test_longest_idle_connection_is_evicted_if_all_are_identified(monkeypatch: Any) -> None:
     async def scenario() -> None:
         monkeypatch.setattr("stackwheel.wire.timing.MIN_IDLE_BEFORE_EVICTION_MS", 50.0)
         harness = TransportHarness(sockets=32 + 2)
@@ -266,8 +266,8 @@
     run_async(scenario())
 
 
-def test_bytes_buffered_for_all_connections_are_limited() -> None:
-    """Partial lines of several proxies: the connection with the largest is closed, the others stay."""
+def test_total_buffer_of_all_connections_is_limited() -> None:
+    """Of several proxies with partial lines, only the connection with the largest buffer must be closed."""
 
     async def scenario() -> None:
         harness = TransportHarness(memory_mb=4)
@@ -291,7 +291,7 @@
     run_async(scenario())
 
 
-def test_results_of_health_checks_are_posted() -> None:
+def test_health_check_results_are_posted() -> None:
     async def scenario() -> None:
         server = await asyncio.start_server(toy_server.serve_health_check, "127.0.0.1", 0)
         harness = TransportHarness("{}:{}".format(*server.sockets[0].getsockname()[:2]))
@@ -299,13 +299,13 @@
         listed = HealthCheckTarget(0, 0.0, harness.transport.endpoints.addresses[server_id("s-0")])
         without_address = HealthCheckTarget(0, -1.0, "")
         harness.transport.start_health_check(server_id("s-0"), listed)
-        assert harness.table.health_checks_in_flight == 1  # at once, as more may be started in the same turn
+        assert harness.table.health_checks_in_flight == 1  # counted before its task runs
         harness.transport.start_health_check(server_id("never listed"), without_address)
         await wait_until(lambda: len(harness.posted) == 2)
         unknown, known = harness.posted
         assert isinstance(known, HealthCheckCompleted)
         assert known.target == listed
-        await wait_until(lambda: harness.table.health_checks_in_flight == 0)  # once its connection is closed
+        await wait_until(lambda: harness.table.health_checks_in_flight == 0)  # after its connection is closed
         assert (known.result.outcome, known.result.load) == (1, (0.0,))
         assert unknown == HealthCheckCompleted(
             without_address, face.HealthCheckResult(server_id("never listed"), 4, 0.0)
