--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -72,7 +72,7 @@
             loop's clock.
         last_received_at: when data was last received, in s of the event loop's clock.
         messages_received: number of lines received, including skipped ones.
-        messages_rejected: number of lines skipped because they were malformed.
+        messages_skipped: number of lines skipped because they were malformed.
         unsent_bytes: size of the messages in the mailbox.
         is_closing: whether this side has closed the connection.
         is_superseded: whether the proxy has opened another stream.
@@ -89,7 +89,7 @@
         self.last_received_at = self.unidentified_since
         self.splitter = LineSplitter()
         self.messages_received = 0
-        self.messages_rejected = 0
+        self.messages_skipped = 0
         self.unsent_bytes = 0
         self.is_closing = False
         self.is_superseded = False
@@ -189,11 +189,11 @@
 
     def skip_message(self, error: MalformedMessageError) -> None:
         """Count and log a malformed message; one from a proxy still shows the planner that the proxy is alive."""
-        self.messages_rejected += 1
+        self.messages_skipped += 1
         logger.warning(
             "message skipped: connection={} count={} reason=message {}: {}",
             self,
-            self.messages_rejected,
+            self.messages_skipped,
             self.messages_received,
             error,
         )
--- a/stackwheel/wire/endpoint_watch.py
+++ b/stackwheel/wire/endpoint_watch.py
@@ -109,14 +109,14 @@
         elif not self.end_reason:
             await self._write(encode_chunk(line), timing.LINE_TIMEOUT_MS)
 
-    async def _write(self, data: bytes, timeout: float) -> None:
-        """Write data, and end the watch if the watcher does not read it within `timeout` ms."""
+    async def _write(self, data: bytes, timeout_ms: float) -> None:
+        """Write data, and end the watch if the watcher does not read all of it within the timeout."""
         self.is_writing = True
         self.writer.write(data)
-        drained = await wait_for_result(timeout, self._drained())
+        drained = await wait_for_result(timeout_ms, self._drained())
         self.is_writing = False
         if drained is None:
-            self.end(f"watcher did not read for {timeout / 1000.0:g} s")
+            self.end(f"watcher did not read for {timeout_ms / 1000.0:g} s")
 
     async def _drained(self) -> bool:
         await self.writer.drain()
--- a/stackwheel/wire/http.py
+++ b/stackwheel/wire/http.py
@@ -134,7 +134,7 @@
         except (OSError, h11.ProtocolError) as error:
             raise self._error(Stage.BODY, str(error) or type(error).__name__) from error
         if event is None:
-            raise self._error(Stage.BODY, f"no data within {timeout_ms:g} ms", timed_out=True)
+            raise self._error(Stage.BODY, "timed out waiting for data", timed_out=True)
         return bytes(event.data) if isinstance(event, h11.Data) else None
 
     async def read_body(self, timeout_ms: float, max_bytes: int = timing.MAX_BODY_BYTES) -> bytes:
--- a/stackwheel/wire/line_codec.py
+++ b/stackwheel/wire/line_codec.py
@@ -280,10 +280,10 @@
 class Encoder:
     """Encodes updates as lines. A part that several updates of a batch share is encoded only once."""
 
-    def __init__(self, names: ConfiguredNames, ids: ServerIds) -> None:
-        """Create an encoder that takes the names of request classes from `names` and those of servers from `ids`."""
+    def __init__(self, names: ConfiguredNames, server_ids: ServerIds) -> None:
+        """Create an encoder with the names of request classes in `names` and those of servers in `server_ids`."""
         self.names = names
-        self.ids = ids
+        self.server_ids = server_ids
 
     def encode(self, updates: Sequence[ProxyUpdate]) -> Iterator[bytes]:
         """Yield the encoded updates in their order."""
@@ -309,7 +309,7 @@
         fields = ["CONFIG", "routes=" + "+".join(self.names.classes[index] for index in part.classes)]
         if part.complete:
             fields.append("full=1")
-        named_weights = [(self.ids.name(server), weight) for server, weight in part.lines]
+        named_weights = [(self.server_ids.name(server), weight) for server, weight in part.lines]
         weights = ",".join(f"{name}:{format_number(weight)}" for name, weight in named_weights if name is not None)
         if weights:
             fields.append("endpoints=" + weights)
@@ -320,5 +320,5 @@
 
     def encode_servers(self, field: str, servers: tuple[ServerId, ...]) -> str:
         """Encode a field that lists servers, with a leading space; empty if none of the servers has a name."""
-        names = [name for server in servers if (name := self.ids.name(server)) is not None]
+        names = [name for server in servers if (name := self.server_ids.name(server)) is not None]
         return f" {field}=" + ",".join(names) if names else ""
