--- a/stackwheel/wire/timing.py
+++ b/stackwheel/wire/timing.py
@@ -57,8 +57,8 @@
 # It applies only while descriptors are still available, so that no connection has to wait for it.
 BURST_FIRST_READ_GRACE_MS = 4 * FIRST_READ_GRACE_MS
 
-# Maximum size of the messages queued for a client that does not read. The protocol allows the client half of it for
-# the opposite direction.
+# Maximum size of the messages queued for a client that does not read. The protocol's limit for data that the planner
+# does not read is half of it.
 MAX_UNSENT_BYTES = 256 * 1024
 
 # Maximum size of one read from a connection.
