--- a/tests/wire/test_discovery_replicas.py
+++ b/tests/wire/test_discovery_replicas.py
@@ -1,4 +1,4 @@
-"""A client whose discovery has replicas: a call that fails goes to the next one, with the same generations."""
+"""The discovery client with a replicated service: a failed call is repeated at the next replica."""
 
 from __future__ import annotations
 
@@ -7,7 +7,14 @@
 
 import pytest
 from fake_services import config
-from scripted_discovery import ClientHarness, ScriptedCall, ScriptedDiscovery, document, run, start_watching
+from scripted_discovery import (
+    ClientHarness,
+    ScriptedCall,
+    ScriptedDiscovery,
+    endpoint_list_json,
+    run_async,
+    start_watching,
+)
 
 from stackwheel.endpoints import EndpointList
 from stackwheel.service.config import read_config
@@ -16,7 +23,7 @@
 
 
 async def start_pair() -> tuple[ScriptedDiscovery, ScriptedDiscovery, str]:
-    """Two replicas and the address that names both."""
+    """Start two replicas, and return them and the address with both."""
     first = await ScriptedDiscovery().start()
     second = await ScriptedDiscovery().start()
     return first, second, f"{first.address},{second.address}"
@@ -25,7 +32,7 @@
 async def watch_first_of_two(
     **options: Any,
 ) -> tuple[ClientHarness, ScriptedCall, ScriptedDiscovery, ScriptedDiscovery]:
-    """A client whose watch at the first of two replicas has delivered list 8."""
+    """Start a client, and deliver generation 8 on its watch at the first of two replicas."""
     first, second, both = await start_pair()
     harness = ClientHarness(both, **options)
     harness.send(Command.WATCH)
@@ -36,44 +43,44 @@
 
 
 @pytest.fixture
-def watch_lasts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A watch counts as one that has lasted from its first list on."""
+def without_minimum_watch_duration(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let a watch count as stable as soon as it has delivered a list."""
     monkeypatch.setattr(timing, "HEARTBEAT_INTERVAL_MS", 0.0)
 
 
-@pytest.mark.usefixtures("watch_lasts_at_once")
-def test_watch_that_ends_continues_at_next_replica_without_restart() -> None:
-    async def work() -> None:
+@pytest.mark.usefixtures("without_minimum_watch_duration")
+def test_watch_continues_at_next_replica_after_a_reset() -> None:
+    async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
         watch.send_list(9, False, "c")
         assert await harness.next_list() == (9, False, {"c"})
         watch.reset()
         next_watch = await second.calls.get()
         assert next_watch.target.endswith("follow=1&since=9")
-        assert harness.posted.empty()  # no failure: the policy was notified of nothing
+        assert harness.posted.empty()  # no failure is posted
         next_watch.send_list(10, False, "d")
         endpoints = await harness.posted.get()
         assert isinstance(endpoints, EndpointList)
         assert endpoints.generation == 10
         assert not endpoints.generations_restarted
         assert not endpoints.complete
-        next_watch.reset()  # and back, with what the second replica has delivered
+        next_watch.reset()  # the watch returns to the first replica, with the generation of the second one
         third_watch = await first.calls.get()
         assert third_watch.target.endswith("follow=1&since=10")
 
-    run(work)
+    run_async(scenario)
 
 
-@pytest.mark.usefixtures("watch_lasts_at_once")
-def test_watch_fails_once_every_replica_was_called() -> None:
-    async def work() -> None:
+@pytest.mark.usefixtures("without_minimum_watch_duration")
+def test_watch_fails_after_each_replica_has_been_called() -> None:
+    async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
         watch.reset()
         (await second.calls.get()).respond(b"", "503 Busy")
         assert await harness.next_is_failure()
         assert first.calls.empty()
         assert second.calls.empty()
-        harness.send(Command.WATCH)  # the policy asks again, when it decides to
+        harness.send(Command.WATCH)  # the policy requests another watch
         second_watch = await first.calls.get()
         assert second_watch.target.endswith("since=8")
         second_watch.respond(b"", "503 Busy")
@@ -81,13 +88,13 @@
         third_watch.send_list(9, False, "c")
         assert await harness.next_list() == (9, False, {"c"})
 
-    run(work)
+    run_async(scenario)
 
 
-def test_replicas_that_end_each_watch_at_once_are_called_once_each() -> None:
-    """Each delivered a list, and ended: without a bound the planner would go round and round."""
+def test_replicas_that_end_watches_early_are_called_once_each() -> None:
+    """Replicas that deliver a list and then end the watch must not be called in an endless loop."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         harness, watch, first, second = await watch_first_of_two()
         watch.reset()
         next_watch = await second.calls.get()
@@ -98,41 +105,41 @@
         assert first.calls.empty()
         assert second.calls.empty()
 
-    run(work)
+    run_async(scenario)
 
 
-def test_first_replica_that_is_down_costs_nothing() -> None:
-    async def work() -> None:
+def test_unreachable_first_replica_is_skipped() -> None:
+    async def scenario() -> None:
         second = await ScriptedDiscovery().start()
         harness = ClientHarness(f"127.0.0.1:1,{second.address}")
         harness.send(Command.WATCH)
         (await second.calls.get()).send_list(3, True, "a")
         assert await harness.next_list() == (3, True, {"a"})
         harness.send(Command.FETCH)
-        (await second.calls.get()).respond(document(4, True, "b"))
+        (await second.calls.get()).respond(endpoint_list_json(4, True, "b"))
         assert await harness.next_list() == (4, True, {"b"})
 
-    run(work)
+    run_async(scenario)
 
 
-def test_fetch_prefers_replica_that_is_not_behind() -> None:
-    async def work() -> None:
+def test_fetch_uses_first_replica_with_current_list() -> None:
+    async def scenario() -> None:
         harness, _, first, second = await watch_first_of_two()
         harness.send(Command.STOP)
         harness.send(Command.FETCH)
-        (await first.calls.get()).respond(document(7, True, "a"))
-        (await second.calls.get()).respond(document(9, True, "a", "c"))
+        (await first.calls.get()).respond(endpoint_list_json(7, True, "a"))
+        (await second.calls.get()).respond(endpoint_list_json(9, True, "a", "c"))
         assert await harness.next_list() == (9, True, {"a", "c"})
         harness.send(Command.FETCH)
-        (await first.calls.get()).respond(document(6, True, "a"))
-        (await second.calls.get()).respond(document(7, True, "b"))
-        assert await harness.next_list() == (7, True, {"b"})  # all are behind: the newest of them
+        (await first.calls.get()).respond(endpoint_list_json(6, True, "a"))
+        (await second.calls.get()).respond(endpoint_list_json(7, True, "b"))
+        assert await harness.next_list() == (7, True, {"b"})  # both are older than the current list: the newer one
 
-    run(work)
+    run_async(scenario)
 
 
-def test_fetch_fails_once_all_replicas_have() -> None:
-    async def work() -> None:
+def test_fetch_fails_after_all_replicas_have_failed() -> None:
+    async def scenario() -> None:
         first, second, both = await start_pair()
         harness = ClientHarness(both)
         harness.send(Command.FETCH)
@@ -141,11 +148,11 @@
         assert await harness.next_is_failure()
         assert harness.posted.empty()
 
-    run(work)
+    run_async(scenario)
 
 
 def test_change_to_replicated_address_restarts_generations() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         old = await ScriptedDiscovery().start()
         harness, _ = await start_watching(old, 8, "a")
         first, second, both = await start_pair()
@@ -154,19 +161,17 @@
         new_watch = await second.calls.get()
         assert "since" not in new_watch.target
         new_watch.send_list(3, True, "b")
-        new_watch.send_heartbeat()  # its generations are others: nothing is behind
+        new_watch.send_heartbeat()  # ends the wait for a later generation, as the generations are unrelated
         endpoints = await harness.posted.get()
         assert isinstance(endpoints, EndpointList)
         assert endpoints.generations_restarted
         assert endpoints.generation == 3
 
-    run(work)
+    run_async(scenario)
 
 
-def test_single_address_is_called_once_whatever_happens() -> None:
-    """As before there were replicas."""
-
-    async def work() -> None:
+def test_single_address_is_called_once_per_command() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         harness, watch = await start_watching(discovery, 8, "a")
         watch.reset()
@@ -181,13 +186,13 @@
         assert await harness.next_is_failure()
         assert discovery.calls.empty()
 
-    run(work)
+    run_async(scenario)
 
 
-def test_heartbeats_count_once_watch_has_delivered_its_list() -> None:
-    """A service whose heartbeat precedes its list would vouch for what another watch delivered."""
+def test_heartbeats_before_the_first_list_are_not_reported() -> None:
+    """A heartbeat of a watch that has not delivered a list does not confirm the current list."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         heartbeat = asyncio.Event()
         harness = ClientHarness(discovery.address, on_heartbeat=heartbeat.set)
@@ -200,12 +205,12 @@
         watch.send_heartbeat()
         await heartbeat.wait()
 
-    run(work)
+    run_async(scenario)
 
 
-def test_configuration_accepts_replicas_and_names_a_wrong_one() -> None:
-    document_read = config("127.0.0.1:1,127.0.0.2:2")
-    assert read_config(document_read).addresses.discovery == "127.0.0.1:1,127.0.0.2:2"
-    for wrong in ("127.0.0.1:1,", ",127.0.0.1:1", "127.0.0.1:1,nowhere"):
+def test_configuration_accepts_replicas_and_rejects_invalid_addresses() -> None:
+    document = config("127.0.0.1:1,127.0.0.2:2")
+    assert read_config(document).addresses.discovery == "127.0.0.1:1,127.0.0.2:2"
+    for invalid_address in ("127.0.0.1:1,", ",127.0.0.1:1", "127.0.0.1:1,nowhere"):
         with pytest.raises(ValueError, match="discovery: not host:port"):
-            read_config(config(wrong))
+            read_config(config(invalid_address))
