--- a/stackwheel/policy/__init__.py
+++ b/stackwheel/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The policy: every decision of a planner, one module a concern; `planner.py` composes them.
+"""The policy: all decisions of a planner, with one module per concern; `planner.py` combines them.
 
-The types of what goes in and out are in `stackwheel/interface/`, the reasons for each decision in `docs/design.md`.
+The types of its inputs and outputs are defined in `stackwheel/interface/`. `docs/design.md` explains the decisions.
 """
--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -1,4 +1,4 @@
-"""Allocation: each zone's demand by class, spread over servers by spare capacity and score."""
+"""Allocation of each zone's demand, by request class, to servers according to their spare capacity and score."""
 
 from __future__ import annotations
 
@@ -6,65 +6,65 @@
 from typing import NamedTuple, TypeAlias
 
 from stackwheel.interface import ServerId, Settings
-from stackwheel.policy.capacity import TARGET_USE
+from stackwheel.policy.capacity import TARGET_UTILIZATION
 from stackwheel.policy.demand import MIN_DEMAND_PER_S, DemandKey, DemandTracker
 from stackwheel.policy.estimates import LoadEstimates
-from stackwheel.policy.load_shedding import SLOW_OBJECTIVES, LoadShedding
+from stackwheel.policy.load_shedding import SLOW_LATENCY_OBJECTIVES, LoadShedding
 from stackwheel.policy.peer_planners import PeerPlanners, PeerState
 from stackwheel.policy.servers import Rates, ServerPool
 
 CROSS_ZONE_LATENCY_OBJECTIVES = 30.0
-"""Latency, in mean objectives, that one unit of the settings' cross-zone cost is worth (the paper's V)."""
+"""Latency, as a multiple of the mean latency objective, that is equivalent to one unit of the cross-zone cost."""
 
 SCORE_POWER = 3.0
-"""A server's attraction is its score to the power of minus this."""
+"""Exponent by which the preference for a server decreases with its score."""
 
-USE_STAGES = (TARGET_USE, 0.85, 1.0)
-"""Of capacity: demand fills all servers to the first use before any goes to the next."""
+UTILIZATION_STAGES = (TARGET_UTILIZATION, 0.85, 1.0)
+"""Shares of server capacity; demand is allocated up to one stage at all servers before the next stage starts."""
 
-FILL_ROUNDS = 4
-"""Rounds of a stage: what found no capacity is offered again to the servers that have some left."""
+MAX_ROUNDS_PER_STAGE = 4
+"""Maximum number of allocation rounds per stage; each offers the remaining demand to servers with spare capacity."""
 
 MIN_SPARE_SHARE = 0.02
-"""Of a warm server's capacity: it counts as spare however much others send there."""
+"""Share of a warm server's capacity that counts as spare regardless of the load from peer planners."""
 
-PLACED_PER_S = 1e-6
-"""Demand left of a class that counts as none."""
+NEGLIGIBLE_DEMAND_PER_S = 1e-6
+"""Remaining demand of a class, requests per second, up to which it counts as completely allocated."""
 
-Placement: TypeAlias = dict[DemandKey, Rates]
-"""Requests a second, by zone and class and by server."""
+AllocatedRates: TypeAlias = dict[DemandKey, Rates]
+"""Allocated requests per second, by zone and request class, and by server."""
 
 
-class PlacementRank(NamedTuple):
-    """The order in which classes are placed: fewest servers, shortest objective, lowest weight; equals together."""
+class AllocationRank(NamedTuple):
+    """Order in which classes are allocated: fewest servers, then shortest objective, then lowest priority weight."""
 
-    open_servers: int
+    allowed_server_count: int
     latency_objective: float
     priority_weight: float
 
 
 class ServerHeadroom:
-    """What a server can do now, in requests a second.
+    """Capacity of a server and its load from peer planners, in requests per second.
 
     Attributes:
-        present: its capacity, as far as it has warmed up.
-        others: sent by other planners' proxies.
-        is_warm: whether it has warmed up.
+        available_capacity: capacity that the server has now, which is reduced while it warms up.
+        peer_rate: requests from proxies of peer planners.
+        is_warm: whether the server has its full capacity.
     """
 
-    __slots__ = ("is_warm", "others", "present")
+    __slots__ = ("available_capacity", "is_warm", "peer_rate")
 
-    def __init__(self, present: float, others: float, is_warm: bool) -> None:
-        self.present = present
-        self.others = others
+    def __init__(self, available_capacity: float, peer_rate: float, is_warm: bool) -> None:
+        self.available_capacity = available_capacity
+        self.peer_rate = peer_rate
         self.is_warm = is_warm
 
 
 class Allocator:
-    """Spreads demand over servers.
+    """Allocates demand to servers.
 
     Attributes:
-        our_share: of a warming server's limit, by the demand and the proxies that planners are known to have.
+        own_share: share of the load limit of warming servers that this planner may use.
     """
 
     def __init__(
@@ -82,147 +82,201 @@
         self.peers = peers
         self.estimates = estimates
         self.shedding = shedding
-        self.our_share = 1.0
+        self.own_share = 1.0
 
-    def spread(self, zones: list[int], now: float) -> Placement:
-        """Requests a second that each zone's classes should send to each server; all demand is placed.
+    def allocate(self, zones: list[int], now: float) -> AllocatedRates:
+        """Return the requests per second that the classes of each zone should send to each server.
+
+        All demand is allocated, even if it exceeds the capacity of the servers.
 
         Args:
-            zones: the zones to place, in order.
-            now: ms.
+            zones: indexes of the zones, in the order of the result.
+            now: current time, ms.
         """
-        demand = {zone: self.demand.by_class(now, zone) for zone in zones}
-        total = self.demand.total(now)
-        self.our_share = self.share_among_planners(total, self.peers.fresh(now))
+        demand = {zone: self.demand.rates_by_class(now, zone) for zone in zones}
+        total = self.demand.total_rate(now)
+        self.own_share = self.share_among_planners(total, self.peers.valid_states(now))
         headrooms = self.server_headrooms(now)
         keys = [DemandKey(zone, number) for number in range(len(self.settings.classes)) for zone in zones]
-        attractions = self.attractions(keys, headrooms, total, now)
-        left = {key: max(MIN_DEMAND_PER_S, demand[key.zone][key.request_class]) for key in keys}
-        placed: Placement = {key: dict.fromkeys(attractions[key], 0.0) for key in keys}
-        keys_by_rank = self.by_rank(keys)
-        for use in USE_STAGES:
-            spare = self.spare_capacity(headrooms, use, placed)
-            for equals in keys_by_rank:
-                fill(equals, left, attractions, spare, placed)
+        preferences = self.preferences(keys, headrooms, total, now)
+        remaining = {key: max(MIN_DEMAND_PER_S, demand[key.zone][key.request_class]) for key in keys}
+        allocated: AllocatedRates = {key: dict.fromkeys(preferences[key], 0.0) for key in keys}
+        keys_by_rank = self.group_by_rank(keys)
+        for utilization in UTILIZATION_STAGES:
+            spare = self.spare_capacity(headrooms, utilization, allocated)
+            for rank_keys in keys_by_rank:
+                allocate_rank(rank_keys, remaining, preferences, spare, allocated)
         for key in keys:
-            self.place_excess(left[key], placed[key], headrooms, now)
-        return placed
+            self.allocate_excess(remaining[key], allocated[key], headrooms, now)
+        return allocated
 
-    def by_rank(self, keys: list[DemandKey]) -> list[list[DemandKey]]:
-        """Sort demand by the rank of its class; equals stay together."""
+    def group_by_rank(self, keys: list[DemandKey]) -> list[list[DemandKey]]:
+        """Group keys by the rank of their class, in ascending order."""
         ranks = [
-            PlacementRank(len(self.pool.open_to(number)), wanted.latency_objective, wanted.priority_weight)
-            for number, wanted in enumerate(self.settings.classes)
+            AllocationRank(
+                len(self.pool.allowed_servers(index)), requirements.latency_objective, requirements.priority_weight
+            )
+            for index, requirements in enumerate(self.settings.classes)
         ]
         return [[key for key in keys if ranks[key.request_class] == rank] for rank in sorted(set(ranks))]
 
-    def share_among_planners(self, demand: float, fresh: list[PeerState]) -> float:
-        """Our share of the demand that planners report, scaled down by the proxies that none of them accounts for.
+    def share_among_planners(self, demand: float, peer_states: list[PeerState]) -> float:
+        """Return this planner's share of the demand of all proxies.
+
+        Proxies that are connected to no known planner are assumed to have the average demand of the others.
 
-        Those count as the average of the ones that are accounted for.
+        Args:
+            demand: requests per second of this planner's proxies.
+            peer_states: states of the peer planners that are still valid.
         """
-        ours = max(MIN_DEMAND_PER_S, demand)
-        fraction = ours / (ours + sum(sum(figures.rates.values()) for figures in fresh))
-        joined = len(self.demand.proxies) + sum(figures.proxies for figures in fresh)
-        return fraction * min(1.0, joined / self.settings.proxy_count)
+        own = max(MIN_DEMAND_PER_S, demand)
+        fraction = own / (own + sum(sum(state.rates.values()) for state in peer_states))
+        connected = len(self.demand.proxies) + sum(state.proxies for state in peer_states)
+        return fraction * min(1.0, connected / self.settings.proxy_count)
 
     def server_headrooms(self, now: float) -> dict[ServerId, ServerHeadroom]:
-        """What every server in the pool can do now."""
+        """Return the headroom of each server in the pool."""
         headrooms = {}
         for server, view in self.pool.views.items():
-            available = self.pool.available_share(view, now)
-            is_warm = not available < 1.0
-            others = self.peers.others_rate(view, now) if is_warm else 0.0
-            headrooms[server] = ServerHeadroom(view.capacity * available, others, is_warm)
+            capacity_share = self.pool.available_share(view, now)
+            is_warm = not capacity_share < 1.0
+            peer_rate = self.peers.peer_rate(view, now) if is_warm else 0.0
+            headrooms[server] = ServerHeadroom(view.capacity * capacity_share, peer_rate, is_warm)
         return headrooms
 
-    def spare_capacity(self, headrooms: dict[ServerId, ServerHeadroom], use: float, placed: Placement) -> Rates:
-        """What we may still place on each server before it is used beyond `use`.
+    def spare_capacity(
+        self, headrooms: dict[ServerId, ServerHeadroom], utilization: float, allocated: AllocatedRates
+    ) -> Rates:
+        """Return the requests per second that each server can still receive up to a share of its capacity.
 
-        A warming server has a lower limit, of which we take our share; others' load there is not known in time.
+        A warming server has a lower limit, of which this planner uses its own share, because the load from peer
+        planners is not known soon enough.
+
+        Args:
+            headrooms: headroom by server.
+            utilization: share of the capacity up to which servers are used.
+            allocated: requests per second that are already allocated.
         """
-        used = dict.fromkeys(headrooms, 0.0)
-        for rates in placed.values():
+        allocated_by_server = dict.fromkeys(headrooms, 0.0)
+        for rates in allocated.values():
             for server, rate in rates.items():
-                used[server] += rate
-        warming_share = self.our_share * min(use, self.pool.slow_start.warming_use)
+                allocated_by_server[server] += rate
+        warming_share = self.own_share * min(utilization, self.pool.slow_start.warming_utilization)
         spare: Rates = {}
         for server, headroom in headrooms.items():
             if headroom.is_warm:
-                limit = max(MIN_SPARE_SHARE * headroom.present, use * headroom.present - headroom.others)
+                limit = max(
+                    MIN_SPARE_SHARE * headroom.available_capacity,
+                    utilization * headroom.available_capacity - headroom.peer_rate,
+                )
             else:
-                limit = warming_share * headroom.present
-            spare[server] = max(0.0, limit - used[server])
+                limit = warming_share * headroom.available_capacity
+            spare[server] = max(0.0, limit - allocated_by_server[server])
         return spare
 
-    def attractions(
+    def preferences(
         self, keys: list[DemandKey], headrooms: dict[ServerId, ServerHeadroom], demand: float, now: float
-    ) -> Placement:
-        """How much each zone's classes are drawn to each server that they may use.
+    ) -> AllocatedRates:
+        """Return the preference of each zone and class for each server that it may use.
+
+        The score of a server is 1 + its latency in mean objectives + the cross-zone cost times
+        `CROSS_ZONE_LATENCY_OBJECTIVES`. Its preference is the score to the power of minus `SCORE_POWER`.
 
-        The score is 1 + latency in objectives + V times the cross-zone cost; attraction falls with its power.
+        Args:
+            keys: the zones and classes.
+            headrooms: headroom by server.
+            demand: requests per second of all proxies of this planner.
+            now: current time, ms.
         """
         median_latency_ms = self.estimates.median_latency()
         objective_ms = self.estimates.mean_objective_ms
-        quickest_ms = min(self.estimates.quickest_latency, SLOW_OBJECTIVES * objective_ms)
-        reported = sum(view.attempt_rate for view in self.pool.views.values())
+        lowest_ms = min(self.estimates.lowest_latency, SLOW_LATENCY_OBJECTIVES * objective_ms)
+        reported_rate = sum(view.attempt_rate for view in self.pool.views.values())
         excludes_warming = self.pool.slow_start.excludes_warming(
-            reported, demand, 1 - self.shedding.shed_share, median_latency_ms, quickest_ms
+            reported_rate, demand, 1 - self.shedding.shed_share, median_latency_ms, lowest_ms
         )
-        attractions: Placement = {}
+        preferences: AllocatedRates = {}
         for key in keys:
-            views = self.pool.open_to(key.request_class, key.zone)
+            views = self.pool.allowed_servers(key.request_class, key.zone)
             if excludes_warming:
                 views = [view for view in views if headrooms[view.entry.server].is_warm] or views
-            attraction = attractions[key] = {}
+            server_preferences = preferences[key] = {}
             for view in views:
                 cost = self.settings.cross_zone_cost if view.entry.zone != key.zone else 0.0
                 latency = view.latency_by_zone.get(key.zone, view.latency or median_latency_ms)
                 score = 1.0 + latency / objective_ms + CROSS_ZONE_LATENCY_OBJECTIVES * cost
-                attraction[view.entry.server] = 0.0 if view.is_ejected(now) else score**-SCORE_POWER
-        return attractions
+                server_preferences[view.entry.server] = 0.0 if view.is_ejected(now) else score**-SCORE_POWER
+        return preferences
 
-    def place_excess(self, excess: float, placed: Rates, headrooms: dict[ServerId, ServerHeadroom], now: float) -> None:
-        """Spread what found no spare capacity by capacity: over healthy servers if any, else over those not ejected."""
-        ejected = {server for server in placed if self.pool.views[server].is_ejected(now)}
-        able = [server for server in placed if headrooms[server].is_warm and server not in ejected]
-        able = able or [server for server in placed if server not in ejected] or list(placed)
-        total = sum(headrooms[server].present for server in able)
-        for server in able:
-            placed[server] += excess * headrooms[server].present / total
+    def allocate_excess(
+        self, excess: float, allocated: Rates, headrooms: dict[ServerId, ServerHeadroom], now: float
+    ) -> None:
+        """Allocate demand that exceeds the spare capacity, in proportion to the available capacity of servers.
 
+        It goes to warm servers that are not ejected; without any, to all servers that are not ejected, or else to all.
 
-def fill(
-    keys: list[DemandKey], left: dict[DemandKey, float], attractions: Placement, spare: Rates, placed: Placement
+        Args:
+            excess: requests per second to allocate.
+            allocated: requests per second by server, to which the excess is added.
+            headrooms: headroom by server.
+            now: current time, ms.
+        """
+        ejected = {server for server in allocated if self.pool.views[server].is_ejected(now)}
+        usable = [server for server in allocated if headrooms[server].is_warm and server not in ejected]
+        usable = usable or [server for server in allocated if server not in ejected] or list(allocated)
+        total = sum(headrooms[server].available_capacity for server in usable)
+        for server in usable:
+            allocated[server] += excess * headrooms[server].available_capacity / total
+
+
+def allocate_rank(
+    keys: list[DemandKey],
+    remaining: dict[DemandKey, float],
+    preferences: AllocatedRates,
+    spare: Rates,
+    allocated: AllocatedRates,
 ) -> None:
-    """Place demand of equal rank on spare capacity, in rounds. Changes `left`, `spare` and `placed`."""
-    for _ in range(FILL_ROUNDS):
-        unplaced = [key for key in keys if left[key] > PLACED_PER_S]
-        if not unplaced:
+    """Allocate demand of equal rank to spare capacity in several rounds; `allocate_round` describes the arguments."""
+    for _ in range(MAX_ROUNDS_PER_STAGE):
+        unallocated = [key for key in keys if remaining[key] > NEGLIGIBLE_DEMAND_PER_S]
+        if not unallocated:
             return
-        fill_round(unplaced, left, attractions, spare, placed)
+        allocate_round(unallocated, remaining, preferences, spare, allocated)
 
 
-def fill_round(
-    keys: list[DemandKey], left: dict[DemandKey, float], attractions: Placement, spare: Rates, placed: Placement
+def allocate_round(
+    keys: list[DemandKey],
+    remaining: dict[DemandKey, float],
+    preferences: AllocatedRates,
+    spare: Rates,
+    allocated: AllocatedRates,
 ) -> None:
-    """Offer what is left of some demand to servers, in proportion to spare capacity times attraction.
+    """Offer the remaining demand to servers in proportion to spare capacity times preference.
+
+    A server that is offered more than its spare capacity accepts the same fraction of each offer. `remaining`, `spare`
+    and `allocated` are updated in place.
 
-    A server that is offered more than it has spare takes the same fraction of each offer. Changes `left`, `spare` and
-    `placed`.
+    Args:
+        keys: the zones and classes whose demand is offered.
+        remaining: requests per second that are not allocated yet, by zone and class.
+        preferences: preference of each zone and class for each server.
+        spare: spare capacity by server, requests per second.
+        allocated: requests per second that are allocated.
     """
-    offers: Placement = {}
-    offered = dict.fromkeys(spare, 0.0)
+    offers: AllocatedRates = {}
+    offered_rate = dict.fromkeys(spare, 0.0)
     for key in keys:
-        weights = {server: spare[server] * attraction for server, attraction in attractions[key].items()}
+        weights = {server: spare[server] * preference for server, preference in preferences[key].items()}
         total = sum(weights.values()) or math.inf
-        offers[key] = {server: left[key] * weight / total for server, weight in weights.items()}
+        offers[key] = {server: remaining[key] * weight / total for server, weight in weights.items()}
         for server, rate in offers[key].items():
-            offered[server] += rate
-    granted = {server: min(1.0, spare[server] / rate) if rate > 0 else 0.0 for server, rate in offered.items()}
+            offered_rate[server] += rate
+    accepted_share = {
+        server: min(1.0, spare[server] / rate) if rate > 0 else 0.0 for server, rate in offered_rate.items()
+    }
     for key, rates in offers.items():
         for server, rate in rates.items():
-            taken = rate * granted[server]
-            placed[key][server] += taken
-            left[key] -= taken
-            spare[server] -= taken
+            accepted = rate * accepted_share[server]
+            allocated[key][server] += accepted
+            remaining[key] -= accepted
+            spare[server] -= accepted
--- a/stackwheel/policy/capacity.py
+++ b/stackwheel/policy/capacity.py
@@ -1,39 +1,44 @@
-"""Capacity learning: the requests a second that each server can do when warm."""
+"""Capacity estimates: requests per second that each server can process when it is warm."""
 
 from __future__ import annotations
 
 from stackwheel.interface import Settings
-from stackwheel.policy.arithmetic import blend, bounded
+from stackwheel.policy.arithmetic import clamp, exponential_average
 from stackwheel.policy.demand import DemandTracker
-from stackwheel.policy.estimates import QUICK_LATENCY_SPAN, LoadEstimates
+from stackwheel.policy.estimates import QUICK_LATENCY_MULTIPLE, LoadEstimates
 from stackwheel.policy.peer_planners import PeerPlanners
 from stackwheel.policy.servers import ServerPool, ServerView
 
-TARGET_USE = 0.7
-"""Of capacity: the use that demand is spread to first, and that the fleet's load is taken to be at."""
+TARGET_UTILIZATION = 0.7
+"""Utilization up to which demand is allocated first, and that is assumed for the fleet if servers report none."""
 
-MIN_FLEET_USE = 0.45
-"""The fleet's load is never taken to be a smaller use of its capacity than this."""
+MIN_FLEET_UTILIZATION = 0.45
+"""Minimum utilization that is assumed for the fleet."""
 
 CAPACITY_GAIN = 0.15
-"""Step of a capacity to its newest figure, in a slot."""
+"""Smoothing factor of capacities, per slot."""
 
-LEVEL_RISE = 0.03
-"""By which the fleet's level rises in a slot of quick answers: it surely can do more."""
+UNIT_CAPACITY_GROWTH = 0.03
+"""Growth of the unit capacity in a slot with low latency, which shows that servers have spare capacity."""
 
 MIN_CAPACITY_PER_S = 1e-3
-"""No capacity that was only assumed is lower; 0 stands for unknown."""
+"""Minimum of an assumed capacity, requests per second; it differs from 0, which means unknown."""
 
 MIN_UTILIZATION = 0.1
-"""A server that reports less use tells too little of what it could do."""
+"""Utilization that replaces lower reported values, from which a capacity could not be estimated."""
 
 MIN_LATENCY_FACTOR = 0.5
 MAX_LATENCY_FACTOR = 1.5
-"""Bounds of the factor by which a server's latency, beside the median of all, moves its part of the fleet's level."""
+"""Bounds of the ratio of the median latency to a server's latency, by which its estimated capacity is multiplied."""
 
 
 class CapacityEstimates:
-    """Learns capacities from use where servers report it, else from latency and the fleet's load."""
+    """Estimates capacities from the utilization that servers report, or else from latency and the fleet's load.
+
+    Attributes:
+        unit_capacity: requests per second that a warm server of nominal size 1 can process, estimated without
+            utilization.
+    """
 
     def __init__(
         self,
@@ -48,30 +53,29 @@
         self.peers = peers
         self.estimates = estimates
         self.planner_count = settings.planner_count
-        self.fleet_level = 0.0
-        """Requests a second that a warm server of nominal size 1 can do, where no use is reported."""
+        self.unit_capacity = 0.0
 
-    def learn(self, median_latency_ms: float, now: float) -> None:
-        """A slot's step of the fleet's level and of the capacity of every warm server with traffic."""
-        self.learn_fleet_level(median_latency_ms, now)
-        self.assume_unmeasured(now)
+    def update_capacities(self, median_latency_ms: float, now: float) -> None:
+        """Update the unit capacity and the capacity of each warm server with traffic, once per slot."""
+        self.update_unit_capacity(median_latency_ms, now)
+        self.assume_unknown_capacities(now)
         for view in self.pool.views.values():
             if self.pool.is_warm(view, now) and view.attempt_rate > 0:
-                self.learn_server(view, median_latency_ms, now)
+                self.update_server(view, median_latency_ms, now)
 
-    def learn_fleet_level(self, median_latency_ms: float, now: float) -> None:
-        """The level is load over target use, and rises while answers stay quick."""
+    def update_unit_capacity(self, median_latency_ms: float, now: float) -> None:
+        """Update the unit capacity: it grows while latency is low, within bounds that depend on the load."""
         ready = self.pool.ready()
-        load = sum(  # rejected attempts are no load
-            view.attempt_rate * (1 - view.failure_share) + self.peers.others_rate(view, now) for view in ready
+        load = sum(  # without failed attempts
+            view.attempt_rate * (1 - view.failure_share) + self.peers.peer_rate(view, now) for view in ready
         )
         load /= max(1.0, sum(view.nominal_size for view in ready))
-        if median_latency_ms < QUICK_LATENCY_SPAN * self.estimates.quickest_latency:
-            self.fleet_level *= 1 + LEVEL_RISE
-        self.fleet_level = bounded(self.fleet_level, load / TARGET_USE, load / MIN_FLEET_USE)
+        if median_latency_ms < QUICK_LATENCY_MULTIPLE * self.estimates.lowest_latency:
+            self.unit_capacity *= 1 + UNIT_CAPACITY_GROWTH
+        self.unit_capacity = clamp(self.unit_capacity, load / TARGET_UTILIZATION, load / MIN_FLEET_UTILIZATION)
 
-    def assume_unmeasured(self, now: float) -> None:
-        """A server without traffic or capacity counts as the average of its kind, by nominal size."""
+    def assume_unknown_capacities(self, now: float) -> None:
+        """Set the capacity of servers without traffic to the average of their machine kind, by nominal size."""
         views = self.pool.views.values()
         measured: dict[int, list[float]] = {}
         unmeasured: list[ServerView] = []
@@ -82,18 +86,20 @@
                 unmeasured.append(view)
         if not unmeasured:
             return
-        assumed = self.demand.total(now) * self.planner_count / TARGET_USE
+        assumed = self.demand.total_rate(now) * self.planner_count / TARGET_UTILIZATION
         assumed /= max(1.0, sum(view.nominal_size for view in views))
         for view in unmeasured:
-            per_size = measured.get(view.entry.kind) or [assumed]
-            view.capacity = max(MIN_CAPACITY_PER_S, view.nominal_size * sum(per_size) / len(per_size))
+            unit_capacities = measured.get(view.entry.kind) or [assumed]
+            view.capacity = max(MIN_CAPACITY_PER_S, view.nominal_size * sum(unit_capacities) / len(unit_capacities))
 
-    def learn_server(self, view: ServerView, median_latency_ms: float, now: float) -> None:
-        """A step to served rate over reported use; else to the server's part of the fleet's level."""
+    def update_server(self, view: ServerView, median_latency_ms: float, now: float) -> None:
+        """Update a server's capacity from its rate and reported utilization, or else from the unit capacity."""
         if "utilization" in view.load:
-            served = view.attempt_rate + self.peers.others_rate(view, now)
-            seen = served / bounded(view.load["utilization"], MIN_UTILIZATION, 1.0)
+            server_rate = view.attempt_rate + self.peers.peer_rate(view, now)
+            newest = server_rate / clamp(view.load["utilization"], MIN_UTILIZATION, 1.0)
         else:
-            quickness = median_latency_ms / max(1e-3, view.latency or median_latency_ms)
-            seen = self.fleet_level * view.nominal_size * bounded(quickness, MIN_LATENCY_FACTOR, MAX_LATENCY_FACTOR)
-        view.capacity = blend(view.capacity, seen, CAPACITY_GAIN)
+            latency_factor = median_latency_ms / max(1e-3, view.latency or median_latency_ms)
+            newest = (
+                self.unit_capacity * view.nominal_size * clamp(latency_factor, MIN_LATENCY_FACTOR, MAX_LATENCY_FACTOR)
+            )
+        view.capacity = exponential_average(view.capacity, newest, CAPACITY_GAIN)
--- a/stackwheel/policy/channel.py
+++ b/stackwheel/policy/channel.py
@@ -1,4 +1,4 @@
-"""Flow control of the channel to the proxies: its queue as acknowledgements show it, and each proxy's messages."""
+"""Flow control of the channel to the proxies: length of its queue, and number of messages to each proxy."""
 
 from __future__ import annotations
 
@@ -9,64 +9,75 @@
 from stackwheel.interface import Action, AttachNonce, Settings
 from stackwheel.policy.proxies import ProxyView
 
-# shares of the queue limit; each use of the channel stops at its own
+# Shares of the queue limit up to which lines may be added
 CHANGE_QUEUE_SHARE = 0.25
-"""Nothing is added to a longer queue: what the operators' rules require must never wait behind it for long."""
+"""Share of the queue limit above which no lines are added, so that changes required by rules are not delayed."""
 
 MAX_QUEUE_SHARE = 0.8
-"""No message may make the queue longer than this; the rest is a margin for errors of this estimate."""
+"""Share of the queue limit that the queue may reach; the rest is a margin for estimation errors."""
 
-# the pace of ordinary changes
-CHANGE_PACE_SHARE = 0.4
-"""Of the channel's stated rate: what changes of weights may use of it."""
+# Rate limit of routine changes
+CHANGE_RATE_SHARE = 0.4
+"""Share of the channel rate that routine changes of weights may use."""
 
-CHANGE_ALLOWANCE_INTERVALS = 2.0
-"""Report intervals' worth of that pace that may accumulate unused, so that one message can change a zone's tables."""
+CHANGE_BURST_INTERVALS = 2.0
+"""Maximum unused allowance for routine changes, in report intervals; one message can then change all of a table."""
 
-LINES_PER_OVERHEAD = 5.0
-"""Overheads' worth of lines in a message to each proxy of a group; else most of what is sent is overhead."""
+MIN_LINES_PER_OVERHEAD = 5.0
+"""Minimum number of lines per message, as a multiple of the message overhead; it limits the size of groups."""
 
-# the message cap of a proxy
+# Message cap of a proxy
 CHANGE_MESSAGE_SHARE = 0.6
-"""Of the message cap, for changes; the rest is a reserve for lines of removed, draining and warming servers."""
+"""Share of the message cap for ordinary changes; the rest is reserved for removed, draining and warming servers."""
 
-# the queue where nothing is acknowledged
-SILENT_DRAIN_SHARE = 0.2
-"""Of the stated rate: how fast the queue is assumed to drain while no acknowledgement shows it."""
+# Estimate of the queue without acknowledgements
+UNACKNOWLEDGED_DRAIN_SHARE = 0.2
+"""Share of the channel rate at which the queue is assumed to drain without acknowledgements."""
 
-SILENT_INTERVALS = 1.0
-"""Report intervals without any acknowledgement after which the queue is assumed to drain by time alone.
+MAX_ACK_WAIT_INTERVALS = 1.0
+"""Number of report intervals without any acknowledgement after which the queue is assumed to drain with time.
 
-This is about the whole channel. When the stream of one silent proxy is closed is decided elsewhere, and later:
-`MAX_SILENT_REPORT_INTERVALS` in `stackwheel/wire/timing.py`.
+It applies to the channel as a whole; `MAX_SILENT_REPORT_INTERVALS` in `stackwheel/wire/timing.py` is the limit for
+single proxies.
 """
 
 NONCE_COUNT = 1 << 16
-"""Nonces go round; far more than can be unacknowledged at once."""
+"""Number of different nonces, which are reused in turn; far more than there are unacknowledged updates."""
 
 
 class SentUpdate(NamedTuple):
-    """An update that some proxies have not acknowledged yet."""
+    """An update that some proxies have not acknowledged yet.
+
+    Attributes:
+        sent_at: time at which the update was sent, ms.
+        lines_by_proxy: lines sent to each proxy that has not acknowledged the update, with the message overhead.
+    """
 
     sent_at: float
     lines_by_proxy: dict[int, float]
 
 
 class ChannelBudget:
-    """Accounts for the channel: how many lines wait in it, what may be added, and when a proxy got messages.
+    """Estimates the channel's queue, limits the lines added to it, and counts the messages to each proxy.
 
-    It holds no messages itself; the actions of the planner are turned into messages by `stackwheel/state`.
+    It contains no messages: `stackwheel/state` creates them from the planner's actions.
 
     Attributes:
-        queued_lines: lines sent and not known to have left the queue.
-        ack_clock_started_at: when the wait for the next acknowledgement began, in ms: the last acknowledgement, or, if
-            none was owed before it, the last message.
-        overhead_lines: what a message costs besides its lines, with its nonce.
-        pending_lines: lines by proxy that the present call of the planner has decided to send.
-        change_allowance: lines that changes may use now, by their pace; negative after a large message.
-        max_group_size: proxies that one message's changes can go to within the pace.
-        message_times: when messages went to a proxy, whatever stream it had.
+        settings: the settings of the policy.
+        queue_limit: maximum number of lines in the queue.
+        now: time of the current call of the planner, ms.
+        queued_lines: estimated number of lines in the queue.
+        ack_wait_started_at: start of the wait for the next acknowledgement, ms: time of the last acknowledgement or,
+            if no update was unacknowledged since, of the first update after it.
+        overhead_lines: cost of a message in addition to its lines, including its nonce.
+        change_lines_per_ms: rate at which the allowance for routine changes grows.
+        max_change_allowance: maximum of `change_allowance`.
+        change_allowance: number of lines that routine changes may use now; negative after a large message.
+        max_group_size: maximum number of proxies to which a message can be sent within the rate of routine changes.
+        message_times: times of the recent messages to each proxy, ms, on all of its streams.
+        last_nonce: nonce of the last update.
         unacknowledged: updates by nonce, the oldest first.
+        pending_lines: lines by proxy that the current call of the planner will send.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -74,37 +85,41 @@
         self.queue_limit = settings.queue_limit or math.inf
         self.now = 0.0
         self.queued_lines = 0.0
-        self.ack_clock_started_at = 0.0
+        self.ack_wait_started_at = 0.0
         self.overhead_lines = settings.message_overhead + 1.0
-        self.change_lines_per_ms = CHANGE_PACE_SHARE * settings.channel_rate / 1000.0
-        self.max_change_allowance = CHANGE_ALLOWANCE_INTERVALS * settings.report_interval * self.change_lines_per_ms
+        self.change_lines_per_ms = CHANGE_RATE_SHARE * settings.channel_rate / 1000.0
+        self.max_change_allowance = CHANGE_BURST_INTERVALS * settings.report_interval * self.change_lines_per_ms
         self.change_allowance = self.max_change_allowance
-        lines_per_interval = self.max_change_allowance / CHANGE_ALLOWANCE_INTERVALS
-        self.max_group_size = lines_per_interval / (LINES_PER_OVERHEAD * self.overhead_lines)
+        lines_per_interval = self.max_change_allowance / CHANGE_BURST_INTERVALS
+        self.max_group_size = lines_per_interval / (MIN_LINES_PER_OVERHEAD * self.overhead_lines)
         self.message_times: dict[int, list[float]] = {}
         self.last_nonce = 0
         self.unacknowledged: dict[int, SentUpdate] = {}
         self.pending_lines: dict[int, int] = {}
 
     def start_call(self, now: float, proxies: dict[int, ProxyView]) -> None:
-        """Start a call of the planner: let time pass for the queue and for the pace of changes.
+        """Start a call of the planner: update the queue and the allowance for routine changes to the current time.
+
+        While acknowledgements are expected, only they shorten the queue (`acknowledge`). If none has arrived for
+        `MAX_ACK_WAIT_INTERVALS`, or if none is expected on any open stream, the queue is assumed to drain at
+        `UNACKNOWLEDGED_DRAIN_SHARE` of the channel rate.
 
-        The queue drains by two rules. While acknowledgements are expected, only they shorten it (`acknowledge`). Once
-        they have been overdue for `SILENT_INTERVALS`, or if no open stream owes one, it drains by time, at
-        `SILENT_DRAIN_SHARE` of the stated rate.
+        Args:
+            now: current time, ms.
+            proxies: connected proxies by number.
         """
         self.pending_lines = {}
         elapsed_ms = now - self.now
-        acknowledgement_due_at = self.ack_clock_started_at + SILENT_INTERVALS * self.settings.report_interval
+        acknowledgement_due_at = self.ack_wait_started_at + MAX_ACK_WAIT_INTERVALS * self.settings.report_interval
         if now > acknowledgement_due_at or not self.awaits_acknowledgement(proxies):
-            drained = elapsed_ms / 1000.0 * self.settings.channel_rate * SILENT_DRAIN_SHARE
+            drained = elapsed_ms / 1000.0 * self.settings.channel_rate * UNACKNOWLEDGED_DRAIN_SHARE
             self.queued_lines -= min(self.queued_lines, drained)
-        accumulated = self.change_allowance + elapsed_ms * self.change_lines_per_ms
-        self.change_allowance = min(self.max_change_allowance, accumulated)
+        allowance = self.change_allowance + elapsed_ms * self.change_lines_per_ms
+        self.change_allowance = min(self.max_change_allowance, allowance)
         self.now = now
 
     def awaits_acknowledgement(self, proxies: dict[int, ProxyView]) -> bool:
-        """Whether a proxy that owes an acknowledgement still has the stream that the update went to."""
+        """Return whether an acknowledgement is expected on a stream that has been open since the update was sent."""
         for update in self.unacknowledged.values():
             for number in update.lines_by_proxy:
                 proxy = proxies.get(number)
@@ -113,48 +128,56 @@
         return False
 
     def acknowledge(self, proxy: int, nonce: int) -> None:
-        """Take in an acknowledgement; updates leave in order, so that all before this one have left too."""
-        # The dict is in the order in which updates were sent. A nonce that is assigned again while it is still in the
-        # dict would keep its old place, but that takes NONCE_COUNT updates in a row of which no proxy acknowledges any:
-        # one acknowledgement, of any proxy, removes all earlier updates.
+        """Process an acknowledgement; all earlier updates have left the queue as well, because it is in order."""
+        # The dict is in the order of sending. Reusing a nonce that is still in the dict would break this order, but
+        # requires NONCE_COUNT updates without any acknowledgement: each one removes all earlier updates.
         if nonce not in self.unacknowledged:
             return
-        later = itertools.dropwhile(lambda item: item[0] != nonce, self.unacknowledged.items())
-        self.unacknowledged = dict(later)
+        remaining = itertools.dropwhile(lambda item: item[0] != nonce, self.unacknowledged.items())
+        self.unacknowledged = dict(remaining)
         self.unacknowledged[nonce].lines_by_proxy.pop(proxy, None)
         self.queued_lines = sum(sum(update.lines_by_proxy.values()) for update in self.unacknowledged.values())
-        self.ack_clock_started_at = self.now
+        self.ack_wait_started_at = self.now
 
     def free_lines(self, share: float) -> float:
-        """Lines that may be added before the queue is over a share of its limit; negative if it is."""
+        """Return the number of lines that fit below a share of the queue limit; negative if the queue exceeds it."""
         pending = self.pending_lines
         return self.queue_limit * share - self.queued_lines - sum(pending.values()) - len(pending) * self.overhead_lines
 
     def may_send_message(self, proxy: int, share: float, spacing_ms: float = 0.0) -> bool:
-        """Whether one more message to a proxy fits into a share of its cap, and the last is so long ago."""
+        """Return whether a proxy may be sent another message.
+
+        Args:
+            proxy: number of the proxy.
+            share: share of the message cap that may be used.
+            spacing_ms: minimum time since the last message to the proxy.
+        """
         window_start = self.now - self.settings.message_window
-        recent = [at for at in self.message_times.get(proxy, []) if at > window_start]
-        self.message_times[proxy] = recent
+        recent_times = [at for at in self.message_times.get(proxy, []) if at > window_start]
+        self.message_times[proxy] = recent_times
         cap = self.settings.message_cap
         if not cap:
             return True
-        is_spaced = not recent or self.now - recent[-1] >= spacing_ms
-        return is_spaced and len(recent) + 1 <= max(1.0, cap * share)
+        is_spaced = not recent_times or self.now - recent_times[-1] >= spacing_ms
+        return is_spaced and len(recent_times) + 1 <= max(1.0, cap * share)
 
     def reserve_spacing_ms(self) -> float:
-        """Time between messages from the reserve of the cap, so that the next drain finds some of it left."""
+        """Return the minimum time between messages that use the reserve of the message cap, ms.
+
+        The spacing spreads the reserve over the window of the cap, so that a part remains for the next draining server.
+        """
         reserve = self.settings.message_cap * (1 - CHANGE_MESSAGE_SHARE)
         return self.settings.message_window / max(1.0, reserve + 1)
 
-    def add(self, users: list[int], lines: int) -> None:
-        """Note lines that go to each of some proxies, in the one message that each gets of this call."""
-        for user in users:
-            self.pending_lines[user] = self.pending_lines.get(user, 0) + lines
+    def add_lines(self, recipients: list[int], lines: int) -> None:
+        """Add lines to the message that each of some proxies is sent by the current call."""
+        for recipient in recipients:
+            self.pending_lines[recipient] = self.pending_lines.get(recipient, 0) + lines
 
     def commit(self) -> list[Action]:
-        """Charge what this call sends, with a nonce whose acknowledgement will show that it has arrived.
+        """Add the lines of the current call to the queue, and return the action that requests their acknowledgement.
 
-        If no acknowledgement was owed before, the wait for one begins now (`ack_clock_started_at`).
+        If all earlier updates were acknowledged, the wait for the next acknowledgement starts now.
         """
         lines = self.pending_lines
         if not lines:
@@ -162,7 +185,7 @@
         for proxy in lines:
             self.message_times[proxy] = [*self.message_times.get(proxy, []), self.now]
         if not any(update.lines_by_proxy for update in self.unacknowledged.values()):
-            self.ack_clock_started_at = self.now
+            self.ack_wait_started_at = self.now
         self.queued_lines = self.queued_lines + (sum(lines.values()) + len(lines) * self.overhead_lines)
         self.last_nonce = (self.last_nonce + 1) % NONCE_COUNT
         lines_by_proxy = {proxy: count + self.overhead_lines for proxy, count in lines.items()}
--- a/stackwheel/policy/demand.py
+++ b/stackwheel/policy/demand.py
@@ -1,4 +1,4 @@
-"""Demand: the requests a second that proxies get, by zone and class."""
+"""Demand: requests per second that the proxies receive, by zone and request class."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 from typing import NamedTuple
 
 from stackwheel.interface import DemandReport, ProxyJoined, Settings
-from stackwheel.policy.arithmetic import MAX_RATE_PER_S, blend, bounded
+from stackwheel.policy.arithmetic import MAX_RATE_PER_S, clamp, exponential_average
 from stackwheel.policy.proxies import ProxyView
 
 DEMAND_GAIN = 0.5
-"""Step of a rate to its newest count."""
+"""Smoothing factor of request rates."""
 
-PROMISE_INTERVALS = 8.0
-"""Report intervals for which a proxy that joined counts with the rate it announced, unless it reports sooner."""
+ANNOUNCED_RATE_INTERVALS = 8.0
+"""Number of report intervals for which the rate that a joining proxy announces is used until it sends reports."""
 
 MIN_DEMAND_PER_S = 1e-3
-"""Where demand is divided by, or shares are made of it, none counts as this."""
+"""Demand, requests per second, that replaces lower values in order to avoid divisions by zero."""
 
 
 class DemandKey(NamedTuple):
-    """What demand is placed for, and a table made for: a class of the proxies of a zone."""
+    """A zone and a request class, for which demand is allocated and tables are created."""
 
     zone: int
     request_class: int
 
 
 class DemandCounter:
-    """The requests of one class that a zone's proxies reported.
+    """Counts the requests of one class that the proxies of a zone report.
 
     Attributes:
-        requests: since the last count.
-        rate: a second, averaged over counts.
+        requests: number of requests since the last update of the rate.
+        rate: moving average of the requests per second.
     """
 
     __slots__ = ("rate", "requests")
@@ -42,69 +42,82 @@
 
 
 class DemandTracker:
-    """Counts reported requests from slot to slot, and adds what proxies that joined have announced."""
+    """Estimates demand from the requests that proxies report in each slot and from the rates that they announce.
+
+    Attributes:
+        counters: counters by zone, and by request class.
+        last_count_at: time of the last update of the rates, ms; before the first update, the start of the first
+            report's window, or 0 without any report.
+    """
 
     def __init__(self, settings: Settings, proxies: dict[int, ProxyView]) -> None:
         self.proxies = proxies
         self.zones = range(settings.zone_count)
         self.classes = range(len(settings.classes))
-        self.promise_ms = PROMISE_INTERVALS * settings.report_interval
+        self.announced_rate_ttl_ms = ANNOUNCED_RATE_INTERVALS * settings.report_interval
         self.counters: dict[int, list[DemandCounter]] = {}
-        """By zone; a counter for each class."""
-        self.counted_at = 0.0
-        """When requests were last counted, or the first report's time began; 0 before that."""
+        self.last_count_at = 0.0
 
     def zone_counters(self, zone: int) -> list[DemandCounter]:
-        """A zone's counters, by class."""
+        """Return the counters of a zone by request class, and create them if necessary."""
         if zone not in self.counters:
             self.counters[zone] = [DemandCounter() for _ in self.classes]
         return self.counters[zone]
 
-    def joined(self, event: ProxyJoined, now: float) -> ProxyView:
-        """The view of a proxy that joined: it counts with the rate it announces, even over classes."""
-        rate = bounded(event.expected_rate, 0.0, MAX_RATE_PER_S)
-        by_class = [rate / max(1, len(self.classes)) for _ in self.classes]
-        return ProxyView(event.zone, by_class, [*by_class], now)
+    def create_proxy_view(self, event: ProxyJoined, now: float) -> ProxyView:
+        """Create the view of a joining proxy; its announced rate is divided evenly among the classes."""
+        rate = clamp(event.expected_rate, 0.0, MAX_RATE_PER_S)
+        even_rates = [rate / max(1, len(self.classes)) for _ in self.classes]
+        return ProxyView(event.zone, even_rates, [*even_rates], now)
 
-    def left(self, proxy: ProxyView) -> None:
-        """Take off the part of a proxy that left, of the classes that it has reported."""
-        for counter, rate, promised in zip(self.zone_counters(proxy.zone), proxy.demand, proxy.promised, strict=True):
-            counter.rate = max(0.0, counter.rate - (0.0 if promised else rate))
+    def subtract_proxy(self, proxy: ProxyView) -> None:
+        """Subtract the demand of a proxy that has left from the classes for which it has sent reports."""
+        for counter, rate, announced_rate in zip(
+            self.zone_counters(proxy.zone), proxy.demand, proxy.announced_rates, strict=True
+        ):
+            counter.rate = max(0.0, counter.rate - (0.0 if announced_rate else rate))
 
     def record(self, report: DemandReport, now: float) -> None:
-        """Count a report; what a proxy announced for that class turns into what it has."""
+        """Add a report to the counters; it replaces the rate that the proxy announced for that class."""
         proxy = self.proxies.get(report.proxy)
         request_class = report.request_class
         if proxy is None or not 0 < report.window < math.inf or request_class not in self.classes:
             return
         rate = min(MAX_RATE_PER_S, report.requests * 1000.0 / report.window)
-        proxy.demand[request_class] = blend(proxy.demand[request_class], rate, DEMAND_GAIN)
-        self.counted_at = self.counted_at or now - report.window
+        proxy.demand[request_class] = exponential_average(proxy.demand[request_class], rate, DEMAND_GAIN)
+        self.last_count_at = self.last_count_at or now - report.window
         counter = self.zone_counters(proxy.zone)[request_class]
         counter.requests += report.requests
-        counter.rate += proxy.promised[request_class]
-        proxy.promised[request_class] = 0.0
+        counter.rate += proxy.announced_rates[request_class]
+        proxy.announced_rates[request_class] = 0.0
 
-    def count(self, now: float) -> None:
-        """Turn what was reported since the last count into rates; time without a report counts as none."""
-        elapsed_ms = now - self.counted_at
-        self.counted_at = now
+    def update_rates(self, now: float) -> None:
+        """Update the rates from the requests since the last update; time without reports counts as no requests."""
+        elapsed_ms = now - self.last_count_at
+        self.last_count_at = now
         for counters in self.counters.values():
             for counter in counters:
-                counter.rate = blend(counter.rate, counter.requests * 1000.0 / max(1.0, elapsed_ms), DEMAND_GAIN)
+                counter.rate = exponential_average(
+                    counter.rate, counter.requests * 1000.0 / max(1.0, elapsed_ms), DEMAND_GAIN
+                )
                 counter.requests = 0.0
 
-    def by_class(self, now: float, zone: int | None = None) -> list[float]:
-        """Requests a second by class, of a zone's proxies or of all: reported ones, and promises still kept."""
-        promised_since = now - self.promise_ms
-        promises = [
-            proxy.promised
+    def rates_by_class(self, now: float, zone: int | None = None) -> list[float]:
+        """Return the requests per second by class, including announced rates that are still valid.
+
+        Args:
+            now: current time, ms.
+            zone: index of the proxies' zone; None for all zones.
+        """
+        joined_after = now - self.announced_rate_ttl_ms
+        valid_announced_rates = [
+            proxy.announced_rates
             for proxy in self.proxies.values()
-            if zone in (None, proxy.zone) and proxy.joined_at > promised_since
+            if zone in (None, proxy.zone) and proxy.joined_at > joined_after
         ]
         rates = [[counter.rate for counter in self.zone_counters(z)] for z in self.zones if zone in (None, z)]
-        return [sum(of_class) for of_class in zip(*rates, *promises, strict=True)]
+        return [sum(class_rates) for class_rates in zip(*rates, *valid_announced_rates, strict=True)]
 
-    def total(self, now: float) -> float:
-        """Requests a second of all proxies."""
-        return sum(self.by_class(now))
+    def total_rate(self, now: float) -> float:
+        """Return the requests per second of all proxies and classes."""
+        return sum(self.rates_by_class(now))
--- a/stackwheel/policy/endpoints.py
+++ b/stackwheel/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: follows its updates, and polls it again after a call that failed."""
+"""The endpoint list: applies its updates to the server pool, and retries failed calls."""
 
 from __future__ import annotations
 
@@ -8,21 +8,25 @@
 from stackwheel.policy.servers import ServerPool, ServerView
 from stackwheel.policy.timers import ENDPOINT_LIST_TIMER
 
-MAX_RETRY_DEADLINE_SHARE = 0.4
-"""Of the time within which the list has to be polled: no backoff is longer."""
+MAX_BACKOFF_DEADLINE_SHARE = 0.4
+"""Maximum backoff as a share of the maximum time between two fetches of the endpoint list."""
 
 MAX_BACKOFF_DOUBLINGS = 9
-"""Of a report interval."""
+"""Maximum number of times that the initial backoff of one report interval is doubled."""
 
-MIN_JITTER = 0.5
-"""Of a backoff; it is drawn up to this plus 1, as all planners may fail at once."""
+MIN_BACKOFF_FACTOR = 0.5
+"""Minimum random factor of a backoff; the maximum is 1 more. Jitter spreads the retries of all planners."""
 
-MIN_THIN_LINE_DRAW = 0.05
-"""Of the least share: a thinner line than this is never kept."""
+MIN_INCLUSION_THRESHOLD = 0.05
+"""Minimum of `ServerView.inclusion_threshold`."""
 
 
 class EndpointTracker:
-    """Keeps the server pool as discovery lists it."""
+    """Updates the server pool according to the endpoint list.
+
+    Attributes:
+        failed_calls: number of consecutive failed calls.
+    """
 
     def __init__(self, settings: Settings, random: Random, actions: list[Action], pool: ServerPool) -> None:
         self.settings = settings
@@ -32,12 +36,15 @@
         self.failed_calls = 0
 
     def apply(self, update: EndpointUpdate) -> bool:
-        """Follow an update; whether tables have to follow at once.
+        """Apply an update of the endpoint list.
+
+        A server that is missing from a complete list is removed, unless `Settings.removal_is_advisory` is set.
 
-        A server that a full list lacks is removed, unless removal is advisory: then its reports judge it.
+        Returns:
+            Whether the tables have to be updated at once.
         """
         if update.kind is UpdateKind.FAILED:
-            self.retry_later()
+            self.schedule_retry()
             return False
         self.failed_calls = 0
         entries = {entry.server: entry for entry in update.entries}
@@ -56,20 +63,23 @@
         return is_urgent
 
     def apply_entry(self, entry: EndpointEntry) -> bool:
-        """Follow one server's entry; whether its process or availability changed."""
-        draw = self.random.uniform(MIN_THIN_LINE_DRAW, 1.0)  # for known servers too: draws keep their order
-        known = self.pool.views.setdefault(entry.server, ServerView(entry, thin_line_draw=draw))
-        before = known.entry
-        if entry.started_at > before.started_at:
-            # A new process: measured capacity and attempt rates stay valid, latency and failures are measured anew.
-            self.pool.views[entry.server] = ServerView(entry, known.capacity, known.thin_line_draw, known.attempt_rates)
+        """Apply the entry of one server, and return whether its process or its availability has changed."""
+        # The number is drawn for known servers too, so that the sequence of draws depends only on the updates.
+        threshold = self.random.uniform(MIN_INCLUSION_THRESHOLD, 1.0)
+        known = self.pool.views.setdefault(entry.server, ServerView(entry, inclusion_threshold=threshold))
+        previous_entry = known.entry
+        if entry.started_at > previous_entry.started_at:
+            # A restarted server keeps its measured capacity and attempt rates, but not its latency and failures.
+            self.pool.views[entry.server] = ServerView(
+                entry, known.capacity, known.inclusion_threshold, known.attempt_rates
+            )
         self.pool.views[entry.server].entry = entry
-        return (entry.started_at, entry.availability) != (before.started_at, before.availability)
+        return (entry.started_at, entry.availability) != (previous_entry.started_at, previous_entry.availability)
 
-    def retry_later(self) -> None:
-        """Poll again after a backoff with jitter, within the time that the settings allow."""
+    def schedule_retry(self) -> None:
+        """Start the timer of the next call, with exponential backoff and jitter."""
         self.failed_calls += 1
-        doubled = self.settings.report_interval * 2 ** min(MAX_BACKOFF_DOUBLINGS, self.failed_calls - 1)
-        backoff_ms = doubled * (MIN_JITTER + self.random.random())
-        longest_ms = MAX_RETRY_DEADLINE_SHARE * self.settings.list_poll_deadline
-        self.actions.append(SetTimer(min(longest_ms, backoff_ms), ENDPOINT_LIST_TIMER))
+        doubled_ms = self.settings.report_interval * 2 ** min(MAX_BACKOFF_DOUBLINGS, self.failed_calls - 1)
+        backoff_ms = doubled_ms * (MIN_BACKOFF_FACTOR + self.random.random())
+        max_backoff_ms = MAX_BACKOFF_DEADLINE_SHARE * self.settings.list_poll_deadline
+        self.actions.append(SetTimer(min(max_backoff_ms, backoff_ms), ENDPOINT_LIST_TIMER))
--- a/stackwheel/policy/health_checks.py
+++ b/stackwheel/policy/health_checks.py
@@ -8,10 +8,10 @@
 from stackwheel.policy.servers import ServerPool
 from stackwheel.policy.table_groups import TableGroups
 
-LATE_REPORT_INTERVALS = 4.0
+LATE_REPORT_WINDOW_INTERVALS = 4.0
 """Report intervals that a report spans on average: over this checks are worth their cost."""
 
-CHECKS_PER_REQUEST = 0.06
+MAX_CHECKS_PER_REQUEST = 0.06
 """The most; a check is work for a server."""
 
 
@@ -30,18 +30,25 @@
         self.demand = demand
         self.estimates = estimates
         self.groups = groups
-        self.are_useful = settings.health_checks_enabled and "outstanding" in settings.load_columns
+        self.is_enabled = settings.health_checks_enabled and "outstanding" in settings.load_columns
         self.report_interval = settings.report_interval
 
     def start(self, now: float) -> list[Action]:
         """The checks of a slot, of the servers that were checked longest ago; none while reports are in time."""
-        if not self.are_useful or not self.estimates.report_span > LATE_REPORT_INTERVALS * self.report_interval:
+        if (
+            not self.is_enabled
+            or not self.estimates.mean_report_window > LATE_REPORT_WINDOW_INTERVALS * self.report_interval
+        ):
             return []
         views = self.pool.views
         used = {
-            server for group in self.groups.all() for table in group.tables for server in table.sent if server in views
+            server
+            for group in self.groups.all_groups()
+            for table in group.tables
+            for server in table.sent
+            if server in views
         }
-        affordable = CHECKS_PER_REQUEST * self.demand.total(now) * self.report_interval / 1000.0
+        affordable = MAX_CHECKS_PER_REQUEST * self.demand.total_rate(now) * self.report_interval / 1000.0
         budget = int(min(len(used), affordable))
         chosen = sorted(used, key=lambda server: (views[server].health_check_sent_at, server))[:budget]
         for server in chosen:
--- a/stackwheel/policy/joins.py
+++ b/stackwheel/policy/joins.py
@@ -7,7 +7,7 @@
 from stackwheel.interface import Action, AssignTable, Settings
 from stackwheel.policy.channel import CHANGE_MESSAGE_SHARE, CHANGE_QUEUE_SHARE, MAX_QUEUE_SHARE, ChannelBudget
 from stackwheel.policy.proxies import ProxyView
-from stackwheel.policy.table_groups import COMPLETE, MIN_HEALTHY_LINES, TableGroups
+from stackwheel.policy.table_groups import COMPLETE_TABLE_SIZE, MIN_HEALTHY_LINES, TableGroups
 from stackwheel.policy.tables import TableGroup
 from stackwheel.policy.updates import UpdateScheduler
 
@@ -63,7 +63,7 @@
     def assign_tables(self, now: float) -> None:
         """Give proxies that wait their zones' tables; when none waits, complete tables replace short ones."""
         if not self.waiting:
-            if not self.updates.has_deferred:
+            if not self.updates.has_deferred_changes:
                 self.grow_tables(now)
             return
         start_share = CHANGE_QUEUE_SHARE if self.are_overdue(now) else JOIN_START_QUEUE_SHARE
@@ -95,11 +95,11 @@
     def group_for(self, proxy: ProxyView, lines: float, now: float) -> TableGroup:
         """The group whose tables a proxy gets: complete ones if as many lines fit, else the longest short ones."""
         groups = self.groups.by_zone[proxy.zone]
-        complete = min(groups[COMPLETE], key=lambda group: len(group.users))
+        complete = min(groups[COMPLETE_TABLE_SIZE], key=lambda group: len(group.users))
         if lines >= complete.lines():
             if len(complete.users) < self.channel.max_group_size:
                 return complete
-            return self.create(proxy.zone, COMPLETE, 1, now)[0]
+            return self.create(proxy.zone, COMPLETE_TABLE_SIZE, 1, now)[0]
         size = short_table_size(lines, len(self.settings.classes))
         if size not in groups:
             longest = max(len(table.shares) for table in complete.tables)
@@ -109,7 +109,7 @@
     def create(self, zone: int, size: int, count: int, now: float) -> list[TableGroup]:
         """Make groups of a zone and write their tables."""
         groups = self.groups.create(zone, size, count, now)
-        self.updates.write_unused(groups, now)
+        self.updates.write_unused_groups(groups, now)
         return groups
 
     def assign(self, number: int, group: TableGroup, share: float) -> bool:
@@ -133,7 +133,7 @@
         short = [
             (-sum(proxy.demand), number)
             for number, proxy in self.proxies.items()
-            if proxy.group not in self.groups.by_zone[proxy.zone][COMPLETE]
+            if proxy.group not in self.groups.by_zone[proxy.zone][COMPLETE_TABLE_SIZE]
             and self.channel.may_send_message(number, CHANGE_MESSAGE_SHARE)
         ]
         for _, number in sorted(short):
@@ -146,9 +146,9 @@
         if not new_zones:
             return
         self.groups.by_zone.update({zone: {} for zone in new_zones})
-        self.groups.move_all(now)
+        self.groups.update_all_shares(now)
         for zone in sorted(new_zones):
-            self.create(zone, COMPLETE, 1, now)
+            self.create(zone, COMPLETE_TABLE_SIZE, 1, now)
 
 
 def short_table_size(lines: float, class_count: int) -> int:
--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -5,7 +5,7 @@
 import math
 
 from stackwheel.interface import AdmissionLevel, Retry, Settings
-from stackwheel.policy.arithmetic import bounded, median
+from stackwheel.policy.arithmetic import clamp, median
 from stackwheel.policy.demand import MIN_DEMAND_PER_S, DemandTracker
 from stackwheel.policy.estimates import LoadEstimates
 from stackwheel.policy.peer_planners import PeerPlanners
@@ -14,23 +14,23 @@
 from stackwheel.policy.tables import Table
 
 # when answers count as slow
-SLOW_OBJECTIVES = 0.3
+SLOW_LATENCY_OBJECTIVES = 0.3
 """Of the mean latency objective: half of the traffic slower than this ..."""
 
-SLOW_MULTIPLE = 1.7
+SLOW_LATENCY_MULTIPLE = 1.7
 """... and than this many times the quickest latency: queues are forming, and the excess is shed."""
 
-LOAD_CHECK_INTERVALS = 3.0
+HEALTH_CHECK_VALIDITY_INTERVALS = 3.0
 """Report intervals for which the load that a health check brought counts."""
 
 # how much is shed
-ADMITTED_USE = 0.92
+ADMITTED_UTILIZATION = 0.92
 """Of known capacity, or of what is being answered: what is admitted while servers are saturated."""
 
 SHED_GAIN = 0.5
 """Step of the shed share to what is not answered, in a slow slot."""
 
-SHED_RECOVERY = 0.2
+SHED_RECOVERY_GAIN = 0.2
 """Of the shed share, and SHED_RECOVERY_OFFSET more: what is admitted again in a slot of quick answers."""
 
 SHED_RECOVERY_OFFSET = 0.1
@@ -45,7 +45,7 @@
 ADMIT_ALL_SHARE = 0.99
 """From here on a class is admitted in full."""
 
-NO_RATE_LIMIT = 1e6
+NO_RATE_LIMIT_PER_S = 1e6
 """Requests a second and proxy: a level that limits nothing, where admission is stated as a rate."""
 
 LEVEL_CHANGE_SHARE = 0.1
@@ -76,9 +76,9 @@
         self.demand = demand
         self.peers = peers
         self.estimates = estimates
-        self.by_rate = settings.admission_mode == "rate"
+        self.limits_rate = settings.admission_mode == "rate"
         self.priority_weights = [wanted.priority_weight for wanted in settings.classes]
-        self.load_check_ms = LOAD_CHECK_INTERVALS * settings.report_interval
+        self.health_check_validity_ms = HEALTH_CHECK_VALIDITY_INTERVALS * settings.report_interval
         self.shed_share = 0.0
 
     def update(self, now: float) -> None:
@@ -90,20 +90,21 @@
             for report in view.zone_reports.values()
         ]
         answered = sum(report.answers_per_s for report in reports)  # an average would lag the end of an overload
-        demand = max(MIN_DEMAND_PER_S, self.demand.total(now))
+        demand = max(MIN_DEMAND_PER_S, self.demand.total_rate(now))
         slow_ms = max(
-            SLOW_OBJECTIVES * self.estimates.mean_objective_ms, SLOW_MULTIPLE * self.estimates.quickest_latency
+            SLOW_LATENCY_OBJECTIVES * self.estimates.mean_objective_ms,
+            SLOW_LATENCY_MULTIPLE * self.estimates.lowest_latency,
         )
         if self.traffic_latency(reports, now) > slow_ms:
-            self.shed_share += SHED_GAIN * max(0.0, 1.0 - ADMITTED_USE * answered / demand - self.shed_share)
+            self.shed_share += SHED_GAIN * max(0.0, 1.0 - ADMITTED_UTILIZATION * answered / demand - self.shed_share)
         else:
-            self.shed_share -= SHED_RECOVERY * (SHED_RECOVERY_OFFSET + self.shed_share)
-        beyond_capacity = 1.0 - ADMITTED_USE * self.known_capacity(now) / demand
-        self.shed_share = bounded(max(0.0, self.shed_share), beyond_capacity, MAX_SHED_SHARE)
+            self.shed_share -= SHED_RECOVERY_GAIN * (SHED_RECOVERY_OFFSET + self.shed_share)
+        beyond_capacity = 1.0 - ADMITTED_UTILIZATION * self.known_capacity(now) / demand
+        self.shed_share = clamp(max(0.0, self.shed_share), beyond_capacity, MAX_SHED_SHARE)
 
     def traffic_latency(self, reports: list[ZoneReport], now: float) -> float:
         """Latency of half of the traffic in ms: by fresh health checks if there are any, else by valid reports."""
-        oldest = now - self.load_check_ms
+        oldest = now - self.health_check_validity_ms
         checked = [view for view in self.pool.ready() if view.load_checked_at > oldest]
         if checked:  # what waits there now, in time at its capacity
             return median(
@@ -124,13 +125,13 @@
         if not any("utilization" in view.load for view in usable):
             return math.inf
         return sum(
-            max(0.0, view.capacity * self.pool.available_share(view, now) - self.peers.others_rate(view, now))
+            max(0.0, view.capacity * self.pool.available_share(view, now) - self.peers.peer_rate(view, now))
             for view in usable
         )
 
     def admitted_shares(self, now: float) -> list[float]:
         """The share of each class that is admitted: the lowest priority weight is shed first, equal ones alike."""
-        demand = self.demand.by_class(now)
+        demand = self.demand.rates_by_class(now)
         to_shed = self.shed_share * sum(demand)
         return [self.admitted_share(weight, demand, to_shed) for weight in self.priority_weights]
 
@@ -148,7 +149,7 @@
         if not equal > 0:
             return 1.0
         cut = to_shed - (1 - MIN_ADMITTED_SHARE) * lesser
-        return 1.0 - bounded(cut, 0.0, (1 - MIN_ADMITTED_SHARE) * equal) / equal
+        return 1.0 - clamp(cut, 0.0, (1 - MIN_ADMITTED_SHARE) * equal) / equal
 
     def levels(self, table: Table, admitted: list[float]) -> dict[int, AdmissionLevel]:
         """The levels that a table should have, by class.
@@ -164,14 +165,16 @@
 
     def level(self, zone: int, request_class: int, share: float) -> float:
         """A class's level in a zone: a share, or a rate for each proxy where the settings say so."""
-        if not self.by_rate:
+        if not self.limits_rate:
             return share if share < ADMIT_ALL_SHARE else 1.0
         if share >= ADMIT_ALL_SHARE:
-            return NO_RATE_LIMIT
-        return rate_cap([proxy.demand[request_class] for proxy in self.proxies.values() if proxy.zone == zone], share)
+            return NO_RATE_LIMIT_PER_S
+        return rate_limit_per_proxy(
+            [proxy.demand[request_class] for proxy in self.proxies.values() if proxy.zone == zone], share
+        )
 
 
-def rate_cap(rates: list[float], share: float) -> float:
+def rate_limit_per_proxy(rates: list[float], share: float) -> float:
     """The rate for each proxy under which a share of all is admitted: large callers are cut first."""
     budget = share * sum(rates)
     ordered = sorted(rates)
@@ -180,7 +183,7 @@
         if rate * remaining >= budget:
             return budget / remaining
         budget -= rate
-    return max(ordered, default=NO_RATE_LIMIT)
+    return max(ordered, default=NO_RATE_LIMIT_PER_S)
 
 
 def level_differs(new: AdmissionLevel, old: AdmissionLevel | None) -> bool:
--- a/stackwheel/policy/outlier_ejection.py
+++ b/stackwheel/policy/outlier_ejection.py
@@ -13,10 +13,10 @@
 OUTLIER_MULTIPLE = 3
 """Times the median share of failures: one that fails less often has the fault that all have."""
 
-DEAD_FAILURE_SHARE = 0.8
+UNCONDITIONAL_FAILURE_SHARE = 0.8
 """Of attempts: over this a server is ejected whatever its answers' latency."""
 
-OVERLOAD_SLOWDOWN = 2.0
+OVERLOAD_LATENCY_MULTIPLE = 2.0
 """Times the median latency of good answers: slower ones show load, and such a server just gets less."""
 
 MAX_EJECTED_SHARE = 0.4
@@ -35,7 +35,7 @@
         self.estimates = estimates
         self.report_interval = settings.report_interval
 
-    def judge(self, now: float) -> bool:
+    def update_ejections(self, now: float) -> bool:
         """Take back servers whose time is over and eject outliers, the worst first; whether any was ejected."""
         ready = self.pool.ready()
         ejected = sum(1 for view in ready if view.is_ejected(now))
@@ -46,7 +46,7 @@
             if view.is_ejected(now):
                 continue
             if view.ejected_until:
-                self.take_back(view)
+                self.restore(view)
             elif (
                 view.failure_share > threshold
                 and self.is_outlier(view)
@@ -62,17 +62,17 @@
         view.ejection_intervals = min(MAX_EJECTION_INTERVALS, max(MIN_EJECTION_INTERVALS, 2 * view.ejection_intervals))
         view.ejected_until = now + view.ejection_intervals * self.report_interval
 
-    def take_back(self, view: ServerView) -> None:
+    def restore(self, view: ServerView) -> None:
         """Forget what a server was ejected for; the slots' capped steps give it its share back."""
         view.ejected_until = 0.0
         view.failure_share = 0.0
         view.latency = None
-        view.good_latency = None
+        view.success_latency = None
         view.latency_by_zone = dict.fromkeys(view.latency_by_zone, self.estimates.median_latency())
 
     def is_outlier(self, view: ServerView) -> bool:
         """Whether a server that fails is at fault itself: its good answers are quick, or there are hardly any."""
-        if view.failure_share > DEAD_FAILURE_SHARE or view.good_latency is None:
+        if view.failure_share > UNCONDITIONAL_FAILURE_SHARE or view.success_latency is None:
             return True
-        known = [other.good_latency for other in self.pool.views.values() if other.good_latency]
-        return view.good_latency < OVERLOAD_SLOWDOWN * median(known)
+        known = [other.success_latency for other in self.pool.views.values() if other.success_latency]
+        return view.success_latency < OVERLOAD_LATENCY_MULTIPLE * median(known)
--- a/stackwheel/policy/peer_planners.py
+++ b/stackwheel/policy/peer_planners.py
@@ -8,7 +8,7 @@
 from stackwheel.policy import gossip
 from stackwheel.policy.servers import Rates, ServerPool, ServerView
 
-PEER_FIGURES_INTERVALS = 3.0
+PEER_STATE_INTERVALS = 3.0
 """Report intervals for which a peer's figures count after its last datagram."""
 
 MAX_DATAGRAMS_PER_INTERVAL = 128
@@ -30,7 +30,7 @@
         self.pool = pool
         self.planner_count = settings.planner_count
         self.gossip_recipients = settings.planner_count - 1 if settings.gossip_enabled else 0
-        self.lifetime_ms = PEER_FIGURES_INTERVALS * settings.report_interval
+        self.lifetime_ms = PEER_STATE_INTERVALS * settings.report_interval
         self.states: dict[int, PeerState] = {}
 
     def record(self, sender: int, payload: bytes, now: float) -> None:
@@ -45,18 +45,18 @@
         known_servers = {server: rate for server, rate in rates.items() if server in self.pool.views}
         self.states[sender] = PeerState(now, message.proxies, known_servers)
 
-    def fresh(self, now: float) -> list[PeerState]:
+    def valid_states(self, now: float) -> list[PeerState]:
         """The figures that still count."""
         oldest = now - self.lifetime_ms
         return [figures for figures in self.states.values() if figures.received_at > oldest]
 
-    def others_rate(self, view: ServerView, now: float) -> float:
+    def peer_rate(self, view: ServerView, now: float) -> float:
         """Requests a second that other planners' proxies send to a server.
 
         From gossip; where some peers' figures are missing, at least what the server's own load figures leave for them,
         or as much for each planner as our proxies send.
         """
-        fresh = self.fresh(now)
+        fresh = self.valid_states(now)
         server = view.entry.server
         gossiped = sum(figures.rates.get(server, 0.0) for figures in fresh)
         if len(fresh) >= self.planner_count - 1:
--- a/stackwheel/policy/planner.py
+++ b/stackwheel/policy/planner.py
@@ -1,8 +1,8 @@
-"""The planner: takes events in, and composes the decisions of all modules of the policy into actions.
+"""The planner: converts events to actions by combining the decisions of all modules of the policy.
 
-Types of events and actions: `stackwheel/interface/`. Once a slot it turns the reports into estimates, places every
-zone's demand by class on servers, moves the tables a step towards that and sends what moved; what the operators' rules
-require is sent at once.
+`stackwheel/interface/` defines the types of events and actions. Once per slot the planner updates its estimates from
+the reports, allocates the demand of each zone and request class to servers, moves the weight tables a step towards the
+allocation, and sends the weights that changed. Changes that the operators' rules require are sent at once.
 """
 
 from __future__ import annotations
@@ -47,24 +47,30 @@
 from stackwheel.policy.updates import UpdateScheduler
 
 MIN_SLOT_INTERVALS = 0.6
-"""Report intervals between slots that new reports start; two reports of one interval make one slot."""
+"""Minimum number of report intervals between two slots, so that all reports of one interval lead to one slot."""
 
 MAX_SLOT_INTERVALS = 1.25
-"""Report intervals after which a slot starts without reports."""
+"""Number of report intervals after which the next slot starts even if no reports have arrived."""
 
 
 class Planner:
-    """One planner's policy: a function of the settings, the seed, and the events so far.
+    """The policy of one planner; its actions depend only on the settings, the seed and the events so far.
 
-    With `key_range_count` set nothing is decided: tables then belong to key ranges, which this policy does not serve.
-    All events are dropped, no endpoint list is asked for, and no action is ever returned.
+    If `Settings.key_range_count` is not 0, tables are assigned to key ranges, which this policy does not support: it
+    ignores all events and returns no actions.
+
+    Attributes:
+        settings: the settings of the policy.
+        actions: actions of the current call, in order.
+        slot: the current slot.
+        has_new_reports: whether a usable load report has arrived since the last slot.
+        proxies: connected proxies by number.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         random = Random(seed)
         self.settings = settings
         self.actions: list[Action] = []
-        """Of the present call, in order."""
         self.slot = Slot()
         self.has_new_reports = False
         self.proxies: dict[int, ProxyView] = {}
@@ -88,45 +94,46 @@
         self.joins = JoinScheduler(settings, self.actions, self.proxies, self.channel, self.groups, self.updates)
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Take a batch of events in and decide what to do about it.
+        """Process a batch of events and return the resulting actions.
 
-        One call does, in this order:
+        A call consists of these steps:
 
-        1. Start: time passes for the channel, the first call may watch the endpoint list, and all events are taken in.
-        2. Slot: if one is due, everything is recomputed and what changed is sent.
-        3. Otherwise urgent or deferred changes are sent, if there are any and the queue is short.
-        4. Joins: proxies that wait are assigned tables, as many as the channel has capacity for.
+        1. Advance the estimate of the channel's queue, open the watch on the endpoint list in the first call if the
+           settings require it, and process all events.
+        2. If a slot is due, recompute estimates and tables, and send what has changed.
+        3. Otherwise send urgent or deferred changes, if there are any and the queue is short enough.
+        4. Assign tables to proxies that have none, as far as the capacity of the channel allows.
 
         Args:
-            now: ms on the planner's clock.
-            events: all that happened since the last call, in order.
+            now: time on the planner's clock, ms.
+            events: the events since the last call, in order.
 
         Returns:
-            The actions, in the order in which they count.
+            The actions, in the order in which the adapter has to execute them.
         """
         self.actions.clear()
         self.channel.start_call(now, self.proxies)
         if self.settings.key_range_count:
             return []
-        is_starting = self.slot.started_at == -math.inf
-        if is_starting and self.settings.endpoint_list_on_request:
+        is_first_call = self.slot.started_at == -math.inf
+        if is_first_call and self.settings.endpoint_list_on_request:
             self.actions.append(WatchEndpoints())
-        starts_slot = is_starting
+        is_slot_due = is_first_call
         for event in events:
-            starts_slot |= self.take(event, now)
-        since_slot = now - self.slot.started_at
-        if starts_slot or (self.has_new_reports and since_slot >= MIN_SLOT_INTERVALS * self.settings.report_interval):
+            is_slot_due |= self.process_event(event, now)
+        slot_age_ms = now - self.slot.started_at
+        if is_slot_due or (self.has_new_reports and slot_age_ms >= MIN_SLOT_INTERVALS * self.settings.report_interval):
             self.run_slot(now)
         elif self.updates.should_send(now):
-            if self.updates.is_urgent:
-                # Move once per cause: moving again in each batch while the queue is full would break the step cap.
-                self.groups.move_all(now)
+            if self.updates.has_urgent_change:
+                # Once per urgent change: a step in each batch while the queue is full would bypass MAX_SHARE_STEP.
+                self.groups.update_all_shares(now)
             self.send_updates(now)
         self.joins.assign_tables(now)
         return self.actions + self.channel.commit()
 
-    def take(self, event: Event, now: float) -> bool:
-        """Take in one event; True if it is the timer of the next slot."""
+    def process_event(self, event: Event, now: float) -> bool:
+        """Process one event and return whether it is the timer that starts the next slot."""
         match event:
             case LoadReport():
                 self.has_new_reports |= self.estimates.record(event, now)
@@ -139,65 +146,66 @@
             case EndpointUpdate():
                 self.apply_endpoints(event)
             case GossipReceived(sender, payload):
-                with contextlib.suppress(MalformedGossipError):  # no planner's: nothing to learn from it
+                with contextlib.suppress(MalformedGossipError):  # not sent by a planner
                     self.peers.record(sender, payload, now)
             case ProxyJoined(proxy):
-                self.proxies[proxy] = self.demand.joined(event, now)
+                self.proxies[proxy] = self.demand.create_proxy_view(event, now)
                 self.joins.waiting[proxy] = None
             case ProxyLeft(proxy):
-                self.proxy_left(proxy)
+                self.remove_proxy(proxy)
             case TimerFired(token):
-                return self.timer_fired(token)
+                return self.process_timer(token)
         return False
 
     def apply_endpoints(self, update: EndpointUpdate) -> None:
-        """Follow the endpoint list; what changes a server's availability or process is urgent."""
+        """Apply an update of the endpoint list; a changed availability or a restarted server makes changes urgent."""
         if self.endpoints.apply(update):
-            self.updates.request_urgent()
+            self.updates.request_urgent_update()
 
-    def proxy_left(self, number: int) -> None:
-        """Forget a proxy, with its part of the demand."""
+    def remove_proxy(self, number: int) -> None:
+        """Remove a proxy and its share of the demand."""
         self.joins.waiting.pop(number, None)
         proxy = self.proxies.pop(number, None)
         if proxy is not None:
             proxy.group.users.pop(number, None)
-            self.demand.left(proxy)
+            self.demand.subtract_proxy(proxy)
 
-    def timer_fired(self, token: int) -> bool:
-        """Act on a timer of ours; True if it is that of the next slot."""
+    def process_timer(self, token: int) -> bool:
+        """Process an expired timer and return whether it starts the next slot."""
         if token == ENDPOINT_LIST_TIMER:
             self.actions.append(WatchEndpoints())
         return token == SLOT_TIMER + self.slot.number
 
     def run_slot(self, now: float) -> None:
-        """The periodic recomputation: estimates, health, shedding, tables, and what of them is sent."""
+        """Recompute estimates, ejections, load shedding and tables, send the changes, and set the next slot's timer."""
         self.slot.begin(now)
         has_reports = self.has_new_reports
         self.has_new_reports = False
         if has_reports:
             self.update_estimates(now)
-            if self.ejection.judge(now):
-                self.updates.request_urgent()
+            if self.ejection.update_ejections(now):
+                self.updates.request_urgent_update()
             self.shedding.update(now)
             self.actions += self.health_checks.start(now)
-        if has_reports or not self.proxies:  # without proxies too, or our part of warming servers lies idle
+        # Planners without proxies send gossip too; peers would otherwise leave them a share of warming servers' limits.
+        if has_reports or not self.proxies:
             self.actions += self.peers.announce(len(self.proxies))
-        self.groups.forget_unused()
-        self.groups.move_all(now)
+        self.groups.remove_unused()
+        self.groups.update_all_shares(now)
         self.send_updates(now)
         next_slot_ms = MAX_SLOT_INTERVALS * self.settings.report_interval
         self.actions.append(SetTimer(next_slot_ms, SLOT_TIMER + self.slot.number))
 
     def update_estimates(self, now: float) -> None:
-        """A slot's step of demand, latency and capacity."""
+        """Update the estimates of demand, latency and capacity for one slot."""
         median_latency_ms = self.estimates.median_latency()
-        self.demand.count(now)
-        self.estimates.fade(median_latency_ms, now)
-        self.estimates.learn_quickest(median_latency_ms)
-        self.capacity.learn(median_latency_ms, now)
+        self.demand.update_rates(now)
+        self.estimates.decay_unconfirmed(median_latency_ms, now)
+        self.estimates.update_lowest_latency(median_latency_ms)
+        self.capacity.update_capacities(median_latency_ms, now)
 
     def send_updates(self, now: float) -> None:
-        """Send changes of tables, after proxies that have waited too long for their first ones."""
+        """Send changed weights and admission levels, after the first tables of proxies whose assignment is overdue."""
         if self.joins.are_overdue(now):
             self.joins.assign_tables(now)
-        self.updates.send(bool(self.joins.waiting), now)
+        self.updates.send_changes(bool(self.joins.waiting), now)
--- a/stackwheel/policy/proxies.py
+++ b/stackwheel/policy/proxies.py
@@ -1,4 +1,4 @@
-"""What the policy knows of each proxy that joined."""
+"""The policy's view of each connected proxy."""
 
 from __future__ import annotations
 
@@ -9,13 +9,19 @@
 
 @dataclass(slots=True)
 class ProxyView:
-    """A proxy whose stream is open. Rates are requests a second, by class."""
+    """A connected proxy.
+
+    Attributes:
+        zone: index of the proxy's zone.
+        demand: requests per second by class, averaged over the reports of the class.
+        announced_rates: requests per second by class that the proxy announced when it joined; 0 after the first
+            report of the class.
+        joined_at: time at which the proxy joined, ms.
+        group: group whose tables the proxy uses; an empty group until tables are assigned.
+    """
 
     zone: int
     demand: list[float]
-    """Averaged over the report intervals that had any request."""
-    promised: list[float]
-    """What it announced when it joined; 0 for a class once it has reported that."""
+    announced_rates: list[float]
     joined_at: float = 0.0
     group: TableGroup = field(default_factory=lambda: TableGroup([]))
-    """Whose tables it uses; an empty group while it has none of ours."""
--- a/stackwheel/policy/servers.py
+++ b/stackwheel/policy/servers.py
@@ -33,7 +33,7 @@
     entry: EndpointEntry
     capacity: float = 0.0
     """Requests a second that it can do when warm; 0 while nothing is known."""
-    thin_line_draw: float = 1.0
+    inclusion_threshold: float = 1.0
     """Drawn once: decides whether a share below the least one is kept, as a part of the least share."""
 
     # from load reports of our proxies, by their zone
@@ -44,7 +44,7 @@
     # from the same, over all zones
     latency: float | None = None
     """Failed attempts count as slow ones; None: never reported."""
-    good_latency: float | None = None
+    success_latency: float | None = None
     """Of good answers alone."""
     failure_share: float = 0.0
 
@@ -98,7 +98,7 @@
         """The servers that may get requests."""
         return [view for view in self.views.values() if view.entry.availability is Availability.READY]
 
-    def open_to(self, request_class: int, zone: int | None = None) -> list[ServerView]:
+    def allowed_servers(self, request_class: int, zone: int | None = None) -> list[ServerView]:
         """The ready servers that may serve a class, of proxies in a zone or in any."""
         wanted = self.classes[request_class]
         return [
--- a/stackwheel/policy/tables.py
+++ b/stackwheel/policy/tables.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from stackwheel.interface import AdmissionLevel, ServerId
-from stackwheel.policy.arithmetic import bounded
+from stackwheel.policy.arithmetic import clamp
 from stackwheel.policy.servers import Rates, ReadyServers, ServerPool
 
 MAX_SHARE_STEP = 0.2
@@ -15,7 +15,7 @@
 MIN_SHARE = 0.005
 """Of a table: the smallest line; a table has at most about 200."""
 
-TRICKLE_SHARE = 0.05
+EJECTED_SERVER_SHARE = 0.05
 """Of an even share: what an ejected server keeps, so that it can be judged."""
 
 
@@ -36,7 +36,7 @@
     levels: dict[int, AdmissionLevel] = field(default_factory=dict)
     """Admission as sent, by class."""
 
-    def scale(self) -> float:
+    def weight_scale(self) -> float:
         """The weights sent over the shares wanted, of the lines that stay: new lines are sent in this scale."""
         staying = [server for server in self.sent if server in self.shares]
         sent = sum(self.sent[server] for server in staying)
@@ -57,7 +57,7 @@
         for server, old in shares.items():
             new = target.get(server, 0.0)
             limit = math.inf if server in uncapped else MAX_SHARE_STEP * max(old, new)
-            shares[server] = old + bounded(new - old, -limit, limit)
+            shares[server] = old + clamp(new - old, -limit, limit)
         self.shares = {s: share for s, share in shares.items() if share >= MIN_SHARE or s in target}
 
 
@@ -66,7 +66,7 @@
     """The tables that some proxies of a zone use together; each of them gets changes of all in one message."""
 
     tables: list[Table]
-    written_at: float = -math.inf
+    last_sent_at: float = -math.inf
     """When changes last went to its proxies."""
     users: dict[int, float] = field(default_factory=dict)
     """Its proxies, and the demand a second that each came with."""
@@ -82,7 +82,7 @@
     Ejected servers keep a trickle; of shares under the least one a draw keeps as many as carry their part together.
     """
     total = sum(rates.values()) or 1.0
-    trickle = TRICKLE_SHARE / max(1, len(rates))
+    trickle = EJECTED_SERVER_SHARE / max(1, len(rates))
     all_shares: Rates = {}
     kept: Rates = {}
     for server, rate in rates.items():
@@ -91,6 +91,6 @@
             all_shares[server] = kept[server] = trickle
             continue
         share = all_shares[server] = rate / total
-        if share >= MIN_SHARE * view.thin_line_draw:
+        if share >= MIN_SHARE * view.inclusion_threshold:
             kept[server] = max(share, MIN_SHARE) if pool.is_healthy(view, now) else share
     return kept or all_shares
--- a/stackwheel/policy/timers.py
+++ b/stackwheel/policy/timers.py
@@ -1,4 +1,4 @@
-"""The slot, and the tokens by which the policy knows its own timers when they fire."""
+"""The current slot, and the tokens of the policy's timers."""
 
 from __future__ import annotations
 
@@ -6,17 +6,22 @@
 from typing import Final
 
 SLOT_TIMER: Final = 1 << 32
-"""Plus the slot's number, so that only the newest slot's timer starts the next slot."""
+"""Base of the slot timer's token; the slot number is added, so that timers of earlier slots are ignored."""
 
 ENDPOINT_LIST_TIMER: Final = 2 << 32
-"""Poll the endpoint list again after a call that failed."""
+"""Token of the timer after which a failed watch of the endpoint list is opened again."""
 
 DEFERRED_CHANGES_TIMER: Final = 3 << 32
-"""Only causes another call, in which withdrawals that the message cap deferred are sent."""
+"""Token of the timer after which deferred removals are sent; any call of the planner sends them."""
 
 
 class Slot:
-    """The newest slot: the periodic recomputation of estimates, shares and tables."""
+    """The current slot, a period that starts with a recomputation of estimates, shares and tables.
+
+    Attributes:
+        number: number of the slot; 0 before the first one.
+        started_at: start time of the slot, ms; minus infinity before the first one.
+    """
 
     __slots__ = ("number", "started_at")
 
@@ -25,6 +30,6 @@
         self.started_at = -math.inf
 
     def begin(self, now: float) -> None:
-        """Count a slot that starts now."""
+        """Start the next slot."""
         self.number += 1
         self.started_at = now
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -16,7 +16,7 @@
     Settings,
     SetWeight,
 )
-from stackwheel.policy.arithmetic import bounded
+from stackwheel.policy.arithmetic import clamp
 from stackwheel.policy.channel import CHANGE_MESSAGE_SHARE, CHANGE_QUEUE_SHARE, MAX_QUEUE_SHARE, ChannelBudget
 from stackwheel.policy.load_shedding import LoadShedding, level_differs
 from stackwheel.policy.servers import Rates, ServerPool
@@ -30,10 +30,10 @@
 OVERWEIGHT_MULTIPLE = 1.2
 """Times its target: a warming or ejected server's line over this must not wait."""
 
-LACKING_SHARE = 0.1
+NEW_LINE_UNSENT_SHARE = 0.1
 """Of a table unsent: over this its new lines go before other changes."""
 
-EMPTY_SHARE = 0.8
+EMPTY_TABLE_UNSENT_SHARE = 0.8
 """Of a table unsent: over this it can hardly serve, and its new lines must not wait."""
 
 RETRY_INTERVALS = 0.1
@@ -50,7 +50,7 @@
     """Its server is draining or removed: it leaves all tables before anything else is sent."""
     WARMING = 1
     """Its server is warming up and has too much: it must not be overloaded."""
-    SOON = 2
+    EJECTED_OR_EMPTY = 2
     """Its server is ejected and has too much, or its table can hardly serve."""
     NEW_LINE = 3
     """Its table lacks a part that was never sent."""
@@ -73,10 +73,12 @@
     """Decides what each group of proxies is sent, within the queue, the pace and the message cap.
 
     Attributes:
-        is_urgent: a change that the operators' rules require to be sent at once; set by `request_urgent`, cleared by
-            the next `send`, whether that could send the change or not.
-        has_deferred: the last `send` left changes out that are to be retried before the next slot (`note_deferred`).
-        retry_at: when deferred changes may be retried.
+        has_urgent_change: whether the operators' rules require a change to be sent at once; the next call of
+            `send_changes` resets it, even if the change could not be sent.
+        has_deferred_changes: whether the last call of `send_changes` omitted changes that have to be retried before
+            the next slot.
+        retry_at: time from which deferred changes may be retried, ms.
+        retry_ms: delay of such a retry.
     """
 
     def __init__(
@@ -96,21 +98,21 @@
         self.channel = channel
         self.shedding = shedding
         self.groups = groups
-        self.is_urgent = False
-        self.has_deferred = False
+        self.has_urgent_change = False
+        self.has_deferred_changes = False
         self.retry_at = 0.0
         self.retry_ms = RETRY_INTERVALS * settings.report_interval
 
-    def request_urgent(self) -> None:
+    def request_urgent_update(self) -> None:
         """Have the tables moved and changes sent in this call of the planner, or as soon as the queue is short."""
-        self.is_urgent = True
+        self.has_urgent_change = True
 
     def should_send(self, now: float) -> bool:
         """Whether changes should be sent before the next slot, and the queue is short enough."""
-        wanted = self.is_urgent or (self.has_deferred and now >= self.retry_at)
+        wanted = self.has_urgent_change or (self.has_deferred_changes and now >= self.retry_at)
         return wanted and self.channel.free_lines(CHANGE_QUEUE_SHARE) > 0
 
-    def send(self, proxies_wait: bool, now: float) -> None:
+    def send_changes(self, proxies_wait: bool, now: float) -> None:
         """Send what is due: lines of removed servers leave all tables before anything else.
 
         A timer is set only after deferred removals; other deferred changes are retried in the next call of the planner
@@ -120,15 +122,15 @@
             proxies_wait: some proxies have no tables yet, so that only what the rules require may use the channel.
             now: ms.
         """
-        self.is_urgent = False
-        self.has_deferred = False
+        self.has_urgent_change = False
+        self.has_deferred_changes = False
         self.retry_at = now + self.retry_ms
         admitted = self.shedding.admitted_shares(now)
-        groups = sorted(self.groups.all(), key=lambda group: group.written_at)
+        groups = sorted(self.groups.all_groups(), key=lambda group: group.last_sent_at)
         ready = {view.entry.server for view in self.pool.ready()}
         for group in [group for group in groups if group.users and self.has_withdrawals(group, ready)]:
             self.send_group(group, admitted, True, now)
-        removals_deferred = self.has_deferred  # or, of the same groups, changes of warming servers or levels
+        removals_deferred = self.has_deferred_changes  # or, of the same groups, changes of warming servers or levels
         if removals_deferred:
             self.actions.append(SetTimer(self.retry_ms, DEFERRED_CHANGES_TIMER))
         only_urgent = removals_deferred or proxies_wait
@@ -155,11 +157,11 @@
         levels = [self.shedding.levels(table, admitted) for table in group.tables]
         level_lines = count_level_lines(group, levels)
         free_lines = self.free_lines_for_each(group) - level_lines
-        may_send = free_lines > 0 and self.may_send_message(group, changes, now)
-        max_paced_lines = 0.0 if only_urgent else self.lines_within_pace(group, lacks_lines(changes))
-        max_changes = int(bounded(max(count_urgent(changes), max_paced_lines), 0, max(0, free_lines)))
+        may_send = free_lines > 0 and self.may_send_to_group(group, changes, now)
+        max_paced_lines = 0.0 if only_urgent else self.lines_within_pace(group, has_new_lines(changes))
+        max_changes = int(clamp(max(count_urgent(changes), max_paced_lines), 0, max(0, free_lines)))
         chosen = changes[:max_changes] if may_send else []
-        self.note_deferred(changes, chosen, levels_wait=level_lines > 0 and not may_send)
+        self.record_deferred(changes, chosen, levels_wait=level_lines > 0 and not may_send)
         sends_levels = level_lines > 0 and may_send and not only_urgent
         if chosen or sends_levels:
             self.write_group(group, chosen, levels, now)
@@ -167,14 +169,16 @@
                 message_lines = self.channel.overhead_lines + len(chosen)
                 self.channel.change_allowance -= max(1, len(group.users)) * message_lines
 
-    def note_deferred(self, changes: Sequence[WeightChange], chosen: Sequence[WeightChange], levels_wait: bool) -> None:
+    def record_deferred(
+        self, changes: Sequence[WeightChange], chosen: Sequence[WeightChange], levels_wait: bool
+    ) -> None:
         """Note whether something of a group has to be tried again before the next slot.
 
         Urgent changes and levels count if they were left out, new lines of a table that lacks a part in any case.
         Routine changes are not deferred: they wait for the next slot.
         """
         urgent_wait = count_urgent(chosen) < count_urgent(changes)
-        self.has_deferred |= lacks_lines(changes) or levels_wait or urgent_wait
+        self.has_deferred_changes |= has_new_lines(changes) or levels_wait or urgent_wait
 
     def free_lines_for_each(self, group: TableGroup) -> float:
         """Lines that a message to each proxy of a group may have before the queue is too long.
@@ -196,7 +200,7 @@
         overhead = channel.overhead_lines
         return max(overhead, channel.max_change_allowance / max(1, len(group.users)) - overhead)
 
-    def may_send_message(self, group: TableGroup, changes: Sequence[WeightChange], now: float) -> bool:
+    def may_send_to_group(self, group: TableGroup, changes: Sequence[WeightChange], now: float) -> bool:
         """Whether the queue is short, and each proxy of a group may get one more message.
 
         Proxies already written to in this call of the planner are skipped: each gets one message a call, and what is
@@ -208,7 +212,7 @@
         """
         settings = self.settings
         channel = self.channel
-        since_last = now - group.written_at
+        since_last = now - group.last_sent_at
         between_slots = self.slot.started_at < now
         if settings.message_cap and between_slots and 0 < since_last < MIN_SPACING_GRACE_SHARE * settings.drain_grace:
             return False
@@ -231,7 +235,7 @@
 
     def table_changes(self, table_index: int, table: Table, now: float) -> list[WeightChange]:
         """Lines of a table that moved by over a tenth, came or went."""
-        scale = table.scale()
+        scale = table.weight_scale()
         shares = table.shares
         sent = table.sent
         lacking = sum(share for server, share in shares.items() if server not in sent)
@@ -254,7 +258,7 @@
             return Urgency.REMOVED
         if not self.pool.is_warm(view, now):
             return Urgency.WARMING
-        return Urgency.SOON if view.is_ejected(now) else Urgency.ROUTINE
+        return Urgency.EJECTED_OR_EMPTY if view.is_ejected(now) else Urgency.ROUTINE
 
     def write_group(
         self, group: TableGroup, chosen: Sequence[WeightChange], levels: list[dict[int, AdmissionLevel]], now: float
@@ -265,9 +269,9 @@
             weights = {change.server: change.weight for change in chosen if change.table_index == table_index}
             self.write_table(table, users, weights, levels[table_index])
         if chosen:
-            group.written_at = now
+            group.last_sent_at = now
 
-    def write_unused(self, groups: Sequence[TableGroup], now: float) -> None:
+    def write_unused_groups(self, groups: Sequence[TableGroup], now: float) -> None:
         """Write all lines and levels of groups that no proxy uses yet; this puts nothing into the channel."""
         admitted = self.shedding.admitted_shares(now)
         for group in groups:
@@ -284,14 +288,14 @@
                 actions.append(SetAdmission(table.number, (request_class,), level.admitted, level.retry))
         if actions:
             self.actions += actions
-            self.channel.add(users, len(actions))
+            self.channel.add_lines(users, len(actions))
 
 
 def new_line_urgency(lacking: float) -> Urgency:
     """How long a line that its table lacks may wait, by the share that the table lacks in all."""
-    if lacking > EMPTY_SHARE:
-        return Urgency.SOON
-    return Urgency.NEW_LINE if lacking > LACKING_SHARE else Urgency.ROUTINE
+    if lacking > EMPTY_TABLE_UNSENT_SHARE:
+        return Urgency.EJECTED_OR_EMPTY
+    return Urgency.NEW_LINE if lacking > NEW_LINE_UNSENT_SHARE else Urgency.ROUTINE
 
 
 def count_urgent(changes: Sequence[WeightChange]) -> int:
@@ -299,7 +303,7 @@
     return sum(change.urgency < Urgency.NEW_LINE for change in changes)
 
 
-def lacks_lines(changes: Sequence[WeightChange]) -> bool:
+def has_new_lines(changes: Sequence[WeightChange]) -> bool:
     """Whether some table lacks a part that was never sent."""
     return any(change.urgency == Urgency.NEW_LINE for change in changes)
 
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -13,6 +13,6 @@
     """Found by a search: under overload all attempts counted as load, and a warming server's limit rose with them."""
     harness = alternating_fleet(load_columns=())
     harness.slots(8, attempts=10)
-    before = harness.planner.capacity.fleet_level
+    before = harness.planner.capacity.unit_capacity
     harness.slots(6, attempts=100, failures=dict.fromkeys(range(6), 95), mean_latency=100.0)
-    assert harness.planner.capacity.fleet_level < 2 * before
+    assert harness.planner.capacity.unit_capacity < 2 * before
--- a/tests/policy/test_channel.py
+++ b/tests/policy/test_channel.py
@@ -144,7 +144,7 @@
     )
     for _ in range(30):
         harness.slot(attempts=8, demand=3, zones=(0,))
-    groups = [group for group in harness.planner.groups.all() if group.users]
+    groups = [group for group in harness.planner.groups.all_groups() if group.users]
     assert len(groups) > 2
     for _ in range(6):  # weights want to move, but the queue is long
         harness.planner.channel.queued_lines = harness.settings.queue_limit
--- a/tests/policy/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -5,7 +5,7 @@
 
 from stackwheel import interface as face
 from stackwheel.interface import Availability
-from stackwheel.policy.table_groups import COMPLETE
+from stackwheel.policy.table_groups import COMPLETE_TABLE_SIZE
 
 
 def test_a_mass_join_is_bound_under_the_queue_limit() -> None:
@@ -102,8 +102,11 @@
     for _ in range(40):
         fleet.second()
     complete = {
-        t.number for sizes in fleet.planner.groups.by_zone.values() for group in sizes[COMPLETE] for t in group.tables
+        t.number
+        for sizes in fleet.planner.groups.by_zone.values()
+        for group in sizes[COMPLETE_TABLE_SIZE]
+        for t in group.tables
     }
     assert {t for p in newcomers for t in fleet.bindings[p].values()} <= complete
-    assert set(fleet.planner.groups.by_zone[0]) == {COMPLETE}  # what nobody uses is forgotten
+    assert set(fleet.planner.groups.by_zone[0]) == {COMPLETE_TABLE_SIZE}  # what nobody uses is forgotten
     assert fleet.longest <= LARGE.queue_limit
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -28,11 +28,11 @@
 
 
 def test_a_rate_limit_cuts_the_largest_caller_first() -> None:
-    assert load_shedding.rate_cap([10.0, 10.0, 100.0], 0.5) == pytest.approx(40.0)
-    assert load_shedding.rate_cap([10.0, 10.0], 0.5) == pytest.approx(5.0)
+    assert load_shedding.rate_limit_per_proxy([10.0, 10.0, 100.0], 0.5) == pytest.approx(40.0)
+    assert load_shedding.rate_limit_per_proxy([10.0, 10.0], 0.5) == pytest.approx(5.0)
     harness = alternating_fleet(admission_mode="rate")
     harness.slots(2)
-    assert harness.level(0)[0] == load_shedding.NO_RATE_LIMIT
+    assert harness.level(0)[0] == load_shedding.NO_RATE_LIMIT_PER_S
 
 
 @pytest.mark.parametrize("idempotency", ["repeatable", "by_key", "once"])
--- a/tests/policy/test_peer_planners.py
+++ b/tests/policy/test_peer_planners.py
@@ -15,10 +15,10 @@
         harness.slot(utilization={n: 0.9 if n == 0 else 0.4 for n in range(6)})
     assert harness.shares(0)[server_id(0)] < 0.8 * harness.shares(0)[server_id(2)]
     view = harness.planner.pool.views[server_id(0)]
-    assert harness.planner.peers.others_rate(view, harness.now) == 50.0
-    harness.now += 1000.0 * peer_planners.PEER_FIGURES_INTERVALS + 1
+    assert harness.planner.peers.peer_rate(view, harness.now) == 50.0
+    harness.now += 1000.0 * peer_planners.PEER_STATE_INTERVALS + 1
     harness.send()
-    assert harness.planner.peers.others_rate(view, harness.now) != 50.0
+    assert harness.planner.peers.peer_rate(view, harness.now) != 50.0
 
 
 def test_the_traffic_of_our_proxies_is_not_taken_for_all_load() -> None:
@@ -27,7 +27,7 @@
     in_flight = dict.fromkeys(range(6), 4.0)  # at 100 ms: 40 a second
     harness.slots(10, attempts=5, mean_latency=100.0, utilization=in_flight)
     view = harness.planner.pool.views[server_id(0)]
-    assert harness.planner.peers.others_rate(view, harness.now) == pytest.approx(40.0 - view.attempt_rate, rel=0.1)
+    assert harness.planner.peers.peer_rate(view, harness.now) == pytest.approx(40.0 - view.attempt_rate, rel=0.1)
 
 
 def test_rates_in_several_datagrams_add_up_and_expire_together() -> None:
@@ -35,6 +35,6 @@
     for number in (0, 1):
         harness.send(face.GossipReceived(1, gossip.encode(1, {server_id(number): 30.0})[0]), wait=5.0)
     views = [harness.planner.pool.views[server_id(number)] for number in (0, 1)]
-    assert [harness.planner.peers.others_rate(view, harness.now) for view in views] == [30.0, 30.0]
-    harness.send(wait=peer_planners.PEER_FIGURES_INTERVALS * harness.settings.report_interval + 1.0)
-    assert [harness.planner.peers.others_rate(view, harness.now) for view in views] == [0.0, 0.0]
+    assert [harness.planner.peers.peer_rate(view, harness.now) for view in views] == [30.0, 30.0]
+    harness.send(wait=peer_planners.PEER_STATE_INTERVALS * harness.settings.report_interval + 1.0)
+    assert [harness.planner.peers.peer_rate(view, harness.now) for view in views] == [0.0, 0.0]
--- a/tests/policy/test_planner.py
+++ b/tests/policy/test_planner.py
@@ -31,14 +31,14 @@
     harness.slots(3)
     harness.planner.channel.message_times[0] = [harness.now] * 4  # nothing may be written for a while
     moved = 0
-    move_all = harness.planner.groups.move_all
+    move_all = harness.planner.groups.update_all_shares
 
     def move(now: float) -> None:
         nonlocal moved
         moved += 1
         move_all(now)
 
-    monkeypatch.setattr(harness.planner.groups, "move_all", move)
+    monkeypatch.setattr(harness.planner.groups, "update_all_shares", move)
     harness.update_endpoints(entry(5, availability=Availability.REMOVED))
     for _ in range(20):
         harness.send(face.DemandReport(0, 0, 1, 0, 1000.0), wait=10.0)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -92,7 +92,7 @@
     for _ in range(4):
         harness.send(*load_reports(harness, silent=frozenset({0})), face.DemandReport(0, 0, 4, 0, 1000.0), wait=500.0)
     view = harness.planner.pool.views[server_id(0)]
-    sent = sum(rates.get(server_id(0), 0.0) for rates in harness.planner.groups.placement.values())
+    sent = sum(rates.get(server_id(0), 0.0) for rates in harness.planner.groups.allocated_rates.values())
     available = harness.planner.pool.available_share(view, harness.now)
     assert planners * sent < settings.overload_multiple * view.capacity * available
 
@@ -107,4 +107,4 @@
     for others, share in ((6, 1.0), (2, 0.5), (0, 0.25)):
         harness.send(face.GossipReceived(1, gossip.encode(others, {server_id(0): 0.0})[0]), wait=10.0)
         harness.send(*load_reports(harness), wait=1000.0)
-        assert abs(harness.planner.allocator.our_share - share) < 0.01
+        assert abs(harness.planner.allocator.own_share - share) < 0.01
--- a/tests/policy/test_table_groups.py
+++ b/tests/policy/test_table_groups.py
@@ -6,7 +6,7 @@
 
 from stackwheel import interface as face
 from stackwheel.interface import Availability
-from stackwheel.policy.table_groups import COMPLETE, MIN_HEALTHY_LINES
+from stackwheel.policy.table_groups import COMPLETE_TABLE_SIZE, MIN_HEALTHY_LINES
 
 
 def test_tables_are_shared_by_zone_and_class() -> None:
@@ -38,7 +38,7 @@
     """One line in all tables took a third of a second of the channel, most of it message overhead."""
     harness = joined_fleet()
     assert all(tables[0] == tables[1] for tables in harness.bindings.values())
-    users = [len(group.users) for group in harness.planner.groups.all()]
+    users = [len(group.users) for group in harness.planner.groups.all_groups()]
     assert sum(users) == 200
     assert max(users) <= harness.planner.channel.max_group_size + 1
     small = PolicyHarness(servers=[entry(n) for n in range(8)], proxies=((0, 0),))
@@ -58,5 +58,5 @@
     harness.send(*(face.ProxyJoined(p, 0, 2.0, False) for p in range(30, 60)), wait=10.0)
     for _ in range(40):
         harness.send(*load_reports(harness), wait=1000.0)
-    assert {len(group.tables) for group in harness.planner.groups.by_zone[0][COMPLETE]} == {1, 2}
+    assert {len(group.tables) for group in harness.planner.groups.by_zone[0][COMPLETE_TABLE_SIZE]} == {1, 2}
     assert all(tables for tables in harness.bindings.values())
--- a/tests/policy/test_updates.py
+++ b/tests/policy/test_updates.py
@@ -61,7 +61,7 @@
         * harness.planner.pool.views[server_id(0)].capacity
     )
     load = sum(
-        harness.shares(p, c).get(server_id(0), 0.0) * harness.planner.demand.by_class(harness.now, p)[c]
+        harness.shares(p, c).get(server_id(0), 0.0) * harness.planner.demand.rates_by_class(harness.now, p)[c]
         for p in (0, 1)
         for c in (0, 1)
     )
@@ -129,7 +129,7 @@
     harness.update_endpoints(entry(0, 0, started=harness.now))
     harness.slot(attempts=5, demand=20, failures=dict.fromkeys((1, 2, 3), 5), latencies=dict.fromkeys((1, 2, 3), 1.0))
     assert sum(1 for v in harness.planner.pool.views.values() if v.is_ejected(harness.now)) == 3
-    placement = harness.planner.allocator.spread(sorted(harness.planner.groups.by_zone), harness.now)
+    placement = harness.planner.allocator.allocate(sorted(harness.planner.groups.by_zone), harness.now)
     goal = table_shares(placement[DemandKey(0, 0)], harness.planner.pool, harness.now)[server_id(0)]
     assert 0 < harness.shares(0)[server_id(0)] < 1.3 * goal
 
@@ -166,7 +166,7 @@
         *(entry(n, started=harness.now + 10.0) for n in range(60, 84)),
         *(replace(harness.entries[s], availability=Availability.REMOVED) for s in removed),
     )
-    tables = {t.number for group in harness.planner.groups.all() if group.users for t in group.tables}
+    tables = {t.number for group in harness.planner.groups.all_groups() if group.users for t in group.tables}
     extended = {o.table for o in actions_of(harness.actions, face.SetWeight) if o.weight > 0}
     cleared = {t for t in tables if not removed & harness.tables[t].keys()}
     assert tables - cleared
@@ -212,7 +212,9 @@
     """Found by a search at size: removals went first, additions did not fit, and proxies had no server."""
     harness = PolicyHarness(servers=[entry(n, 0) for n in range(6)], proxies=((0, 0),))
     harness.slots(3)
-    table = harness.planner.groups.all()[0].tables[0]
+    table = harness.planner.groups.all_groups()[0].tables[0]
     assert table.sent
     table.sent = {}
-    assert {change.urgency for change in harness.planner.updates.table_changes(0, table, harness.now)} == {Urgency.SOON}
+    assert {change.urgency for change in harness.planner.updates.table_changes(0, table, harness.now)} == {
+        Urgency.EJECTED_OR_EMPTY
+    }
