--- a/stackwheel/policy/estimates.py
+++ b/stackwheel/policy/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates from load reports: latency, attempt rate, failures and a server's own load, and how they fade."""
+"""Estimates from load reports: latency, attempt rate, failures and load figures of servers, and their decay."""
 
 from __future__ import annotations
 
@@ -9,54 +9,61 @@
 from stackwheel.policy.servers import ServerPool, ServerView, ZoneReport
 
 RATE_GAIN = 0.5
-"""Step of an attempt rate or a load figure to its newest value."""
+"""Smoothing factor of attempt rates and load figures."""
 
 LATENCY_HALF_GAIN_ATTEMPTS = 10.0
-"""Attempts in a report that move a latency half of the way."""
+"""Number of attempts in a report with which the smoothing factor of the latency is 0.5."""
 
 FAILURE_HALF_GAIN_ATTEMPTS = 8.0
-"""Attempts in a report that move the share of failures half of the way."""
+"""Number of attempts in a report with which the smoothing factor of the failure share is 0.5."""
 
 FAILURE_LATENCY_OBJECTIVES = 2.0
-"""A failed attempt counts as an answer this late, in latency objectives: a quick error must not attract load."""
+"""Assumed latency of a failed attempt, in latency objectives, so that fast errors do not attract load."""
 
 UNCONFIRMED_LATENCY_GAIN = 0.1
-"""A slot's drift of a server that no valid report confirms, to the median latency of all servers."""
+"""Share per slot by which the latency of a server without a valid report approaches the median latency."""
 
 UNCONFIRMED_ZONE_GAIN = 0.2
-"""The same of one zone's figures, to the server's own latency; its rate falls by as much."""
+"""Share per slot by which a zone's latency approaches the server's latency and its attempt rate decreases.
+
+It applies to zones without a valid report.
+"""
 
 QUICK_LATENCY_MULTIPLE = 1.3
-"""Answers within so many times the quickest median latency show no load."""
+"""Multiple of the lowest median latency up to which latency does not indicate load."""
 
 LOWEST_LATENCY_DRIFT = 0.01
-"""A slot's rise of the quickest latency, so that an old record is forgotten."""
+"""Increase per slot of the lowest latency, so that it adapts to a permanent change."""
 
 REPORT_VALIDITY_WINDOWS = 2.0
-"""Windows for which a report is valid: the next one may come that late."""
+"""Time for which a report is valid, as a multiple of its window."""
 
 REPORT_WINDOW_GAIN = 0.05
-"""Step of the average report window to the newest."""
+"""Smoothing factor of the mean report window."""
 
 MAX_REPORT_WINDOW_MS = 1e6
-"""Longer windows count as this."""
+"""Maximum window in the mean report window; longer ones are reduced to it."""
 
 
 class LoadEstimates:
-    """Keeps every server's averages; what nobody confirms drifts to the average of all."""
+    """Updates the moving averages of all servers; averages without recent reports approach those of all servers.
+
+    Attributes:
+        mean_objective_ms: mean latency objective of the request classes.
+        lowest_latency: lowest median latency so far, ms; 0 before the first slot with reports.
+        mean_report_window: average window of a load report, ms.
+    """
 
     def __init__(self, settings: Settings, pool: ServerPool) -> None:
         self.pool = pool
         self.load_columns = settings.load_columns
-        objectives = sum(wanted.latency_objective for wanted in settings.classes)
+        objectives = sum(requirements.latency_objective for requirements in settings.classes)
         self.mean_objective_ms = objectives / max(1, len(settings.classes))
         self.lowest_latency = 0.0
-        """The lowest that the median latency has been, in ms; 0 before the first slot with reports."""
         self.mean_report_window = 0.0
-        """Average window of a load report, in ms."""
 
     def record(self, report: LoadReport, now: float) -> bool:
-        """Take in a load report; False where it is of no use."""
+        """Update the averages with a load report, and return whether it is usable."""
         view = self.pool.views.get(report.server)
         attempts = report.attempts
         if view is None or attempts <= 0 or not 0 < report.window < math.inf:
@@ -64,10 +71,10 @@
         self.mean_report_window = exponential_average(
             self.mean_report_window, min(report.window, MAX_REPORT_WINDOW_MS), REPORT_WINDOW_GAIN
         )
-        failed = min(report.failures, attempts) / attempts
+        failed_share = min(report.failures, attempts) / attempts
         failure_ms = FAILURE_LATENCY_OBJECTIVES * self.mean_objective_ms
         success_ms = clamp(report.mean_latency, 0.0, failure_ms)
-        latency = success_ms * (1 - failed) + failure_ms * failed
+        latency = success_ms * (1 - failed_share) + failure_ms * failed_share
         gain = attempts / (attempts + LATENCY_HALF_GAIN_ATTEMPTS)
         zone = report.zone
         view.latency = exponential_average(view.latency, latency, gain)
@@ -75,27 +82,27 @@
         rate = min(MAX_RATE_PER_S, attempts * 1000.0 / report.window)
         view.attempt_rates[zone] = exponential_average(view.attempt_rates.get(zone), rate, RATE_GAIN)
         view.failure_share = exponential_average(
-            view.failure_share, failed, attempts / (attempts + FAILURE_HALF_GAIN_ATTEMPTS)
+            view.failure_share, failed_share, attempts / (attempts + FAILURE_HALF_GAIN_ATTEMPTS)
         )
-        if failed < 1.0:
+        if failed_share < 1.0:
             view.success_latency = exponential_average(view.success_latency, success_ms, gain)
         self.record_load(view, report.load)
-        if failed < 1.0 and success_ms < QUICK_LATENCY_MULTIPLE * self.lowest_latency:
-            latency = success_ms  # what is lost beside quick answers is no sign of load
+        if failed_share < 1.0 and success_ms < QUICK_LATENCY_MULTIPLE * self.lowest_latency:
+            latency = success_ms  # failures do not indicate load while the other attempts are fast
         valid_until = now + REPORT_VALIDITY_WINDOWS * report.window
-        view.zone_reports[zone] = ZoneReport(valid_until, latency, rate, rate * (1 - failed))
+        view.zone_reports[zone] = ZoneReport(valid_until, latency, rate, rate * (1 - failed_share))
         return True
 
     def record_load(self, view: ServerView, load: tuple[float, ...]) -> None:
-        """Take in a server's own figures, in the order of the settings' load columns."""
-        stated = zip(self.load_columns, load, strict=False)
-        usable = {column: figure for column, figure in stated if 0 <= figure < math.inf}
+        """Update the load figures of a server; they are in the order of the load columns in the settings."""
+        figures = zip(self.load_columns, load, strict=False)
+        usable = {column: figure for column, figure in figures if 0 <= figure < math.inf}
         view.load.update(
             {column: exponential_average(view.load.get(column), figure, RATE_GAIN) for column, figure in usable.items()}
         )
 
     def record_health_check(self, result: HealthCheckResult, now: float) -> None:
-        """Take in a health check that brought load figures, or showed that the server takes no more."""
+        """Update a server after a health check that returned load figures or showed that the server is saturated."""
         view = self.pool.views.get(result.server)
         if view is None:
             return
@@ -106,12 +113,12 @@
             self.record_load(view, result.load)
 
     def median_latency(self) -> float:
-        """Median latency of the servers in ms; half of the latency objective before any report."""
-        known = [view.latency for view in self.pool.views.values() if view.latency]
-        return median(known) or 0.5 * self.mean_objective_ms
+        """Return the median latency of the servers, ms; half of the mean objective if no latency is known."""
+        latencies = [view.latency for view in self.pool.views.values() if view.latency]
+        return median(latencies) or 0.5 * self.mean_objective_ms
 
     def decay_unconfirmed(self, median_latency_ms: float, now: float) -> None:
-        """Move figures without a valid report towards the median: silence is neither health nor a failure."""
+        """Remove expired reports, and move averages without a valid report towards the median of all servers."""
         for view in self.pool.views.values():
             reports = {zone: report for zone, report in view.zone_reports.items() if report.valid_until > now}
             view.zone_reports = reports
@@ -124,6 +131,8 @@
                     view.latency_by_zone[zone] = exponential_average(latency, target, UNCONFIRMED_ZONE_GAIN)
 
     def update_lowest_latency(self, median_latency_ms: float) -> None:
-        """Follow the lowest median latency."""
-        known = self.lowest_latency
-        self.lowest_latency = min(median_latency_ms, known * (1 + LOWEST_LATENCY_DRIFT)) if known else median_latency_ms
+        """Update the lowest median latency, once per slot."""
+        lowest = self.lowest_latency
+        self.lowest_latency = (
+            min(median_latency_ms, lowest * (1 + LOWEST_LATENCY_DRIFT)) if lowest else median_latency_ms
+        )
--- a/stackwheel/policy/health_checks.py
+++ b/stackwheel/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: which servers are asked for their load where load reports come too late to tell."""
+"""Selection of the servers that are sent a health check while load reports arrive too late."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from stackwheel.policy.table_groups import TableGroups
 
 LATE_REPORT_WINDOW_INTERVALS = 4.0
-"""Report intervals that a report spans on average: over this checks are worth their cost."""
+"""Mean report window, in report intervals, above which health checks are sent."""
 
 MAX_CHECKS_PER_REQUEST = 0.06
-"""The most; a check is work for a server."""
+"""Maximum number of health checks per request, which limits the load from health checks."""
 
 
 class HealthChecks:
-    """Spends a budget of checks on the servers that tables use, once a slot."""
+    """Selects servers for health checks once per slot, among the servers in the tables and within a budget."""
 
     def __init__(
         self,
@@ -34,23 +34,26 @@
         self.report_interval = settings.report_interval
 
     def start(self, now: float) -> list[Action]:
-        """The checks of a slot, of the servers that were checked longest ago; none while reports are in time."""
+        """Return the health checks of a slot, for the servers whose last check is the longest ago.
+
+        There are none while load reports arrive soon enough.
+        """
         if (
             not self.is_enabled
             or not self.estimates.mean_report_window > LATE_REPORT_WINDOW_INTERVALS * self.report_interval
         ):
             return []
         views = self.pool.views
-        used = {
+        listed = {
             server
             for group in self.groups.all_groups()
             for table in group.tables
             for server in table.sent
             if server in views
         }
-        affordable = MAX_CHECKS_PER_REQUEST * self.demand.total_rate(now) * self.report_interval / 1000.0
-        budget = int(min(len(used), affordable))
-        chosen = sorted(used, key=lambda server: (views[server].health_check_sent_at, server))[:budget]
-        for server in chosen:
+        max_checks = MAX_CHECKS_PER_REQUEST * self.demand.total_rate(now) * self.report_interval / 1000.0
+        budget = int(min(len(listed), max_checks))
+        selected = sorted(listed, key=lambda server: (views[server].health_check_sent_at, server))[:budget]
+        for server in selected:
             views[server].health_check_sent_at = now
-        return [StartHealthCheck(server) for server in chosen]
+        return [StartHealthCheck(server) for server in selected]
--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: the share of demand that no server could answer in time, and the admission levels that shed it."""
+"""Load shedding: the share of demand that servers cannot answer in time, and the corresponding admission levels."""
 
 from __future__ import annotations
 
@@ -13,53 +13,58 @@
 from stackwheel.policy.servers import ServerPool, ZoneReport
 from stackwheel.policy.tables import Table
 
-# when answers count as slow
+# Detection of overload
 SLOW_LATENCY_OBJECTIVES = 0.3
-"""Of the mean latency objective: half of the traffic slower than this ..."""
+"""Latency, as a share of the mean latency objective, above which half of the traffic has to be to indicate overload."""
 
 SLOW_LATENCY_MULTIPLE = 1.7
-"""... and than this many times the quickest latency: queues are forming, and the excess is shed."""
+"""Multiple of the lowest latency above which half of the traffic has to be as well to indicate overload."""
 
 HEALTH_CHECK_VALIDITY_INTERVALS = 3.0
-"""Report intervals for which the load that a health check brought counts."""
+"""Number of report intervals for which the load figures of a health check are used."""
 
-# how much is shed
+# Share of demand to shed
 ADMITTED_UTILIZATION = 0.92
-"""Of known capacity, or of what is being answered: what is admitted while servers are saturated."""
+"""Share of the known capacity, or of the answered requests, that is admitted while servers are saturated."""
 
 SHED_GAIN = 0.5
-"""Step of the shed share to what is not answered, in a slow slot."""
+"""Share per slot by which the shed share approaches the share of unanswered requests during overload."""
 
 SHED_RECOVERY_GAIN = 0.2
-"""Of the shed share, and SHED_RECOVERY_OFFSET more: what is admitted again in a slot of quick answers."""
+"""Share per slot by which the shed share, increased by `SHED_RECOVERY_OFFSET`, is reduced without overload."""
 
 SHED_RECOVERY_OFFSET = 0.1
 
 MAX_SHED_SHARE = 0.95
-"""Of all demand; some has to come through to tell when the overload is over."""
+"""Maximum share of all demand that is shed; the rest is needed to detect the end of the overload."""
 
-# admission
+# Admission levels
 MIN_ADMITTED_SHARE = 0.05
-"""Of a class, for the same reason."""
+"""Minimum admitted share of a class, which is needed to detect the end of the overload."""
 
 ADMIT_ALL_SHARE = 0.99
-"""From here on a class is admitted in full."""
+"""Admitted share from which a class is admitted completely."""
 
 NO_RATE_LIMIT_PER_S = 1e6
-"""Requests a second and proxy: a level that limits nothing, where admission is stated as a rate."""
+"""Admission level without a limit in admission mode "rate", requests per second and proxy."""
 
 LEVEL_CHANGE_SHARE = 0.1
-"""Of a level: a smaller change is not sent."""
+"""Relative change of an admission level up to which the change is not sent."""
 
 RETRY_MODE = Retry.ONCE_IF_NOT_EXECUTED
-"""Safe for any class; a retry after any failure doubled the work just when servers were short."""
+"""Retry mode of all classes; it is safe without idempotency and limits the load from retries during overload."""
 
 
 class LoadShedding:
-    """Keeps the share of demand to shed, and turns it into levels by class: the lowest priority weight is shed first.
+    """Determines the share of demand to shed and the admission level of each class.
+
+    Classes with the lowest priority weight are shed first.
 
     Attributes:
-        shed_share: of all demand, by priority weight.
+        limits_rate: whether admission levels are rates instead of shares.
+        priority_weights: priority weights of the classes.
+        health_check_validity_ms: time for which the load figures of a health check are used.
+        shed_share: share of the demand of all classes that is shed.
     """
 
     def __init__(
@@ -77,19 +82,23 @@
         self.peers = peers
         self.estimates = estimates
         self.limits_rate = settings.admission_mode == "rate"
-        self.priority_weights = [wanted.priority_weight for wanted in settings.classes]
+        self.priority_weights = [requirements.priority_weight for requirements in settings.classes]
         self.health_check_validity_ms = HEALTH_CHECK_VALIDITY_INTERVALS * settings.report_interval
         self.shed_share = 0.0
 
     def update(self, now: float) -> None:
-        """A slot's step: shed what is beyond known capacity, and while half of the traffic is slow the unanswered."""
+        """Update the shed share, once per slot.
+
+        Demand beyond the known capacity is shed, and during overload also the share of unanswered requests.
+        """
         reports = [
             report
             for view in self.pool.views.values()
             if not view.is_ejected(now)
             for report in view.zone_reports.values()
         ]
-        answered = sum(report.answers_per_s for report in reports)  # an average would lag the end of an overload
+        # The newest reports show the end of an overload sooner than moving averages.
+        answered = sum(report.answers_per_s for report in reports)
         demand = max(MIN_DEMAND_PER_S, self.demand.total_rate(now))
         slow_ms = max(
             SLOW_LATENCY_OBJECTIVES * self.estimates.mean_objective_ms,
@@ -99,14 +108,14 @@
             self.shed_share += SHED_GAIN * max(0.0, 1.0 - ADMITTED_UTILIZATION * answered / demand - self.shed_share)
         else:
             self.shed_share -= SHED_RECOVERY_GAIN * (SHED_RECOVERY_OFFSET + self.shed_share)
-        beyond_capacity = 1.0 - ADMITTED_UTILIZATION * self.known_capacity(now) / demand
-        self.shed_share = clamp(max(0.0, self.shed_share), beyond_capacity, MAX_SHED_SHARE)
+        excess_share = 1.0 - ADMITTED_UTILIZATION * self.known_capacity(now) / demand
+        self.shed_share = clamp(max(0.0, self.shed_share), excess_share, MAX_SHED_SHARE)
 
     def traffic_latency(self, reports: list[ZoneReport], now: float) -> float:
-        """Latency of half of the traffic in ms: by fresh health checks if there are any, else by valid reports."""
-        oldest = now - self.health_check_validity_ms
-        checked = [view for view in self.pool.ready() if view.load_checked_at > oldest]
-        if checked:  # what waits there now, in time at its capacity
+        """Return the median latency of the traffic, ms, from recent health checks or else from valid load reports."""
+        checked_after = now - self.health_check_validity_ms
+        checked = [view for view in self.pool.ready() if view.load_checked_at > checked_after]
+        if checked:  # the latency that results from the outstanding requests and the capacity
             return median(
                 [
                     math.inf
@@ -120,7 +129,10 @@
         return median([report.latency_ms for report in reports], [report.attempts_per_s for report in reports])
 
     def known_capacity(self, now: float) -> float:
-        """Requests a second that servers which are not ejected have left for us; infinite where none reports use."""
+        """Return the capacity of servers that are not ejected, less their load from peer planners.
+
+        It is in requests per second, and infinite if no server reports its utilization.
+        """
         usable = [view for view in self.pool.ready() if not view.is_ejected(now)]
         if not any("utilization" in view.load for view in usable):
             return math.inf
@@ -130,33 +142,33 @@
         )
 
     def admitted_shares(self, now: float) -> list[float]:
-        """The share of each class that is admitted: the lowest priority weight is shed first, equal ones alike."""
+        """Return the admitted share of each class; classes with equal priority weights have equal shares."""
         demand = self.demand.rates_by_class(now)
-        to_shed = self.shed_share * sum(demand)
-        return [self.admitted_share(weight, demand, to_shed) for weight in self.priority_weights]
+        shed_rate = self.shed_share * sum(demand)
+        return [self.admitted_share(weight, demand, shed_rate) for weight in self.priority_weights]
 
-    def admitted_share(self, weight: float, demand: list[float], to_shed: float) -> float:
-        """The share admitted of the classes of one priority weight.
+    def admitted_share(self, weight: float, demand: list[float], shed_rate: float) -> float:
+        """Return the admitted share of the classes with one priority weight.
 
         Args:
             weight: the priority weight.
-            demand: requests a second, by class.
-            to_shed: requests a second to shed of all classes.
+            demand: requests per second by class.
+            shed_rate: requests per second to shed from all classes.
         """
         by_weight = list(zip(self.priority_weights, demand, strict=True))
-        lesser = sum(rate for other, rate in by_weight if other < weight)
-        equal = sum(rate for other, rate in by_weight if other == weight)
-        if not equal > 0:
+        lower_rate = sum(rate for other, rate in by_weight if other < weight)
+        equal_rate = sum(rate for other, rate in by_weight if other == weight)
+        if not equal_rate > 0:
             return 1.0
-        cut = to_shed - (1 - MIN_ADMITTED_SHARE) * lesser
-        return 1.0 - clamp(cut, 0.0, (1 - MIN_ADMITTED_SHARE) * equal) / equal
+        shed_from_weight = shed_rate - (1 - MIN_ADMITTED_SHARE) * lower_rate
+        return 1.0 - clamp(shed_from_weight, 0.0, (1 - MIN_ADMITTED_SHARE) * equal_rate) / equal_rate
 
     def levels(self, table: Table, admitted: list[float]) -> dict[int, AdmissionLevel]:
-        """The levels that a table should have, by class.
+        """Return the target admission levels of a table by class.
 
         Args:
             table: the table.
-            admitted: as `admitted_shares` returns them.
+            admitted: admitted share of each class.
         """
         return {
             request_class: AdmissionLevel(self.level(table.zone, request_class, admitted[request_class]), RETRY_MODE)
@@ -164,7 +176,13 @@
         }
 
     def level(self, zone: int, request_class: int, share: float) -> float:
-        """A class's level in a zone: a share, or a rate for each proxy where the settings say so."""
+        """Return the admission level of a class in a zone: a share, or a rate per proxy, as set by the admission mode.
+
+        Args:
+            zone: index of the zone.
+            request_class: index of the class.
+            share: admitted share of the class.
+        """
         if not self.limits_rate:
             return share if share < ADMIT_ALL_SHARE else 1.0
         if share >= ADMIT_ALL_SHARE:
@@ -175,19 +193,24 @@
 
 
 def rate_limit_per_proxy(rates: list[float], share: float) -> float:
-    """The rate for each proxy under which a share of all is admitted: large callers are cut first."""
-    budget = share * sum(rates)
-    ordered = sorted(rates)
-    for position, rate in enumerate(ordered):
-        remaining = len(ordered) - position
-        if rate * remaining >= budget:
-            return budget / remaining
-        budget -= rate
-    return max(ordered, default=NO_RATE_LIMIT_PER_S)
+    """Return the rate limit per proxy that admits a share of all requests; it affects the largest rates first.
+
+    Args:
+        rates: requests per second of the proxies.
+        share: share of their sum that is admitted.
+    """
+    remaining_rate = share * sum(rates)
+    ascending = sorted(rates)
+    for index, rate in enumerate(ascending):
+        remaining_proxies = len(ascending) - index
+        if rate * remaining_proxies >= remaining_rate:
+            return remaining_rate / remaining_proxies
+        remaining_rate -= rate
+    return max(ascending, default=NO_RATE_LIMIT_PER_S)
 
 
 def level_differs(new: AdmissionLevel, old: AdmissionLevel | None) -> bool:
-    """Whether a level has to be sent: it was never sent, moved by a tenth, or begins or ends to limit."""
+    """Return whether an admission level differs enough to be sent, or starts or stops limiting requests."""
     if old is None or new.retry != old.retry or (new.admitted == 1.0) != (old.admitted == 1.0):
         return True
     return abs(new.admitted - old.admitted) > LEVEL_CHANGE_SHARE * max(new.admitted, old.admitted)
--- a/stackwheel/policy/outlier_ejection.py
+++ b/stackwheel/policy/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: a server that fails far more than the others is left a trickle for some time."""
+"""Outlier ejection: a server whose attempts fail far more often than those of others gets little traffic for a time."""
 
 from __future__ import annotations
 
@@ -8,27 +8,30 @@
 from stackwheel.policy.servers import ServerPool, ServerView
 
 MIN_FAILURE_SHARE = 0.3
-"""Of attempts: a server that fails less often is no outlier."""
+"""Share of failed attempts up to which a server is not ejected."""
 
 OUTLIER_MULTIPLE = 3
-"""Times the median share of failures: one that fails less often has the fault that all have."""
+"""Multiple of the median failure share up to which a server is not ejected."""
 
 UNCONDITIONAL_FAILURE_SHARE = 0.8
-"""Of attempts: over this a server is ejected whatever its answers' latency."""
+"""Share of failed attempts above which a server is ejected regardless of its latency."""
 
 OVERLOAD_LATENCY_MULTIPLE = 2.0
-"""Times the median latency of good answers: slower ones show load, and such a server just gets less."""
+"""Multiple of the median latency of successful attempts from which failures are attributed to overload.
+
+An overloaded server is not ejected; it gets a smaller share because of its latency.
+"""
 
 MAX_EJECTED_SHARE = 0.4
-"""Of the ready servers (the panic threshold): beyond it an ejection would overload the others."""
+"""Maximum share of the ready servers that is ejected (panic threshold), so that the others are not overloaded."""
 
 MIN_EJECTION_INTERVALS = 3.0
 MAX_EJECTION_INTERVALS = 16.0
-"""Report intervals of a first ejection, and of the longest; each one lasts twice as long as the last."""
+"""Duration of the first and of the longest ejection, in report intervals; each is twice as long as the previous."""
 
 
 class OutlierEjection:
-    """Judges the ready servers once a slot."""
+    """Ejects outliers among the ready servers, and restores them after the duration of their ejection."""
 
     def __init__(self, settings: Settings, pool: ServerPool, estimates: LoadEstimates) -> None:
         self.pool = pool
@@ -36,7 +39,11 @@
         self.report_interval = settings.report_interval
 
     def update_ejections(self, now: float) -> bool:
-        """Take back servers whose time is over and eject outliers, the worst first; whether any was ejected."""
+        """Restore servers whose ejection has ended, and eject outliers, those with the most failures first.
+
+        Returns:
+            Whether a server was ejected.
+        """
         ready = self.pool.ready()
         ejected = sum(1 for view in ready if view.is_ejected(now))
         median_failure_share = median([view.failure_share for view in ready if view.attempt_rate > 0])
@@ -58,12 +65,12 @@
         return any_ejected
 
     def eject(self, view: ServerView, now: float) -> None:
-        """Leave a server a trickle, for twice as long as the last time."""
+        """Eject a server for twice as long as the last time."""
         view.ejection_intervals = min(MAX_EJECTION_INTERVALS, max(MIN_EJECTION_INTERVALS, 2 * view.ejection_intervals))
         view.ejected_until = now + view.ejection_intervals * self.report_interval
 
     def restore(self, view: ServerView) -> None:
-        """Forget what a server was ejected for; the slots' capped steps give it its share back."""
+        """Reset the estimates that led to an ejection; the server's share then increases in capped steps."""
         view.ejected_until = 0.0
         view.failure_share = 0.0
         view.latency = None
@@ -71,8 +78,8 @@
         view.latency_by_zone = dict.fromkeys(view.latency_by_zone, self.estimates.median_latency())
 
     def is_outlier(self, view: ServerView) -> bool:
-        """Whether a server that fails is at fault itself: its good answers are quick, or there are hardly any."""
+        """Return whether failures are due to the server itself, because its successful attempts are fast or rare."""
         if view.failure_share > UNCONDITIONAL_FAILURE_SHARE or view.success_latency is None:
             return True
-        known = [other.success_latency for other in self.pool.views.values() if other.success_latency]
-        return view.success_latency < OVERLOAD_LATENCY_MULTIPLE * median(known)
+        latencies = [other.success_latency for other in self.pool.views.values() if other.success_latency]
+        return view.success_latency < OVERLOAD_LATENCY_MULTIPLE * median(latencies)
--- a/stackwheel/policy/slow_start.py
+++ b/stackwheel/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the capacity that a recently started server surely has, and when it gets no requests."""
+"""Slow start: available capacity of recently started servers, and conditions under which they get no requests."""
 
 from __future__ import annotations
 
@@ -6,20 +6,27 @@
 from stackwheel.policy.arithmetic import clamp
 
 WARMING_LOAD_SHARE = 0.22
-"""Of `overload_multiple`: a warming server's load stays under this multiple of its present capacity.
+"""Share of `Settings.overload_multiple` up to which the available capacity of a warming server is used.
 
-Several planners that see a server return at once must not overload it together.
+It prevents several planners from overloading a server together when it returns.
 """
 
 MIN_REPORTED_SHARE = 0.3
-"""Of the demand: while load reports cover less, the state of the warm servers is unknown; warming ones get nothing."""
+"""Minimum share of the demand that load reports have to cover for the state of the warm servers to be known."""
 
 EXCLUSION_LATENCY_MULTIPLE = 1.75
-"""Times the quickest latency: slower than this, proxies may soon avoid all warm servers."""
+"""Multiple of the lowest latency above which proxies may soon avoid all warm servers."""
 
 
 class SlowStart:
-    """How far servers have warmed up by now, by the settings' slow start."""
+    """Slow start according to the settings.
+
+    Attributes:
+        min_share: share of its full capacity that a server has when it starts.
+        duration_ms: time until a started server has its full capacity.
+        warming_utilization: share of the available capacity of a warming server that is used.
+        proxies_avoid_servers: whether proxies avoid servers after consecutive failures.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.min_share = settings.slow_start_min_share
@@ -28,7 +35,7 @@
         self.proxies_avoid_servers = settings.consecutive_failure_limit > 0
 
     def available_share(self, entry: EndpointEntry, now: float) -> float:
-        """The share of its full capacity that a server surely has by now; 1 once it is warm."""
+        """Return the share of its full capacity that a server has; 1 if it is warm."""
         if entry.started_at <= 0 or self.duration_ms <= 0:
             return 1.0
         progress = clamp((now - entry.started_at) / self.duration_ms, 0.0, 1.0)
@@ -42,18 +49,19 @@
         median_latency_ms: float,
         lowest_ms: float,
     ) -> bool:
-        """Whether warming servers get nothing while a class has warm ones.
+        """Return whether warming servers get no requests of classes that also have warm servers.
 
-        That is so while load reports cover too little of the traffic to tell how the warm servers are, and while those
-        are slow and proxies avoid servers after consecutive failures: all traffic would turn to the warming ones.
+        This is the case while load reports cover too little of the traffic for the state of the warm servers to be
+        known. It is also the case while these are slow and proxies avoid servers after consecutive failures, because
+        all traffic could then move to the warming servers.
 
         Args:
-            reported_per_s: attempts a second that load reports count.
-            demand_per_s: requests a second that proxies get.
-            admitted_share: of those, the part that is not shed.
+            reported_per_s: attempts per second according to load reports.
+            demand_per_s: requests per second that proxies receive.
+            admitted_share: share of these requests that is not shed.
             median_latency_ms: median latency of the servers.
-            lowest_ms: the lowest it has been.
+            lowest_ms: lowest median latency so far.
         """
-        too_few_reports = reported_per_s < MIN_REPORTED_SHARE * admitted_share * demand_per_s
-        slow = median_latency_ms > EXCLUSION_LATENCY_MULTIPLE * lowest_ms
-        return too_few_reports or (self.proxies_avoid_servers and slow)
+        has_too_few_reports = reported_per_s < MIN_REPORTED_SHARE * admitted_share * demand_per_s
+        is_slow = median_latency_ms > EXCLUSION_LATENCY_MULTIPLE * lowest_ms
+        return has_too_few_reports or (self.proxies_avoid_servers and is_slow)
