--- a/stackwheel/policy/tables.py
+++ b/stackwheel/policy/tables.py
@@ -1,4 +1,4 @@
-"""Weight tables: the shares wanted, the weights sent, and the capped step from one towards the other."""
+"""Weight tables: their shares, the weights that proxies were sent, and the limited steps of shares."""
 
 from __future__ import annotations
 
@@ -10,49 +10,61 @@
 from stackwheel.policy.servers import Rates, ReadyServers, ServerPool
 
 MAX_SHARE_STEP = 0.2
-"""Of a share or its target, whichever is more: the furthest that it moves in a slot."""
+"""Maximum change of a share in a slot, relative to the larger of the share and its target."""
 
 MIN_SHARE = 0.005
-"""Of a table: the smallest line; a table has at most about 200."""
+"""Minimum share of a line in a table, which limits tables to about 200 lines."""
 
 EJECTED_SERVER_SHARE = 0.05
-"""Of an even share: what an ejected server keeps, so that it can be judged."""
+"""Share of an ejected server relative to an even share, so that its recovery can be detected."""
 
 
 @dataclass(slots=True)
 class Table:
-    """A weight table that some proxies share: what the slot steers to and what they have been sent."""
+    """A weight table that is shared by some proxies.
+
+    Attributes:
+        number: number of the table.
+        zone: index of the proxies' zone.
+        classes: request classes that use the table.
+        members: servers of a short table; empty for complete tables.
+        shares: desired shares by server, with a sum of about 1.
+        sent: weights that the proxies were sent, by server; `weight_scale` is their ratio to the shares.
+        levels: admission levels that the proxies were sent, by class.
+    """
 
     number: int
     zone: int
     classes: tuple[int, ...]
-    """The request classes that share it, as they may go to the same servers."""
     members: list[ServerId] = field(default_factory=list)
-    """Of a short table: the servers that it may hold."""
     shares: Rates = field(default_factory=dict)
-    """Wanted, summing to about 1."""
     sent: Rates = field(default_factory=dict)
-    """Weights as the proxies have them, in a scale of their own."""
     levels: dict[int, AdmissionLevel] = field(default_factory=dict)
-    """Admission as sent, by class."""
 
     def weight_scale(self) -> float:
-        """The weights sent over the shares wanted, of the lines that stay: new lines are sent in this scale."""
-        staying = [server for server in self.sent if server in self.shares]
-        sent = sum(self.sent[server] for server in staying)
-        wanted = sum(self.shares[server] for server in staying)
-        return sent / (wanted or math.inf) or 1.0
+        """Return the ratio of sent weights to shares, by which shares are multiplied to obtain the weights to send.
+
+        It is computed from the servers that have both.
+        """
+        common = [server for server in self.sent if server in self.shares]
+        total_weight = sum(self.sent[server] for server in common)
+        total_share = sum(self.shares[server] for server in common)
+        return total_weight / (total_share or math.inf) or 1.0
 
     def step_towards(self, target: Rates, ready: ReadyServers) -> None:
-        """Move the shares a capped step towards the target.
+        """Move the shares a limited step towards their targets.
+
+        Servers that are warming up or ejected have no step limit, and neither has a table that was not sent yet. The
+        shares of removed servers and the difference from uncapped servers are divided among the other servers.
 
-        Servers that warm up or are ejected take their target at once, as does all of a table that was never sent. What
-        lines that leave or are uncapped give up goes to the lines that stay.
+        Args:
+            target: target shares by server.
+            ready: the servers that the table may contain.
         """
         uncapped = ready.uncapped if self.sent else set(ready.servers)
-        staying = sum(share for s, share in self.shares.items() if s in target and s not in uncapped)
-        given_up = 1.0 - sum(share for s, share in target.items() if s in uncapped)
-        growth = max(0.0, given_up) / max(MIN_SHARE, staying)
+        remaining_share = sum(share for s, share in self.shares.items() if s in target and s not in uncapped)
+        available_share = 1.0 - sum(share for s, share in target.items() if s in uncapped)
+        growth = max(0.0, available_share) / max(MIN_SHARE, remaining_share)
         shares = {server: growth * self.shares.get(server, 0.0) for server in ready.servers}
         for server, old in shares.items():
             new = target.get(server, 0.0)
@@ -63,34 +75,44 @@
 
 @dataclass(slots=True, eq=False)
 class TableGroup:
-    """The tables that some proxies of a zone use together; each of them gets changes of all in one message."""
+    """A set of tables that are assigned to proxies together; one message to a proxy contains the changes of all.
+
+    Attributes:
+        tables: the tables, for different request classes of one zone.
+        last_sent_at: time at which changes were last sent to the proxies, ms.
+        users: demand of each proxy that uses the tables, requests per second at the time of the assignment.
+    """
 
     tables: list[Table]
     last_sent_at: float = -math.inf
-    """When changes last went to its proxies."""
     users: dict[int, float] = field(default_factory=dict)
-    """Its proxies, and the demand a second that each came with."""
 
     def lines(self) -> int:
-        """What a proxy that joins is sent: all lines, the table itself and its classes' levels."""
+        """Return the number of lines that a proxy is sent with an assignment: weights, assignments and levels."""
         return sum(len(table.sent) + 1 + len(table.classes) for table in self.tables)
 
 
 def table_shares(rates: Rates, pool: ServerPool, now: float) -> Rates:
-    """Turn rates into the shares of a table.
+    """Convert allocated rates to the target shares of a table.
+
+    Ejected servers get a small share. Of the servers with less than `MIN_SHARE`, a random selection is included, so
+    that these servers together get about their total share.
 
-    Ejected servers keep a trickle; of shares under the least one a draw keeps as many as carry their part together.
+    Args:
+        rates: allocated requests per second by server.
+        pool: the servers in the endpoint list.
+        now: current time, ms.
     """
     total = sum(rates.values()) or 1.0
-    trickle = EJECTED_SERVER_SHARE / max(1, len(rates))
+    ejected_share = EJECTED_SERVER_SHARE / max(1, len(rates))
     all_shares: Rates = {}
-    kept: Rates = {}
+    included: Rates = {}
     for server, rate in rates.items():
         view = pool.views[server]
         if view.is_ejected(now):
-            all_shares[server] = kept[server] = trickle
+            all_shares[server] = included[server] = ejected_share
             continue
         share = all_shares[server] = rate / total
         if share >= MIN_SHARE * view.inclusion_threshold:
-            kept[server] = max(share, MIN_SHARE) if pool.is_healthy(view, now) else share
-    return kept or all_shares
+            included[server] = max(share, MIN_SHARE) if pool.is_healthy(view, now) else share
+    return included or all_shares
