--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -1,4 +1,4 @@
-"""Updates: which lines of the tables are sent now; withdrawals first, then what a table lacks, then the largest."""
+"""Scheduling of table updates: removed servers are sent first, then new lines, then the largest changes."""
 
 from __future__ import annotations
 
@@ -25,52 +25,63 @@
 from stackwheel.policy.timers import DEFERRED_CHANGES_TIMER, Slot
 
 MIN_CHANGE_SHARE = 0.1
-"""Of a weight: a smaller change is not sent."""
+"""Relative change of a weight up to which it is not sent."""
 
 OVERWEIGHT_MULTIPLE = 1.2
-"""Times its target: a warming or ejected server's line over this must not wait."""
+"""Ratio of a sent weight to its target above which a reduction can be urgent."""
 
 NEW_LINE_UNSENT_SHARE = 0.1
-"""Of a table unsent: over this its new lines go before other changes."""
+"""Unsent share of a table above which its new lines are sent before routine changes."""
 
 EMPTY_TABLE_UNSENT_SHARE = 0.8
-"""Of a table unsent: over this it can hardly serve, and its new lines must not wait."""
+"""Unsent share of a table above which it counts as empty, so that its new lines are urgent."""
 
 RETRY_INTERVALS = 0.1
-"""Report intervals after which deferred changes are retried."""
+"""Delay, in report intervals, after which deferred changes are retried."""
 
 MIN_SPACING_GRACE_SHARE = 0.1
-"""Of the drain grace: what comes sooner after a message to a group waits for the next one."""
+"""Minimum time between two messages to a group within a slot, as a share of the drain grace."""
 
 
 class Urgency(IntEnum):
-    """How long a line may wait; sorts the most urgent first."""
+    """Urgency of a change; the most urgent changes are sorted first."""
 
     REMOVED = 0
-    """Its server is draining or removed: it leaves all tables before anything else is sent."""
+    """The server is draining or removed; such changes are sent for all tables before any other."""
+
     WARMING = 1
-    """Its server is warming up and has too much: it must not be overloaded."""
+    """The server is warming up and its weight is so high that it could be overloaded."""
+
     EJECTED_OR_EMPTY = 2
-    """Its server is ejected and has too much, or its table can hardly serve."""
+    """The server is ejected and its weight is too high, or the table is nearly empty."""
+
     NEW_LINE = 3
-    """Its table lacks a part that was never sent."""
+    """The line is new, and a considerable share of its table was not sent yet."""
+
     ROUTINE = 4
-    """An ordinary adjustment of weights."""
+    """Any other change."""
 
 
 class WeightChange(NamedTuple):
-    """A changed line of a table; sorts by urgency, then the largest change first."""
+    """A changed line of a table; changes are sorted by urgency, and the largest of equal urgency first.
+
+    Attributes:
+        urgency: urgency of the change.
+        negated_size: negated difference of the weights.
+        table_index: index of the table in its group.
+        server: the server of the line.
+        weight: the new weight; 0 to remove the line.
+    """
 
     urgency: Urgency
     negated_size: float
     table_index: int
-    """Of its table in the group."""
     server: ServerId
     weight: float
 
 
 class UpdateScheduler:
-    """Decides what each group of proxies is sent, within the queue, the pace and the message cap.
+    """Selects the changes that each group of proxies is sent, within the limits of the channel and the message cap.
 
     Attributes:
         has_urgent_change: whether the operators' rules require a change to be sent at once; the next call of
@@ -104,23 +115,24 @@
         self.retry_ms = RETRY_INTERVALS * settings.report_interval
 
     def request_urgent_update(self) -> None:
-        """Have the tables moved and changes sent in this call of the planner, or as soon as the queue is short."""
+        """Request that tables are updated and sent in the current call of the planner, or once the queue allows it."""
         self.has_urgent_change = True
 
     def should_send(self, now: float) -> bool:
-        """Whether changes should be sent before the next slot, and the queue is short enough."""
-        wanted = self.has_urgent_change or (self.has_deferred_changes and now >= self.retry_at)
-        return wanted and self.channel.free_lines(CHANGE_QUEUE_SHARE) > 0
+        """Return whether there are urgent or deferred changes to send now, and the queue is short enough."""
+        is_requested = self.has_urgent_change or (self.has_deferred_changes and now >= self.retry_at)
+        return is_requested and self.channel.free_lines(CHANGE_QUEUE_SHARE) > 0
 
-    def send_changes(self, proxies_wait: bool, now: float) -> None:
-        """Send what is due: lines of removed servers leave all tables before anything else.
+    def send_changes(self, has_waiting_proxies: bool, now: float) -> None:
+        """Send changes; removed servers are removed from all tables before any other change is sent.
 
-        A timer is set only after deferred removals; other deferred changes are retried in the next call of the planner
-        that an event causes after `retry_at`.
+        A timer is started only for deferred removals. Other deferred changes are retried in the first call of the
+        planner after `retry_at`.
 
         Args:
-            proxies_wait: some proxies have no tables yet, so that only what the rules require may use the channel.
-            now: ms.
+            has_waiting_proxies: whether some proxies have no tables yet; then only changes for removed and warming
+                servers are sent.
+            now: current time, ms.
         """
         self.has_urgent_change = False
         self.has_deferred_changes = False
@@ -128,102 +140,122 @@
         admitted = self.shedding.admitted_shares(now)
         groups = sorted(self.groups.all_groups(), key=lambda group: group.last_sent_at)
         ready = {view.entry.server for view in self.pool.ready()}
-        for group in [group for group in groups if group.users and self.has_withdrawals(group, ready)]:
+        for group in [group for group in groups if group.users and self.has_removals(group, ready)]:
             self.send_group(group, admitted, True, now)
-        removals_deferred = self.has_deferred_changes  # or, of the same groups, changes of warming servers or levels
-        if removals_deferred:
+        # Also set if only changes for warming servers, or levels, of these groups were deferred.
+        has_deferred_removals = self.has_deferred_changes
+        if has_deferred_removals:
             self.actions.append(SetTimer(self.retry_ms, DEFERRED_CHANGES_TIMER))
-        only_urgent = removals_deferred or proxies_wait
+        only_urgent = has_deferred_removals or has_waiting_proxies
         for group in groups:
             self.send_group(group, admitted, only_urgent, now)
 
-    def has_withdrawals(self, group: TableGroup, ready: set[ServerId]) -> bool:
-        """Whether the group's proxies have lines of servers that are not ready."""
+    def has_removals(self, group: TableGroup, ready: set[ServerId]) -> bool:
+        """Return whether the proxies of a group were sent lines of servers that are not ready."""
         return any(server not in ready for table in group.tables for server in table.sent)
 
     def send_group(self, group: TableGroup, admitted: list[float], only_urgent: bool, now: float) -> None:
-        """Send a group in one message what must not wait, then the largest changes, as many as fit.
+        """Send the changes of a group in one message: urgent ones first, then the largest ones that fit.
 
-        Routine changes that do not fit are not deferred: they wait for the next slot, which computes them anew.
+        Routine changes that do not fit are not deferred, because the next slot computes them again.
 
         Args:
-            group: whose tables, and to whose proxies.
-            admitted: the share of each class that is admitted.
-            only_urgent: send only changes for removed and warming servers; all others, and levels, are left to a later
-                call without being deferred (but levels are if the group can get no message at all).
-            now: ms.
+            group: the group.
+            admitted: admitted share of each class.
+            only_urgent: whether to send only changes for removed and warming servers. Other changes and admission
+                levels are then not deferred, except for levels if the group cannot be sent a message at all.
+            now: current time, ms.
         """
         changes = self.group_changes(group, only_urgent, now)
         levels = [self.shedding.levels(table, admitted) for table in group.tables]
         level_lines = count_level_lines(group, levels)
-        free_lines = self.free_lines_for_each(group) - level_lines
+        free_lines = self.free_lines_per_proxy(group) - level_lines
         may_send = free_lines > 0 and self.may_send_to_group(group, changes, now)
-        max_paced_lines = 0.0 if only_urgent else self.lines_within_pace(group, has_new_lines(changes))
-        max_changes = int(clamp(max(count_urgent(changes), max_paced_lines), 0, max(0, free_lines)))
-        chosen = changes[:max_changes] if may_send else []
-        self.record_deferred(changes, chosen, levels_wait=level_lines > 0 and not may_send)
+        max_rate_limited_lines = 0.0 if only_urgent else self.lines_within_rate_limit(group, has_new_lines(changes))
+        max_changes = int(clamp(max(count_urgent(changes), max_rate_limited_lines), 0, max(0, free_lines)))
+        selected = changes[:max_changes] if may_send else []
+        self.record_deferred(changes, selected, has_waiting_levels=level_lines > 0 and not may_send)
         sends_levels = level_lines > 0 and may_send and not only_urgent
-        if chosen or sends_levels:
-            self.write_group(group, chosen, levels, now)
-            if max_paced_lines:
-                message_lines = self.channel.overhead_lines + len(chosen)
+        if selected or sends_levels:
+            self.write_group(group, selected, levels, now)
+            if max_rate_limited_lines:
+                message_lines = self.channel.overhead_lines + len(selected)
                 self.channel.change_allowance -= max(1, len(group.users)) * message_lines
 
     def record_deferred(
-        self, changes: Sequence[WeightChange], chosen: Sequence[WeightChange], levels_wait: bool
+        self, changes: Sequence[WeightChange], selected: Sequence[WeightChange], has_waiting_levels: bool
     ) -> None:
-        """Note whether something of a group has to be tried again before the next slot.
+        """Record whether changes of a group have to be retried before the next slot.
+
+        This is the case for urgent changes and levels that were not selected, and always for new lines. Routine changes
+        are not deferred.
 
-        Urgent changes and levels count if they were left out, new lines of a table that lacks a part in any case.
-        Routine changes are not deferred: they wait for the next slot.
+        Args:
+            changes: all changes of the group.
+            selected: the changes that are sent.
+            has_waiting_levels: whether admission levels have to be sent but the group cannot be sent a message.
         """
-        urgent_wait = count_urgent(chosen) < count_urgent(changes)
-        self.has_deferred_changes |= has_new_lines(changes) or levels_wait or urgent_wait
+        has_waiting_urgent = count_urgent(selected) < count_urgent(changes)
+        self.has_deferred_changes |= has_new_lines(changes) or has_waiting_levels or has_waiting_urgent
 
-    def free_lines_for_each(self, group: TableGroup) -> float:
-        """Lines that a message to each proxy of a group may have before the queue is too long.
+    def free_lines_per_proxy(self, group: TableGroup) -> float:
+        """Return the number of lines that each proxy of a group can be sent before the queue is too long.
 
-        This bounds urgent changes too; those that do not fit are deferred, routine ones wait for the next slot.
+        This limit also applies to urgent changes.
         """
         free = self.channel.free_lines(MAX_QUEUE_SHARE)
         return free / max(1, len(group.users)) - self.channel.overhead_lines
 
-    def lines_within_pace(self, group: TableGroup, is_lacking: bool) -> float:
-        """Lines for each proxy of a group that the pace of changes allows; none once it is spent.
+    def lines_within_rate_limit(self, group: TableGroup, includes_new_lines: bool) -> float:
+        """Return the number of lines that each proxy of a group can be sent within the rate limit of routine changes.
+
+        New lines may exceed the rate limit while the queue is short. The limit does not apply to urgent changes.
 
-        What a table lacks may go beyond the pace while the queue is short: no other change would use it. Urgent changes
-        are not bounded by this; routine ones over it are not deferred, but wait for the next slot.
+        Args:
+            group: the group.
+            includes_new_lines: whether the changes of the group include new lines.
         """
         channel = self.channel
-        if channel.change_allowance <= 0 and not (is_lacking and channel.free_lines(CHANGE_QUEUE_SHARE / 2) > 0):
+        if channel.change_allowance <= 0 and not (
+            includes_new_lines and channel.free_lines(CHANGE_QUEUE_SHARE / 2) > 0
+        ):
             return 0.0
         overhead = channel.overhead_lines
         return max(overhead, channel.max_change_allowance / max(1, len(group.users)) - overhead)
 
     def may_send_to_group(self, group: TableGroup, changes: Sequence[WeightChange], now: float) -> bool:
-        """Whether the queue is short, and each proxy of a group may get one more message.
+        """Return whether the queue is short and each proxy of a group may be sent another message.
+
+        Proxies that are sent a message by the current call anyway are not checked, because the changes are added to
+        that message. Changes for removed and warming servers may use the reserve of the message cap, once every
+        `ChannelBudget.reserve_spacing_ms`.
 
-        Proxies already written to in this call of the planner are skipped: each gets one message a call, and what is
-        added goes into that. For removed and warming servers there is a reserve of the message cap, for one message
-        every `ChannelBudget.reserve_spacing_ms`.
+        If messages are capped, two messages to a group within a slot have to be `MIN_SPACING_GRACE_SHARE` of the drain
+        grace apart, so that changes are combined in one message.
 
-        The spacing rule: between slots, where messages are capped, a group that was written to in an earlier call less
-        than `MIN_SPACING_GRACE_SHARE` of the drain grace ago has to wait, so that changes gather in one message.
+        Args:
+            group: the group.
+            changes: changes of the group, the most urgent first.
+            now: current time, ms.
         """
         settings = self.settings
         channel = self.channel
-        since_last = now - group.last_sent_at
-        between_slots = self.slot.started_at < now
-        if settings.message_cap and between_slots and 0 < since_last < MIN_SPACING_GRACE_SHARE * settings.drain_grace:
+        elapsed_ms = now - group.last_sent_at
+        is_between_slots = self.slot.started_at < now
+        if (
+            settings.message_cap
+            and is_between_slots
+            and 0 < elapsed_ms < MIN_SPACING_GRACE_SHARE * settings.drain_grace
+        ):
             return False
-        uses_reserve = changes and changes[0].urgency <= Urgency.WARMING and since_last >= channel.reserve_spacing_ms()
+        uses_reserve = changes and changes[0].urgency <= Urgency.WARMING and elapsed_ms >= channel.reserve_spacing_ms()
         share = 1.0 if uses_reserve else CHANGE_MESSAGE_SHARE
         return channel.free_lines(CHANGE_QUEUE_SHARE) > 0 and all(
             channel.may_send_message(user, share) for user in group.users if user not in channel.pending_lines
         )
 
     def group_changes(self, group: TableGroup, only_urgent: bool, now: float) -> list[WeightChange]:
-        """The changes of all tables of a group, in the order in which they should be sent."""
+        """Return the changes of all tables of a group, in the order in which they should be sent."""
         changes = [
             change
             for table_index, table in enumerate(group.tables)
@@ -234,23 +266,30 @@
         return changes
 
     def table_changes(self, table_index: int, table: Table, now: float) -> list[WeightChange]:
-        """Lines of a table that moved by over a tenth, came or went."""
+        """Return the lines of a table that are new, have to be removed, or differ by more than `MIN_CHANGE_SHARE`."""
         scale = table.weight_scale()
         shares = table.shares
         sent = table.sent
-        lacking = sum(share for server, share in shares.items() if server not in sent)
+        unsent_share = sum(share for server, share in shares.items() if server not in sent)
         changes = []
         for server in dict.fromkeys([*shares, *sent]):
             new = scale * shares.get(server, 0.0)
             old = sent.get(server, 0.0)
             size = abs(new - old)
             if size > MIN_CHANGE_SHARE * max(new, old) or (old > 0) != (new > 0):
-                urgency = self.change_urgency(server, old, new, now) if old != 0 else new_line_urgency(lacking)
+                urgency = self.change_urgency(server, old, new, now) if old != 0 else new_line_urgency(unsent_share)
                 changes.append(WeightChange(urgency, -size, table_index, server, new))
         return changes
 
     def change_urgency(self, server: ServerId, old: float, new: float, now: float) -> Urgency:
-        """How long the change of a line that proxies have been sent may wait."""
+        """Return the urgency of the change of a line that proxies were sent.
+
+        Args:
+            server: the server of the line.
+            old: weight that the proxies were sent.
+            new: weight to send.
+            now: current time, ms.
+        """
         if old <= OVERWEIGHT_MULTIPLE * new:
             return Urgency.ROUTINE
         view = self.pool.views.get(server)
@@ -261,25 +300,32 @@
         return Urgency.EJECTED_OR_EMPTY if view.is_ejected(now) else Urgency.ROUTINE
 
     def write_group(
-        self, group: TableGroup, chosen: Sequence[WeightChange], levels: list[dict[int, AdmissionLevel]], now: float
+        self, group: TableGroup, selected: Sequence[WeightChange], levels: list[dict[int, AdmissionLevel]], now: float
     ) -> None:
-        """Send chosen changes of a group's tables, and all of their levels that differ."""
+        """Send the selected changes of the tables of a group, and all admission levels that differ."""
         users = list(group.users)
         for table_index, table in enumerate(group.tables):
-            weights = {change.server: change.weight for change in chosen if change.table_index == table_index}
+            weights = {change.server: change.weight for change in selected if change.table_index == table_index}
             self.write_table(table, users, weights, levels[table_index])
-        if chosen:
+        if selected:
             group.last_sent_at = now
 
     def write_unused_groups(self, groups: Sequence[TableGroup], now: float) -> None:
-        """Write all lines and levels of groups that no proxy uses yet; this puts nothing into the channel."""
+        """Set all weights and admission levels of groups that no proxy uses yet, which sends no messages."""
         admitted = self.shedding.admitted_shares(now)
         for group in groups:
             for table in group.tables:
                 self.write_table(table, [], table.shares, self.shedding.levels(table, admitted))
 
     def write_table(self, table: Table, users: list[int], weights: Rates, levels: dict[int, AdmissionLevel]) -> None:
-        """Set lines and levels of one table, and charge them to its users."""
+        """Set weights and admission levels of a table, and add the lines to the messages of its proxies.
+
+        Args:
+            table: the table.
+            users: numbers of the proxies that use the table.
+            weights: new weights by server; 0 removes a line.
+            levels: target admission levels by class; only those that differ are sent.
+        """
         actions: list[Action] = [SetWeight(table.number, server, weight) for server, weight in weights.items()]
         table.sent = {server: weight for server, weight in {**table.sent, **weights}.items() if weight > 0}
         for request_class, level in levels.items():
@@ -291,27 +337,27 @@
             self.channel.add_lines(users, len(actions))
 
 
-def new_line_urgency(lacking: float) -> Urgency:
-    """How long a line that its table lacks may wait, by the share that the table lacks in all."""
-    if lacking > EMPTY_TABLE_UNSENT_SHARE:
+def new_line_urgency(unsent_share: float) -> Urgency:
+    """Return the urgency of a new line, depending on the total share of new lines in its table."""
+    if unsent_share > EMPTY_TABLE_UNSENT_SHARE:
         return Urgency.EJECTED_OR_EMPTY
-    return Urgency.NEW_LINE if lacking > NEW_LINE_UNSENT_SHARE else Urgency.ROUTINE
+    return Urgency.NEW_LINE if unsent_share > NEW_LINE_UNSENT_SHARE else Urgency.ROUTINE
 
 
 def count_urgent(changes: Sequence[WeightChange]) -> int:
-    """How many changes must not wait for the pace; neither new lines nor routine changes count."""
+    """Return the number of urgent changes, which are exempt from the rate limit of routine changes."""
     return sum(change.urgency < Urgency.NEW_LINE for change in changes)
 
 
 def has_new_lines(changes: Sequence[WeightChange]) -> bool:
-    """Whether some table lacks a part that was never sent."""
+    """Return whether the changes include new lines with urgency `NEW_LINE`."""
     return any(change.urgency == Urgency.NEW_LINE for change in changes)
 
 
 def count_level_lines(group: TableGroup, levels: list[dict[int, AdmissionLevel]]) -> int:
-    """How many levels of a group's tables differ enough to be sent."""
+    """Return the number of admission levels of a group that differ enough to be sent."""
     return sum(
         level_differs(level, table.levels.get(request_class))
-        for table, wanted in zip(group.tables, levels, strict=True)
-        for request_class, level in wanted.items()
+        for table, table_levels in zip(group.tables, levels, strict=True)
+        for request_class, level in table_levels.items()
     )
