--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -123,7 +123,7 @@
     def share_among_planners(self, demand: float, peer_states: list[PeerState]) -> float:
         """Return this planner's share of the demand of all proxies.
 
-        Proxies that are connected to no known planner are assumed to have the average demand of the others.
+        Proxies that are connected to unknown planners are assumed to have the average demand of the others.
 
         Args:
             demand: requests per second of this planner's proxies.
@@ -150,7 +150,7 @@
         """Return the requests per second that each server can still receive up to a share of its capacity.
 
         A warming server has a lower limit, of which this planner uses its own share, because the load from peer
-        planners is not known soon enough.
+        planners becomes known too late.
 
         Args:
             headrooms: headroom by server.
--- a/stackwheel/policy/capacity.py
+++ b/stackwheel/policy/capacity.py
@@ -19,7 +19,7 @@
 """Smoothing factor of capacities, per slot."""
 
 UNIT_CAPACITY_GROWTH = 0.03
-"""Growth of the unit capacity in a slot with low latency, which shows that servers have spare capacity."""
+"""Relative growth of the unit capacity in a slot with low latency, which shows that servers have spare capacity."""
 
 MIN_CAPACITY_PER_S = 1e-3
 """Minimum of an assumed capacity, requests per second; it differs from 0, which means unknown."""
--- a/stackwheel/policy/channel.py
+++ b/stackwheel/policy/channel.py
@@ -21,7 +21,7 @@
 """Share of the channel rate that routine changes of weights may use."""
 
 CHANGE_BURST_INTERVALS = 2.0
-"""Maximum unused allowance for routine changes, in report intervals; one message can then change all of a table."""
+"""Maximum unused allowance for routine changes, in report intervals; one message can then change complete tables."""
 
 MIN_LINES_PER_OVERHEAD = 5.0
 """Minimum number of lines per message, as a multiple of the message overhead; it limits the size of groups."""
@@ -68,7 +68,7 @@
         now: time of the current call of the planner, ms.
         queued_lines: estimated number of lines in the queue.
         ack_wait_started_at: start of the wait for the next acknowledgement, ms: time of the last acknowledgement or,
-            if no update was unacknowledged since, of the first update after it.
+            if no acknowledgement was expected after it, of the next update.
         overhead_lines: cost of a message in addition to its lines, including its nonce.
         change_lines_per_ms: rate at which the allowance for routine changes grows.
         max_change_allowance: maximum of `change_allowance`.
--- a/stackwheel/policy/demand.py
+++ b/stackwheel/policy/demand.py
@@ -78,7 +78,7 @@
             counter.rate = max(0.0, counter.rate - (0.0 if announced_rate else rate))
 
     def record(self, report: DemandReport, now: float) -> None:
-        """Add a report to the counters; it replaces the rate that the proxy announced for that class."""
+        """Add a report to the counters; the announced rate of its class becomes part of the estimated rate."""
         proxy = self.proxies.get(report.proxy)
         request_class = report.request_class
         if proxy is None or not 0 < report.window < math.inf or request_class not in self.classes:
--- a/stackwheel/policy/endpoints.py
+++ b/stackwheel/policy/endpoints.py
@@ -66,12 +66,12 @@
         """Apply the entry of one server, and return whether its process or its availability has changed."""
         # The number is drawn for known servers too, so that the sequence of draws depends only on the updates.
         threshold = self.random.uniform(MIN_INCLUSION_THRESHOLD, 1.0)
-        known = self.pool.views.setdefault(entry.server, ServerView(entry, inclusion_threshold=threshold))
-        previous_entry = known.entry
+        view = self.pool.views.setdefault(entry.server, ServerView(entry, inclusion_threshold=threshold))
+        previous_entry = view.entry
         if entry.started_at > previous_entry.started_at:
             # A restarted server keeps its measured capacity and attempt rates, but not its latency and failures.
             self.pool.views[entry.server] = ServerView(
-                entry, known.capacity, known.inclusion_threshold, known.attempt_rates
+                entry, view.capacity, view.inclusion_threshold, view.attempt_rates
             )
         self.pool.views[entry.server].entry = entry
         return (entry.started_at, entry.availability) != (previous_entry.started_at, previous_entry.availability)
--- a/stackwheel/policy/joins.py
+++ b/stackwheel/policy/joins.py
@@ -78,7 +78,7 @@
         self.create_first_groups({self.proxies[number].zone for _, number in ready}, now)
         lines = self.lines_before_deadline(len(ready), now)
         for _, number in sorted(ready):
-            if not self.assign(number, self.group_for(self.proxies[number], lines, now), CHANGE_QUEUE_SHARE):
+            if not self.assign(number, self.select_group(self.proxies[number], lines, now), CHANGE_QUEUE_SHARE):
                 return
 
     def may_get_message(self, number: int) -> bool:
@@ -101,7 +101,7 @@
         remaining_ms = max(0.0, self.first_table_ms - waited_ms)
         return remaining_ms / 1000.0 * self.settings.channel_rate / max(1, count) - self.channel.overhead_lines
 
-    def group_for(self, proxy: ProxyView, lines: float, now: float) -> TableGroup:
+    def select_group(self, proxy: ProxyView, lines: float, now: float) -> TableGroup:
         """Return the group whose tables a proxy is assigned, and create it if necessary.
 
         Args:
@@ -158,7 +158,7 @@
             and self.channel.may_send_message(number, CHANGE_MESSAGE_SHARE)
         ]
         for _, number in sorted(short):
-            if not self.assign(number, self.group_for(self.proxies[number], math.inf, now), REPLACEMENT_QUEUE_SHARE):
+            if not self.assign(number, self.select_group(self.proxies[number], math.inf, now), REPLACEMENT_QUEUE_SHARE):
                 return
 
     def create_first_groups(self, zones: set[int], now: float) -> None:
--- a/stackwheel/policy/outlier_ejection.py
+++ b/stackwheel/policy/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: a server whose attempts fail far more often than those of others gets little traffic for a time."""
+"""Outlier ejection: servers that fail far more often than others receive little traffic for a limited time."""
 
 from __future__ import annotations
 
--- a/tests/generated_fleet.py
+++ b/tests/generated_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of any size, drawn by a seed, with services of skewed sizes."""
+"""Generates endpoint lists, regions and relays; the sizes of services follow a power law."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 REGIONS = 36
 RELAYS = 17
 PLANNERS = 15_000
-SKEW = 0.9  # the size of the n-th service goes with n to the power of minus this
+SIZE_EXPONENT = 0.9  # of the power law by which the size of a service decreases with its rank
 
 
 def regions(zones: int = ZONES, count: int = REGIONS) -> dict[str, str]:
@@ -29,10 +29,10 @@
 def servers(
     seed: int, count: int = SERVERS, services: int = SERVICES, zones: Iterable[str] | None = None
 ) -> list[ListedServer]:
-    """Every service has one server at least; the others are drawn by a power law, each in a random zone."""
+    """Generate servers in random zones; each service has at least one server."""
     random = Random(seed)
     zone_names = list(zones if zones is not None else regions())
-    weights = [(number + 1) ** -SKEW for number in range(services)]
+    weights = [(number + 1) ** -SIZE_EXPONENT for number in range(services)]
     service_numbers = [*range(services), *random.choices(range(services), weights, k=count - services)]
     suffixes = random.sample(range(1 << 32), count)
     return [
@@ -42,7 +42,7 @@
 
 
 def encode_endpoint_list(listed: Iterable[ListedServer]) -> bytes:
-    """The servers as discovery would answer them."""
+    """Encode servers as a response of the discovery service."""
     instances = [
         {"instanceId": server.name, "hostPort": "10.1.0.1:80", "zone": server.zone, "lifecycle": "in_service"}
         for server in listed
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -1,4 +1,4 @@
-"""A planner actor with a scripted policy, recording ports and connections that count what happens to them."""
+"""A harness for the planner actor, with a scripted policy, recording ports and fake connections."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FakeConnection:
-    """A stream's connection that counts how often it was superseded."""
+    """A connection of a stream that counts how often it was superseded."""
 
     def __init__(self) -> None:
         self.superseded_count = 0
@@ -36,7 +36,7 @@
 
 
 class RecordingPorts:
-    """Ports that note each call as a tuple of its kind and arguments."""
+    """Ports that record each call as a tuple of its kind and arguments."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -58,7 +58,7 @@
 
 
 class ScriptedPolicy:
-    """In the policy's place: notes the events it is given, replies as it is told or raises."""
+    """A replacement for the policy that records events, and returns or raises scripted replies."""
 
     def __init__(self, _settings: Settings, seed: int) -> None:
         self.seed = seed
@@ -74,7 +74,7 @@
 
 
 class ManualClock:
-    """A clock that a test sets; ms."""
+    """A clock whose time is set by the test, ms."""
 
     def __init__(self, time: float = 0.0) -> None:
         self.time = time
@@ -84,7 +84,7 @@
 
 
 class ActorHarness:
-    """A planner actor that knows the servers s-0 and s-1 of generation 1."""
+    """A planner actor with an endpoint list of generation 1 that contains the servers s-0 and s-1."""
 
     def __init__(self, clock: ManualClock | None = None) -> None:
         self.policies: list[ScriptedPolicy] = []
@@ -105,12 +105,12 @@
         return self.policies[-1]  # type: ignore[return-value]
 
     def send_nonce(self, nonce: int) -> None:
-        """Have the policy attach a nonce to a message to all proxies."""
+        """Process a batch in which the policy requests acknowledgements from all proxies."""
         self.policies[-1].replies.append([AttachNonce(nonce, True)])
         self.process()
 
     def process(self, *messages: PlannerMessage) -> list[Event]:
-        """Post messages, process them as one batch; the events that the policy was given."""
+        """Post messages, process them as one batch, and return the events that the policy received."""
         for message in messages:
             self.actor.post(message)
         self.actor.process_batch()
--- a/tests/policy/test_deployment_names.py
+++ b/tests/policy/test_deployment_names.py
@@ -1,4 +1,4 @@
-"""The policy is free of what belongs to one deployment."""
+"""Checks that the code does not depend on names of specific deployments."""
 
 import re
 import tomllib
@@ -39,8 +39,8 @@
     assert sorted(PACKAGE.parent / path for path in paths) == POLICY_FILES
 
 
-def test_policy_names_its_interface_first() -> None:
-    """The file that a reader is pointed to first, and the package itself."""
+def test_the_policy_refers_to_its_interface_at_the_start() -> None:
+    """Applies to the first file in the deploy file and to the policy package."""
     assert (PACKAGE / "interface" / "__init__.py").is_file()
     first = tomllib.loads(DEPLOY_FILE.read_text())["policy"][0]
     for path in (PACKAGE.parent / first, PACKAGE / "policy" / "__init__.py"):
@@ -48,13 +48,13 @@
 
 
 @pytest.mark.parametrize("path", POLICY_FILES, ids=lambda path: path.name)
-def test_policy_reads_no_name(path: Path) -> None:
-    """Settings may name classes, zones and kinds; the policy must not look at any such name."""
+def test_the_policy_does_not_access_names(path: Path) -> None:
+    """Decisions must not depend on the names of classes, zones and machine kinds."""
     assert not re.search(r"\.name\b", path.read_text())
 
 
 @pytest.mark.parametrize("path", sorted(PACKAGE.rglob("*.py")), ids=lambda path: str(path.relative_to(PACKAGE)))
-def test_code_knows_no_deployment(path: Path) -> None:
+def test_the_code_contains_no_deployment_name(path: Path) -> None:
     text = path.read_text().lower()
     for name in NAMES:
         assert not re.search(rf"(?<![a-z]){re.escape(name)}(?![a-z])", text), name
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -1,17 +1,17 @@
-"""The datagrams between planners."""
+"""Tests for gossip datagrams between planners."""
 
 import pytest
-from policy_harness import PolicyHarness, actions_of, entry, load_reports, server_id
+from policy_harness import PolicyHarness, actions_of_type, entry, load_reports, server_id
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.policy import gossip
 
 
-def test_datagrams_fit_and_name_every_server() -> None:
-    """At full size 32 servers of 100 were gossiped, and the others were taken for unused."""
+def test_gossip_contains_all_servers_in_datagrams_of_limited_size() -> None:
+    """Servers that are missing from gossip would appear to receive no traffic from this planner."""
     harness = PolicyHarness(servers=[entry(n) for n in range(60)], planner_count=2, gossip_enabled=True)
-    harness.slots(2)
-    payloads = [a.payload for a in actions_of(harness.slot(), face.SendGossip)]
+    harness.run_slots(2)
+    payloads = [a.payload for a in actions_of_type(harness.run_slot(), interface.SendGossip)]
     assert all(len(payload) <= 256 for payload in payloads)
     rates = {server: rate for payload in payloads for server, rate in gossip.decode(payload).rates.items()}
     assert rates == {
@@ -21,19 +21,20 @@
         gossip.decode(b"garbage")
 
 
-def test_no_more_is_gossiped_than_peers_can_read() -> None:
+def test_no_gossip_is_sent_if_it_exceeds_the_limit_of_datagrams_per_interval() -> None:
     for planners, datagrams in ((5, 7), (230, 0)):
         harness = PolicyHarness(servers=[entry(n) for n in range(200)], gossip_enabled=True, planner_count=planners)
         harness.actions.clear()
-        harness.send(*load_reports(harness), wait=1000.0)
-        assert len(actions_of(harness.actions, face.SendGossip)) == datagrams
+        harness.send(*load_reports(harness), wait_ms=1000.0)
+        assert len(actions_of_type(harness.actions, interface.SendGossip)) == datagrams
 
 
-def test_a_planner_without_proxies_gossips_that_it_sends_nothing() -> None:
-    """Two planners that had restarted sent no gossip, and two fifths of what warming servers could take lay idle."""
+def test_a_planner_without_proxies_sends_gossip_with_zero_proxies() -> None:
+    """Without it, peers would reserve a part of the limits of warming servers for a planner that needs none."""
     harness = PolicyHarness(servers=[entry(n) for n in range(4)], proxies=(), gossip_enabled=True, planner_count=5)
     harness.actions.clear()
-    (announcement,) = actions_of(
-        harness.send(face.TimerFired((1 << 32) + harness.planner.slot.number), wait=1250.0), face.SendGossip
+    (action,) = actions_of_type(
+        harness.send(interface.TimerFired((1 << 32) + harness.planner.slot.number), wait_ms=1250.0),
+        interface.SendGossip,
     )
-    assert gossip.decode(announcement.payload).proxies == 0
+    assert gossip.decode(action.payload).proxies == 0
--- a/tests/policy/test_health_check_budget.py
+++ b/tests/policy/test_health_check_budget.py
@@ -1,12 +1,12 @@
-"""Health checks where load reports are old."""
+"""Tests for health checks while load reports arrive late."""
 
-from policy_harness import PolicyHarness, actions_of, entry, load_reports, server_id
+from policy_harness import PolicyHarness, actions_of_type, entry, load_reports, server_id
 
-from stackwheel import interface as face
+from stackwheel import interface
 
 
-def test_health_checks_show_an_overload_and_its_end_while_reports_are_old() -> None:
-    """Shedding began and ended ten seconds late: each report covered the time since the last."""
+def test_health_checks_detect_the_start_and_end_of_an_overload_while_reports_are_late() -> None:
+    """Load reports with long windows show an overload and its end many seconds too late."""
     harness = PolicyHarness(
         servers=[entry(n) for n in range(8)],
         proxies=((0, 0),),
@@ -14,38 +14,38 @@
         health_checks_enabled=True,
         zone_count=1,
     )
-    spent: list[int] = []
+    check_counts: list[int] = []
 
-    def second(waiting: float, span: float = 12_000.0) -> None:
-        checks = actions_of(
+    def run_second(outstanding: float, window: float = 12_000.0) -> None:
+        checks = actions_of_type(
             harness.send(
-                *load_reports(harness, int(span / 50.0), span=span),
-                face.DemandReport(0, 0, 100, 0, 1000.0),
-                face.DemandReport(0, 1, 60, 0, 1000.0),
-                wait=1000.0,
+                *load_reports(harness, int(window / 50.0), window=window),
+                interface.DemandReport(0, 0, 100, 0, 1000.0),
+                interface.DemandReport(0, 1, 60, 0, 1000.0),
+                wait_ms=1000.0,
             ),
-            face.StartHealthCheck,
+            interface.StartHealthCheck,
         )
-        spent.append(len(checks))
-        harness.send(*(face.HealthCheckResult(check.server, 1, 5.0, (waiting,)) for check in checks))
+        check_counts.append(len(checks))
+        harness.send(*(interface.HealthCheckResult(check.server, 1, 5.0, (outstanding,)) for check in checks))
 
     for _ in range(12):
-        second(2.0)
+        run_second(2.0)
     assert harness.planner.shedding.shed_share == 0.0
     for _ in range(4):
-        second(60.0)
+        run_second(60.0)
     assert harness.planner.shedding.shed_share > 0.0
     for _ in range(12):
-        second(1.0)
+        run_second(1.0)
     assert harness.planner.shedding.shed_share == 0.0
-    assert spent[-1] > 0
+    assert check_counts[-1] > 0
     for _ in range(60):
-        second(1.0, 1000.0)
-    assert spent[-1] == 0  # reports that are fresh tell as much, and cost nothing
+        run_second(1.0, 1000.0)
+    assert check_counts[-1] == 0  # recent reports make health checks unnecessary
 
 
-def test_rejected_health_checks_show_an_overload() -> None:
-    """Only servers with spare capacity answered, so with two thirds saturated nothing was shed for ten seconds."""
+def test_rejected_health_checks_indicate_an_overload() -> None:
+    """If only answered health checks counted, saturated servers that reject them would be ignored."""
     harness = PolicyHarness(
         servers=[entry(n) for n in range(9)],
         proxies=((0, 0),),
@@ -54,20 +54,20 @@
         zone_count=1,
     )
     for _ in range(20):
-        checks = actions_of(
+        checks = actions_of_type(
             harness.send(
-                *load_reports(harness, 120, span=12_000.0),
-                face.DemandReport(0, 0, 100, 0, 1000.0),
-                face.DemandReport(0, 1, 60, 0, 1000.0),
-                wait=1000.0,
+                *load_reports(harness, 120, window=12_000.0),
+                interface.DemandReport(0, 0, 100, 0, 1000.0),
+                interface.DemandReport(0, 1, 60, 0, 1000.0),
+                wait_ms=1000.0,
             ),
-            face.StartHealthCheck,
+            interface.StartHealthCheck,
         )
         harness.send(
             *(
-                face.HealthCheckResult(
+                interface.HealthCheckResult(
                     check.server,
-                    face.HealthCheckOutcome.OK if check.server[3] < 3 else face.HealthCheckOutcome.REJECTED,
+                    interface.HealthCheckOutcome.OK if check.server[3] < 3 else interface.HealthCheckOutcome.REJECTED,
                     5.0,
                     (1.0,) if check.server[3] < 3 else (),
                 )
@@ -77,11 +77,11 @@
     assert harness.planner.shedding.shed_share > 0.0
 
 
-def test_a_saturated_server_that_then_resets_a_health_check_has_no_known_load() -> None:
+def test_a_slot_completes_after_a_saturated_server_has_reset_a_health_check() -> None:
     harness = PolicyHarness(servers=[entry(n) for n in range(4)], load_columns=("outstanding",))
     harness.send(
-        face.HealthCheckResult(server_id(0), face.HealthCheckOutcome.REJECTED, 5.0),
-        face.HealthCheckResult(server_id(0), face.HealthCheckOutcome.RESET, 5.0),
+        interface.HealthCheckResult(server_id(0), interface.HealthCheckOutcome.REJECTED, 5.0),
+        interface.HealthCheckResult(server_id(0), interface.HealthCheckOutcome.RESET, 5.0),
     )
-    bare = [face.LoadReport(0, server_id(n), 20, 0, 100.0, 1000.0) for n in range(4)]
-    assert actions_of(harness.send(*bare, wait=1000.0), face.SetTimer)  # the slot ran to its end
+    reports = [interface.LoadReport(0, server_id(n), 20, 0, 100.0, 1000.0) for n in range(4)]
+    assert actions_of_type(harness.send(*reports, wait_ms=1000.0), interface.SetTimer)  # set at the end of a slot
