--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -95,7 +95,7 @@
 
 
 def lines_by_proxy(harness: PolicyHarness, actions: list[interface.Action]) -> dict[int, int]:
-    """Count the lines that actions send to each proxy, as specified by the protocol instead of the policy's estimate."""
+    """Count the lines that actions send to each proxy, as the protocol specifies and not as the policy estimates."""
     lines: dict[int, int] = {}
     assigned = {p for a in actions if isinstance(a, interface.AssignTable) for p in [a.proxy]}
     for action in actions:
