--- a/stackwheel/policy/planner.py
+++ b/stackwheel/policy/planner.py
@@ -208,4 +208,4 @@
         """Send changed weights and admission levels, after the first tables of proxies whose assignment is overdue."""
         if self.joins.are_overdue(now):
             self.joins.assign_tables(now)
-        self.updates.send_changes(bool(self.joins.waiting), now)
+        self.updates.send(bool(self.joins.waiting), now)
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -85,8 +85,8 @@
 
     Attributes:
         has_urgent_change: whether the operators' rules require a change to be sent at once; the next call of
-            `send_changes` resets it, even if the change could not be sent.
-        has_deferred_changes: whether the last call of `send_changes` omitted changes that have to be retried before
+            `send` resets it, even if the change could not be sent.
+        has_deferred_changes: whether the last call of `send` omitted changes that have to be retried before
             the next slot.
         retry_at: time from which deferred changes may be retried, ms.
         retry_ms: delay of such a retry.
@@ -123,7 +123,7 @@
         is_requested = self.has_urgent_change or (self.has_deferred_changes and now >= self.retry_at)
         return is_requested and self.channel.free_lines(CHANGE_QUEUE_SHARE) > 0
 
-    def send_changes(self, has_waiting_proxies: bool, now: float) -> None:
+    def send(self, has_waiting_proxies: bool, now: float) -> None:
         """Send changes; removed servers are removed from all tables before any other change is sent.
 
         A timer is started only for deferred removals. Other deferred changes are retried in the first call of the
--- a/tests/policy/test_channel.py
+++ b/tests/policy/test_channel.py
@@ -99,9 +99,7 @@
 @pytest.mark.parametrize(
     ("rate_share", "stalled_ms"), [(1.0, 0.0), (0.2, 0.0), (0.08, 0.0), (0.02, 0.0), (0.3, 1700.0), (0.1, 2500.0)]
 )
-def test_the_queue_limit_is_not_exceeded_if_the_channel_is_slower_than_configured(
-    rate_share: float, stalled_ms: float
-) -> None:
+def test_the_queue_limit_is_not_exceeded_however_slow_the_channel_is(rate_share: float, stalled_ms: float) -> None:
     """The queue must not be assumed to drain with time while acknowledgements show that it is longer."""
     harness = harness_with_many_proxies()
     channel = Channel(harness, rate_share * harness.settings.channel_rate, stalled_ms)
--- a/tests/policy/test_updates.py
+++ b/tests/policy/test_updates.py
@@ -106,7 +106,7 @@
     assert all(server_id(7) not in lines for lines in harness.tables.values())
 
 
-def test_a_removal_that_the_message_cap_deferred_is_sent_within_the_drain_grace_without_other_events() -> None:
+def test_a_removal_deferred_by_the_message_cap_is_sent_within_the_drain_grace_without_other_events() -> None:
     """The timers of the policy are the only events."""
     harness = two_zone_harness(12, message_cap=12, drain_grace=2000.0)
     for second in range(7):  # use up the share of the cap for routine changes
