--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -15,10 +15,13 @@
 
 # Detection of overload
 SLOW_LATENCY_OBJECTIVES = 0.3
-"""Latency, as a share of the mean latency objective, above which half of the traffic has to be to indicate overload."""
+"""Median latency above which servers count as overloaded, as a share of the mean latency objective."""
 
 SLOW_LATENCY_MULTIPLE = 1.7
-"""Multiple of the lowest latency above which half of the traffic has to be as well to indicate overload."""
+"""Median latency above which servers count as overloaded, as a multiple of the lowest latency.
+
+Both this limit and `SLOW_LATENCY_OBJECTIVES` have to be exceeded.
+"""
 
 HEALTH_CHECK_VALIDITY_INTERVALS = 3.0
 """Number of report intervals for which the load figures of a health check are used."""
--- a/stackwheel/policy/outlier_ejection.py
+++ b/stackwheel/policy/outlier_ejection.py
@@ -70,7 +70,7 @@
         view.ejected_until = now + view.ejection_intervals * self.report_interval
 
     def restore(self, view: ServerView) -> None:
-        """Reset the estimates that led to an ejection; the server's share then increases in capped steps."""
+        """Reset the estimates that led to an ejection; the server's share then increases in limited steps."""
         view.ejected_until = 0.0
         view.failure_share = 0.0
         view.latency = None
--- a/stackwheel/policy/peer_planners.py
+++ b/stackwheel/policy/peer_planners.py
@@ -12,7 +12,7 @@
 """Number of report intervals for which the state of a peer is valid after its last datagram."""
 
 MAX_DATAGRAMS_PER_INTERVAL = 128
-"""Maximum number of datagrams that a planner receives per report interval; no gossip is sent if more were needed."""
+"""Maximum number of datagrams that a planner receives per report interval; if peers need more, they send none."""
 
 
 class PeerState(NamedTuple):
--- a/stackwheel/policy/slow_start.py
+++ b/stackwheel/policy/slow_start.py
@@ -6,9 +6,9 @@
 from stackwheel.policy.arithmetic import clamp
 
 WARMING_LOAD_SHARE = 0.22
-"""Share of `Settings.overload_multiple` up to which the available capacity of a warming server is used.
+"""Maximum load of a warming server, as a share of the load above which it is overloaded.
 
-It prevents several planners from overloading a server together when it returns.
+The margin prevents several planners from overloading a server together when it returns.
 """
 
 MIN_REPORTED_SHARE = 0.3
@@ -24,7 +24,7 @@
     Attributes:
         min_share: share of its full capacity that a server has when it starts.
         duration_ms: time until a started server has its full capacity.
-        warming_utilization: share of the available capacity of a warming server that is used.
+        warming_utilization: maximum load of a warming server, as a multiple of its available capacity.
         proxies_avoid_servers: whether proxies avoid servers after consecutive failures.
     """
 
--- a/stackwheel/policy/table_groups.py
+++ b/stackwheel/policy/table_groups.py
@@ -108,8 +108,8 @@
     def update_short_tables(self, size: int, tables: tuple[Table, ...], ready: ReadyServers, now: float) -> None:
         """Update the shares of short tables.
 
-        Together they contain the servers with the highest allocated rates of the zone, and each of them contains
-        `MIN_HEALTHY_LINES` healthy servers.
+        Together they contain the servers with the highest allocated rates of the zone. Each of them contains at least
+        `MIN_HEALTHY_LINES` healthy servers, if there are that many.
         """
         rates = self.target_rates(tables[0], ready)
         target_shares = table_shares({server: rate for server, rate in rates.items() if rate > 0}, self.pool, now)
