--- a/stackwheel/cli/scale.py
+++ b/stackwheel/cli/scale.py
@@ -16,7 +16,7 @@
 from stackwheel.scale.bounds import ScaleError
 from stackwheel.scale.control import ControlError
 from stackwheel.scale.fleet import MAX_ZONES, default_zones
-from stackwheel.scale.report import Arguments, encode
+from stackwheel.scale.report import Arguments, encode_report
 from stackwheel.scale.run import run_scale
 from stackwheel.scale.scenarios import Scenario, default_event_rate
 
@@ -153,5 +153,5 @@
         raise click.ClickException("the run did not end in time; all processes have ended") from error
     if not as_json:
         Console().print(report_table(report))
-    click.echo(encode(report))
+    click.echo(encode_report(report))
     return 0 if report.passed() else 1
--- a/stackwheel/cli/scale_slopes.py
+++ b/stackwheel/cli/scale_slopes.py
@@ -10,9 +10,9 @@
 
 from stackwheel.cli.interrupts import cancelled_by_sigterm
 from stackwheel.cli.options import FILE_PATH
-from stackwheel.scale.points import DIRECT, PLANS, SweepPlan
-from stackwheel.scale.slopes import VERSION, Result, ResultError, merged, read_result, write_result
-from stackwheel.scale.sweep import Timing, run_all, this_machine
+from stackwheel.scale.points import SINGLE_POINTS, SWEEP_PLANS, SweepPlan
+from stackwheel.scale.slopes import VERSION, Result, ResultError, merge_results, read_result, write_result
+from stackwheel.scale.sweep import Timing, measure_all, this_machine
 
 
 @click.command()
@@ -31,9 +31,9 @@
     from stackwheel.scale.choice_timing import time_choices
 
     plans = select_plans(only)
-    points = [] if no_direct else list(DIRECT)
+    points = [] if no_direct else list(SINGLE_POINTS)
     former = load_result(out) if replace else None
-    work = run_all(plans, points, Timing(span), repeats, seed, print_progress)
+    work = measure_all(plans, points, Timing(span), repeats, seed, print_progress)
     try:
         measured = asyncio.run(cancelled_by_sigterm(work))
     except asyncio.CancelledError as error:
@@ -43,7 +43,7 @@
         return 1
     arguments = {"repeats": float(repeats), "span": span, "seed": float(seed)}
     result = Result(VERSION, arguments, this_machine(), measured.sweeps, measured.direct, time_choices())
-    write_result(out, result if former is None else merged(former, result))
+    write_result(out, result if former is None else merge_results(former, result))
     click.echo(f"written: {out}")
     return 0
 
@@ -75,7 +75,7 @@
 
 def select_plans(names: Sequence[str]) -> list[SweepPlan]:
     """The sweeps of some names, or all; a usage error (exit 2) if a name is unknown."""
-    plans = {plan.name: plan for plan in PLANS}
+    plans = {plan.name: plan for plan in SWEEP_PLANS}
     for name in names:
         if name not in plans:
             raise click.UsageError(f"no sweep {name!r}; known are {', '.join(plans)}")
--- a/stackwheel/scale/accounting.py
+++ b/stackwheel/scale/accounting.py
@@ -87,12 +87,12 @@
     messages_in: int = 0
     messages_out: int = 0
 
-    def received(self, size: int, messages: int = 1) -> None:
+    def count_received(self, size: int, messages: int = 1) -> None:
         """Count bytes and messages that the process under test was sent."""
         self.bytes_in += size
         self.messages_in += messages
 
-    def sent(self, size: int, messages: int = 1) -> None:
+    def count_sent(self, size: int, messages: int = 1) -> None:
         """Count bytes and messages that the process under test has sent."""
         self.bytes_out += size
         self.messages_out += messages
--- a/stackwheel/scale/bounds.py
+++ b/stackwheel/scale/bounds.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class RunSize:
     """The numbers that decide how much a run takes."""
 
     servers: int
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Estimate:
+class ResourceEstimate:
     """What a run is expected to take."""
 
     memory_mb: float
@@ -54,7 +54,7 @@
     return math.ceil(planners / PLANNERS_PER_PROCESS)
 
 
-def estimate(size: Size) -> Estimate:
+def estimate(size: RunSize) -> ResourceEstimate:
     """The memory and the number of processes that a run of this size is expected to take."""
     hollow_process_count = hollow_processes(size.planners)
     list_mb = size.servers * ENTRY_MB
@@ -70,10 +70,10 @@
         + size.relays * (RELAY_MB + list_mb)
     )
     run_and_registry = 2
-    return Estimate(memory_mb, run_and_registry + hollow_process_count + size.real_planners + size.relays)
+    return ResourceEstimate(memory_mb, run_and_registry + hollow_process_count + size.real_planners + size.relays)
 
 
-def check(size: Size, available_mb: float | None = None) -> Estimate:
+def check_run_size(size: RunSize, available_mb: float | None = None) -> ResourceEstimate:
     """The estimate of a run of this size.
 
     Args:
--- a/stackwheel/scale/comparison.py
+++ b/stackwheel/scale/comparison.py
@@ -18,29 +18,29 @@
     """The result of one comparison, over all planners."""
 
     full_list: FullList  # what was compared with
-    compared: int = 0  # entries
-    right: int = 0  # planners
-    wrong: int = 0  # entries wrong or missing
+    compared_entry_count: int = 0  # entries
+    correct_planner_count: int = 0  # planners
+    wrong_entry_count: int = 0  # entries wrong or missing
     examples: list[str] = field(default_factory=list)  # one line for each wrong planner
     digests: dict[str, set[str]] = field(default_factory=dict)  # the different digests of each cell's planners
 
-    def add_hollow(self, result: Compared, layout: Layout) -> None:
+    def add_hollow_process(self, result: Compared, layout: Layout) -> None:
         """Add the result of one hollow process."""
-        self.compared += result.entries
-        self.right += result.right
-        self.wrong += sum(planner.wrong for planner in result.wrong)
+        self.compared_entry_count += result.entries
+        self.correct_planner_count += result.right
+        self.wrong_entry_count += sum(planner.wrong for planner in result.wrong)
         for planner in result.wrong:
             name = layout.placed[planner.planner].planner.name
             self.examples.append(f"{name}: {planner.wrong} wrong, {planner.example}")
         for cell, digests in result.digests.items():
             self.digests.setdefault(cell, set()).update(digests)
 
-    def add_real(self, planner: RealPlanner, expected: list[Entry]) -> None:
+    def add_real_planner(self, planner: RealPlanner, expected: list[Entry]) -> None:
         """Compare a real planner's tables with the entries expected of it, and add the result."""
         difference = compare_tables(planner.lines(), expected)
-        self.compared += len(expected)
-        self.wrong += difference.count()
-        self.right += difference.count() == 0
+        self.compared_entry_count += len(expected)
+        self.wrong_entry_count += difference.count()
+        self.correct_planner_count += difference.count() == 0
         if difference.count():
             name = planner.placed.planner.name
             self.examples.append(f"{name} (real): {difference.count()} wrong, {difference.example()}")
@@ -64,8 +64,8 @@
         )
     )
     for result in results:
-        comparison.add_hollow(result, layout)
+        comparison.add_hollow_process(result, layout)
     for planner in real:
         cell = planner.placed.cell
-        comparison.add_real(planner, by_cell[cell] if cell else full_list.entries)
+        comparison.add_real_planner(planner, by_cell[cell] if cell else full_list.entries)
     return comparison
--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -44,7 +44,7 @@
         http = h11.Connection(h11.SERVER)
         with contextlib.suppress(OSError, h11.ProtocolError), contextlib.closing(writer):
             request = await read_request(http, reader, READ_BYTES, self.count_in)
-            self.traffic.sent(0)
+            self.traffic.count_sent(0)
             target = request.target.decode()
             if "follow=1" in target:
                 await self.watch(http, reader, writer, known_generation(target))
@@ -55,7 +55,7 @@
 
     def count_in(self, size: int) -> None:
         """Count bytes that the process under test has sent; its request counts as one message once it is complete."""
-        self.traffic.sent(size, 0)
+        self.traffic.count_sent(size, 0)
 
     async def watch(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, known: int | None
@@ -112,7 +112,7 @@
             data = http.send(h11.Response(status_code=200, headers=list(CHUNKED_JSON_HEADERS)))
         data += http.send(h11.Data(body))
         writer.write(data)
-        self.traffic.received(len(data))
+        self.traffic.count_received(len(data))
 
 
 def known_generation(target: str) -> int | None:
@@ -131,11 +131,11 @@
         """Answer one health check."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError), contextlib.closing(writer):
             request = await reader.readuntil(b"\r\n\r\n")
-            self.traffic.sent(len(request))
+            self.traffic.count_sent(len(request))
             body = b"inflight=1"
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s" % (len(body), body)
             writer.write(answer)
-            self.traffic.received(len(answer))
+            self.traffic.count_received(len(answer))
             await writer.drain()
 
 
@@ -152,7 +152,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: ARG002 - asyncio calls it so
         """Count a datagram that the planner under test has sent."""
-        self.traffic.sent(len(data))
+        self.traffic.count_sent(len(data))
 
     def address(self) -> str:
         """The address, HOST:PORT, at which it receives."""
@@ -165,7 +165,7 @@
         assert self.transport is not None
         assert len(payload) <= MAX_DATAGRAM_BYTES
         self.transport.sendto(payload, address)
-        self.traffic.received(len(payload))
+        self.traffic.count_received(len(payload))
 
 
 class FakePeerPlanners:
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -97,7 +97,7 @@
 
 FIELDS = {"list": "servers"}  # the changed field of sweeps that have another name
 
-PLANS = (
+SWEEP_PLANS = (
     SweepPlan("servers", sizes=(32, 64, 128, 256), held_out=512, base=Point(), jobs=3),
     SweepPlan("list", sizes=(250, 500, 1_000, 2_000), held_out=4_000, base=Point(zones=20, proxies=5), jobs=2),
     SweepPlan("zones", sizes=(2, 4, 8, 16), held_out=32, base=Point(servers=256, proxies=32), jobs=3),
@@ -116,7 +116,7 @@
 FULL_LIST = Point(servers=48_000, zones=85, proxies=5)  # a planner of a mean service, without cells
 
 # Points that are measured as they are; result files and docs/CAPACITY.md use these names.
-DIRECT = {
+SINGLE_POINTS = {
     "mean cell": MEAN_CELL,
     "mean cell, one request a proxy": replace(MEAN_CELL, proxies=66),
     "mean cell, zone lost": replace(MEAN_CELL, zone_lost=True),
@@ -127,4 +127,4 @@
     "whole list": FULL_LIST,
     "whole list, zone lost": replace(FULL_LIST, zone_lost=True),
 }
-DIRECT_JOBS = 2  # of `DIRECT`, measured concurrently
+SINGLE_POINT_JOBS = 2  # of `SINGLE_POINTS`, measured concurrently
--- a/stackwheel/scale/processes.py
+++ b/stackwheel/scale/processes.py
@@ -12,7 +12,7 @@
 
 from stackwheel.cells.plan import Plan
 from stackwheel.scale import bounds
-from stackwheel.scale.bounds import Estimate, Size
+from stackwheel.scale.bounds import ResourceEstimate, RunSize
 from stackwheel.scale.children import Child, Children, Role
 from stackwheel.scale.control import (
     ControlError,
@@ -68,14 +68,14 @@
         """The plan of cells for this run's fleet and relays."""
         return design_plan(self.fleet, [network.host(number) for number in range(self.arguments.relays)])
 
-    def estimate(self) -> Estimate:
+    def estimate(self) -> ResourceEstimate:
         """What this run is expected to take; ScaleError where the machine can't provide that."""
         entry_counts = self.layout.entries_per_planner(self.fleet)
         arguments = self.arguments
         real_entries = sum(entry_counts[number] for number in self.real_numbers)
         full_list_planners = arguments.full_list_planners
-        return bounds.check(
-            Size(
+        return bounds.check_run_size(
+            RunSize(
                 servers=arguments.servers,
                 planners=arguments.planners,
                 real_planners=arguments.real_planners + full_list_planners,
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -87,7 +87,7 @@
         updates = ConfigUpdateReader()
         while True:
             line = await reader.readuntil(LINE_END)
-            self.traffic.sent(len(line))
+            self.traffic.count_sent(len(line))
             update = updates.feed_line(line.removesuffix(LINE_END).decode())
             if update is not None:
                 self.apply(update)
@@ -131,7 +131,7 @@
             return
         data = line.encode() + LINE_END
         self.writer.write(data)
-        self.traffic.received(len(data))
+        self.traffic.count_received(len(data))
 
     def close(self) -> None:
         """Reset the connection; its nonces will not be acknowledged any more."""
@@ -191,7 +191,7 @@
         """Write several lines at once, and count them."""
         data = b"".join(line.encode() + LINE_END for line in lines)
         writer.write(data)
-        self.traffic.received(len(data), len(lines))
+        self.traffic.count_received(len(data), len(lines))
 
 
 async def wait_until(is_true: Callable[[], bool], timeout: float, poll_interval: float = POLL_INTERVAL) -> bool:
--- a/stackwheel/scale/relay_bench.py
+++ b/stackwheel/scale/relay_bench.py
@@ -91,13 +91,13 @@
         traffic = self.counters[Channel.WATCHES]
         request = f"GET {LIST_PATH}?follow=1 HTTP/1.1\r\nHost: {self.host}:{self.port(number)}\r\n\r\n".encode()
         writer.write(request)
-        traffic.received(len(request))
+        traffic.count_received(len(request))
         head = await reader.readuntil(b"\r\n\r\n")
-        traffic.sent(len(head), 0)
+        traffic.count_sent(len(head), 0)
         if head.split(b" ", 2)[1] != b"200":
             return
         while data := await reader.read(READ_BYTES):
-            traffic.sent(len(data), data.count(LINE_END))
+            traffic.count_sent(len(data), data.count(LINE_END))
             self.watchers_served.add(number)
 
     def all_served(self) -> bool:
--- a/stackwheel/scale/report.py
+++ b/stackwheel/scale/report.py
@@ -139,6 +139,6 @@
         return by_role[role]
 
 
-def encode(report: Report) -> str:
+def encode_report(report: Report) -> str:
     """One line of JSON."""
     return msgspec.json.encode(report).decode()
--- a/stackwheel/scale/run.py
+++ b/stackwheel/scale/run.py
@@ -25,7 +25,7 @@
 from stackwheel.scale.report import Arguments, Progress, Report
 from stackwheel.scale.sampling import TrafficReading
 from stackwheel.scale.scenarios import PlannerRestart, Scenario, Schedule, ServerChange, draw_schedule
-from stackwheel.scale.summary import Outcome, make_report
+from stackwheel.scale.summary import RunMeasurements, make_report
 
 START_TIMEOUT = 180.0  # s until all planners have a list; 15,000 on a busy machine take a good part of it
 SETTLE_TIMEOUT = 7.0  # s: by the protocol a change counts as delivered after 6 s
@@ -49,18 +49,18 @@
             arguments.event_rate,
             arguments.seed,
         )
-        self.outcome: Outcome
+        self.measurements: RunMeasurements
 
     async def run(self) -> Report:
         """From the first process to the report; every process has ended when it returns or fails."""
         processes = self.processes
         try:
-            self.outcome = Outcome(
+            self.measurements = RunMeasurements(
                 arguments=self.arguments,
                 fleet=processes.fleet,
                 layout=processes.layout,
-                hollow=processes.hollow_numbers,
-                expected=processes.estimate(),
+                hollow_planners=processes.hollow_numbers,
+                expected_resources=processes.estimate(),
             )
             async with asyncio.timeout(START_TIMEOUT + self.arguments.duration + 2 * REPORT_TIMEOUT):
                 return await self.run_stages()
@@ -71,13 +71,13 @@
         """Start, play the scenario, settle and report, one after another."""
         async with asyncio.timeout(START_TIMEOUT):
             await self.processes.start_registry()
-            self.outcome.layout = self.processes.layout
-            self.outcome.ready = await self.processes.start_planners()
+            self.measurements.layout = self.processes.layout
+            self.measurements.startup_s = await self.processes.start_planners()
         await self.play_scenario()
         settling_since = time.monotonic()
         await self.plant()
         comparison = await self.settle()
-        self.outcome.settled = time.monotonic() - settling_since
+        self.measurements.settling_s = time.monotonic() - settling_since
         return await self.report(comparison)
 
     async def play_scenario(self) -> None:
@@ -98,7 +98,7 @@
         finally:
             sampling.cancel()
         await self.sample()
-        self.outcome.duration = time.monotonic() - began
+        self.measurements.measured_duration_s = time.monotonic() - began
 
     async def wait(self, began: float, duration: float) -> None:
         """Wait until the run has lasted that long; a process that ends meanwhile ends the run."""
@@ -146,18 +146,18 @@
 
     async def sample(self) -> None:
         """Read what each process takes, and the traffic counted so far."""
-        self.outcome.sampler.read(list(self.processes.children.running))
+        self.measurements.sampler.read_processes(list(self.processes.children.running))
         registry = await self.processes.registry.request(GetTraffic(), Traffic)
         hollow = await self.processes.request_hollow(GetTraffic(), Traffic)
         reading = TrafficReading(
-            at=time.monotonic(),
+            monotonic_s=time.monotonic(),
             registry=registry,
-            hollow=hollow,
+            hollow_processes=hollow,
             real_planners=self.processes.real_bytes(Role.REAL_PLANNER),
             full_list_planners=self.processes.real_bytes(Role.FULL_LIST_PLANNER),
         )
-        self.outcome.traffic.append(reading)
-        self.outcome.sampler.add_traffic(reading)
+        self.measurements.traffic_readings.append(reading)
+        self.measurements.sampler.add_traffic(reading)
 
     async def plant(self) -> None:
         """Drop an entry at one hollow planner if the arguments say so, so that the comparison has to fail."""
@@ -175,17 +175,17 @@
                 comparison = await compare_all(
                     processes.registry, processes.layout, processes.hollow, processes.real.values()
                 )
-                if comparison.wrong == 0 or requested_at > began + SETTLE_TIMEOUT:
+                if comparison.wrong_entry_count == 0 or requested_at > began + SETTLE_TIMEOUT:
                     return comparison
-                self.progress(f"{comparison.wrong} entries wrong, settling")
+                self.progress(f"{comparison.wrong_entry_count} entries wrong, settling")
                 await asyncio.sleep(SETTLE_POLL_INTERVAL)
 
     async def report(self, comparison: ListComparison) -> Report:
         """Collect the records of the hollow planners, and make the report."""
         self.progress("records")
         async with asyncio.timeout(REPORT_TIMEOUT):
-            self.outcome.records = await self.processes.request_hollow(GetRecords(), Records)
-        return await asyncio.to_thread(make_report, self.outcome, comparison)
+            self.measurements.records = await self.processes.request_hollow(GetRecords(), Records)
+        return await asyncio.to_thread(make_report, self.measurements, comparison)
 
 
 async def sleep_until(at: float) -> None:
--- a/stackwheel/scale/sampling.py
+++ b/stackwheel/scale/sampling.py
@@ -37,9 +37,9 @@
 class TrafficReading:
     """All counters of a run at one moment of the monotonic clock, in seconds."""
 
-    at: float
+    monotonic_s: float
     registry: Traffic
-    hollow: Sequence[Traffic]  # of each process of hollow planners
+    hollow_processes: Sequence[Traffic]  # of each process of hollow planners
     real_planners: ByteCounts
     full_list_planners: ByteCounts
 
@@ -50,8 +50,12 @@
         but the full-list planners, and the calls of the planners in cells; what they send is the reverse.
         """
         registry = ByteCounts(self.registry.bytes_in, self.registry.bytes_out)
-        hollow = ByteCounts(sum(t.bytes_in for t in self.hollow), sum(t.bytes_out for t in self.hollow))
-        gossip = ByteCounts(sum(t.peer_bytes_in for t in self.hollow), sum(t.peer_bytes_out for t in self.hollow))
+        hollow = ByteCounts(
+            sum(t.bytes_in for t in self.hollow_processes), sum(t.bytes_out for t in self.hollow_processes)
+        )
+        gossip = ByteCounts(
+            sum(t.peer_bytes_in for t in self.hollow_processes), sum(t.peer_bytes_out for t in self.hollow_processes)
+        )
         lists = hollow.minus(gossip).plus(self.real_planners)
         return {
             Role.REGISTRY: registry,
@@ -112,7 +116,7 @@
         self.peak_processes = 0
         self.begun = False
 
-    def read(self, children: list[Child]) -> None:
+    def read_processes(self, children: list[Child]) -> None:
         """Read each running process once; one that has just ended is left out."""
         memory = read_usage(os.getpid()).rss_mb
         for child in children:
@@ -132,7 +136,7 @@
     def add_traffic(self, reading: TrafficReading) -> None:
         """A further reading of the counters."""
         for role, counts in reading.by_role().items():
-            self.bytes[role].add(counts, reading.at)
+            self.bytes[role].add(counts, reading.monotonic_s)
 
     def figures(self, role: Role, count: int, seconds: float) -> RoleFigures:
         """Means of one of the `count` processes or planners of a role, over a time in seconds."""
--- a/stackwheel/scale/slopes.py
+++ b/stackwheel/scale/slopes.py
@@ -228,7 +228,7 @@
     temporary.replace(path)
 
 
-def merged(former: Result, later: Result) -> Result:
+def merge_results(former: Result, later: Result) -> Result:
     """The later result, with those sweeps and points of the former one that were not measured again."""
     measured_again = {(sweep.role, sweep.variable): sweep for sweep in later.sweeps}
     sweeps = [measured_again.pop((sweep.role, sweep.variable), sweep) for sweep in former.sweeps]
--- a/stackwheel/scale/summary.py
+++ b/stackwheel/scale/summary.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from stackwheel.scale import bounds
-from stackwheel.scale.bounds import Estimate
+from stackwheel.scale.bounds import ResourceEstimate
 from stackwheel.scale.children import Role
 from stackwheel.scale.comparison import ListComparison
 from stackwheel.scale.control import Records, Traffic
@@ -33,65 +33,65 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class RunMeasurements:
     """All that a run has collected, from which its report is made."""
 
     arguments: Arguments
     fleet: Fleet
     layout: Layout
-    hollow: frozenset[int]  # the numbers of the hollow planners
-    expected: Estimate
+    hollow_planners: frozenset[int]  # the numbers of the hollow planners
+    expected_resources: ResourceEstimate
     sampler: Sampler = field(default_factory=Sampler)
-    traffic: list[TrafficReading] = field(default_factory=list)  # about one a second
+    traffic_readings: list[TrafficReading] = field(default_factory=list)  # about one a second
     records: list[Records] = field(default_factory=list)  # of each hollow process
-    duration: float = 0.0  # s from the first reading to the last
-    ready: float = 0.0  # s from the first planner's start until all have a list
-    settled: float = 0.0  # s from the end of the scenario until all planners are right, or the wait is given up
+    measured_duration_s: float = 0.0  # s from the first reading to the last
+    startup_s: float = 0.0  # s from the first planner's start until all have a list
+    settling_s: float = 0.0  # s from the end of the scenario until all planners are right, or the wait is given up
 
 
-def make_report(outcome: Outcome, comparison: ListComparison) -> Report:
+def make_report(measurements: RunMeasurements, comparison: ListComparison) -> Report:
     """The report; for many records this takes seconds, so it is called in a thread."""
-    arguments = outcome.arguments
-    sampler = outcome.sampler
-    duration = outcome.duration
-    last_reading = outcome.traffic[-1]
+    arguments = measurements.arguments
+    sampler = measurements.sampler
+    duration = measurements.measured_duration_s
+    last_reading = measurements.traffic_readings[-1]
     return Report(
         version=VERSION,
         arguments=arguments,
-        wrong_entries=comparison.wrong,
-        planners=comparison.right,
-        planners_expected=len(outcome.fleet.planners) + arguments.full_list_planners,
-        entries_compared=comparison.compared,
-        in_force_ms=in_force_figures(propagation_times(outcome, comparison)),
+        wrong_entries=comparison.wrong_entry_count,
+        planners=comparison.correct_planner_count,
+        planners_expected=len(measurements.fleet.planners) + arguments.full_list_planners,
+        entries_compared=comparison.compared_entry_count,
+        in_force_ms=in_force_figures(propagation_times(measurements, comparison)),
         registry=sampler.figures(Role.REGISTRY, 1, duration),
         relay=sampler.figures(Role.RELAY, arguments.relays, duration),
         real_planner=sampler.figures(Role.REAL_PLANNER, arguments.real_planners, duration),
         full_list_planner=sampler.figures(Role.FULL_LIST_PLANNER, arguments.full_list_planners, duration),
-        hollow_planner=sampler.figures(Role.HOLLOW_PLANNER, len(outcome.hollow), duration),
+        hollow_planner=sampler.figures(Role.HOLLOW_PLANNER, len(measurements.hollow_planners), duration),
         machine=machine(),
-        bounds=bounds_seen(outcome),
-        cells=cell_notes(outcome, comparison),
-        datagrams=datagrams(outcome),
+        bounds=bounds_seen(measurements),
+        cells=cell_notes(measurements, comparison),
+        datagrams=datagrams(measurements),
         changes=len(comparison.full_list.changes),
         generation=comparison.full_list.generation,
         duration_s=round(duration, 3),
-        ready_s=round(outcome.ready, 3),
-        settle_s=round(outcome.settled, 3),
-        failures=sum(process.failures for process in last_reading.hollow),
+        ready_s=round(measurements.startup_s, 3),
+        settle_s=round(measurements.settling_s, 3),
+        failures=sum(process.failures for process in last_reading.hollow_processes),
         rejected=last_reading.registry.failures,
         wrong=comparison.examples[:MAX_WRONG_SHOWN],
-        notes=notes(outcome),
+        notes=notes(measurements),
     )
 
 
-def propagation_times(outcome: Outcome, comparison: ListComparison) -> PropagationTimes:
+def propagation_times(measurements: RunMeasurements, comparison: ListComparison) -> PropagationTimes:
     """Times until changes were in force at hollow planners: a real one does not report when it applied a change."""
     planners_of_servers = {
-        name: [number for number in numbers if number in outcome.hollow]
-        for name, numbers in outcome.layout.planners_of_servers(outcome.fleet).items()
+        name: [number for number in numbers if number in measurements.hollow_planners]
+        for name, numbers in measurements.layout.planners_of_servers(measurements.fleet).items()
     }
-    entries = (entry for records in outcome.records for entry in records.entries)
-    restarts = (restart for records in outcome.records for restart in records.restarts)
+    entries = (entry for records in measurements.records for entry in records.entries)
+    restarts = (restart for records in measurements.records for restart in records.restarts)
     return measure(comparison.full_list.changes, entries, planners_of_servers, restarts)
 
 
@@ -106,27 +106,27 @@
     )
 
 
-def bounds_seen(outcome: Outcome) -> Bounds:
+def bounds_seen(measurements: RunMeasurements) -> Bounds:
     """The bounds, what was expected, and the highest readings."""
     return Bounds(
         memory_max_mb=bounds.MAX_MEMORY_MB,
         processes_max=bounds.MAX_PROCESSES,
-        memory_expected_mb=round(outcome.expected.memory_mb, 1),
-        processes_expected=outcome.expected.processes,
-        memory_seen_mb=round(outcome.sampler.peak_memory_mb, 1),
-        processes_seen=outcome.sampler.peak_processes,
+        memory_expected_mb=round(measurements.expected_resources.memory_mb, 1),
+        processes_expected=measurements.expected_resources.processes,
+        memory_seen_mb=round(measurements.sampler.peak_memory_mb, 1),
+        processes_seen=measurements.sampler.peak_processes,
     )
 
 
-def cell_notes(outcome: Outcome, comparison: ListComparison) -> CellNotes:
+def cell_notes(measurements: RunMeasurements, comparison: ListComparison) -> CellNotes:
     """The sizes of the cells, and the digests of the largest."""
-    layout = outcome.layout
+    layout = measurements.layout
     servers = {cell: len(entries) for cell, entries in layout.entries_by_cell(comparison.full_list.entries).items()}
     planners = {cell: len(numbers) for cell, numbers in layout.planners_by_cell().items()}
     largest = sorted(servers, key=lambda cell: (-servers[cell], cell))[:MAX_DIGESTS_SHOWN]
     return CellNotes(
         cells=len(servers),
-        largest_service=max(outcome.fleet.sizes().values()),
+        largest_service=max(measurements.fleet.sizes().values()),
         largest_servers=max(servers.values()),
         largest_planners=max(planners.values()),
         mean_servers_of_a_planner=round(sum(servers[placed.cell] for placed in layout.placed) / len(layout.placed), 1),
@@ -139,18 +139,18 @@
     return next(iter(digests)) if len(digests) == 1 else ""
 
 
-def datagrams(outcome: Outcome) -> Datagrams:
+def datagrams(measurements: RunMeasurements) -> Datagrams:
     """Datagrams, computed and sent, between the first reading and the last."""
-    if outcome.duration <= 0:
+    if measurements.measured_duration_s <= 0:
         return Datagrams()
-    first = outcome.traffic[0].hollow
-    last = outcome.traffic[-1].hollow
+    first = measurements.traffic_readings[0].hollow_processes
+    last = measurements.traffic_readings[-1].hollow_processes
 
     def rate(count: Callable[[Traffic], int]) -> float:
         """The growth of a counter, a second."""
-        return round((sum(map(count, last)) - sum(map(count, first))) / outcome.duration, 1)
+        return round((sum(map(count, last)) - sum(map(count, first))) / measurements.measured_duration_s, 1)
 
-    bytes_by_planner = datagram_bytes(outcome)
+    bytes_by_planner = datagram_bytes(measurements)
     return Datagrams(
         computed_per_s=rate(lambda traffic: traffic.datagrams_computed),
         sent_per_s=rate(lambda traffic: traffic.datagrams_out),
@@ -160,14 +160,16 @@
     )
 
 
-def datagram_bytes(outcome: Outcome) -> list[int]:
+def datagram_bytes(measurements: RunMeasurements) -> list[int]:
     """Bytes that each planner would read a second if all datagrams of its cell were sent."""
-    entry_counts = outcome.layout.entries_per_planner(outcome.fleet)
-    planners = {cell: len(numbers) for cell, numbers in outcome.layout.planners_by_cell().items()}
-    return [bytes_per_interval(planners[placed.cell], entry_counts[placed.number]) for placed in outcome.layout.placed]
+    entry_counts = measurements.layout.entries_per_planner(measurements.fleet)
+    planners = {cell: len(numbers) for cell, numbers in measurements.layout.planners_by_cell().items()}
+    return [
+        bytes_per_interval(planners[placed.cell], entry_counts[placed.number]) for placed in measurements.layout.placed
+    ]
 
 
-def notes(outcome: Outcome) -> list[str]:
+def notes(measurements: RunMeasurements) -> list[str]:
     """What a reader of the figures has to know, as it is printed in the report."""
     lines = [
         "core: processor time of the processes over the run; bytes: payload of TCP and UDP, counted at the sockets",
@@ -175,12 +177,12 @@
         f"datagrams: sent for real up to {MAX_DATAGRAMS_SENT} a second from each hollow process, "
         "to each peer by itself",
     ]
-    if outcome.arguments.real_planners or outcome.arguments.full_list_planners:
+    if measurements.arguments.real_planners or measurements.arguments.full_list_planners:
         lines.append(
             "real planners: lines of their tables against the ready servers of their cell; none sends datagrams; "
             "bytes are those from and to discovery"
         )
-    dropped = sum(records.dropped for records in outcome.records)
+    dropped = sum(records.dropped for records in measurements.records)
     if dropped:
         lines.append(f"{dropped} in-force records over the bound were not kept")
     return lines
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -13,7 +13,7 @@
 from stackwheel.scale.accounting import AccountingError, Channel, ProcessUsage, Traffic, TrafficCounters, read_usage
 from stackwheel.scale.bench import Bench, BenchError
 from stackwheel.scale.planner_bench import PlannerBench
-from stackwheel.scale.points import DIRECT, DIRECT_JOBS, Point, RelayPoint, SweepPlan
+from stackwheel.scale.points import SINGLE_POINT_JOBS, SINGLE_POINTS, Point, RelayPoint, SweepPlan
 from stackwheel.scale.proxies import wait_until
 from stackwheel.scale.relay_bench import RelayBench
 from stackwheel.scale.slopes import (
@@ -206,7 +206,7 @@
     )
 
 
-async def run_all(
+async def measure_all(
     plans: Sequence[SweepPlan],
     direct: Sequence[str],
     timing: Timing,
@@ -219,8 +219,8 @@
     direct_repeats: dict[str, list[Repeat]] = {}
     for name in direct:
         progress(name)
-        points = [SizedPoint(float(DIRECT[name].servers), DIRECT[name])]
-        direct_repeats[name] = await repeats_of(points, timing, repeats, seed, DIRECT_JOBS, progress)
+        points = [SizedPoint(float(SINGLE_POINTS[name].servers), SINGLE_POINTS[name])]
+        direct_repeats[name] = await repeats_of(points, timing, repeats, seed, SINGLE_POINT_JOBS, progress)
     return Measurements(sweeps, direct_repeats)
 
 
--- a/tests/scale/test_accounting.py
+++ b/tests/scale/test_accounting.py
@@ -75,10 +75,10 @@
 
 def test_counters_give_the_traffic_between_two_readings() -> None:
     counters = TrafficCounters()
-    counters[Channel.LIST].received(100)
+    counters[Channel.LIST].count_received(100)
     before = counters.reading()
-    counters[Channel.LIST].received(7, 2)
-    counters[Channel.STREAMS].sent(30)
+    counters[Channel.LIST].count_received(7, 2)
+    counters[Channel.STREAMS].count_sent(30)
     since = counters.since(before)
     assert since[Channel.LIST] == Traffic(7, 0, 2, 0)
     assert since[Channel.STREAMS] == Traffic(0, 30, 0, 1)
--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -4,26 +4,34 @@
 
 import pytest
 
-from stackwheel.scale.bounds import MAX_MEMORY_MB, MAX_PROCESSES, ScaleError, Size, check, estimate, hollow_processes
+from stackwheel.scale.bounds import (
+    MAX_MEMORY_MB,
+    MAX_PROCESSES,
+    RunSize,
+    ScaleError,
+    check_run_size,
+    estimate,
+    hollow_processes,
+)
 
 UNLIMITED_MB = 1e9
 
 
 def test_a_run_within_the_bounds_is_estimated() -> None:
-    needed = check(Size(1_000, 20, 1, 0, 20_000, 1_000), UNLIMITED_MB)
+    needed = check_run_size(RunSize(1_000, 20, 1, 0, 20_000, 1_000), UNLIMITED_MB)
     assert 0 < needed.memory_mb < 1_000
     assert needed.processes == 4
 
 
 def test_memory_grows_with_each_size() -> None:
-    base = Size(1_000, 20, 1, 2, 20_000, 1_000)
+    base = RunSize(1_000, 20, 1, 2, 20_000, 1_000)
     for larger in (
-        Size(2_000, 20, 1, 2, 20_000, 1_000),
-        Size(1_000, 40, 1, 2, 20_000, 1_000),
-        Size(1_000, 20, 2, 2, 20_000, 1_000),
-        Size(1_000, 20, 1, 3, 20_000, 1_000),
-        Size(1_000, 20, 1, 2, 40_000, 1_000),
-        Size(1_000, 20, 1, 2, 20_000, 2_000),
+        RunSize(2_000, 20, 1, 2, 20_000, 1_000),
+        RunSize(1_000, 40, 1, 2, 20_000, 1_000),
+        RunSize(1_000, 20, 2, 2, 20_000, 1_000),
+        RunSize(1_000, 20, 1, 3, 20_000, 1_000),
+        RunSize(1_000, 20, 1, 2, 40_000, 1_000),
+        RunSize(1_000, 20, 1, 2, 20_000, 2_000),
     ):
         assert estimate(larger).memory_mb > estimate(base).memory_mb
 
@@ -31,14 +39,14 @@
 @pytest.mark.parametrize(
     ("size", "available_mb", "reason"),
     [
-        (Size(48_000, 15_000, 0, 0, 15_000 * 48_000, 0), UNLIMITED_MB, f"{MAX_MEMORY_MB} MB are the most"),
-        (Size(1_000, 0, 300, 0, 0, 3_000), UNLIMITED_MB, f"{MAX_PROCESSES} are the most"),
-        (Size(1_000, 20, 0, 0, 20_000, 0), 10.0, "the machine has 10 MB free"),
+        (RunSize(48_000, 15_000, 0, 0, 15_000 * 48_000, 0), UNLIMITED_MB, f"{MAX_MEMORY_MB} MB are the most"),
+        (RunSize(1_000, 0, 300, 0, 0, 3_000), UNLIMITED_MB, f"{MAX_PROCESSES} are the most"),
+        (RunSize(1_000, 20, 0, 0, 20_000, 0), 10.0, "the machine has 10 MB free"),
     ],
 )
-def test_a_run_over_a_bound_is_rejected_with_one_line(size: Size, available_mb: float, reason: str) -> None:
+def test_a_run_over_a_bound_is_rejected_with_one_line(size: RunSize, available_mb: float, reason: str) -> None:
     with pytest.raises(ScaleError, match=reason) as rejected:
-        check(size, available_mb)
+        check_run_size(size, available_mb)
     assert "\n" not in str(rejected.value)
 
 
--- a/tests/scale/test_sampling.py
+++ b/tests/scale/test_sampling.py
@@ -11,9 +11,9 @@
 
 def reading(at: float, factor: int = 1) -> TrafficReading:
     return TrafficReading(
-        at=at,
+        monotonic_s=at,
         registry=Traffic(bytes_in=100 * factor, bytes_out=9_000 * factor),
-        hollow=[
+        hollow_processes=[
             Traffic(500 * factor, 60 * factor, peer_bytes_in=40 * factor, peer_bytes_out=30 * factor),
             Traffic(300 * factor, 20 * factor),
         ],
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -19,7 +19,7 @@
     fit,
     fit_all,
     held_out,
-    merged,
+    merge_results,
     predict,
     read_result,
     write_result,
@@ -136,7 +136,7 @@
     later = msgspec.structs.replace(
         result(), sweeps=[sweep("relay", "servers", 2.0), sweep("relay", "changes", 3.0)], direct={}
     )
-    both = merged(former, later)
+    both = merge_results(former, later)
     assert [(one.role, one.variable, one.repeats[0].usage.core) for one in both.sweeps] == [
         ("planner", "servers", 1.0), ("relay", "servers", 2.0), ("relay", "changes", 3.0),
     ]  # fmt: skip
--- a/tests/scale/test_sweep.py
+++ b/tests/scale/test_sweep.py
@@ -13,7 +13,7 @@
 from stackwheel.scale.bench import BenchError
 from stackwheel.scale.choice_timing import time_choice
 from stackwheel.scale.planner_bench import PlannerBench
-from stackwheel.scale.points import DIRECT, PLANS, Point, RelayPoint
+from stackwheel.scale.points import SINGLE_POINTS, SWEEP_PLANS, Point, RelayPoint
 from stackwheel.scale.slopes import MIN_SIZES, Repeat
 from stackwheel.scale.sweep import SizedPoint, Timing, measure, repeats_of
 
@@ -108,14 +108,14 @@
 
 
 def test_each_sweep_has_enough_sizes_and_holds_out_twice_the_largest() -> None:
-    for plan in PLANS:
+    for plan in SWEEP_PLANS:
         assert len(set(plan.sizes)) >= MIN_SIZES, plan.name
         assert plan.held_out == 2 * max(plan.sizes), plan.name
-    assert len({plan.name for plan in PLANS}) == len(PLANS)
+    assert len({plan.name for plan in SWEEP_PLANS}) == len(SWEEP_PLANS)
 
 
 def test_a_lost_zone_of_the_full_list_has_the_operators_size() -> None:
-    point = DIRECT["whole list, zone lost"]
+    point = SINGLE_POINTS["whole list, zone lost"]
     assert sum(point.zone(number) == point.zone(0) for number in range(point.servers)) == 565
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -26,8 +26,7 @@
     TableUpdate,
     WeightTable,
 )
-from stackwheel.scale.report import Report
-from stackwheel.scale.report import encode as encode_report
+from stackwheel.scale.report import Report, encode_report
 from stackwheel.scale.slopes import read_result, write_result
 from stackwheel.trials import faults
 from stackwheel.trials import script as trial_script
