--- a/stackwheel/scale/bounds.py
+++ b/stackwheel/scale/bounds.py
@@ -86,11 +86,11 @@
     needed = estimate(size)
     free_mb = available_memory_mb() if available_mb is None else available_mb
     if needed.processes > MAX_PROCESSES:
-        raise ScaleError(f"{needed.processes} processes needed, {MAX_PROCESSES} are the most")
+        raise ScaleError(f"the run needs {needed.processes} processes; the maximum is {MAX_PROCESSES}")
     if needed.memory_mb > MAX_MEMORY_MB:
-        raise ScaleError(f"{needed.memory_mb:.0f} MB needed, {MAX_MEMORY_MB} MB are the most")
+        raise ScaleError(f"the run needs {needed.memory_mb:.0f} MB of memory; the maximum is {MAX_MEMORY_MB} MB")
     if needed.memory_mb > free_mb:
-        raise ScaleError(f"{needed.memory_mb:.0f} MB needed, the machine has {free_mb:.0f} MB free")
+        raise ScaleError(f"the run needs {needed.memory_mb:.0f} MB of memory; the machine has {free_mb:.0f} MB free")
     return needed
 
 
