--- a/stackwheel/scale/bounds.py
+++ b/stackwheel/scale/bounds.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class RunSize:
     """The numbers that decide how much a run takes."""
 
     servers: int
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Estimate:
+class ResourceEstimate:
     """What a run is expected to take."""
 
     memory_mb: float
@@ -54,7 +54,7 @@
     return math.ceil(planners / PLANNERS_PER_PROCESS)
 
 
-def estimate(size: Size) -> Estimate:
+def estimate(size: RunSize) -> ResourceEstimate:
     """The memory and the number of processes that a run of this size is expected to take."""
     hollow_process_count = hollow_processes(size.planners)
     list_mb = size.servers * ENTRY_MB
@@ -70,10 +70,10 @@
         + size.relays * (RELAY_MB + list_mb)
     )
     run_and_registry = 2
-    return Estimate(memory_mb, run_and_registry + hollow_process_count + size.real_planners + size.relays)
+    return ResourceEstimate(memory_mb, run_and_registry + hollow_process_count + size.real_planners + size.relays)
 
 
-def check(size: Size, available_mb: float | None = None) -> Estimate:
+def check_run_size(size: RunSize, available_mb: float | None = None) -> ResourceEstimate:
     """The estimate of a run of this size.
 
     Args:
@@ -86,11 +86,11 @@
     needed = estimate(size)
     free_mb = available_memory_mb() if available_mb is None else available_mb
     if needed.processes > MAX_PROCESSES:
-        raise ScaleError(f"{needed.processes} processes needed, {MAX_PROCESSES} are the most")
+        raise ScaleError(f"the run needs {needed.processes} processes; the maximum is {MAX_PROCESSES}")
     if needed.memory_mb > MAX_MEMORY_MB:
-        raise ScaleError(f"{needed.memory_mb:.0f} MB needed, {MAX_MEMORY_MB} MB are the most")
+        raise ScaleError(f"the run needs {needed.memory_mb:.0f} MB of memory; the maximum is {MAX_MEMORY_MB} MB")
     if needed.memory_mb > free_mb:
-        raise ScaleError(f"{needed.memory_mb:.0f} MB needed, the machine has {free_mb:.0f} MB free")
+        raise ScaleError(f"the run needs {needed.memory_mb:.0f} MB of memory; the machine has {free_mb:.0f} MB free")
     return needed
 
 
