--- a/tests/scale/test_bounds.py
+++ b/tests/scale/test_bounds.py
@@ -39,7 +39,11 @@
 @pytest.mark.parametrize(
     ("size", "available_mb", "reason"),
     [
-        (RunSize(48_000, 15_000, 0, 0, 15_000 * 48_000, 0), UNLIMITED_MB, f"MB of memory; the maximum is {MAX_MEMORY_MB} MB"),
+        (
+            RunSize(48_000, 15_000, 0, 0, 15_000 * 48_000, 0),
+            UNLIMITED_MB,
+            f"MB of memory; the maximum is {MAX_MEMORY_MB} MB",
+        ),
         (RunSize(1_000, 0, 300, 0, 0, 3_000), UNLIMITED_MB, f"processes; the maximum is {MAX_PROCESSES}"),
         (RunSize(1_000, 20, 0, 0, 20_000, 0), 10.0, "MB of memory; the machine has 10 MB free"),
     ],
