--- a/stackwheel/files/__init__.py
+++ b/stackwheel/files/__init__.py
@@ -1,1 +1,1 @@
-"""Weight tables and proxy status exchanged by files, each replaced atomically; `docs/files.md` is the format."""
+"""Exchanges weight tables and proxy statuses as files that are replaced atomically; see `docs/files.md`."""
--- a/stackwheel/files/acceptor.py
+++ b/stackwheel/files/acceptor.py
@@ -1,8 +1,9 @@
-"""Decides which table files a reader applies: target, age, order, base and reservations. No I/O, no clock.
+"""Decides which table updates a reader applies, without I/O or a clock of its own.
 
-The newest version applied is remembered for each planner, zone and target; nothing at or below it is applied again,
-also after the reader has restarted from its `ReaderMemory`. A delta holds all that changed since the complete update
-that it names, so any delta applies without those between.
+Checks the target, age, order and base of each update, and selects the reservations that may take effect. The newest
+applied version is stored per planner, zone and target in `ReaderMemory`. Older versions are rejected, also after a
+restart of the reader. A delta contains all changes since the complete update that it names, so it can be applied
+without the deltas before it.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 
 import msgspec
 
-from stackwheel.files.content import TableContent, content_of
+from stackwheel.files.content import TableContent, resulting_content
 from stackwheel.files.errors import FileRejectedError, Stage
-from stackwheel.files.records import Count, FileVersion, Incarnation, Name, Reservation, TableUpdate, UnixMs
+from stackwheel.files.records import Count, FileVersion, Incarnation, Milliseconds, Name, Reservation, TableUpdate
 
-MAX_CLOCK_SKEW_MS = 5_000.0  # that a file may seem to come from the future: clocks differ
-MAX_REMEMBERED_TARGETS = 64  # remembered by one reader; the one that was updated longest ago is forgotten first
-MAX_REMEMBERED_RESERVATIONS = 10_000  # ids remembered; beyond it no reservation is accepted until some have expired
-VERSION_LIFETIME_MS = 7 * 86_400_000.0  # that the version of a silent planner is remembered: no file is valid as long
+MAX_CLOCK_SKEW_MS = 5_000.0
+MAX_TARGETS = 64  # the least recently updated target is evicted first
+MAX_RESERVATION_IDS = 10_000  # further reservations are ignored until stored ones expire
+VERSION_RETENTION_MS = 7 * 86_400_000.0  # has to exceed the lifetime of any table file
 
 
 class AppliedVersion(
@@ -28,16 +29,23 @@
     forbid_unknown_fields=True,
     rename={"expires_at": "until", "applied_at": "at"},
 ):
-    """The newest update applied for a target: its version, when it expires, when it was applied."""
+    """Version of the newest update applied for a target.
+
+    Attributes:
+        incarnation: incarnation of the planner.
+        sequence: sequence number of the update.
+        expires_at: expiry of the update, Unix ms.
+        applied_at: time at which it was applied, Unix ms.
+    """
 
     incarnation: Incarnation
     sequence: Count
-    expires_at: UnixMs
-    applied_at: UnixMs
+    expires_at: Milliseconds
+    applied_at: Milliseconds
 
     @property
     def version(self) -> FileVersion:
-        """As in the update."""
+        """The version that orders this update among those of its planner."""
         return FileVersion(self.incarnation, self.sequence)
 
 
@@ -46,29 +54,30 @@
     forbid_unknown_fields=True,
     rename={"valid_since": "since", "applied": "marks", "reservations": "bookings"},
 ):
-    """What a reader must not forget; it is saved before anything takes effect.
+    """State of a reader that survives restarts; it is saved before an update takes effect.
 
     Attributes:
-        version: of the format.
-        valid_since: when the memory was begun. What was made before may have taken effect unknown to it.
-        applied: newest version by target key.
-        reservations: ids that took effect, and when each expires.
+        version: version of the format.
+        valid_since: creation time of this memory, Unix ms. Whether reservations created earlier have taken effect is
+            unknown.
+        applied: newest applied version, by target key.
+        reservations: expiry (Unix ms) of each reservation that took effect, by reservation id.
     """
 
     version: Literal[1] = 1
-    valid_since: UnixMs = 0.0
+    valid_since: Milliseconds = 0.0
     applied: dict[Name, AppliedVersion] = {}
-    reservations: dict[Name, UnixMs] = {}
+    reservations: dict[Name, Milliseconds] = {}
 
 
 @dataclass(slots=True)
 class CurrentTables:
-    """What one planner's updates for a target amount to.
+    """Tables that result from one planner's updates for a target.
 
     Attributes:
-        update: the newest one applied.
-        base: the complete one under it, or the same.
-        content: the tables that result.
+        update: newest applied update.
+        base: complete update that `update` builds on; `update` itself if that is complete.
+        content: resulting tables.
     """
 
     update: TableUpdate
@@ -78,25 +87,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Acceptance:
-    """An update that may be applied, and those of its reservations that have not taken effect yet."""
+    """An update that passed all checks, and those of its reservations that have not taken effect yet."""
 
     current: CurrentTables
     reservations: tuple[Reservation, ...]
 
 
 def target_key(update: TableUpdate) -> str:
-    """The planner, zone and addressee of an update, as the memory's key."""
+    """Return the key of an update's target in `ReaderMemory`: planner, zone and proxy (or `all`)."""
     return f"{update.planner}|{update.zone}|{'all' if update.proxy is None else update.proxy}"
 
 
 class Acceptor:
-    """Decides for one proxy.
+    """Decides which updates one proxy applies.
 
     Attributes:
-        zone: of the proxy.
-        proxy: its number, or None for a reader that takes only what is for a whole zone.
-        memory: outlives the process.
-        current: tables by target key; they do not outlive the process.
+        zone: name of the proxy's zone.
+        proxy: number of the proxy; None for a reader that applies only updates for an entire zone.
+        memory: state that survives restarts.
+        current: current tables, by target key; they are lost when the process ends.
     """
 
     def __init__(self, zone: str, proxy: int | None, memory: ReaderMemory | None = None) -> None:
@@ -106,17 +115,17 @@
         self.current: dict[str, CurrentTables] = {}
 
     def validate(self, update: TableUpdate, now: float) -> Acceptance | None:
-        """What applying an update would mean; nothing changes yet.
+        """Check whether an update may be applied, without changing any state.
 
         Args:
-            update: a genuine one.
-            now: Unix ms.
+            update: update from a file whose integrity and signature have been checked.
+            now: current time, Unix ms.
 
         Returns:
-            None where that very update is applied already.
+            The accepted update, or None if it is already applied.
 
         Raises:
-            FileRejectedError: it must not be applied.
+            FileRejectedError: the update must not be applied.
         """
         self._check_target(update)
         _check_age(update, now)
@@ -127,45 +136,45 @@
             _check_order(update, applied)
             if update.version == applied.version and current is not None:
                 return None
-            # The same version without its content: a reader that restarted applies it once more.
+            # A restarted reader has the version but not the tables, so it applies the same update again.
         if update.complete:
             base = update
-            content = content_of(update)
+            content = resulting_content(update)
         else:
             base = _find_base(update, current)
-            content = content_of(base, update)
+            content = resulting_content(base, update)
         return Acceptance(CurrentTables(update, base, content), self._new_reservations(update, now))
 
     def record_applied(self, acceptance: Acceptance, now: float) -> ReaderMemory:
-        """Count an update as applied.
+        """Record an update as applied.
 
-        The memory has to be saved before any reservation takes effect: should the reader die between the two, the
-        reservation is lost, and never taken twice.
+        The caller has to save the returned memory before any reservation takes effect. If the process ends between
+        the two steps, the reservation is lost instead of taking effect twice.
 
         Returns:
-            The memory to be saved.
+            The memory to save.
         """
         update = acceptance.current.update
         key = target_key(update)
         self.current[key] = acceptance.current
-        oldest = now - VERSION_LIFETIME_MS
+        retained_since = now - VERSION_RETENTION_MS
         applied = {
             other: version
             for other, version in self.memory.applied.items()
-            if other != key and version.applied_at > oldest
+            if other != key and version.applied_at > retained_since
         }
         applied[key] = AppliedVersion(update.incarnation, update.sequence, update.expires_at, now)
-        excess = max(0, len(applied) - MAX_REMEMBERED_TARGETS)
-        for forgotten in list(applied)[:excess]:
-            del applied[forgotten]
-            self.current.pop(forgotten, None)
-        reservations = {name: expires_at for name, expires_at in self.memory.reservations.items() if expires_at > now}
+        excess = max(0, len(applied) - MAX_TARGETS)
+        for evicted in list(applied)[:excess]:
+            del applied[evicted]
+            self.current.pop(evicted, None)
+        reservations = {id_: expires_at for id_, expires_at in self.memory.reservations.items() if expires_at > now}
         reservations.update((reservation.id, reservation.expires_at) for reservation in acceptance.reservations)
         self.memory = ReaderMemory(1, self.memory.valid_since, applied, reservations)
         return self.memory
 
     def forget_expired(self, now: float, grace: float) -> list[str]:
-        """Forget tables that expired `grace` ms ago; the keys of these. No actor calls this yet."""
+        """Remove tables that expired at least `grace` ms ago and return their target keys."""
         expired = [key for key, current in self.current.items() if current.update.expires_at + grace <= now]
         for key in expired:
             del self.current[key]
@@ -173,43 +182,52 @@
 
     def _check_target(self, update: TableUpdate) -> None:
         if update.zone != self.zone or update.proxy not in (None, self.proxy):
-            raise FileRejectedError(Stage.TARGET, f"for zone {update.zone}, proxy {update.proxy}")
+            raise FileRejectedError(Stage.TARGET, f"the file is for zone {update.zone}, proxy {update.proxy}")
 
     def _new_reservations(self, update: TableUpdate, now: float) -> tuple[Reservation, ...]:
-        """Those that may take effect: unknown, unexpired, not from before the memory, and within its capacity."""
-        known = self.memory.reservations
-        found = tuple(
+        """Return the reservations of an update that may take effect.
+
+        They are unexpired, have not taken effect, were created since `valid_since`, and fit into the memory.
+        """
+        stored = self.memory.reservations
+        new = tuple(
             reservation
             for reservation in update.reservations
-            if reservation.id not in known
+            if reservation.id not in stored
             and reservation.expires_at > now
             and reservation.created_at >= self.memory.valid_since
         )
-        return found[: max(0, MAX_REMEMBERED_RESERVATIONS - len(known))]
+        return new[: max(0, MAX_RESERVATION_IDS - len(stored))]
 
 
 def _check_age(update: TableUpdate, now: float) -> None:
     if update.created_at > now + MAX_CLOCK_SKEW_MS:
         ahead_s = (update.created_at - now) / 1000.0
-        raise FileRejectedError(Stage.AGE, f"made {ahead_s:.1f} s from now")
+        raise FileRejectedError(Stage.AGE, f"created {ahead_s:.1f} s in the future")
     if update.expires_at <= now:
         expired_s = (now - update.expires_at) / 1000.0
-        raise FileRejectedError(Stage.AGE, f"its time was over {expired_s:.1f} s ago")
+        raise FileRejectedError(Stage.AGE, f"expired {expired_s:.1f} s ago")
 
 
 def _check_order(update: TableUpdate, applied: AppliedVersion) -> None:
     if update.version >= applied.version:
         return
     if update.incarnation != applied.incarnation:
-        raise FileRejectedError(Stage.ORDER, f"of an earlier life of {update.planner} than the one applied")
-    raise FileRejectedError(Stage.ORDER, f"number {update.sequence}, {applied.sequence} is applied")
+        raise FileRejectedError(Stage.ORDER, f"earlier incarnation of planner {update.planner} than the applied one")
+    raise FileRejectedError(
+        Stage.ORDER, f"sequence {update.sequence} is older than the applied sequence {applied.sequence}"
+    )
 
 
 def _find_base(update: TableUpdate, current: CurrentTables | None) -> TableUpdate:
-    """The complete update that a delta builds on."""
+    """Return the complete update that a delta builds on; raises FileRejectedError if it is not the current base."""
     if current is None:
-        raise FileRejectedError(Stage.BASE, f"changes whole file {update.base_sequence}, and none is held")
+        raise FileRejectedError(
+            Stage.BASE, f"delta on complete file {update.base_sequence}, but no complete file is loaded"
+        )
     base = current.base
     if base.incarnation != update.incarnation or base.sequence != update.base_sequence:
-        raise FileRejectedError(Stage.BASE, f"changes whole file {update.base_sequence}, {base.sequence} is held")
+        raise FileRejectedError(
+            Stage.BASE, f"delta on complete file {update.base_sequence}, but {base.sequence} is loaded"
+        )
     return base
--- a/stackwheel/files/atomic_replace.py
+++ b/stackwheel/files/atomic_replace.py
@@ -1,7 +1,7 @@
 """Replaces a file atomically and durably: write a temporary file, sync it, rename it, sync the folder.
 
-Whatever step the writer dies at, a reader finds the old file or the new one. POSIX makes the rename atomic for names;
-only a synced file in a synced folder outlives a crash of the machine.
+A reader finds either the old or the new file, whatever step the writer crashes at. The rename is atomic for running
+processes; syncing the file and the folder makes it survive a crash of the machine.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 def replace_file(disk: Disk, folder: str, name: str, data: bytes) -> None:
-    """Put a file in place of another; it is durable on return.
+    """Write `data` to a file, replacing the one of the same name; the new file is durable on return.
 
     Raises:
-        ReplaceError: a step failed. Only when the last one did is the new file in place.
+        ReplaceError: a step failed. The old file is still there, unless only the final sync of the folder failed.
     """
     temporary = join(folder, f".{name}{TEMPORARY_SUFFIX}")
     try:
@@ -26,7 +26,7 @@
         with _step(ReplaceStep.RENAME):
             disk.rename(temporary, join(folder, name))
     except ReplaceError:
-        with contextlib.suppress(OSError):  # a leftover is overwritten by the next replace
+        with contextlib.suppress(OSError):  # the next replacement overwrites a leftover temporary file
             disk.remove(temporary)
         raise
     with _step(ReplaceStep.SYNC_FOLDER):
@@ -42,7 +42,7 @@
         with _step(ReplaceStep.SYNC):
             disk.sync(handle)
     except ReplaceError:
-        with contextlib.suppress(OSError):  # the first error counts
+        with contextlib.suppress(OSError):  # the first error is reported
             disk.close(handle)
         raise
     with _step(ReplaceStep.CLOSE):
@@ -54,7 +54,7 @@
     while written < len(data):
         count = disk.write(handle, data[written:])
         if count <= 0:
-            raise OSError(errno.EIO, "nothing was written")
+            raise OSError(errno.EIO, "write returned 0 bytes")
         written += count
 
 
--- a/stackwheel/files/codec.py
+++ b/stackwheel/files/codec.py
@@ -1,7 +1,8 @@
-"""The bytes of a table file: a first line with format and version, a body, a trailer with length and digests. No I/O.
+"""Encodes and decodes the bytes of a table file, without I/O.
 
-A file is used as a whole or not at all: whatever is cut, flipped, appended, forged or of another kind raises
-`FileRejectedError` with the check that failed.
+A file consists of a first line with format and version, a body, and a trailer with length, digest and optional
+signature. A file that is truncated, corrupt, forged or of another format raises `FileRejectedError` with the check
+that failed.
 """
 
 from __future__ import annotations
@@ -16,34 +17,34 @@
 import msgspec
 
 from stackwheel.files.errors import FileRejectedError, Stage
-from stackwheel.files.records import DECODER, ENCODER, VERSION, Document
+from stackwheel.files.records import DECODER, ENCODER, FORMAT_VERSION, Document
 
 Decoded = TypeVar("Decoded")
 
 MAGIC = b"stackwheel-table"
-MAX_FILE_BYTES = 16 << 20  # 10,000 lines for each of 8 classes take 4 MiB
+MAX_FILE_BYTES = 16 << 20
 TRAILER = re.compile(
     rb"\nend length=([0-9]{1,10}) blake2b=([0-9a-f]{64})(?: key=([A-Za-z0-9._-]{1,64}) "
     rb"hmac-sha256=([0-9a-f]{64}))?\n\Z"
 )
-MAX_TRAILER_BYTES = 300  # with the longest key id 242
+MAX_TRAILER_BYTES = 300  # a trailer with the longest key id has 242
 DIGEST_BYTES = 32
 MIN_KEY_BYTES = 16
-MAX_KEYS = 2  # so that keys can be rotated in service
+MAX_KEYS = 2  # the old and the new key during a rotation
 KEY_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
-MAX_REASON_LENGTH = 200  # characters of a decoder's message that go into an error
+MAX_REASON_CHARACTERS = 200  # of a decoder's message
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRing:
-    """Signing keys by id: files are signed with one of them and accepted with any.
+    """Signing keys: files are signed with one of them, and a signature by any of them is accepted.
 
     Attributes:
-        keys: at most two; without any, files need no signature.
-        signing: id of the key to sign with, or None.
+        keys: at most two keys, by id; if empty, files need no signature.
+        signing: id of the key to sign with; None to write files without a signature.
 
     Raises:
-        ValueError: too many keys, a bad id, a short key, or an unknown signing key.
+        ValueError: there are too many keys, an id is invalid, a key is too short, or the signing key is not in `keys`.
     """
 
     keys: Mapping[str, bytes] = field(default_factory=dict)
@@ -51,18 +52,20 @@
 
     def __post_init__(self) -> None:
         if len(self.keys) > MAX_KEYS:
-            raise ValueError(f"{len(self.keys)} keys are given, at most two are valid at a time")
+            raise ValueError(f"{len(self.keys)} keys are given, at most two are allowed")
         for name, key in self.keys.items():
             if not KEY_ID.fullmatch(name):
-                raise ValueError(f"key id {name[:40]!r} is not of letters, digits, dots and dashes")
+                raise ValueError(
+                    f"key id {name[:40]!r} does not consist of 1 to 64 letters, digits, dots, dashes and underscores"
+                )
             if len(key) < MIN_KEY_BYTES:
-                raise ValueError(f"key {name} has {len(key)} bytes, at least {MIN_KEY_BYTES} are needed")
+                raise ValueError(f"key {name} has {len(key)} bytes, at least {MIN_KEY_BYTES} are required")
         if self.signing is not None and self.signing not in self.keys:
             raise ValueError(f"signing key {self.signing} is not among the keys")
 
     @property
-    def required(self) -> bool:
-        """Whether files must be signed."""
+    def is_signature_required(self) -> bool:
+        """Whether unsigned files are rejected."""
         return bool(self.keys)
 
 
@@ -70,16 +73,16 @@
 
 
 def encode(document: Document, keys: KeyRing = NO_KEYS) -> bytes:
-    """The file of a document; the same document gives the same bytes."""
+    """Encode a document as a file; equal documents result in equal bytes."""
     return seal(ENCODER.encode(document), keys)
 
 
 def seal(body: bytes, keys: KeyRing = NO_KEYS) -> bytes:
-    """A body between first line and trailer.
+    """Add the first line and the trailer to a body.
 
-    The keyed hash covers all that precedes it, including the trailer's length and digest.
+    The signature covers all bytes before it, including the length and the digest in the trailer.
     """
-    head = MAGIC + b" %d\n" % VERSION + body
+    head = MAGIC + b" %d\n" % FORMAT_VERSION + body
     trailer = b"\nend length=%d blake2b=%b" % (len(head), _digest(head))
     if keys.signing is not None:
         signature = _signature(keys.keys[keys.signing], head + trailer)
@@ -88,36 +91,38 @@
 
 
 def decode(data: bytes, keys: KeyRing = NO_KEYS) -> Document:
-    """The document of a file.
+    """Decode the document in a file.
 
     Raises:
-        FileRejectedError: the file is not complete, not genuine, or holds no valid document.
+        FileRejectedError: the file is incomplete, corrupt or not signed as required, or the document is invalid.
     """
     return decode_body(DECODER, unseal(data, keys))
 
 
 def decode_body(decoder: msgspec.json.Decoder[Decoded], body: bytes) -> Decoded:
-    """The record of a body, or FileRejectedError at the content stage."""
+    """Decode the record in a body; raises FileRejectedError with `Stage.CONTENT` if it is invalid."""
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise FileRejectedError(Stage.CONTENT, str(error)[:MAX_REASON_LENGTH]) from error
+        raise FileRejectedError(Stage.CONTENT, str(error)[:MAX_REASON_CHARACTERS]) from error
 
 
 def unseal(data: bytes, keys: KeyRing = NO_KEYS) -> bytes:
-    """The body of a file.
+    """Check the trailer and the signature of a file and return its body.
 
     Raises:
-        FileRejectedError: the file is not complete or not genuine.
+        FileRejectedError: the file is incomplete, corrupt or not signed as required.
     """
     if len(data) > MAX_FILE_BYTES:
-        raise FileRejectedError(Stage.SIZE, f"{len(data)} bytes, at most {MAX_FILE_BYTES}")
+        raise FileRejectedError(Stage.SIZE, f"the file has {len(data)} bytes, at most {MAX_FILE_BYTES} are allowed")
     trailer = TRAILER.search(data, max(0, len(data) - MAX_TRAILER_BYTES))
     if trailer is None:
-        raise FileRejectedError(Stage.TRAILER, "no trailer: half written, or no table file" if data else "empty")
+        raise FileRejectedError(
+            Stage.TRAILER, "no trailer: incomplete, or not a table file" if data else "the file is empty"
+        )
     head = data[: trailer.start()]
     body = _checked_body(head, trailer)
-    if keys.required:
+    if keys.is_signature_required:
         _check_signature(data, trailer, keys)
     return body
 
@@ -125,24 +130,26 @@
 def _checked_body(head: bytes, trailer: re.Match[bytes]) -> bytes:
     length = int(trailer[1])
     if length != len(head):
-        raise FileRejectedError(Stage.LENGTH, f"{len(head)} bytes before the trailer, which says {length}")
+        raise FileRejectedError(Stage.LENGTH, f"{len(head)} bytes precede the trailer, which states {length}")
     if not hmac.compare_digest(_digest(head), trailer[2]):
-        raise FileRejectedError(Stage.DIGEST, "the digest is another")
+        raise FileRejectedError(Stage.DIGEST, "the digest in the trailer does not match the content")
     first_line, newline, body = head.partition(b"\n")
-    if not newline or first_line != MAGIC + b" %d" % VERSION:
-        raise FileRejectedError(Stage.VERSION, f"begins with {first_line[:40]!r}, not {MAGIC.decode()} {VERSION}")
+    if not newline or first_line != MAGIC + b" %d" % FORMAT_VERSION:
+        raise FileRejectedError(
+            Stage.VERSION, f"first line is {first_line[:40]!r}, expected {MAGIC.decode()} {FORMAT_VERSION}"
+        )
     return body
 
 
 def _check_signature(data: bytes, trailer: re.Match[bytes], keys: KeyRing) -> None:
     if trailer[3] is None:
-        raise FileRejectedError(Stage.KEY, "not signed, and a key is set")
+        raise FileRejectedError(Stage.KEY, "the file is not signed, but a signature is required")
     name = trailer[3].decode()
     if name not in keys.keys:
-        raise FileRejectedError(Stage.KEY, f"signed with key {name!r}, which is not valid")
+        raise FileRejectedError(Stage.KEY, f"signed with key {name!r}, which is not among the accepted keys")
     signed = data[: data.rindex(b" key=", trailer.start())]
     if not hmac.compare_digest(_signature(keys.keys[name], signed), trailer[4]):
-        raise FileRejectedError(Stage.SIGNATURE, f"the signature is not of key {name!r}")
+        raise FileRejectedError(Stage.SIGNATURE, f"the signature does not match key {name!r}")
 
 
 def _digest(head: bytes) -> bytes:
--- a/stackwheel/files/comparison.py
+++ b/stackwheel/files/comparison.py
@@ -1,4 +1,4 @@
-"""Compares two table files field by field and line by line."""
+"""Compares two table updates field by field and weight line by weight line."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     "made": "created_at",
     "until": "expires_at",
 }
-"""Plain fields by their name in the file, with the attribute that holds them."""
+"""Attributes of `TableUpdate` whose values are compared directly, by their field name in the file."""
 
 
 class Difference(NamedTuple):
-    """Something that two files state differently, by the names that the files use."""
+    """A value that differs between two files, with its field name in the files."""
 
     name: str
     old: object
@@ -30,31 +30,33 @@
 
 
 def compare_updates(old: TableUpdate, new: TableUpdate) -> list[Difference]:
-    """All differences: fields, then tables by class, then ejected servers and reservations."""
-    return [difference for difference in _pairs(old, new) if difference.old != difference.new]
+    """Return all differences: fields, then tables by request class, then ejected servers and reservations."""
+    return [difference for difference in _compared_values(old, new) if difference.old != difference.new]
 
 
-def _pairs(old: TableUpdate, new: TableUpdate) -> Iterator[Difference]:
+def _compared_values(old: TableUpdate, new: TableUpdate) -> Iterator[Difference]:
     for name, attribute in COMPARED_FIELDS.items():
         yield Difference(name, getattr(old, attribute), getattr(new, attribute))
     yield Difference("incarnation", msgspec.to_builtins(old.incarnation), msgspec.to_builtins(new.incarnation))
     old_tables = {table.request_class: table for table in old.tables}
     new_tables = {table.request_class: table for table in new.tables}
     for request_class in sorted({*old_tables, *new_tables}):
-        yield from _table_pairs(request_class, old_tables.get(request_class), new_tables.get(request_class))
+        yield from _compared_table_values(request_class, old_tables.get(request_class), new_tables.get(request_class))
     yield Difference("withdrawn", list(old.ejected), list(new.ejected))
     yield Difference("bookings", _reservation_ids(old), _reservation_ids(new))
 
 
-def _table_pairs(request_class: str, old: WeightTable | None, new: WeightTable | None) -> Iterator[Difference]:
+def _compared_table_values(
+    request_class: str, old: WeightTable | None, new: WeightTable | None
+) -> Iterator[Difference]:
     old_lines = {} if old is None else old.lines
     new_lines = {} if new is None else new.lines
     for server in sorted({*old_lines, *new_lines}):
         yield Difference(f"{request_class} {server}", old_lines.get(server), new_lines.get(server))
-    yield Difference(f"{request_class} level", _level(old), _level(new))
+    yield Difference(f"{request_class} level", _encoded_level(old), _encoded_level(new))
 
 
-def _level(table: WeightTable | None) -> object:
+def _encoded_level(table: WeightTable | None) -> object:
     return None if table is None else msgspec.to_builtins(table.level)
 
 
--- a/stackwheel/files/content.py
+++ b/stackwheel/files/content.py
@@ -1,4 +1,4 @@
-"""The tables that a proxy ends up with: from a complete update and a delta on it; and the delta between two states."""
+"""Computes the tables that result from a complete update and a delta, and the delta between two contents."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True)
 class TableContent:
-    """Everything that is in force after an update.
+    """All tables, admission levels and ejections that are in force after an update.
 
     Attributes:
-        tables: weight by server, by request class; no weight is 0.
-        levels: admission level by request class.
-        ejected: servers that must not be used.
+        tables: weight by server, by request class; all weights are positive.
+        levels: admission level, by request class.
+        ejected: names of the servers that must not be used.
     """
 
     tables: dict[str, dict[str, float]] = field(default_factory=dict)
@@ -22,18 +22,18 @@
     ejected: tuple[str, ...] = ()
 
     def copy(self) -> TableContent:
-        """An independent copy."""
+        """Return a copy that shares no mutable state with this content."""
         tables = {request_class: dict(lines) for request_class, lines in self.tables.items()}
         return TableContent(tables, dict(self.levels), self.ejected)
 
 
 def positive_lines(lines: dict[str, float]) -> dict[str, float]:
-    """The lines that are in the table: weight 0 removes a server."""
+    """Return the lines without those of weight 0, which remove a server from a table."""
     return {server: weight for server, weight in lines.items() if weight > 0}
 
 
-def content_of(base: TableUpdate, delta: TableUpdate | None = None) -> TableContent:
-    """What is in force after a complete update, and after a delta on it."""
+def resulting_content(base: TableUpdate, delta: TableUpdate | None = None) -> TableContent:
+    """Return the content after a complete update and, if given, a delta on it."""
     content = TableContent(
         {table.request_class: positive_lines(table.lines) for table in base.tables},
         {table.request_class: table.level for table in base.tables},
@@ -53,13 +53,13 @@
         content.tables[request_class] = positive_lines(table.lines)
         content.levels[request_class] = table.level
         return
-    former = content.tables.get(request_class, {})
-    content.tables[request_class] = positive_lines({**former, **table.lines})
+    old_lines = content.tables.get(request_class, {})
+    content.tables[request_class] = positive_lines({**old_lines, **table.lines})
     content.levels[request_class] = table.level if table.level is not None else content.levels.get(request_class)
 
 
 def complete_tables(content: TableContent) -> tuple[WeightTable, ...]:
-    """The tables of a complete update, in the order of their classes."""
+    """Return the tables of a complete update with this content, sorted by request class."""
     return tuple(
         WeightTable(request_class, dict(sorted(lines.items())), content.levels.get(request_class))
         for request_class, lines in sorted(content.tables.items())
@@ -67,22 +67,22 @@
 
 
 def delta_tables(base: TableUpdate, content: TableContent) -> tuple[WeightTable, ...]:
-    """The tables of a delta that turns a complete update into a content; unchanged tables are left out."""
-    former = content_of(base)
-    found: list[WeightTable] = []
-    for request_class in sorted({*former.tables, *content.tables}):
-        table = _delta_table(request_class, former, content)
+    """Return the changed tables of a delta that leads from a complete update to a content."""
+    old = resulting_content(base)
+    changed: list[WeightTable] = []
+    for request_class in sorted({*old.tables, *content.tables}):
+        table = _delta_table(request_class, old, content)
         if table is not None:
-            found.append(table)
-    return tuple(found)
+            changed.append(table)
+    return tuple(changed)
 
 
-def _delta_table(request_class: str, former: TableContent, content: TableContent) -> WeightTable | None:
-    old_lines = former.tables.get(request_class, {})
-    new_lines = content.tables.get(request_class, {})
-    old_level = former.levels.get(request_class)
-    new_level = content.levels.get(request_class)
-    if new_level is None and old_level is not None:  # a delta can't remove a level: the table is replaced with it
+def _delta_table(request_class: str, old: TableContent, new: TableContent) -> WeightTable | None:
+    old_lines = old.tables.get(request_class, {})
+    new_lines = new.tables.get(request_class, {})
+    old_level = old.levels.get(request_class)
+    new_level = new.levels.get(request_class)
+    if new_level is None and old_level is not None:  # only a complete table can remove the level
         return WeightTable(request_class, dict(sorted(new_lines.items())), None, True)
     lines = {
         server: new_lines.get(server, 0.0)
--- a/stackwheel/files/environment.py
+++ b/stackwheel/files/environment.py
@@ -1,4 +1,4 @@
-"""What a publisher or a reader is run with: a disk, a clock, and a place for calls that block."""
+"""The disk, clock and executor that a publisher or a reader uses."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 
 from stackwheel.files.disk import Disk, SystemDisk
 
-RunBlocking = Callable[..., Awaitable[Any]]  # runs a function with its arguments where it may block
+RunBlocking = Callable[..., Awaitable[Any]]
+"""Runs a blocking function with its arguments and returns its result."""
 
 
 def unix_ms() -> float:
-    """Now, in Unix ms."""
+    """Return the current time in Unix ms."""
     return time.time() * 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class FileEnvironment:
-    """The machine's own, or that of a simulation.
+    """Disk, clock and executor, of the operating system or of a simulation.
 
     Attributes:
-        disk: where files are.
-        now: the present time in Unix ms.
-        run_blocking: by default in a thread, so that a slow disk never holds up the event loop.
+        disk: file operations.
+        now: returns the current time in Unix ms.
+        run_blocking: runs blocking calls; by default in a thread, so that a slow disk does not block the event loop.
     """
 
     disk: Disk
@@ -34,5 +35,5 @@
 
 
 def system_environment() -> FileEnvironment:
-    """The machine's disk, clock and threads."""
+    """Return the environment that uses the operating system's disk, clock and threads."""
     return FileEnvironment(SystemDisk(), unix_ms)
--- a/stackwheel/files/errors.py
+++ b/stackwheel/files/errors.py
@@ -1,4 +1,4 @@
-"""Errors of table files: a file that is rejected, a file that can't be replaced, a key file that can't be used."""
+"""Errors of table files: rejected files, failed replacements and invalid key files."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 class Stage(IntEnum):
-    """How far a file had come through the checks when it was rejected."""
-
-    OPEN = 0  # not a regular file, or unreadable
-    SIZE = 1
-    TRAILER = 2  # no trailer: half written, or another program's file
-    LENGTH = 3
-    DIGEST = 4
-    VERSION = 5
-    KEY = 6  # unsigned although a key is set, or signed with a key that is not valid
-    SIGNATURE = 7
-    CONTENT = 8  # complete and genuine, but the document is invalid
-    ORDER = 9  # older than what is applied, or of an earlier incarnation
-    AGE = 10  # expired, or made too far in the future
-    BASE = 11  # a delta on a complete file that the reader does not have
+    """Checks of a table file, by the names that command output and log lines use in lower case."""
+
+    OPEN = 0  # invalid name, not a regular file, or unreadable
+    SIZE = 1  # larger than the maximum
+    TRAILER = 2  # no trailer: incomplete, or not a table file
+    LENGTH = 3  # length differs from the one in the trailer
+    DIGEST = 4  # digest differs from the one in the trailer
+    VERSION = 5  # unknown format or format version
+    KEY = 6  # unsigned although a signature is required, or signed with an unknown key
+    SIGNATURE = 7  # signature does not match
+    CONTENT = 8  # invalid document
+    ORDER = 9  # older than the applied update, or from an earlier incarnation
+    AGE = 10  # expired, or created too far in the future
+    BASE = 11  # delta on a complete update that the reader does not have
     TARGET = 12  # for another zone or proxy
 
 
 class FileRejectedError(StackwheelError):
-    """A table file is not used.
+    """A table file failed a check and is not applied.
 
     Attributes:
-        stage: the check that it failed.
-        reason: what is wrong, in one line.
+        stage: check that failed.
+        reason: description of the failure in one line.
     """
 
     def __init__(self, stage: Stage, reason: str) -> None:
@@ -40,7 +40,7 @@
 
 
 class ReplaceStep(StrEnum):
-    """A step of an atomic replace, in order."""
+    """Step of an atomic replacement, in the order of execution."""
 
     CREATE = "create"
     WRITE = "write"
@@ -48,15 +48,15 @@
     CLOSE = "close"
     RENAME = "rename"
     SYNC_FOLDER = "sync folder"
-    UNKNOWN = "replace"  # the disk failed with something else than an OSError
+    UNKNOWN = "replace"  # an exception other than OSError
 
 
 class ReplaceError(StackwheelError):
-    """A file could not be replaced durably. Up to the rename the old file is in place.
+    """A file could not be replaced durably; if a step up to the rename failed, the old file is unchanged.
 
     Attributes:
-        step: the step that failed.
-        reason: the operating system's message.
+        step: step that failed.
+        reason: error message of the operating system.
     """
 
     def __init__(self, step: ReplaceStep, reason: str) -> None:
@@ -66,4 +66,4 @@
 
 
 class KeyFileError(InvalidInputError):
-    """A key file can't be used; the keys in use stay in force."""
+    """A key file cannot be read or is invalid."""
--- a/stackwheel/files/key_file.py
+++ b/stackwheel/files/key_file.py
@@ -1,4 +1,4 @@
-"""The key file: TOML with an id and a hexadecimal key each, and the id of the key that signs."""
+"""Loads signing keys from a key file: TOML with hexadecimal keys by id, and the id of the key to sign with."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from stackwheel.files.codec import KeyRing
 from stackwheel.files.errors import KeyFileError
 
-MAX_KEY_FILE_BYTES = 4096  # two keys take a few hundred bytes
+MAX_KEY_FILE_BYTES = 4096
 
 
 def load_keys(path: Path) -> KeyRing:
-    """The keys of a file such as this one.
+    """Load the keys from a file of this form.
 
         signing = "k2"
         [keys]
@@ -20,15 +20,15 @@
         k2 = "90aa..."
 
     Raises:
-        KeyFileError: the file can't be read, or holds no valid keys.
+        KeyFileError: the file cannot be read, or its keys are invalid.
     """
     document = _read_toml(path)
     keys = document.get("keys")
     signing = document.get("signing")
     if not isinstance(keys, dict) or not keys:
-        raise KeyFileError(str(path), "no [keys]")
+        raise KeyFileError(str(path), "table [keys] is missing or empty")
     if signing is not None and not isinstance(signing, str):
-        raise KeyFileError(f"{path}: signing", "the id of a key was expected")
+        raise KeyFileError(f"{path}: signing", "expected the id of a key")
     decoded = {name: _decode_key(path, name, text) for name, text in keys.items()}
     try:
         return KeyRing(decoded, signing)
@@ -42,7 +42,7 @@
     except OSError as error:
         raise KeyFileError(str(path), error.strerror or str(error)) from error
     if len(data) > MAX_KEY_FILE_BYTES:
-        raise KeyFileError(str(path), f"{len(data)} bytes, at most {MAX_KEY_FILE_BYTES}")
+        raise KeyFileError(str(path), f"the file has {len(data)} bytes, at most {MAX_KEY_FILE_BYTES} are allowed")
     try:
         return tomllib.loads(data.decode("utf-8"))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -54,5 +54,5 @@
         try:
             return bytes.fromhex(text)
         except ValueError as error:
-            raise KeyFileError(f"{path}: keys.{name}", "a key in hexadecimal was expected") from error
-    raise KeyFileError(f"{path}: keys.{name}", "a key in hexadecimal was expected")
+            raise KeyFileError(f"{path}: keys.{name}", "expected a key in hexadecimal digits") from error
+    raise KeyFileError(f"{path}: keys.{name}", "expected a key in hexadecimal digits")
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -14,7 +14,7 @@
 
 from stackwheel.files.atomic_replace import replace_file
 from stackwheel.files.codec import NO_KEYS, KeyRing, decode, encode
-from stackwheel.files.disk import SUFFIX, join, list_names, read_file
+from stackwheel.files.disk import TABLE_SUFFIX, join, list_names, read_file
 from stackwheel.files.environment import FileEnvironment
 from stackwheel.files.errors import FileRejectedError, ReplaceError, ReplaceStep, Stage
 from stackwheel.files.file_proxy import FileConnection
@@ -186,7 +186,7 @@
     def changed_statuses(self) -> list[_StatusFile]:
         """The status files whose bytes differ from the last poll. Blocks."""
         folder = self.folders.statuses
-        names = [name for name in list_names(self.disk, folder) if name.endswith(SUFFIX)][:MAX_STATUS_FILES]
+        names = [name for name in list_names(self.disk, folder) if name.endswith(TABLE_SUFFIX)][:MAX_STATUS_FILES]
         changed: list[_StatusFile] = []
         for name in names:
             try:
@@ -227,4 +227,4 @@
 def target_path(planner: str, zone: str, proxy: int | None) -> str:
     """Folder and name of a target's file below the folder of tables."""
     folder = f"zone-{zone}" if proxy is None else f"proxy-{proxy}"
-    return f"{folder}/orders-{planner}{SUFFIX}"
+    return f"{folder}/orders-{planner}{TABLE_SUFFIX}"
--- a/stackwheel/files/reader.py
+++ b/stackwheel/files/reader.py
@@ -16,7 +16,7 @@
 from stackwheel.files.acceptor import Acceptance, Acceptor, CurrentTables, ReaderMemory
 from stackwheel.files.atomic_replace import replace_file
 from stackwheel.files.codec import NO_KEYS, KeyRing, decode, encode
-from stackwheel.files.disk import SUFFIX, list_names, read_file
+from stackwheel.files.disk import TABLE_SUFFIX, list_names, read_file
 from stackwheel.files.environment import FileEnvironment
 from stackwheel.files.errors import FileRejectedError, ReplaceError, Stage
 from stackwheel.files.memory import load_memory, save_memory
@@ -166,7 +166,7 @@
         changed: list[_ChangedFile] = []
         for folder in self.config.folders:
             for name in list_names(self.disk, folder):
-                if not name.endswith(SUFFIX):
+                if not name.endswith(TABLE_SUFFIX):
                     continue
                 data = self._read(folder, name)
                 file_id = _FileId(folder, name)
@@ -260,7 +260,7 @@
             demand=tuple(report.demand),
             observations=tuple(report.observations),
         )
-        name = f"answer-{self.config.proxy}{SUFFIX}"
+        name = f"answer-{self.config.proxy}{TABLE_SUFFIX}"
         data = encode(status, self.keys())
         await self.run_blocking(replace_file, self.disk, self.config.status_folder, name, data)
 
--- a/stackwheel/files/records.py
+++ b/stackwheel/files/records.py
@@ -1,7 +1,7 @@
-"""The documents of table files as typed records; `docs/files.md` is the format.
+"""Typed records of the documents in table files; `docs/files.md` describes the format.
 
-Fields have the names that the code uses; `rename` maps them to the names in the files, which never change. Points in
-time are Unix ms, durations ms.
+`rename` maps attribute names to the field names in the files, which are fixed. Points in time are in Unix ms and
+durations in ms.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 import msgspec
 from msgspec import Meta, Struct
 
-VERSION = 1  # of the format
-MAX_TABLES = 64  # of a document: request classes
-MAX_LINES = 10_000  # of a weight table, and ejected servers of a document
-MAX_RESERVATIONS = 1_000  # of a document
-MAX_OBSERVATIONS = 100_000  # of a document: servers that one proxy reports on
+FORMAT_VERSION = 1
+MAX_TABLES = 64
+MAX_LINES = 10_000
+MAX_RESERVATIONS = 1_000
+MAX_OBSERVATIONS = 100_000
 
-UnixMs = Annotated[float, Meta(ge=0, le=1e14)]
-Count = Annotated[int, Meta(ge=0, le=(1 << 53) - 1)]  # exact in any JSON reader
+Milliseconds = Annotated[float, Meta(ge=0, le=1e14)]
+Count = Annotated[int, Meta(ge=0, le=(1 << 53) - 1)]  # JSON readers with float64 numbers represent these exactly
 SequenceNumber = Annotated[int, Meta(ge=1, le=(1 << 53) - 1)]
 Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[^\x00-\x20\x7f/]+$")]
 Quantity = Annotated[float, Meta(ge=0, le=1e12)]
@@ -26,12 +26,12 @@
 
 
 class Incarnation(Struct, frozen=True, order=True, forbid_unknown_fields=True):
-    """One run of a planner or proxy process under its name; of two, the greater one is the later.
+    """Identifies one run of a planner or proxy process; later runs compare greater.
 
     Attributes:
-        epoch: a fencing token that the operators hand out, where there is one; without it the clock decides.
-        started: when the process started.
-        salt: a random number that tells apart starts within one millisecond.
+        epoch: fencing token that the operators assign; 0 if none is assigned, so that the start time decides.
+        started: start time of the process, Unix ms.
+        salt: random number that distinguishes starts within the same millisecond.
     """
 
     epoch: Count = 0
@@ -40,7 +40,7 @@
 
 
 class FileVersion(NamedTuple):
-    """Orders the files of one planner: a greater version is newer."""
+    """Version of a table file; newer files of the same planner compare greater."""
 
     incarnation: Incarnation
     sequence: int
@@ -50,8 +50,8 @@
     """The admission level of a request class.
 
     Attributes:
-        admitted: share of requests, or requests per second and proxy, that a proxy admits.
-        retry: the retry mode, 0 to 3 as in updates by stream.
+        admitted: share of requests, or requests per second, that each proxy admits.
+        retry: retry mode, with the same values from 0 to 3 as in updates by stream.
     """
 
     admitted: Quantity
@@ -68,10 +68,10 @@
     """The weight table of one request class.
 
     Attributes:
-        request_class: name of the class.
-        lines: weight by server. In a delta, weight 0 removes a line and the others are set.
-        level: admission level; None in a delta where it is unchanged.
-        complete: in a delta: `lines` replace the table instead of changing it.
+        request_class: name of the request class.
+        lines: weight by server name. In a delta, a weight of 0 removes a line and other weights set it.
+        level: admission level. In a delta, None leaves it unchanged unless `complete` is set.
+        complete: in a delta, whether `lines` and `level` replace the entire table.
     """
 
     request_class: Name
@@ -86,21 +86,21 @@
     forbid_unknown_fields=True,
     rename={"request_class": "route", "requests": "grant", "expires_at": "until", "created_at": "made"},
 ):
-    """Leave to send a number of requests beyond the admission level. It takes effect at most once at each proxy.
+    """Permits a number of requests beyond the admission level; takes effect at most once at each proxy.
 
     Attributes:
-        id: idempotency key, the same in every file that carries the reservation.
-        request_class: name of the class.
-        requests: how many requests.
-        expires_at: it is void from then on.
-        created_at: when it was first made, however often it is sent.
+        id: idempotency key, equal in all files that contain the reservation.
+        request_class: name of the request class.
+        requests: number of requests.
+        expires_at: expiry, Unix ms; the reservation is ignored from then on.
+        created_at: creation time, Unix ms; equal in all files that contain the reservation.
     """
 
     id: Name
     request_class: Name
     requests: Annotated[int, Meta(ge=1, le=1_000_000)]
-    expires_at: UnixMs
-    created_at: UnixMs = 0.0
+    expires_at: Milliseconds
+    created_at: Milliseconds = 0.0
 
 
 class TableUpdate(
@@ -118,27 +118,27 @@
         "reservations": "bookings",
     },
 ):
-    """What a planner publishes for the proxies of a zone, or for one of them.
+    """Weight tables that a planner publishes for all proxies of a zone, or for one of them.
 
     Attributes:
         planner: name of the planner.
-        incarnation: of the planner.
-        sequence: number of the file within the incarnation, whatever its target.
-        created_at: when it was made.
-        expires_at: it may be used until then.
-        zone: the zone whose proxies it is for.
-        proxy: the only proxy that it is for, or None.
-        base_sequence: of a delta: the number of the complete update that it builds on.
-        tables: one for each class; in a delta, only those that changed.
+        incarnation: incarnation of the planner.
+        sequence: sequence number of the update within the incarnation, counted over all targets.
+        created_at: creation time, Unix ms.
+        expires_at: time from which the update must not be used, Unix ms.
+        zone: name of the zone.
+        proxy: number of the only proxy that the update is for; None for all proxies of the zone.
+        base_sequence: sequence number of the complete update that a delta builds on; None for a complete update.
+        tables: one table per request class; in a delta, only the changed ones.
         ejected: all servers that must not be used.
-        reservations: all that have not expired.
+        reservations: all reservations that have not expired.
     """
 
     planner: Name
     incarnation: Incarnation
     sequence: SequenceNumber
-    created_at: UnixMs
-    expires_at: UnixMs
+    created_at: Milliseconds
+    expires_at: Milliseconds
     zone: Name
     proxy: ProxyNumber | None = None
     base_sequence: Count | None = None
@@ -148,12 +148,12 @@
 
     @property
     def complete(self) -> bool:
-        """Whether it stands alone, without a base."""
+        """Whether this is a complete update instead of a delta."""
         return self.base_sequence is None
 
     @property
     def version(self) -> FileVersion:
-        """Its place among the files of its planner."""
+        """The version that orders this update among those of its planner."""
         return FileVersion(self.incarnation, self.sequence)
 
 
@@ -164,25 +164,31 @@
     omit_defaults=True,
     rename={"attempts": "tries", "mean_latency": "mean"},
 ):
-    """What a proxy measured at a server within a report's window.
+    """Measurements that a proxy made of a server within the window of a report.
 
     Attributes:
-        server: its name.
-        attempts: that ended within the window.
-        failures: how many of these failed.
-        mean_latency: ms, of the successful ones.
-        load: the server's own figures by load column.
+        server: name of the server.
+        attempts: number of attempts that ended within the window.
+        failures: number of these attempts that failed.
+        mean_latency: mean latency of the successful attempts, ms.
+        load: load figures that the server reported, by load column.
     """
 
     server: Name
     attempts: Count
     failures: Count = 0
-    mean_latency: UnixMs = 0.0
+    mean_latency: Milliseconds = 0.0
     load: dict[Name, Quantity] = {}
 
 
 class ClassDemand(Struct, frozen=True, forbid_unknown_fields=True, rename={"request_class": "route"}):
-    """Requests of a class that reached a proxy within a report's window."""
+    """Number of requests of a class that a proxy received within the window of a report.
+
+    Attributes:
+        request_class: name of the request class.
+        requests: number of requests received.
+        unanswered: number of requests that were not answered.
+    """
 
     request_class: Name
     requests: Count
@@ -209,37 +215,37 @@
         "observations": "met",
     },
 ):
-    """What a proxy publishes for its planner: the update that it has applied, and its reports.
+    """Status that a proxy publishes for its planner: the applied update, demand and server measurements.
 
     Attributes:
         proxy: number of the proxy.
-        zone: its zone.
-        proxy_incarnation: of the proxy.
-        sequence: number of the status within that incarnation.
-        created_at: when it was made.
-        planner: whose update is applied, or None.
-        planner_incarnation: of that update.
-        applied_sequence: of that update; it acknowledges all earlier ones of the incarnation.
-        apply_delay: ms from the making of that update to its use.
-        newly_started: the proxy holds only its standing tables.
-        expected_rate: requests a second, roughly.
-        window: ms that the reports cover; 0 where there are none.
-        demand: by request class.
-        observations: by server.
+        zone: name of the proxy's zone.
+        proxy_incarnation: incarnation of the proxy.
+        sequence: sequence number of the status within the proxy's incarnation.
+        created_at: creation time, Unix ms.
+        planner: name of the planner whose update is applied; None if no update is applied.
+        planner_incarnation: incarnation of the planner in the applied update.
+        applied_sequence: sequence number of the applied update; acknowledges all earlier ones of the incarnation.
+        apply_delay: time from the creation of the applied update to its use, ms.
+        newly_started: whether the proxy has only its standing tables.
+        expected_rate: approximate number of requests per second.
+        window: period that `demand` and `observations` cover, ms; 0 if there are none.
+        demand: demand of each request class.
+        observations: measurements of each server.
     """
 
     proxy: ProxyNumber
     zone: Name
     proxy_incarnation: Incarnation
     sequence: SequenceNumber
-    created_at: UnixMs
+    created_at: Milliseconds
     planner: Name | None = None
     planner_incarnation: Incarnation | None = None
     applied_sequence: Count = 0
-    apply_delay: UnixMs = 0.0
+    apply_delay: Milliseconds = 0.0
     newly_started: bool = True
     expected_rate: Quantity = 0.0
-    window: Annotated[float, Meta(ge=0, le=86_400_000)] = 0.0  # at most a day
+    window: Annotated[float, Meta(ge=0, le=86_400_000)] = 0.0
     demand: Annotated[tuple[ClassDemand, ...], Meta(max_length=MAX_TABLES)] = ()
     observations: Annotated[tuple[ServerObservation, ...], Meta(max_length=MAX_OBSERVATIONS)] = ()
 
--- a/tests/cli/test_files_command.py
+++ b/tests/cli/test_files_command.py
@@ -49,9 +49,9 @@
 @pytest.mark.parametrize(
     ("name", "reason"),
     [
-        ("torn.table", "trailer: no trailer: half written, or no table file"),
+        ("torn.table", "trailer: no trailer: incomplete, or not a table file"),
         ("none.table", "open: No such file or directory"),
-        ("keys.toml", "open: name 'keys.toml' is not taken"),
+        ("keys.toml", "open: 'keys.toml' is not a valid name for a table file"),
     ],
 )
 def test_check_gives_the_reason_of_a_rejection(folder: Path, run_command: RunCommand, name: str, reason: str) -> None:
@@ -71,10 +71,10 @@
     ("text", "message"),
     [
         ("x", "keys.toml: "),
-        ("", "no [keys]"),
-        ('[keys]\nk1 = "zz"', "keys.k1: a key in hexadecimal was expected"),
+        ("", "table [keys] is missing or empty"),
+        ('[keys]\nk1 = "zz"', "keys.k1: expected a key in hexadecimal digits"),
         ('[keys]\nk1 = "00"', "key k1 has 1 bytes"),
-        ('signing = 3\n[keys]\nk1 = "' + "00" * 16 + '"', "signing: the id"),
+        ('signing = 3\n[keys]\nk1 = "' + "00" * 16 + '"', "signing: expected the id"),
     ],
 )
 def test_an_unusable_key_file_is_one_line(folder: Path, run_command: RunCommand, text: str, message: str) -> None:
--- a/tests/files/model_disk.py
+++ b/tests/files/model_disk.py
@@ -1,4 +1,4 @@
-"""A model of a disk that may lose, keep or tear what was not synced; every crash point and outcome can be listed."""
+"""A model of a disk on which unsynced data may be lost, kept or partially written in a crash."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class CrashError(BaseException):
-    """The process ends here; not an Exception, so that nothing cleans up after it."""
+    """Simulates the end of the process; not an Exception, so that no handler runs its cleanup."""
 
 
 @dataclass
 class Inode:
-    """A file's content, as a running process sees it and as it would survive a loss of power."""
+    """Content of a file, as a running process sees it and as it survives a power failure."""
 
     data: bytearray = field(default_factory=bytearray)
     synced: bytes = b""
@@ -24,15 +24,16 @@
 
 
 class ModelDisk:
-    """Names become durable by a folder sync, contents by a file sync.
+    """A disk in memory: a folder sync makes names durable, a file sync makes contents durable.
 
     Attributes:
-        crash_at: number of the step at which the process dies; -1: never.
-        steps: made so far.
-        entries: files by path as a running process sees them.
-        durable_entries: files by path as of the last folder sync.
-        failures: the error that a step raises, by its name.
-        max_write: bytes that one write takes.
+        crash_at: index of the step that raises CrashError; -1 for none.
+        steps: number of completed steps.
+        entries: files by path, as a running process sees them.
+        durable_entries: files by path, as of the last folder sync.
+        handles: open files by handle.
+        failures: error that a step raises, by the name of the step.
+        max_write_bytes: maximum number of bytes that one write accepts.
     """
 
     def __init__(self, crash_at: int = -1) -> None:
@@ -40,10 +41,10 @@
         self.steps = 0
         self.entries: dict[str, Inode] = {}
         self.durable_entries: dict[str, Inode] = {}
-        self.handles: dict[int, Inode] = {}  # of open files
+        self.handles: dict[int, Inode] = {}
         self.next_handle = 3
         self.failures: dict[str, OSError] = {}
-        self.max_write = 1 << 30
+        self.max_write_bytes = 1 << 30
 
     def step(self, name: str) -> None:
         if self.steps == self.crash_at:
@@ -63,9 +64,9 @@
 
     def write(self, handle: int, data: bytes) -> int:
         self.step("write")
-        taken = data[: self.max_write]
-        self.handles[handle].data += taken
-        return len(taken)
+        accepted = data[: self.max_write_bytes]
+        self.handles[handle].data += accepted
+        return len(accepted)
 
     def sync(self, handle: int) -> None:
         self.step("sync")
@@ -99,7 +100,10 @@
         return bytes(self.entries[path].data[: limit + 1])
 
     def outcomes(self, path: str) -> Iterator[bytes | None]:
-        """All that the file may hold after a loss of power: under either name, any prefix of what was not synced."""
+        """Yield every content that a file may have after a power failure; None if the file may be missing.
+
+        The name may be that before or after the last folder sync, and any prefix of unsynced data may be written.
+        """
         for entries in (self.durable_entries, self.entries):
             inode = entries.get(path)
             if inode is None:
@@ -108,4 +112,4 @@
             yield bytes(inode.synced)
             for length in range(len(inode.synced), len(inode.data) + 1):
                 yield bytes(inode.data[:length])
-                yield bytes(inode.data[:length]) + bytes(len(inode.data) - length)  # grown, but not written
+                yield bytes(inode.data[:length]) + bytes(len(inode.data) - length)  # extended with zeros
--- a/tests/files/test_acceptor.py
+++ b/tests/files/test_acceptor.py
@@ -1,4 +1,4 @@
-"""A reader applies nothing older, nothing twice, no delta without its base, and no reservation again."""
+"""Tests of the checks that decide which table updates a reader applies."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def apply(acceptor: Acceptor, *updates: TableUpdate, now: float = NOW) -> list[str]:
-    """What became of each: applied, known, or the stage of its rejection; with the reservations that took effect."""
+    """Apply updates; return "applied" with the accepted reservations, "known", or the failed stage for each."""
     outcomes: list[str] = []
     for update in updates:
         try:
@@ -51,35 +51,35 @@
     return outcomes
 
 
-def test_an_older_file_is_rejected_and_the_same_one_changes_nothing() -> None:
+def test_an_older_update_is_rejected_and_a_repeated_one_is_ignored() -> None:
     acceptor = Acceptor("east", 3)
     outcomes = apply(acceptor, complete(2), complete(1), complete(2), complete(3))
     assert outcomes == ["applied", "ORDER", "known", "applied"]
 
 
-def test_an_earlier_incarnation_is_rejected_whatever_its_sequence() -> None:
+def test_an_update_of_an_earlier_incarnation_is_rejected_at_any_sequence_number() -> None:
     acceptor = Acceptor("east", 3)
     outcomes = apply(acceptor, complete(1, SECOND), complete(900, FIRST), complete(2, SECOND))
     assert outcomes == ["applied", "ORDER", "applied"]
 
 
-def test_an_older_file_is_rejected_after_the_reader_has_restarted() -> None:
-    former = Acceptor("east", 3)
-    apply(former, complete(5))
-    memory = msgspec.json.decode(msgspec.json.encode(former.memory), type=ReaderMemory)
+def test_an_older_update_is_rejected_after_a_restart_of_the_reader() -> None:
+    stopped = Acceptor("east", 3)
+    apply(stopped, complete(5))
+    memory = msgspec.json.decode(msgspec.json.encode(stopped.memory), type=ReaderMemory)
     restarted = Acceptor("east", 3, memory)
     outcomes = apply(restarted, complete(4), delta(6, 5), complete(5), delta(6, 5))
     assert outcomes == ["ORDER", "BASE", "applied", "applied"]
 
 
-def test_a_delta_needs_its_base_and_no_other_delta() -> None:
+def test_a_delta_requires_its_base_but_no_earlier_delta() -> None:
     acceptor = Acceptor("east", 3)
     outcomes = apply(acceptor, delta(3, 1), complete(1), delta(4, 1), delta(3, 1), delta(6, 5))
     assert outcomes == ["BASE", "applied", "applied", "ORDER", "BASE"]
     assert acceptor.current["n0|east|all"].content.tables == {"read": {"a": 4.0, "b": 1.0}}
 
 
-def test_a_reservation_takes_effect_once_however_it_comes() -> None:
+def test_a_reservation_takes_effect_once_when_several_updates_contain_it() -> None:
     reservations = (Reservation("n0.1", "book", 3, NOW + 5000.0),)
     acceptor = Acceptor("east", 3)
     outcomes = apply(
@@ -94,15 +94,15 @@
     assert outcomes == ["applied", "applied"]
 
 
-def test_after_a_lost_memory_an_older_reservation_takes_no_effect_though_a_newer_file_brings_it() -> None:
-    """Seed 368 with files: it goes along with every file until it expires, and took effect once more."""
+def test_a_reservation_created_before_the_reader_memory_is_ignored() -> None:
+    """A reservation may have taken effect before the memory was lost, and newer files still contain it."""
     older = Reservation("old", "book", 1, NOW + 9e4, NOW - 500.0)
     newer = Reservation("new", "book", 1, NOW + 9e4, NOW)
     acceptor = Acceptor("east", 3, ReaderMemory(valid_since=NOW - 100.0))
     assert apply(acceptor, complete(1, reservations=(older, newer))) == ["applied new"]
 
 
-def test_an_expired_reservation_takes_no_effect_and_is_forgotten() -> None:
+def test_an_expired_reservation_is_ignored_and_removed_from_the_memory() -> None:
     acceptor = Acceptor("east", 3)
     reservations = (Reservation("n0.1", "book", 3, NOW + 5000.0),)
     apply(acceptor, complete(1, reservations=reservations))
@@ -118,13 +118,13 @@
         (complete(1, proxy=4), Stage.TARGET),
     ],
 )
-def test_an_expired_file_and_one_for_others_are_rejected(update: TableUpdate, stage: Stage) -> None:
+def test_an_expired_update_and_one_for_another_target_are_rejected(update: TableUpdate, stage: Stage) -> None:
     with pytest.raises(FileRejectedError) as rejected:
         Acceptor("east", 3).validate(update, NOW)
     assert rejected.value.stage is stage
 
 
-def test_a_file_from_the_future_is_rejected() -> None:
+def test_an_update_created_in_the_future_is_rejected() -> None:
     with pytest.raises(FileRejectedError) as rejected:
         Acceptor("east", 3).validate(complete(1), NOW - 6000.0)
     assert rejected.value.stage is Stage.AGE
@@ -132,24 +132,24 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 10_000), st.integers(1, 3))
-def test_in_whatever_order_and_however_often_files_come_the_newest_is_in_force_at_last(seed: int, copies: int) -> None:
-    chance = random.Random(seed)
-    files = [complete(1), delta(2, 1), delta(3, 1), complete(4), delta(5, 4, ejected=("b",)), complete(1, SECOND)]
-    pushed = files * copies
-    chance.shuffle(pushed)
+def test_the_newest_update_wins_in_any_order_of_delivery(seed: int, copies: int) -> None:
+    generator = random.Random(seed)
+    updates = [complete(1), delta(2, 1), delta(3, 1), complete(4), delta(5, 4, ejected=("b",)), complete(1, SECOND)]
+    delivered = updates * copies
+    generator.shuffle(delivered)
     acceptor = Acceptor("east", 3)
     versions: list[FileVersion] = []
-    for update in pushed:
+    for update in delivered:
         apply(acceptor, update)
         if acceptor.memory.applied:
             versions.append(max(applied.version for applied in acceptor.memory.applied.values()))
-        if chance.random() < 0.2:
+        if generator.random() < 0.2:
             acceptor = Acceptor("east", 3, acceptor.memory)
     assert versions == sorted(versions)
     assert versions[-1] == (SECOND, 1)
 
 
-def test_memory_is_bounded() -> None:
+def test_the_reader_memory_is_bounded() -> None:
     acceptor = Acceptor("east", 3)
     for number in range(100):
         apply(acceptor, TableUpdate(f"n{number}", FIRST, 1, NOW, NOW + 9e6, "east"))
--- a/tests/files/test_atomic_replace.py
+++ b/tests/files/test_atomic_replace.py
@@ -1,4 +1,4 @@
-"""A half-written file is never read: every crash point, with the disk losing, keeping or tearing unsynced data."""
+"""Tests of atomic replacement at every crash point, with unsynced data lost, kept or partially written."""
 
 from __future__ import annotations
 
@@ -34,27 +34,27 @@
 
 
 @pytest.mark.parametrize("step", range(len(STEPS) + 1))
-def test_after_a_crash_at_any_step_a_reader_finds_the_old_file_or_the_new_one(step: int) -> None:
+def test_a_crash_at_any_step_leaves_the_old_or_the_new_file(step: int) -> None:
     disk = disk_with_old_file(crash_at=step)
     try:
         replace_file(disk, "d", "x.table", encode(NEW))
-        done = True
+        completed = True
     except CrashError:
-        done = False
-    assert done == (step == len(STEPS))
+        completed = False
+    assert completed == (step == len(STEPS))
     outcomes = list(disk.outcomes("d/x.table"))
     sequences = {sequence_of(data) for data in outcomes if data is not None}
     assert None not in outcomes
     assert sequences <= {1, 2}
     assert step < len(STEPS) - 1 or 2 in sequences
-    if done:
+    if completed:
         assert sequences == {2}
 
 
-def test_a_replace_without_sync_is_seen_to_tear() -> None:
-    """The check can fail: without the file's sync some outcome is no complete file."""
+def test_the_model_disk_detects_a_missing_sync() -> None:
+    """Without the sync of the file, a crash can leave an incomplete file, so the crash test above can fail."""
 
-    class Careless(ModelDisk):
+    class UnsyncedDisk(ModelDisk):
         def sync(self, handle: int) -> None:
             pass
 
@@ -65,13 +65,13 @@
             return True
         return False
 
-    disk = Careless()
+    disk = UnsyncedDisk()
     replace_file(disk, "d", "x.table", encode(NEW))
     assert any(is_rejected(data) for data in disk.outcomes("d/x.table") if data is not None)
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_failure_at_any_step_names_it_and_leaves_the_old_file(step: str) -> None:
+def test_a_failed_step_is_reported_and_leaves_the_old_file(step: str) -> None:
     disk = disk_with_old_file()
     disk.failures[step] = OSError(errno.ENOSPC, "No space left on device")
     with pytest.raises(ReplaceError) as failed:
@@ -83,17 +83,17 @@
     disk.failures.clear()
     replace_file(disk, "d", "x.table", encode(NEW))
     assert disk.names("d") == ["x.table"]
-    assert sorted(disk.entries) == ["d/x.table"]  # nothing is left elsewhere either
+    assert sorted(disk.entries) == ["d/x.table"]
 
 
-def test_a_disk_that_takes_a_few_bytes_at_a_time_gets_them_all() -> None:
+def test_partial_writes_are_continued_until_all_bytes_are_written() -> None:
     disk = ModelDisk()
-    disk.max_write = 7
+    disk.max_write_bytes = 7
     replace_file(disk, "d", "x.table", encode(NEW))
     assert decode(disk.read("d/x.table", 1 << 20)) == NEW
 
 
-def test_on_the_system_s_disk(tmp_path: Path) -> None:
+def test_files_are_replaced_on_the_system_disk(tmp_path: Path) -> None:
     disk = SystemDisk()
     for update in (OLD, NEW):
         replace_file(disk, str(tmp_path), "x.table", encode(update))
--- a/tests/files/test_codec.py
+++ b/tests/files/test_codec.py
@@ -1,4 +1,4 @@
-"""A file is used as a whole or not at all, and only if it is genuine."""
+"""Tests that complete, valid files are decoded and all others are rejected."""
 
 from __future__ import annotations
 
@@ -74,17 +74,17 @@
 
 @pytest.mark.parametrize("document", [UPDATE, STATUS])
 @pytest.mark.parametrize("keys", [KeyRing(), OLD_KEY, BOTH_KEYS])
-def test_what_was_written_is_read(document: Document, keys: KeyRing) -> None:
+def test_an_encoded_document_is_decoded_unchanged(document: Document, keys: KeyRing) -> None:
     assert decode(encode(document, keys), keys) == document
 
 
-def test_the_same_document_has_the_same_bytes() -> None:
+def test_equal_documents_are_encoded_to_equal_bytes() -> None:
     tables = (
         WeightTable("read", {"s-2": 1.5, "s-1": 0.5}, TableLevel(0.9, 1)),
         WeightTable("book", {"s-1": 1.0}),
     )
-    again = msgspec.structs.replace(UPDATE, tables=tables)
-    assert encode(again, OLD_KEY) == encode(UPDATE, OLD_KEY)
+    equal_update = msgspec.structs.replace(UPDATE, tables=tables)
+    assert encode(equal_update, OLD_KEY) == encode(UPDATE, OLD_KEY)
 
 
 @pytest.mark.parametrize("keys", [KeyRing(), OLD_KEY])
@@ -106,14 +106,14 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=400), st.integers(0, 2))
-def test_nothing_else_is_ever_taken_for_a_file(noise: bytes, position: int) -> None:
+def test_noise_in_place_of_or_next_to_a_file_is_rejected(noise: bytes, position: int) -> None:
     data = encode(UPDATE)
     document = decoded_if_accepted((noise, data + noise, noise + data)[position])
     assert document is None or (document == UPDATE and not noise)
 
 
-def test_a_file_torn_between_two_versions_is_rejected() -> None:
-    """A pusher that copies in place: the start of the new one over the old one."""
+def test_a_mix_of_two_versions_of_a_file_is_rejected() -> None:
+    """A program that copies files in place overwrites the beginning of the old version first."""
     old = encode(UPDATE)
     new = encode(msgspec.structs.replace(UPDATE, sequence=4, tables=(WeightTable("read", {"s-9": 2.5}),)))
     for length in range(1, len(new)):
@@ -128,10 +128,10 @@
 @pytest.mark.parametrize(
     ("data", "stage", "reason"),
     [
-        (b"", Stage.TRAILER, "empty"),
-        (b"hello\n", Stage.TRAILER, "half written, or no table file"),
-        (with_trailer(b"other 1\n{}"), Stage.VERSION, "begins with"),
-        (with_trailer(MAGIC + b" 2\n{}"), Stage.VERSION, "not stackwheel-table 1"),
+        (b"", Stage.TRAILER, "the file is empty"),
+        (b"hello\n", Stage.TRAILER, "incomplete, or not a table file"),
+        (with_trailer(b"other 1\n{}"), Stage.VERSION, "first line is"),
+        (with_trailer(MAGIC + b" 2\n{}"), Stage.VERSION, "expected stackwheel-table 1"),
         (with_trailer(MAGIC + b" 1\n{"), Stage.CONTENT, "truncated"),
         (with_trailer(MAGIC + b' 1\n{"kind":"orders"}'), Stage.CONTENT, "missing required field `planner`"),
         (
@@ -145,20 +145,20 @@
             "$.planner",
         ),
         (with_trailer(MAGIC + b" 1\n" + b"[" * 100_000), Stage.CONTENT, ""),
-        (b"x" * ((16 << 20) + 1), Stage.SIZE, "at most"),
+        (b"x" * ((16 << 20) + 1), Stage.SIZE, "at most 16777216 are allowed"),
     ],
 )
-def test_a_rejection_names_the_check_that_failed(data: bytes, stage: Stage, reason: str) -> None:
+def test_a_rejection_states_the_failed_check_and_the_reason(data: bytes, stage: Stage, reason: str) -> None:
     error = rejection(data)
     assert error.stage is stage
     assert reason in error.reason
     assert "\n" not in str(error)
 
 
-def test_keys_can_be_rotated() -> None:
+def test_a_signed_file_is_accepted_during_a_key_rotation_and_without_keys() -> None:
     signed = encode(UPDATE, OLD_KEY)
-    assert decode(signed, BOTH_KEYS) == UPDATE  # while both are valid
-    assert decode(signed) == UPDATE  # who has no key asks for none
+    assert decode(signed, BOTH_KEYS) == UPDATE
+    assert decode(signed) == UPDATE
 
 
 @pytest.mark.parametrize(
@@ -169,7 +169,7 @@
         (encode(UPDATE, OLD_KEY), KeyRing({"k1": b"c" * 32}), Stage.SIGNATURE),
     ],
 )
-def test_without_a_valid_signature_a_file_is_rejected(data: bytes, keys: KeyRing, stage: Stage) -> None:
+def test_a_file_without_a_valid_signature_is_rejected(data: bytes, keys: KeyRing, stage: Stage) -> None:
     assert rejection(data, keys).stage is stage
 
 
@@ -189,6 +189,6 @@
         ({"a": b"x" * 16}, "b"),
     ],
 )
-def test_an_invalid_key_ring(keys: dict[str, bytes], signing: str | None) -> None:
+def test_an_invalid_key_ring_raises_value_error(keys: dict[str, bytes], signing: str | None) -> None:
     with pytest.raises(ValueError, match=r"keys are given|has 5 bytes|key id|is not among the keys"):
         KeyRing(keys, signing)
--- a/tests/files/test_content.py
+++ b/tests/files/test_content.py
@@ -1,11 +1,11 @@
-"""A complete update and a delta on it make up the content that they were built for."""
+"""Tests that a complete update and a delta result in the content that the delta was built for."""
 
 from __future__ import annotations
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stackwheel.files.content import TableContent, content_of, delta_tables
+from stackwheel.files.content import TableContent, delta_tables, resulting_content
 from stackwheel.files.records import Incarnation, TableLevel, TableUpdate, WeightTable
 
 INCARNATION = Incarnation(0, 1000, 5)
@@ -29,8 +29,8 @@
 
 @settings(max_examples=200, deadline=None)
 @given(CONTENT, CONTENT)
-def test_a_complete_update_and_its_delta_make_the_content(old: TableContent, new: TableContent) -> None:
+def test_a_complete_update_and_a_delta_result_in_the_new_content(old: TableContent, new: TableContent) -> None:
     base = update(1, tuple(WeightTable(name, old.tables[name], old.levels[name]) for name in old.tables))
-    content = content_of(base, update(2, delta_tables(base, new), base_sequence=1))
+    content = resulting_content(base, update(2, delta_tables(base, new), base_sequence=1))
     assert content.tables == new.tables
     assert {name: content.levels.get(name) for name in new.levels} == new.levels
--- a/tests/files/test_disk.py
+++ b/tests/files/test_disk.py
@@ -1,4 +1,4 @@
-"""Only regular files with safe names are read, and nothing blocks."""
+"""Tests that only regular files with safe names are read, without blocking."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("kind", ["link", "fifo", "folder", "huge", "missing"])
-def test_anything_but_a_regular_file_is_rejected_and_does_not_block(tmp_path: Path, kind: str) -> None:
+def test_entries_other_than_regular_files_are_rejected_without_blocking(tmp_path: Path, kind: str) -> None:
     path = tmp_path / "x.table"
     if kind == "link":
         (tmp_path / "real").write_bytes(encode(UPDATE))
@@ -37,7 +37,7 @@
     "name",
     ["../x.table", "/etc/x.table", "a/b.table", ".x.table", "x.table.part", "x", "\x00.table", "a" * 200 + ".table"],
 )
-def test_names_that_leave_the_folder_and_temporary_ones_are_rejected(name: str) -> None:
+def test_names_outside_the_folder_and_temporary_names_are_rejected(name: str) -> None:
     assert not is_safe_name(name)
     with pytest.raises(FileRejectedError):
         read_file(SystemDisk(), "/", name)
--- a/tests/files/test_precedence.py
+++ b/tests/files/test_precedence.py
@@ -7,7 +7,7 @@
 import pytest
 
 from stackwheel.files.acceptor import CurrentTables
-from stackwheel.files.content import TableContent, content_of
+from stackwheel.files.content import TableContent, resulting_content
 from stackwheel.files.precedence import PrecedenceSettings, Source, SourcePrecedence
 from stackwheel.files.records import Incarnation, TableUpdate, WeightTable
 
@@ -24,7 +24,7 @@
 ) -> CurrentTables:
     tables = (WeightTable("read", lines),)
     update = TableUpdate(planner, INCARNATION, 1, created_at, expires_at, "east", tables=tables, ejected=ejected)
-    return CurrentTables(update, update, content_of(update))
+    return CurrentTables(update, update, resulting_content(update))
 
 
 def stream_content(lines: dict[str, float], ejected: tuple[str, ...] = ()) -> TableContent:
