--- a/stackwheel/cli/files.py
+++ b/stackwheel/cli/files.py
@@ -193,13 +193,13 @@
 @json_option
 def measure(as_json: bool) -> None:
     """Measure what files cost on this machine; takes about half a minute."""
-    from stackwheel.files.measure import measure as measure_rows
+    from stackwheel.files.measure import measure as run_measurements
 
     documents = []
-    for row in measure_rows():
-        documents.append({"what": row.what, "size": row.size, "value": row.value, "unit": row.unit})
+    for result in run_measurements():
+        documents.append({"what": result.what, "size": result.size, "value": result.value, "unit": result.unit})
         if not as_json:
-            click.echo(f"{row.what:42} {row.size:32} {row.value:12.1f} {row.unit}")
+            click.echo(f"{result.what:42} {result.size:32} {result.value:12.1f} {result.unit}")
     if as_json:
         click.echo(json.dumps(documents))
 
--- a/stackwheel/files/acceptor.py
+++ b/stackwheel/files/acceptor.py
@@ -174,7 +174,7 @@
         return self.memory
 
     def forget_expired(self, now: float, grace: float) -> list[str]:
-        """Remove tables that expired at least `grace` ms ago and return their target keys."""
+        """Remove tables that expired at least `grace` ms ago and return their target keys. Not called yet."""
         expired = [key for key, current in self.current.items() if current.update.expires_at + grace <= now]
         for key in expired:
             del self.current[key]
--- a/stackwheel/files/file_builder.py
+++ b/stackwheel/files/file_builder.py
@@ -1,6 +1,6 @@
-"""Builds a planner's table files: one for each zone, one for each proxy that differs from the rest of its zone.
+"""Builds a planner's table updates: one per zone, and one per proxy whose tables differ from the rest of its zone.
 
-A target's files are a complete update now and then, and deltas on it in between.
+Each target gets a complete update at intervals, and deltas on it in between.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PublisherSettings:
-    """What the operators' file and the deployment set.
+    """Settings of a publisher.
 
     Attributes:
-        file_lifetime: ms that a file may be used.
-        deltas_per_base: deltas between two complete updates.
-        report_interval: ms between the status files of a proxy.
+        file_lifetime: time from the creation of a table file to its expiry, ms.
+        deltas_per_base: maximum number of deltas between two complete updates.
+        report_interval: time between two status files of a proxy, ms.
     """
 
     file_lifetime: float = 30_000.0
@@ -30,7 +30,7 @@
 
 
 class TargetId(NamedTuple):
-    """Whom a file is for: all proxies of a zone, or one of them."""
+    """Identifies the readers of a file: all proxies of a zone, or one of them if `proxy` is not None."""
 
     zone: str
     proxy: int | None
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True)
 class FileTarget:
-    """The files of one target so far.
+    """State of the files of one target.
 
     Attributes:
-        sequence: of the newest file.
-        created_at: when that was made, Unix ms.
-        base: the complete update that deltas build on, None where the next file has to be complete.
-        deltas_since_base: how many.
-        content: what the newest file says in the end, None where a new one is needed in any case.
+        sequence: sequence number of the newest update.
+        created_at: creation time of the newest update, Unix ms.
+        base: complete update that deltas build on; None if the next update has to be complete.
+        deltas_since_base: number of deltas created since `base`.
+        content: content that results from the newest update; None if a new update is due in any case.
     """
 
     sequence: int = 0
@@ -55,25 +55,27 @@
     content: TableContent | None = None
 
     def force_complete(self) -> None:
-        """The next file is a complete one, and is due now."""
+        """Make a complete update due."""
         self.base = None
         self.content = None
 
     def reset(self) -> None:
-        """A new incarnation begins: nothing of it has been written."""
+        """Discard the state at the start of a new incarnation."""
         self.sequence = 0
         self.created_at = 0.0
         self.force_complete()
 
 
 class FileBuilder:
-    """Keeps what was written for each target and makes the files that are due.
+    """Tracks the newest update of each target and creates the updates that are due.
 
     Attributes:
-        incarnation: of the planner; None until it has started.
-        sequence: number of the newest file, whatever its target: a later file includes what an earlier one said.
-        targets: by whom they are for.
-        reservations: by id.
+        planner: name of the planner.
+        settings: settings of the publisher.
+        incarnation: incarnation of the planner; None before the first one starts.
+        sequence: sequence number of the newest update of all targets.
+        targets: state of each target.
+        reservations: reservations to include in updates, by id.
     """
 
     def __init__(self, planner: str, settings: PublisherSettings) -> None:
@@ -85,14 +87,14 @@
         self.reservations: dict[str, Reservation] = {}
 
     def start_incarnation(self, incarnation: Incarnation) -> None:
-        """From now on files are of that incarnation, and the first of each target is complete."""
+        """Start an incarnation; the first update of each target in it is complete."""
         self.incarnation = incarnation
         self.sequence = 0
         for target in self.targets.values():
             target.reset()
 
     def reserve(self, reservation: Reservation, now: float) -> bool:
-        """Send a reservation along with every file until it expires; False if there are too many."""
+        """Include a reservation in all updates until it expires; returns False if there are too many reservations."""
         self.reservations = {other.id: other for other in self._unexpired_reservations(now)}
         if len(self.reservations) >= MAX_RESERVATIONS:
             return False
@@ -100,34 +102,42 @@
         return True
 
     def due_updates(self, proxies: Iterable[FileProxy], now: float) -> Iterator[TableUpdate]:
-        """Files whose content has changed, that carry a nonce, or whose former one has spent half its lifetime."""
+        """Create the updates that are due.
+
+        An update is due if the content has changed, if a nonce has to be sent, or if the newest update of the target
+        has reached half of its lifetime.
+        """
         by_zone: dict[str, list[FileProxy]] = {}
         for proxy in proxies:
-            if proxy.updated:
+            if proxy.has_complete_tables:
                 by_zone.setdefault(proxy.zone, []).append(proxy)
         for zone, members in by_zone.items():
             yield from self._due_in_zone(zone, members, now)
 
     def force_complete(self, zone: str, proxy: int | None) -> None:
-        """A reader lacks the base: the next file of the target is complete. No actor calls this yet."""
+        """Make a complete update of a target due, for a reader that does not have the base. Not called yet."""
         target = self.targets.get(TargetId(zone, proxy))
         if target is not None:
             target.force_complete()
 
     def forget_proxy(self, zone: str, proxy: int) -> None:
-        """A proxy has left, and its own files with it."""
+        """Discard the target of a proxy that has left."""
         self.targets.pop(TargetId(zone, proxy), None)
 
     def _due_in_zone(self, zone: str, members: Sequence[FileProxy], now: float) -> Iterator[TableUpdate]:
-        shared = _most_common_content(members)
-        sharing = [proxy for proxy in members if proxy.content == shared]
-        yield from self._update_if_due(TargetId(zone, None), shared, sharing, now)
+        shared_content = _most_common_content(members)
+        sharing = [proxy for proxy in members if proxy.content == shared_content]
+        yield from self._update_if_due(TargetId(zone, None), shared_content, sharing, now)
         for proxy in members:
-            if proxy.content != shared or self._needs_own_file(proxy):
+            if proxy.content != shared_content or self._needs_own_file(proxy):
                 yield from self._update_if_due(TargetId(zone, proxy.proxy), proxy.content, [proxy], now)
 
     def _needs_own_file(self, proxy: FileProxy) -> bool:
-        """Whether a proxy that agrees with its zone by now still goes by a newer file of its own."""
+        """Return whether a proxy with the content of its zone still needs updates of its own.
+
+        This is the case while the proxy's own update is newer than that of the zone, because readers use the newer
+        of the two. Once the zone's update is newer, the proxy's own target is removed.
+        """
         own_id = TargetId(proxy.zone, proxy.proxy)
         own = self.targets.get(own_id)
         if own is None:
@@ -142,9 +152,9 @@
         self, target_id: TargetId, content: TableContent, readers: Sequence[FileProxy], now: float
     ) -> Iterator[TableUpdate]:
         target = self.targets.setdefault(target_id, FileTarget())
-        carries_nonce = any(proxy.has_unsent_nonce for proxy in readers)
-        aging = now >= target.created_at + self.settings.file_lifetime / 2
-        if target.content == content and not carries_nonce and not aging:
+        has_nonce = any(proxy.has_unsent_nonce for proxy in readers)
+        needs_renewal = now >= target.created_at + self.settings.file_lifetime / 2
+        if target.content == content and not has_nonce and not needs_renewal:
             return
         update = self._next_update(target_id, target, content, now)
         for proxy in readers:
@@ -189,7 +199,7 @@
 
 
 def _most_common_content(proxies: Sequence[FileProxy]) -> TableContent:
-    """What most proxies have; of equally common contents the one seen first."""
+    """Return the content that most proxies have; the first one if several are equally common."""
     groups: list[_ContentGroup] = []
     for proxy in proxies:
         group = next((group for group in groups if group.content == proxy.content), None)
--- a/stackwheel/files/file_proxy.py
+++ b/stackwheel/files/file_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy that is served by files, as its planner knows it."""
+"""The planner's state of a proxy that is served by files."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from stackwheel.settings import ConfiguredNames
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
-NameOf = Callable[[ServerId], str | None]  # the name of a server's id, where it is known
+ServerNameLookup = Callable[[ServerId], str | None]
+"""Returns the name of a server, or None if it is unknown."""
 
 
 class FileConnection:
-    """The connection of a proxy that is served by files: only its identity counts."""
+    """Stands for the connection of a proxy that is served by files; distinguishes the proxy's incarnations."""
 
     def __init__(self, proxy: int) -> None:
         self.proxy = proxy
@@ -24,27 +25,28 @@
         return f"proxy {self.proxy} by files"
 
     def on_superseded(self) -> None:
-        """Another transport carries the stream now; status files are ignored until that one ends."""
+        """Do nothing; another transport serves the proxy now, and its status files are ignored meanwhile."""
 
     def on_attached(self) -> None:
-        """Readers poll their folders: there is nothing to resume."""
+        """Do nothing; readers poll their folders, so there is no transfer to resume."""
 
 
 @dataclass(slots=True)
 class FileProxy:
-    """A proxy, what it has been sent and what it has acknowledged.
+    """State of a proxy: the tables to publish to it and the nonces that it has not acknowledged.
 
     Attributes:
-        proxy: its number.
-        zone: name of its zone.
-        connection: stands for its stream.
-        incarnation: of its process.
-        sequence: of its newest status.
-        last_received_at: when that came, Unix ms.
-        content: what its files say in the end.
-        ejected: servers it must not use, in the order of their ejection.
-        nonces: those to be acknowledged, with the sequence of the file that carries each, once there is one.
-        updated: complete tables have been sent to it.
+        proxy: number of the proxy.
+        zone: name of the proxy's zone.
+        connection: stands for the connection of the proxy's stream.
+        incarnation: incarnation of the proxy.
+        sequence: sequence number of its newest status.
+        last_received_at: time at which that status was received, Unix ms.
+        content: tables to publish to the proxy.
+        ejected: names of the servers that the proxy must not use, in the order of their ejection.
+        nonces: unacknowledged nonces, with the sequence number of the update that contains each; None if none does
+            yet.
+        has_complete_tables: whether the proxy has been assigned complete tables.
     """
 
     proxy: int
@@ -56,52 +58,58 @@
     content: TableContent = field(default_factory=TableContent)
     ejected: dict[str, None] = field(default_factory=dict)
     nonces: dict[int, int | None] = field(default_factory=dict)
-    updated: bool = False
+    has_complete_tables: bool = False
 
-    def apply(self, update: ProxyUpdate, names: ConfiguredNames, name_of: NameOf) -> None:
-        """Bring the content to what an update says; servers without a name are left out."""
+    def apply(self, update: ProxyUpdate, names: ConfiguredNames, server_name: ServerNameLookup) -> None:
+        """Apply an update of the planner to the content; servers without a known name are skipped."""
         for part in update.parts:
-            self._apply_part(part, names, name_of)
+            self._apply_part(part, names, server_name)
         for server in update.eject:
-            name = name_of(server)
+            name = server_name(server)
             if name is not None:
                 self.ejected[name] = None
         for server in update.restore:
-            self.ejected.pop(name_of(server) or "", None)
+            self.ejected.pop(server_name(server) or "", None)
         self.content.ejected = tuple(self.ejected)
         if update.nonce is not None:
             self.nonces[update.nonce] = None
 
-    def _apply_part(self, part: UpdatePart, names: ConfiguredNames, name_of: NameOf) -> None:
+    def _apply_part(self, part: UpdatePart, names: ConfiguredNames, server_name: ServerNameLookup) -> None:
         content = self.content
-        lines = {name: weight for server, weight in part.lines if (name := name_of(server)) is not None}
+        lines = {name: weight for server, weight in part.lines if (name := server_name(server)) is not None}
         for number in part.classes:
             request_class = names.classes[number]
-            former = {} if part.complete else content.tables.get(request_class, {})
-            content.tables[request_class] = positive_lines({**former, **lines})
+            old_lines = {} if part.complete else content.tables.get(request_class, {})
+            content.tables[request_class] = positive_lines({**old_lines, **lines})
             if part.level is not None:
                 admitted, retry = part.level
                 content.levels[request_class] = TableLevel(admitted, int(retry))
             elif part.complete:
                 content.levels[request_class] = None
-            self.updated |= part.complete
+            self.has_complete_tables |= part.complete
 
     @property
     def has_unsent_nonce(self) -> bool:
-        """Whether a nonce waits for a file that carries it."""
+        """Whether a nonce is not contained in any update yet."""
         return any(sequence is None for sequence in self.nonces.values())
 
     def assign_nonces(self, sequence: int) -> None:
-        """The file of that number carries the nonces that none carried before."""
-        self.nonces = {nonce: carrier or sequence for nonce, carrier in self.nonces.items()}
+        """Assign the nonces that no update contains to the update with this sequence number."""
+        self.nonces = {nonce: assigned or sequence for nonce, assigned in self.nonces.items()}
 
     def reset_nonces(self) -> None:
-        """No file of the planner's present incarnation carries any nonce."""
+        """Mark all nonces as not contained in any update of the planner's current incarnation."""
         self.nonces = dict.fromkeys(self.nonces)
 
     def acknowledge(self, sequence: int) -> int | None:
-        """Remove the nonces up to an applied file; the newest one acknowledges all before it."""
-        acknowledged = [nonce for nonce, carrier in self.nonces.items() if carrier is not None and carrier <= sequence]
+        """Remove the nonces of all updates up to `sequence`.
+
+        Returns:
+            The newest of these nonces, which also acknowledges the earlier ones; None if there are none.
+        """
+        acknowledged = [
+            nonce for nonce, assigned in self.nonces.items() if assigned is not None and assigned <= sequence
+        ]
         for nonce in acknowledged:
             del self.nonces[nonce]
         return acknowledged[-1] if acknowledged else None
--- a/stackwheel/files/folder_watch.py
+++ b/stackwheel/files/folder_watch.py
@@ -1,4 +1,4 @@
-"""Wakes a reader when its folders change, and after a poll interval in any case: events are only hints."""
+"""Notifies a reader of changes in its folders; without a notification, it polls at a fixed interval."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from loguru import logger
 
-GATHER_MS = 20  # changes within it wake the reader once
-DEBOUNCE_MS = 10 * GATHER_MS  # at most this long while changes go on
-WATCH_RETRY_S = 5.0  # until watching is tried again after it failed
+CHANGE_GROUPING_MS = 20
+MAX_CHANGE_GROUPING_MS = 10 * CHANGE_GROUPING_MS
+WATCH_RETRY_S = 5.0
 
 
 async def folder_changes(folders: Sequence[str], poll_interval_s: float) -> AsyncIterator[None]:
-    """Yield at once, then at each change, and every poll interval without one.
+    """Yield immediately, then at each change, and after each poll interval without a change.
 
-    Where watching is not possible (no library, no inotify, a folder that is missing), only the poll remains; that is
-    logged once, and watching is tried again every `WATCH_RETRY_S`.
+    If the folders cannot be watched (the library or inotify is not available, or no folder exists), the failure is
+    logged once, and the function yields at the poll interval only. Watching is retried every `WATCH_RETRY_S`.
     """
     yield None
-    logged = False
+    has_logged_failure = False
     while True:
         try:
             async for _ in _watched_changes(folders, poll_interval_s):
                 yield None
         except (ImportError, OSError, RuntimeError) as error:
-            if not logged:
-                logged = True
+            if not has_logged_failure:
+                has_logged_failure = True
                 logger.info("folder watch unavailable, polling: duration_s={:g} reason={}", poll_interval_s, error)
             retry_at = asyncio.get_running_loop().time() + WATCH_RETRY_S
             while asyncio.get_running_loop().time() < retry_at:
@@ -36,24 +36,28 @@
 
 
 async def _watched_changes(folders: Sequence[str], poll_interval_s: float) -> AsyncIterator[None]:
-    """Changes of the folders that exist, until another one appears or one vanishes; OSError where none exists."""
+    """Yield at changes of the existing folders and at the poll interval, until a folder is created or removed.
+
+    Raises:
+        OSError: none of the folders exists.
+    """
     from watchfiles import awatch  # an optional dependency
 
-    watched = _existing(folders)
+    watched = _existing_folders(folders)
     if not watched:
-        raise OSError("no folder to watch yet")
+        raise OSError("none of the folders exists")
     async for _ in awatch(
         *watched,
-        step=GATHER_MS,
-        debounce=DEBOUNCE_MS,
+        step=CHANGE_GROUPING_MS,
+        debounce=MAX_CHANGE_GROUPING_MS,
         rust_timeout=max(1, int(poll_interval_s * 1000.0)),
         yield_on_timeout=True,
         recursive=False,
     ):
         yield None
-        if _existing(folders) != watched:
+        if _existing_folders(folders) != watched:
             return
 
 
-def _existing(folders: Sequence[str]) -> list[str]:
+def _existing_folders(folders: Sequence[str]) -> list[str]:
     return [folder for folder in folders if Path(folder).is_dir()]
--- a/stackwheel/files/follower.py
+++ b/stackwheel/files/follower.py
@@ -1,4 +1,4 @@
-"""A stand-alone reader: follows folders, and hands the tables in force to a file and to a command."""
+"""A stand-alone reader that follows folders and passes the tables in force to a file and a command."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 from stackwheel.files.precedence import PrecedenceSettings, Selection, SourcePrecedence
 from stackwheel.files.reader import FileReader, ReaderConfig, StatusReport
 
-COMMAND_TIMEOUT_S = 10.0  # a command that takes longer is killed
-POLL_INTERVAL_S = 1.0  # where folders can't be watched
+COMMAND_TIMEOUT_S = 10.0
+POLL_INTERVAL_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Outputs:
-    """Where the tables in force go.
+    """Receivers of the tables in force, as JSON.
 
     Attributes:
-        file: path of a file that is replaced atomically, or "".
-        command: run by the shell at each change with the same JSON on its standard input, or "".
+        file: path of a file that is replaced atomically at each change; empty for none.
+        command: shell command that is run at each change with the JSON on its standard input; empty for none.
     """
 
     file: str = ""
@@ -40,7 +40,7 @@
 
 
 def selection_document(selection: Selection) -> dict[str, Any]:
-    """The tables in force as the JSON object that outputs get."""
+    """Return the tables in force as the JSON object for the outputs."""
     content = selection.content
     return {
         "source": selection.source.value,
@@ -60,9 +60,10 @@
     Attributes:
         reader: polls the folders.
         precedence: selects the tables in force.
-        outputs: get them.
-        notify: gets a JSON object for each file that was applied or rejected.
-        last_output: what the outputs got last.
+        outputs: receivers of the tables in force.
+        notify: called with a JSON object for each file that was applied or rejected.
+        poll_interval_s: time between polls while the folders do not change or cannot be watched, s.
+        last_output: JSON object that was last passed to the outputs; None before the first one.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         self.last_output: dict[str, Any] | None = None
 
     async def run(self, once: bool = False) -> bool:
-        """Follow until cancelled, or poll once; whether no file was rejected."""
+        """Follow the folders until cancelled, or poll them once; returns False if a file was rejected."""
         await self.reader.start()
         all_applied = True
         async for _ in folder_changes(self.reader.config.folders, self.poll_interval_s):
@@ -95,7 +96,7 @@
         return all_applied
 
     async def handle(self, outcome: ReadOutcome) -> None:
-        """Report an outcome, and acknowledge an applied file."""
+        """Report the outcome of reading a file, and acknowledge an applied file in the status."""
         self.notify(outcome_document(outcome))
         if not isinstance(outcome, FileApplied):
             return
@@ -108,7 +109,7 @@
             logger.warning("status file write failed: stage={} reason={}", error.step, error.reason)
 
     async def write_outputs(self) -> None:
-        """Give the tables in force to the outputs where they have changed."""
+        """Pass the tables in force to the outputs if they have changed."""
         document = selection_document(self.precedence.select(unix_ms()))
         if document == self.last_output:
             return
--- a/stackwheel/files/incarnations.py
+++ b/stackwheel/files/incarnations.py
@@ -1,4 +1,4 @@
-"""Chooses the incarnation of a planner that starts, without any disk of its own."""
+"""Chooses the incarnation of a starting planner that has no persistent storage."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 def next_incarnation(now: float, salt: int, seen: Iterable[Incarnation], epoch: int = 0) -> Incarnation:
-    """An incarnation later than all known ones of the planner's own name.
+    """Return an incarnation later than all known ones of the same planner.
 
-    Incarnations order by fencing epoch, then clock, then salt. A planner without a disk learns its earlier ones from
-    its own files and from the status files of its readers; a clock that was stepped back, or two starts within one
-    millisecond, then do no harm. With neither kind of file in reach a stepped clock does: the planner's files are
-    rejected until its clock has caught up or a status file has been read.
+    Incarnations are ordered by fencing epoch, start time and salt. The caller finds earlier incarnations in the
+    planner's table files and in the status files of its readers, so that clock steps and starts within the same
+    millisecond are harmless. If no such file is accessible after the clock was stepped back, readers reject the
+    planner's files until its clock has caught up or a status file has been read.
 
     Args:
-        now: Unix ms.
-        salt: a random number.
-        seen: the known earlier incarnations.
-        epoch: the operators' fencing token, 0 where there is none.
+        now: current time, Unix ms.
+        salt: random number.
+        seen: known earlier incarnations of the planner.
+        epoch: fencing token that the operators assign; 0 for none.
     """
     latest = max(seen, default=None)
     started = int(now)
--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -1,4 +1,4 @@
-"""Measures what table files cost on this machine: encoding, atomic replaces, time to application, stalls."""
+"""Measures the cost of table files on this machine: encoding, replacement, delivery and event loop stalls."""
 
 from __future__ import annotations
 
@@ -28,25 +28,32 @@
 from stackwheel.state.server_ids import ServerIds, server_id
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
 
-CODEC_SERVERS = (10, 150, 1000)  # of a table, in the measurements of encoding
-PUSH_PROXIES = (24, 500, 5000)  # each with a folder of its own
-PUSH_SERVERS = 150  # of a table that is pushed
-EXCHANGE_SERVERS = (30, 150)  # of a table, in the measurements of application
+CODEC_SERVER_COUNTS = (10, 150, 1000)
+PUSH_PROXY_COUNTS = (24, 500, 5000)
+PUSH_SERVER_COUNT = 150
+EXCHANGE_SERVER_COUNTS = (30, 150)
 CLASSES = ("a", "b", "c")
-CHANGED_SHARE = 0.1  # of the lines, in a delta
+DELTA_LINE_SHARE = 0.1
 KEYS = KeyRing({"k1": b"measurement key, thirty-two byte"}, "k1")
-RATE_SPAN_S = 0.5  # that a rate is taken over
+RATE_WINDOW_S = 0.5
 EXCHANGE_ROUNDS = 100
 SLOW_SYNC_S = 1.0
-SLOW_ROUNDS = 3
-LAG_SLEEP_S = 0.005  # how often the event loop's lag is sampled
+SLOW_SYNC_ROUNDS = 3
+LAG_SAMPLE_INTERVAL_S = 0.005
 LEVEL = TableLevel(1.0, 1)
 TABLE_NAME = "x.table"
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """One measured figure."""
+class Measurement:
+    """One measured value; `stackwheel files measure --json` prints its fields.
+
+    Attributes:
+        what: name of the measured quantity.
+        size: size of the input.
+        value: measured value, in `unit`.
+        unit: unit of the value.
+    """
 
     what: str
     size: str
@@ -56,75 +63,75 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """What a run of exchanges took.
+    """Delays in a series of updates from a publisher to a reader.
 
     Attributes:
-        delays_ms: from each update to its application.
-        longest_stall_ms: of the event loop.
+        delays_ms: time from each update to its application, ms.
+        longest_stall_ms: longest stall of the event loop, ms.
     """
 
     delays_ms: list[float]
     longest_stall_ms: float
 
 
-def measure() -> Iterator[Row]:
-    """All rows; the disk is the one that holds temporary files."""
-    yield from codec_rows()
+def measure() -> Iterator[Measurement]:
+    """Yield all measurements, made on the disk of the folder for temporary files."""
+    yield from measure_codec()
     with tempfile.TemporaryDirectory() as name:
-        yield from disk_rows(Path(name))
-        yield from exchange_rows(Path(name))
+        yield from measure_disk(Path(name))
+        yield from measure_exchange(Path(name))
 
 
-def codec_rows() -> Iterator[Row]:
-    """Bytes of a file, and files encoded and decoded a second."""
-    for servers in CODEC_SERVERS:
+def measure_codec() -> Iterator[Measurement]:
+    """Measure the size of a file, and the files encoded and decoded per second."""
+    for servers in CODEC_SERVER_COUNTS:
         for kind, update in zip(("whole", "change"), sample_updates(servers), strict=True):
             data = encode(update, KEYS)
             size = f"{servers} servers, {kind}"
-            yield Row("bytes of a file", size, len(data), "bytes")
-            yield Row("files encoded", size, calls_per_second(partial(encode, update, KEYS)), "a second")
-            yield Row("files decoded", size, calls_per_second(partial(decode, data, KEYS)), "a second")
+            yield Measurement("bytes of a file", size, len(data), "bytes")
+            yield Measurement("files encoded", size, calls_per_second(partial(encode, update, KEYS)), "a second")
+            yield Measurement("files decoded", size, calls_per_second(partial(decode, data, KEYS)), "a second")
 
 
-def disk_rows(folder: Path) -> Iterator[Row]:
-    """Atomic replaces a second, and how long all folders of a deployment take."""
-    complete, _ = sample_updates(PUSH_SERVERS)
+def measure_disk(folder: Path) -> Iterator[Measurement]:
+    """Measure the replacements per second, and the time to write a file to the folder of each proxy."""
+    complete, _ = sample_updates(PUSH_SERVER_COUNT)
     data = encode(complete, KEYS)
     replace = partial(replace_file, SystemDisk(), str(folder), TABLE_NAME, data)
-    yield Row("swaps, one after the other", f"{len(data)} bytes", calls_per_second(replace), "a second")
-    for proxies in PUSH_PROXIES:
+    yield Measurement("swaps, one after the other", f"{len(data)} bytes", calls_per_second(replace), "a second")
+    for proxies in PUSH_PROXY_COUNTS:
         targets = [folder / f"proxy-{number}" for number in range(proxies)]
         for target in targets:
             target.mkdir(exist_ok=True)
         seconds = asyncio.run(push_to_all(targets, data))
-        yield Row("a push to all", f"{proxies} forwarders, {PUSH_SERVERS} servers", seconds, "s")
+        yield Measurement("a push to all", f"{proxies} forwarders, {PUSH_SERVER_COUNT} servers", seconds, "s")
 
 
-def exchange_rows(folder: Path) -> Iterator[Row]:
-    """Time from a decision to its application, and stalls of the event loop."""
-    for servers in EXCHANGE_SERVERS:
+def measure_exchange(folder: Path) -> Iterator[Measurement]:
+    """Measure the time from an update to its application, and the longest stall of the event loop."""
+    for servers in EXCHANGE_SERVER_COUNTS:
         result = asyncio.run(exchange(folder / f"e{servers}", SystemDisk(), servers, EXCHANGE_ROUNDS))
         percentiles = statistics.quantiles(result.delays_ms, n=100)
         size = f"{servers} servers"
-        yield Row("from decision to application, median", size, percentiles[49], "ms")
-        yield Row("from decision to application, 99 in 100", size, percentiles[98], "ms")
-        yield Row("the loop's longest stall", size, result.longest_stall_ms, "ms")
-    result = asyncio.run(exchange(folder / "slow", SlowDisk(SLOW_SYNC_S), 30, SLOW_ROUNDS))
-    yield Row("the loop's longest stall", "30 servers, a sync takes 1 s", result.longest_stall_ms, "ms")
+        yield Measurement("from decision to application, median", size, percentiles[49], "ms")
+        yield Measurement("from decision to application, 99 in 100", size, percentiles[98], "ms")
+        yield Measurement("the loop's longest stall", size, result.longest_stall_ms, "ms")
+    result = asyncio.run(exchange(folder / "slow", SlowDisk(SLOW_SYNC_S), 30, SLOW_SYNC_ROUNDS))
+    yield Measurement("the loop's longest stall", "30 servers, a sync takes 1 s", result.longest_stall_ms, "ms")
 
 
 def calls_per_second(call: Callable[[], object]) -> float:
-    """How often a function can be called in a second."""
+    """Measure the number of sequential calls of a function per second."""
     count = 0
     began = time.perf_counter()
-    while (elapsed := time.perf_counter() - began) < RATE_SPAN_S:
+    while (elapsed := time.perf_counter() - began) < RATE_WINDOW_S:
         call()
         count += 1
     return count / elapsed
 
 
 def sample_updates(servers: int) -> tuple[TableUpdate, TableUpdate]:
-    """A complete update with so many servers, and a delta that changes a share of its lines."""
+    """Return a complete update with `servers` lines per table, and a delta on it."""
     incarnation = Incarnation(0, 1, 1)
     now = 1e12
     expires_at = now + 3e4
@@ -132,7 +139,7 @@
     tables = tuple(WeightTable(name, lines, LEVEL) for name in CLASSES)
     complete = TableUpdate("n0", incarnation, 1, now, expires_at, "east", tables=tables)
     changed = {
-        server: weight * 2 if number < CHANGED_SHARE * servers else weight
+        server: weight * 2 if number < DELTA_LINE_SHARE * servers else weight
         for number, (server, weight) in enumerate(lines.items())
     }
     content = TableContent(dict.fromkeys(CLASSES, changed), dict.fromkeys(CLASSES, LEVEL))
@@ -142,7 +149,7 @@
 
 
 async def push_to_all(targets: list[Path], data: bytes) -> float:
-    """Seconds until every folder has its file, under the scheduler's limits."""
+    """Write a file to every folder under the limits of the scheduler, and return the time taken in seconds."""
     scheduler = PushScheduler(PushLimits(), 1)
     disk = SystemDisk()
     began = time.perf_counter()
@@ -161,19 +168,19 @@
 
 
 class SlowDisk(SystemDisk):
-    """A disk that takes a while to sync."""
+    """A disk on which syncing a file takes a given time."""
 
     def __init__(self, sync_s: float) -> None:
         self.sync_s = sync_s
 
     def sync(self, handle: int) -> None:
-        """Make a file's content durable, late."""
+        """Wait, then make the content of an open file durable."""
         time.sleep(self.sync_s)
         super().sync(handle)
 
 
 def build_publisher(folder: Path, disk: Disk, servers: int) -> FilePublisher:
-    """A publisher for one zone that serves so many servers."""
+    """Return a publisher for one zone with `servers` registered servers."""
     ids = ServerIds()
     for number in range(servers):
         ids.register(f"s-{number}")
@@ -192,13 +199,13 @@
 
 
 def build_reader(folder: Path) -> FileReader:
-    """The reader of the zone's first proxy."""
+    """Return the reader of the first proxy."""
     config = ReaderConfig("east", 0, (str(folder / "out/zone-east"),), str(folder / "answers"), str(folder / "state"))
     return FileReader(config, FileEnvironment(SystemDisk(), unix_ms), lambda: KEYS)
 
 
 async def exchange(folder: Path, disk: Disk, servers: int, rounds: int) -> ExchangeResult:
-    """Deliver updates one by one to a reader that polls without pause."""
+    """Publish updates one at a time, and measure the time until a continuously polling reader applies each."""
     for name in ("out/zone-east", "answers", "state"):
         (folder / name).mkdir(parents=True, exist_ok=True)
     publisher = build_publisher(folder, disk, servers)
@@ -225,15 +232,15 @@
 
 
 def sample_proxy_update(servers: int, number: int) -> ProxyUpdate:
-    """An update for the first proxy; the first one is complete, and each one changes all weights."""
+    """Return an update for the first proxy that changes all weights; update 0 is complete."""
     lines = tuple((server_id(f"s-{server}"), 1.0 + number + server) for server in range(servers))
     level = AdmissionLevel(1.0, Retry.ONCE_IF_NOT_EXECUTED)
     return ProxyUpdate(0, (UpdatePart(tuple(range(len(CLASSES))), number == 0, lines, level),))
 
 
 async def sample_loop_lag(lags_ms: list[float]) -> None:
-    """Note by how many ms short sleeps come late, until cancelled."""
+    """Record the delays of short sleeps in ms, until cancelled."""
     while True:
         began = time.perf_counter()
-        await asyncio.sleep(LAG_SLEEP_S)
-        lags_ms.append((time.perf_counter() - began - LAG_SLEEP_S) * 1000.0)
+        await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
+        lags_ms.append((time.perf_counter() - began - LAG_SAMPLE_INTERVAL_S) * 1000.0)
--- a/stackwheel/files/memory.py
+++ b/stackwheel/files/memory.py
@@ -1,4 +1,4 @@
-"""Saves and loads a reader's memory: a file replaced atomically and sealed as every other one, but never signed."""
+"""Saves and loads the reader memory, a file with the trailer of a table file but without a signature."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from stackwheel.files.disk import Disk, list_names, read_file
 from stackwheel.files.errors import FileRejectedError, Stage
 
-NAME = "memory.table"
+FILE_NAME = "memory.table"
 DECODER = msgspec.json.Decoder(ReaderMemory)
 
 
 def save_memory(disk: Disk, folder: str, memory: ReaderMemory) -> None:
-    """Put a memory in place of the former one; it is durable on return.
+    """Replace the reader memory in a folder; the new one is durable on return.
 
     Raises:
-        ReplaceError: it could not be written.
+        ReplaceError: the memory could not be written.
     """
-    replace_file(disk, folder, NAME, seal(msgspec.json.encode(memory)))
+    replace_file(disk, folder, FILE_NAME, seal(msgspec.json.encode(memory)))
 
 
 def load_memory(disk: Disk, folder: str) -> ReaderMemory | None:
-    """The memory as it was saved, or None where there is none.
+    """Load the reader memory from a folder; returns None if there is none.
 
     Raises:
-        FileRejectedError: there is one, but it can't be used.
+        FileRejectedError: the memory cannot be read or is invalid.
     """
     try:
-        data = read_file(disk, folder, NAME)
+        data = read_file(disk, folder, FILE_NAME)
     except FileRejectedError as error:
-        if error.stage is Stage.OPEN and NAME not in list_names(disk, folder):
+        if error.stage is Stage.OPEN and FILE_NAME not in list_names(disk, folder):
             return None
         raise
     return decode_body(DECODER, unseal(data))
--- a/stackwheel/files/outcomes.py
+++ b/stackwheel/files/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a file that a reader found."""
+"""Outcomes of reading a table file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FileApplied:
-    """A file is in force, and these reservations take effect now."""
+    """A file was applied, and the reservations take effect.
+
+    Attributes:
+        name: name of the file.
+        current: tables of the target after the update.
+        reservations: reservations that take effect with this file.
+    """
 
     name: str
     current: CurrentTables
@@ -22,15 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FileRejected:
-    """A file was not applied."""
+    """A file was not applied.
+
+    Attributes:
+        name: name of the file.
+        stage: check that failed.
+        reason: description of the failure in one line.
+    """
 
     name: str
     stage: Stage
     reason: str
 
     @classmethod
-    def because(cls, name: str, error: FileRejectedError) -> FileRejected:
-        """The outcome of a check that failed."""
+    def from_error(cls, name: str, error: FileRejectedError) -> FileRejected:
+        """Return the outcome for a file that failed a check."""
         return cls(name, error.stage, error.reason)
 
 
@@ -38,7 +50,7 @@
 
 
 def outcome_document(outcome: ReadOutcome) -> dict[str, object]:
-    """An outcome as the JSON object that `files follow --json` prints."""
+    """Return an outcome as the JSON object that `stackwheel files follow --json` prints."""
     if isinstance(outcome, FileRejected):
         return {
             "file": outcome.name,
--- a/stackwheel/files/precedence.py
+++ b/stackwheel/files/precedence.py
@@ -1,15 +1,14 @@
-"""Selects which of a proxy's sources is in force: its stream, a planner's files, or what remains of either. No I/O.
-
-The rules, in this order:
-
-1. A server that a planner has ejected stays ejected, whichever source said so, until a later update of the same planner
-   restores it. A drain announced by file is binding while a stream is half open, and the other way round.
-2. A connected stream that is not silent and has sent complete tables takes precedence. A new one does once it has
-   sent them.
-3. Otherwise the unexpired files of the planner preferred so far do; else those of the planner whose files are newest.
-   A stream's tables are as old as its last update: older files do not take their place.
-4. Expired tables are kept for `expired_grace` ms at most. Then `fallback` holds: `even` spreads over all servers that
-   are known and not ejected, with equal weights; `refuse` has no tables at all.
+"""Selects the tables that a proxy uses, from its stream, the files of planners, or expired tables, without I/O.
+
+The rules, in order of precedence:
+
+1. A server that a planner has ejected, by stream or by file, remains ejected until a later update of the same planner
+   restores it. Ejections by file also apply to tables from the stream, and the reverse.
+2. A connected stream that has sent complete tables and has not timed out takes precedence.
+3. Otherwise the unexpired files of the preferred planner are used; if it has none, the planner with the newest file
+   becomes the preferred one. Files older than the last update of the stream are not used.
+4. Expired tables are used for up to `expired_grace` ms. After that, `fallback` applies: `even` gives equal weights to
+   all known servers that are not ejected, and `refuse` results in no tables.
 """
 
 from __future__ import annotations
@@ -23,28 +22,29 @@
 from stackwheel.files.content import TableContent
 
 Fallback = Literal["even", "refuse"]
-MAX_SERVERS = 10_000  # remembered as ejected, and as known; the oldest are forgotten first
+MAX_SERVERS = 10_000
+"""Maximum number of ejected servers and of known servers; the oldest ones are removed first."""
 
 
 class Source(Enum):
-    """Where the tables in force come from; the values are those of the JSON output."""
+    """Source of the tables in force; the values are those in the JSON output."""
 
     NONE = "nothing"
     STREAM = "stream"
     FILE = "file"
-    EXPIRED = "kept"  # expired, but within the grace period
+    EXPIRED = "kept"  # within the grace period
     EVEN = "even"
 
 
 @dataclass(frozen=True, slots=True)
 class PrecedenceSettings:
-    """What the operators' file sets.
+    """Timeouts of the sources and the fallback.
 
     Attributes:
-        stream_timeout: ms without a message after which a stream has no precedence.
-        table_lifetime: ms that a stream's tables are valid once it is silent.
-        expired_grace: ms that expired tables are still used.
-        fallback: what holds afterwards.
+        stream_timeout: time without a message after which a stream loses its precedence, ms.
+        table_lifetime: time from the last message of a stream to the expiry of its tables, ms.
+        expired_grace: period for which expired tables are used, ms.
+        fallback: equal weights (`even`) or no tables (`refuse`) after the grace period.
     """
 
     stream_timeout: float = 3_000.0
@@ -55,26 +55,26 @@
 
 @dataclass(slots=True)
 class StreamState:
-    """The proxy's stream; points in time are Unix ms.
+    """State of the proxy's stream; points in time are in Unix ms.
 
     Attributes:
-        content: all that its updates amount to; None until complete tables have come.
-        planner: at its other end.
-        connected: whether it is open.
-        last_received_at: when anything came.
-        last_updated_at: when an update came.
+        content: content that results from the stream's updates; None until it has sent complete tables.
+        planner: name of the planner that sends the stream.
+        is_connected: whether the stream is open.
+        last_received_at: time of the last message.
+        last_updated_at: time of the last update.
     """
 
     content: TableContent | None = None
     planner: str = ""
-    connected: bool = False
+    is_connected: bool = False
     last_received_at: float = 0.0
     last_updated_at: float = 0.0
 
 
 @dataclass(slots=True)
 class Ejection:
-    """Which planner ejected a server, and when."""
+    """Ejection of a server by a planner, with its time in Unix ms."""
 
     planner: str
     ejected_at: float
@@ -82,13 +82,13 @@
 
 @dataclass(slots=True)
 class Selection:
-    """What is in force.
+    """Tables in force.
 
     Attributes:
-        source: where it comes from.
-        planner: whose tables they are, "" where nobody's.
-        content: the tables.
-        recheck_at: when to select again, Unix ms; 0: only after an update.
+        source: source of the tables.
+        planner: name of the planner that published the tables; empty for the fallback.
+        content: tables, admission levels and ejections.
+        recheck_at: time at which to select again, Unix ms; 0 if only a new update can change the selection.
     """
 
     source: Source
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Tables:
-    """Tables of some source, and when they expire."""
+    """Tables of one source, with their expiry in Unix ms."""
 
     expires_at: float
     planner: str
@@ -107,13 +107,15 @@
 
 
 class SourcePrecedence:
-    """Keeps what the sources said; `select` depends on that alone.
+    """Records the tables of all sources and selects the ones in force.
 
     Attributes:
-        files: tables by target key.
-        preferred_planner: whose files are in force among those of several planners.
-        ejections: by server, in their order.
-        known_servers: servers that any source named, for an even spread.
+        settings: timeouts and fallback.
+        stream: state of the proxy's stream.
+        files: current tables from files, by target key.
+        preferred_planner: name of the planner whose files are used if several planners have unexpired files.
+        ejections: ejections by server, in the order of their creation.
+        known_servers: servers that any source has listed, for the fallback `even`.
     """
 
     def __init__(self, settings: PrecedenceSettings) -> None:
@@ -125,21 +127,21 @@
         self.known_servers: dict[str, None] = {}
 
     def stream_connected(self, planner: str, now: float) -> None:
-        """A stream has been opened; the tables of the former one are no longer its own."""
+        """Record that a stream was opened; it has no tables until it sends complete ones."""
         last_updated_at = self.stream.last_updated_at if self.stream.content is not None else 0.0
         self.stream = StreamState(None, planner, True, now, last_updated_at)
 
     def stream_received(self, now: float) -> None:
-        """Something came by the stream."""
+        """Record that a message was received on the stream."""
         self.stream.last_received_at = now
 
     def stream_updated(self, content: TableContent, complete: bool, now: float) -> None:
-        """An update came by the stream.
+        """Record an update that was received on the stream.
 
         Args:
-            content: what all of the stream's updates amount to.
-            complete: whether this one held complete tables.
-            now: Unix ms.
+            content: content that results from all updates of the stream.
+            complete: whether the update contained complete tables.
+            now: current time, Unix ms.
         """
         stream = self.stream
         stream.last_received_at = now
@@ -149,23 +151,23 @@
         self._record_servers(stream.planner, content, now)
 
     def stream_disconnected(self) -> None:
-        """The stream has ended."""
-        self.stream.connected = False
+        """Record the end of the stream."""
+        self.stream.is_connected = False
 
     def file_applied(self, key: str, tables: CurrentTables, now: float) -> None:
-        """A file for that target has been applied."""
+        """Record the current tables of a target after a file was applied."""
         self.files[key] = tables
         self._record_servers(tables.update.planner, tables.content, now)
 
     def remove_file(self, key: str) -> None:
-        """Forget the tables of a target. No actor calls this yet."""
+        """Remove the tables of a target. Not called yet."""
         self.files.pop(key, None)
 
     def select(self, now: float) -> Selection:
-        """What is in force now."""
+        """Return the tables in force."""
         stream = self.stream
         stream_timeout_at = stream.last_received_at + self.settings.stream_timeout
-        if stream.content is not None and stream.connected and now < stream_timeout_at:
+        if stream.content is not None and stream.is_connected and now < stream_timeout_at:
             return self._in_force(Source.STREAM, _Tables(stream_timeout_at, stream.planner, stream.content))
         file = self._preferred_file(now)
         if file is not None:
@@ -179,7 +181,7 @@
         return self._fallback()
 
     def _record_servers(self, planner: str, content: TableContent, now: float) -> None:
-        """Note ejected and known servers; a planner restores only those that it ejected itself."""
+        """Record ejected and known servers; a planner can restore only servers that it has ejected itself."""
         for server in content.ejected:
             self.ejections.setdefault(server, Ejection(planner, now))
         for server, ejection in list(self.ejections.items()):
@@ -187,29 +189,31 @@
                 del self.ejections[server]
         for lines in content.tables.values():
             self.known_servers.update(dict.fromkeys(lines))
-        _forget_oldest(self.ejections)
-        _forget_oldest(self.known_servers)
+        _remove_oldest(self.ejections)
+        _remove_oldest(self.known_servers)
 
     def _preferred_file(self, now: float) -> CurrentTables | None:
-        """The unexpired file that is in force once the stream is not; None where all are older than its tables."""
+        """Return the unexpired file to use instead of the stream; None if there is none newer than its last update."""
         stream = self.stream
-        oldest = stream.last_updated_at if stream.content is not None else 0.0
+        min_created_at = stream.last_updated_at if stream.content is not None else 0.0
         candidates = [
-            file for file in self.files.values() if file.update.expires_at > now and file.update.created_at >= oldest
+            file
+            for file in self.files.values()
+            if file.update.expires_at > now and file.update.created_at >= min_created_at
         ]
         if not candidates:
             return None
         if all(file.update.planner != self.preferred_planner for file in candidates):
             newest = max(candidates, key=lambda file: (file.update.created_at, file.update.planner))
             self.preferred_planner = newest.update.planner
-        # Of a planner's file for the zone and its file for this proxy, the newer one counts.
+        # The preferred planner may have a file for the zone and one for this proxy; the newer one is used.
         return max(
             (file for file in candidates if file.update.planner == self.preferred_planner),
             key=lambda file: (file.update.incarnation, file.update.created_at, file.update.proxy is not None),
         )
 
     def _last_expired(self) -> _Tables | None:
-        """Of all tables ever received and still remembered, those that expired last."""
+        """Return the recorded tables with the latest expiry; None if no tables are recorded."""
         candidates = [
             _Tables(file.update.expires_at, file.update.planner, file.content) for file in self.files.values()
         ]
@@ -220,7 +224,7 @@
         return max(candidates, key=lambda tables: tables.expires_at, default=None)
 
     def _in_force(self, source: Source, tables: _Tables) -> Selection:
-        """Lines of ejected servers go; a class left without any gets all known servers that are not ejected."""
+        """Return tables without ejected servers; empty ones get equal weights if the fallback is `even`."""
         content = tables.content
         by_class = {request_class: self._not_ejected(lines) for request_class, lines in content.tables.items()}
         if self.settings.fallback == "even":
@@ -243,7 +247,7 @@
         return {server: 1.0 for server in self.known_servers if server not in self.ejections}
 
     def _known_classes(self) -> Iterable[str]:
-        """The request classes that a remembered source has a table for."""
+        """Return the request classes for which any source has a table."""
         classes: dict[str, None] = {}
         if self.stream.content is not None:
             classes.update(dict.fromkeys(self.stream.content.tables))
@@ -252,7 +256,7 @@
         return classes
 
 
-def _forget_oldest(servers: dict[str, Ejection] | dict[str, None]) -> None:
+def _remove_oldest(servers: dict[str, Ejection] | dict[str, None]) -> None:
     excess = max(0, len(servers) - MAX_SERVERS)
     for server in list(servers)[:excess]:
         del servers[server]
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -1,7 +1,8 @@
-"""A planner's actor for table files: writes tables and reads status files, beside the sockets or in their place.
+"""The planner's actor for table files, which writes table files and reads status files.
 
-It takes the planner's updates for the proxies that it serves. Disks are touched in threads only, each write within the
-scheduler's limits; a failing disk is logged once, and what it missed is written when it works again.
+It serves the proxies that are connected by files; other proxies can be connected by sockets at the same time. Disk
+operations run in threads, and writes within the limits of the scheduler. A failing target is logged once, and its
+newest content is written when the disk works again.
 """
 
 from __future__ import annotations
@@ -25,17 +26,17 @@
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 
-MAX_STATUS_FILES = 20_000  # read in one poll; a proxy writes one
-POLL_INTERVAL_S = 0.25  # between polls of the status folder
+MAX_STATUS_FILES = 20_000  # per poll; each proxy has one
+POLL_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class PublisherFolders:
-    """Where a planner's files are.
+    """Paths of the folders of a publisher.
 
     Attributes:
-        tables: holds a folder for each zone, and one for each proxy that differs from its zone.
-        statuses: where proxies put their status files.
+        tables: contains a folder for each zone, and one for each proxy with table files of its own.
+        statuses: contains the status files of the proxies.
     """
 
     tables: str
@@ -49,11 +50,19 @@
 
 
 class FilePublisher:
-    """Writes what the state says is due, and posts what status files say.
+    """Writes due table files, and posts the messages that result from status files.
 
     Attributes:
-        failures: why the last attempt at a target failed, by target.
-        last_statuses: bytes by name as last read, so that an unchanged file is not read again.
+        state: state of the proxies.
+        scheduler: schedules the writes.
+        folders: folders of the table and status files.
+        post: posts a message to the planner actor.
+        keys: signing keys.
+        poll_interval_s: time between polls of the status folder, s.
+        wake_up: set when new writes may be due.
+        failures: reason for the failure of the last attempt, by target; targets without a failure are absent.
+        last_statuses: bytes of each status file at the last poll, by name; unchanged files are not processed again.
+        tasks: running write attempts.
     """
 
     def __init__(
@@ -81,13 +90,13 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
-        """Take those of the planner's updates that are for proxies served by files."""
+        """Apply the planner's updates for proxies that are served by files; other updates are ignored."""
         for connection, update in messages:
             if isinstance(connection, FileConnection) and self.state.apply_update(update):
                 self.wake_up.set()
 
     async def run(self) -> None:
-        """Begin an incarnation above all earlier ones that can be seen, then write and read until cancelled."""
+        """Start an incarnation later than all found ones, then write and read files until cancelled."""
         earlier = await self.run_blocking(self.earlier_incarnations)
         incarnation = self.state.start_incarnation(self.now(), earlier)
         logger.info(
@@ -112,14 +121,14 @@
             polling.cancel()
 
     def next_wait_s(self) -> float:
-        """Seconds until there is something to write if nothing else happens."""
+        """Return the time until the next write may be due, at most the poll interval, s."""
         next_event_at = self.scheduler.next_event_at()
         if next_event_at is None:
             return self.poll_interval_s
         return min(self.poll_interval_s, max(0.0, (next_event_at - self.now()) / 1000.0))
 
     def start_writes(self) -> None:
-        """Submit the files that are due, and start the attempts that the scheduler allows."""
+        """Submit the due updates to the scheduler, and start the attempts that it allows."""
         now = self.now()
         for update in self.state.due_updates(now):
             target = target_path(update.planner, update.zone, update.proxy)
@@ -131,21 +140,21 @@
             task.add_done_callback(self.tasks.discard)
 
     async def write(self, attempt: WriteAttempt) -> None:
-        """Make one attempt, and tell the scheduler how it ended."""
+        """Make an attempt to write a file, and report its result to the scheduler."""
         folder, _, name = attempt.target.rpartition("/")
         failure: ReplaceError | None = None
         try:
             await self.run_blocking(replace_file, self.disk, join(self.folders.tables, folder), name, attempt.data)
         except ReplaceError as error:
             failure = error
-        except Exception as error:  # a fault of the disk's own: it too is a failure of this attempt alone
+        except Exception as error:  # an unexpected error fails only this attempt
             failure = ReplaceError(ReplaceStep.UNKNOWN, repr(error))
         self.scheduler.finish(attempt, failure is None, self.now())
         self.log_result(attempt.target, failure)
         self.wake_up.set()
 
     def log_result(self, target: str, failure: ReplaceError | None) -> None:
-        """Log a failure once, and its end."""
+        """Log the first of several equal failures of a target, and its recovery."""
         if failure is None:
             if self.failures.pop(target, None) is not None:
                 logger.info("table file write recovered: file={}", target)
@@ -154,18 +163,18 @@
             logger.warning("table file write failed: file={} stage={} reason={}", target, failure.step, failure.reason)
 
     def earlier_incarnations(self) -> list[Incarnation]:
-        """Of this planner's name, from the table files it left and from its readers' status files. Blocks."""
+        """Return the incarnations of this planner in its table files and in status files. Blocks."""
         table_folders = [join(self.folders.tables, name) for name in list_names(self.disk, self.folders.tables)]
-        found: list[Incarnation] = []
+        incarnations: list[Incarnation] = []
         for folder in (self.folders.statuses, *table_folders):
             for name in list_names(self.disk, folder):
                 incarnation = self._incarnation_in(folder, name)
                 if incarnation is not None:
-                    found.append(incarnation)
-        return found
+                    incarnations.append(incarnation)
+        return incarnations
 
     def _incarnation_in(self, folder: str, name: str) -> Incarnation | None:
-        """The incarnation of this planner that a file names, if it is usable and names one."""
+        """Return the incarnation of this planner in a file; None if the file is invalid or contains none."""
         try:
             document = decode(read_file(self.disk, folder, name), self.keys)
         except FileRejectedError:
@@ -175,16 +184,16 @@
         return document.planner_incarnation if isinstance(document, ProxyStatus) else document.incarnation
 
     async def poll_statuses(self) -> None:
-        """Read changed status files and expire silent proxies, until cancelled."""
+        """Process changed status files and remove proxies whose status files have stopped, until cancelled."""
         while True:
             for file in await self.run_blocking(self.changed_statuses):
                 self.receive(file.name, file.data)
-            for item in self.state.expire_silent(self.now()):
-                self.post(item)
+            for message in self.state.expire_silent(self.now()):
+                self.post(message)
             await asyncio.sleep(self.poll_interval_s)
 
     def changed_statuses(self) -> list[_StatusFile]:
-        """The status files whose bytes differ from the last poll. Blocks."""
+        """Return the status files that have changed since the last poll. Blocks."""
         folder = self.folders.statuses
         names = [name for name in list_names(self.disk, folder) if name.endswith(TABLE_SUFFIX)][:MAX_STATUS_FILES]
         changed: list[_StatusFile] = []
@@ -201,7 +210,7 @@
         return changed
 
     def receive(self, name: str, data: bytes) -> None:
-        """Post what a status file says, and acknowledge the files that it has applied."""
+        """Post the messages that result from a status file, and confirm the updates that it acknowledges."""
         try:
             status = _as_status(decode(data, self.keys))
         except FileRejectedError as error:
@@ -209,8 +218,8 @@
                 "status file rejected: file={} stage={} reason={}", name[:60], error.stage.name.lower(), error.reason
             )
             return
-        for item in self.state.receive_status(status, self.now()):
-            self.post(item)
+        for message in self.state.receive_status(status, self.now()):
+            self.post(message)
         if status.planner == self.state.planner:
             for proxy in (None, status.proxy):
                 target = target_path(status.planner, status.zone, proxy)
@@ -220,11 +229,11 @@
 
 def _as_status(document: Document) -> ProxyStatus:
     if not isinstance(document, ProxyStatus):
-        raise FileRejectedError(Stage.CONTENT, "no answer")
+        raise FileRejectedError(Stage.CONTENT, "expected a proxy status, found a table update")
     return document
 
 
 def target_path(planner: str, zone: str, proxy: int | None) -> str:
-    """Folder and name of a target's file below the folder of tables."""
+    """Return the path of a target's file, relative to the folder of table files."""
     folder = f"zone-{zone}" if proxy is None else f"proxy-{proxy}"
     return f"{folder}/orders-{planner}{TABLE_SUFFIX}"
--- a/stackwheel/files/push_scheduler.py
+++ b/stackwheel/files/push_scheduler.py
@@ -1,7 +1,7 @@
-"""Decides when which file is written to which folder: pacing, retries, concurrency, acknowledgements. No I/O.
+"""Schedules the writing of files, with rate limits, retries and bounded concurrency, without I/O.
 
-A target is one file name in one folder. New content supersedes older content that has not been written, so that nothing
-queues up behind a slow disk. Failed attempts are retried with exponential backoff and full jitter.
+A target is one file name in one folder. New content supersedes older content that has not been written, so that no
+queue builds up on a slow disk. Failed attempts are retried with exponential backoff and full jitter.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-INITIAL_BACKOFF_MS = 100.0  # the first retry is drawn from 0 up to it
-MAX_BACKOFF_MS = 10_000.0  # doubled with each failure up to this
-MAX_BACKOFF_DOUBLINGS = 20  # keeps the power finite; the maximum is reached after 7
-MAX_ACTIVE = 16  # attempts at once: a thread each, and most folders are on one disk
-ATTEMPT_TIMEOUT_MS = 30_000.0  # after it an attempt counts as failed; its thread is not waited for
-MAX_TARGETS = 20_000  # 4 for each of 5,000 proxies
+INITIAL_BACKOFF_MS = 100.0
+MAX_BACKOFF_MS = 10_000.0
+MAX_BACKOFF_DOUBLINGS = 20  # prevents an overflow of the power; the maximum is reached earlier
+MAX_ACTIVE_ATTEMPTS = 16  # each attempt occupies a thread
+ATTEMPT_TIMEOUT_MS = 30_000.0
+MAX_TARGETS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class PushLimits:
-    """How often one target may be written.
+    """Rate limits for writing one target.
 
     Attributes:
-        max_files: within the window; 0: no such limit.
-        window: ms.
-        min_interval: ms between two files.
+        max_files: maximum number of files written within the window; 0 for no limit.
+        window: length of the window, ms.
+        min_interval: minimum time between two files, ms.
     """
 
     max_files: int = 0
@@ -35,18 +35,18 @@
 
 @dataclass(slots=True)
 class PushTarget:
-    """One file to be kept up to date; points in time are Unix ms.
+    """State of one file to be written; points in time are in Unix ms.
 
     Attributes:
-        pending: the newest content, while it has not been written.
-        sequence: number of the newest content.
-        written_at: when files were written, within the window.
-        started_at: when the active attempt began, if there is one.
-        written_sequence: number of the newest content that was written.
-        failures: in a row.
-        retry_at: no attempt before.
-        confirmed_sequence: the newest content that its reader has acknowledged.
-        unconfirmed_since: when the oldest unacknowledged content was submitted.
+        pending: newest content if it has not been written; otherwise None.
+        sequence: sequence number of the newest content.
+        written_at: times at which the file was written within the window.
+        started_at: start of the active attempt; None if there is none.
+        written_sequence: sequence number of the newest written content.
+        failures: number of consecutive failed attempts.
+        retry_at: earliest time of the next attempt after a failure.
+        confirmed_sequence: sequence number of the newest content that the reader has acknowledged.
+        unconfirmed_since: submission time of the oldest unacknowledged content.
     """
 
     pending: bytes | None = None
@@ -60,14 +60,20 @@
     unconfirmed_since: float = 0.0
 
     @property
-    def ready(self) -> bool:
-        """Whether there is something to write and no attempt is active."""
+    def is_ready(self) -> bool:
+        """Whether content is pending and no attempt is active."""
         return self.pending is not None and self.started_at is None
 
 
 @dataclass(frozen=True, slots=True)
 class WriteAttempt:
-    """Write this content to this target now."""
+    """Attempt to write a content to a target.
+
+    Attributes:
+        target: name of the target.
+        data: content to write.
+        sequence: sequence number of the content.
+    """
 
     target: str
     data: bytes
@@ -75,15 +81,17 @@
 
 
 class PushScheduler:
-    """The targets of one publisher.
+    """Schedules the writes of one publisher.
 
     Attributes:
-        targets: by name.
-        active: attempts that have neither finished nor timed out.
-        superseded: contents that were replaced by newer ones before they were written.
+        limits: rate limits of each target.
+        max_active: maximum number of concurrent attempts.
+        targets: targets by name.
+        active: number of attempts that have neither finished nor timed out.
+        superseded: number of contents that were replaced by newer ones before they were written.
     """
 
-    def __init__(self, limits: PushLimits, seed: int, max_active: int = MAX_ACTIVE) -> None:
+    def __init__(self, limits: PushLimits, seed: int, max_active: int = MAX_ACTIVE_ATTEMPTS) -> None:
         self.limits = limits
         self.random = random.Random(seed)
         self.max_active = max_active
@@ -92,7 +100,7 @@
         self.superseded = 0
 
     def submit(self, name: str, data: bytes, sequence: int, now: float) -> bool:
-        """New content for a target; False if there are too many targets."""
+        """Submit new content for a target; returns False if there are too many targets."""
         target = self.targets.get(name)
         if target is None:
             if len(self.targets) >= MAX_TARGETS:
@@ -108,13 +116,13 @@
         return True
 
     def forget(self, name: str) -> None:
-        """Drop a target whose proxy has left; an active attempt ends by itself. No actor calls this yet."""
+        """Remove a target whose proxy has left; an active attempt is not cancelled. Not called yet."""
         target = self.targets.pop(name, None)
         if target is not None and target.started_at is not None:
             self.active -= 1
 
     def earliest_write(self, name: str) -> float:
-        """When the limits and the backoff allow the next file of a target."""
+        """Return the earliest time at which the limits and the backoff allow the next attempt at a target."""
         target = self.targets[name]
         limits = self.limits
         allowed_at = 0.0
@@ -125,9 +133,9 @@
         return max(allowed_at, target.retry_at)
 
     def start_attempts(self, now: float) -> list[WriteAttempt]:
-        """What is to be written now; targets that have waited longest for an acknowledgement come first."""
+        """Start all attempts that are allowed now, first those of the targets that have been unconfirmed longest."""
         self._expire_attempts(now)
-        ready = [name for name, target in self.targets.items() if target.ready and self.earliest_write(name) <= now]
+        ready = [name for name, target in self.targets.items() if target.is_ready and self.earliest_write(name) <= now]
         ready.sort(key=lambda name: self.targets[name].unconfirmed_since)
         attempts: list[WriteAttempt] = []
         for name in ready[: max(0, self.max_active - self.active)]:
@@ -139,7 +147,7 @@
         return attempts
 
     def finish(self, attempt: WriteAttempt, succeeded: bool, now: float) -> None:
-        """An attempt has ended; one that has timed out before has no effect."""
+        """Record the end of an attempt; ignored if the attempt has already timed out."""
         target = self.targets.get(attempt.target)
         if target is None or target.started_at is None:
             return
@@ -158,7 +166,7 @@
             target.pending = None
 
     def confirm(self, name: str, sequence: int) -> bool:
-        """A reader acknowledges what it has applied; whether that is newer than what was known."""
+        """Record the acknowledgement of a reader; returns whether it is newer than the previous one."""
         target = self.targets.get(name)
         if target is None or sequence <= target.confirmed_sequence:
             return False
@@ -166,15 +174,15 @@
         return True
 
     def next_event_at(self) -> float | None:
-        """When an attempt may start or times out, if nothing else happens before."""
-        times = [self.earliest_write(name) for name, target in self.targets.items() if target.ready]
+        """Return the time at which the next attempt may start or times out; None if there is none."""
+        times = [self.earliest_write(name) for name, target in self.targets.items() if target.is_ready]
         times += [
             target.started_at + ATTEMPT_TIMEOUT_MS for target in self.targets.values() if target.started_at is not None
         ]
         return min(times, default=None)
 
     def _expire_attempts(self, now: float) -> None:
-        """Attempts whose thread hangs give their slot back."""
+        """Release the slots of attempts that have timed out; their threads are not waited for."""
         for target in self.targets.values():
             if target.started_at is not None and now - target.started_at >= ATTEMPT_TIMEOUT_MS:
                 self._schedule_retry(target, now)
--- a/stackwheel/files/reader.py
+++ b/stackwheel/files/reader.py
@@ -1,7 +1,8 @@
-"""A proxy's actor for table files: polls its folders, applies what may be applied, saves its memory, writes its status.
+"""The proxy's actor for table files, which polls folders, applies updates and writes a status file.
 
-Only the state of the folders counts: a missed event costs one poll at most. Nothing takes effect before the memory that
-forbids its repetition is saved; where it can't be saved, tables are used and reservations are not.
+Each poll compares the entire folders, so a missed notification delays a change by at most one poll interval. The reader
+memory is saved before an update takes effect. If it cannot be saved, the tables of the update are used, but its
+reservations are ignored.
 """
 
 from __future__ import annotations
@@ -29,20 +30,20 @@
     TableUpdate,
 )
 
-MAX_DIGESTS = 4096  # files whose bytes are remembered; a reader has a few dozen
+MAX_DIGESTS = 4096
 DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class ReaderConfig:
-    """Whose reader this is, and where its files are.
+    """Identity and folders of a reader.
 
     Attributes:
         zone: name of the proxy's zone.
-        proxy: its number.
-        folders: to be polled: the zone's, then the proxy's own.
-        status_folder: where its status goes.
-        state_folder: where its memory is.
+        proxy: number of the proxy.
+        folders: paths of the folders to poll, that of the zone before that of the proxy.
+        status_folder: path of the folder for the status file.
+        state_folder: path of the folder for the reader memory.
     """
 
     zone: str
@@ -54,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReport:
-    """What a proxy has to say in its next status, besides what it has applied.
+    """Measurements of a proxy for its next status.
 
     Attributes:
-        expected_rate: requests a second, roughly.
-        window: ms that the reports cover; 0 where there are none.
-        demand: by request class.
-        observations: by server.
-        newly_started: the proxy holds only its standing tables.
+        expected_rate: approximate number of requests per second.
+        window: period that `demand` and `observations` cover, ms; 0 if there are none.
+        demand: demand of each request class.
+        observations: measurements of each server.
+        newly_started: whether the proxy has only its standing tables.
     """
 
     expected_rate: float = 0.0
@@ -89,16 +90,19 @@
 
 
 class FileReader:
-    """Reads for one proxy.
+    """Reads and applies table files for one proxy.
 
     Attributes:
-        acceptor: set once the reader has started.
-        digests: of the bytes as last read.
-        newest: the newest tables applied, which the status acknowledges.
-        apply_delay: ms from their making to their use.
-        sequence: of the newest status.
-        incarnation: of this process.
-        is_memory_saved: whether the memory could be saved the last time.
+        config: identity and folders of the reader.
+        keys: returns the current signing keys.
+        salt: salt of the reader's incarnation.
+        acceptor: decides which updates are applied; None until the reader has started.
+        digests: digest of each file as last read.
+        newest: newest applied tables, which the status acknowledges.
+        apply_delay: time from the creation of the newest tables to their use, ms.
+        sequence: sequence number of the newest status.
+        incarnation: incarnation of the proxy.
+        is_memory_saved: whether the last attempt to save the reader memory succeeded.
     """
 
     def __init__(
@@ -123,7 +127,7 @@
         self.is_memory_saved = True
 
     async def start(self) -> ReaderMemory:
-        """Load the memory, or begin one that takes no reservation made before now."""
+        """Load the reader memory, or create one that ignores reservations created earlier."""
         now = self.now()
         memory: ReaderMemory | None = None
         try:
@@ -141,15 +145,15 @@
         return memory
 
     async def poll(self) -> list[ReadOutcome]:
-        """Process all files that have changed, each complete update before the deltas on it."""
+        """Process all changed files, each complete update before the deltas that build on it."""
         updates: list[_DecodedUpdate] = []
         outcomes: list[ReadOutcome] = []
         for file in await self.run_blocking(self.changed_files):
             try:
                 updates.append(_DecodedUpdate(file.name, self._decode(file.data)))
             except FileRejectedError as error:
-                outcomes.append(FileRejected.because(file.name, error))
-        for decoded in sorted(updates, key=lambda one: (one.update.version, not one.update.complete)):
+                outcomes.append(FileRejected.from_error(file.name, error))
+        for decoded in sorted(updates, key=lambda item: (item.update.version, not item.update.complete)):
             outcome = await self.process(decoded.name, decoded.update)
             if outcome is not None:
                 outcomes.append(outcome)
@@ -158,11 +162,11 @@
     def _decode(self, data: bytes) -> TableUpdate:
         document = decode(data, self.keys())
         if not isinstance(document, TableUpdate):
-            raise FileRejectedError(Stage.CONTENT, "no file of orders")
+            raise FileRejectedError(Stage.CONTENT, "expected a table update, found a proxy status")
         return document
 
     def changed_files(self) -> list[_ChangedFile]:
-        """The files whose bytes differ from the last poll. Blocks."""
+        """Return the files that have changed since the last poll. Blocks."""
         changed: list[_ChangedFile] = []
         for folder in self.config.folders:
             for name in list_names(self.disk, folder):
@@ -180,64 +184,67 @@
         return changed
 
     def _read(self, folder: str, name: str) -> bytes:
-        """The bytes of a file; of one that can't be read, bytes that are rejected once for each reason."""
+        """Return the bytes of a file.
+
+        For an unreadable file, return invalid bytes that depend on the error, so that each error is reported once.
+        """
         try:
             return read_file(self.disk, folder, name)
         except FileRejectedError as error:
             return b"\x00" + str(error).encode()
 
     async def process(self, name: str, update: TableUpdate) -> ReadOutcome | None:
-        """Apply an update or reject it; None where it is the one applied already."""
+        """Apply or reject an update; returns None if it is already applied."""
         assert self.acceptor is not None
         now = self.now()
         try:
             acceptance = self.acceptor.validate(update, now)
         except FileRejectedError as error:
-            return FileRejected.because(name, error)
+            return FileRejected.from_error(name, error)
         if acceptance is None:
             return None
         return await self._apply(name, acceptance, now)
 
     async def _apply(self, name: str, acceptance: Acceptance, now: float) -> ReadOutcome:
-        """Save the memory, then let the update take effect."""
+        """Save the reader memory and then apply the update."""
         saved = await self._record(acceptance, now)
         current = acceptance.current
         update = current.update
-        if self.is_expired(update):  # the disk took longer than the file may be used
-            return FileRejected(name, Stage.AGE, "its time was over once the memory was kept")
+        if self.is_expired(update):  # saving the memory may take long on a slow disk
+            return FileRejected(name, Stage.AGE, "expired while the reader memory was being saved")
         if self.newest is None or update.created_at >= self.newest.update.created_at:
             self.newest = current
             self.apply_delay = max(0.0, self.now() - update.created_at)
         return FileApplied(name, current, acceptance.reservations if saved else ())
 
     async def _record(self, acceptance: Acceptance, now: float) -> bool:
-        """Count an update as applied; whether the memory that says so could be saved."""
+        """Record an update as applied; returns whether the reader memory could be saved."""
         assert self.acceptor is not None
-        former = self.acceptor.memory
+        previous = self.acceptor.memory
         memory = self.acceptor.record_applied(acceptance, now)
         failure: ReplaceError | None = None
         try:
             await self.run_blocking(save_memory, self.disk, self.config.state_folder, memory)
         except ReplaceError as error:
             failure = error
-            # The reservations come again with the next file, and take effect once the memory can be saved.
-            self.acceptor.memory = ReaderMemory(1, memory.valid_since, memory.applied, former.reservations)
+            # The next file contains the reservations again; they take effect once the memory can be saved.
+            self.acceptor.memory = ReaderMemory(1, memory.valid_since, memory.applied, previous.reservations)
         if self.is_memory_saved != (failure is None):
             self.is_memory_saved = failure is None
             _log_memory_state(failure)
         return failure is None
 
     def is_expired(self, update: TableUpdate) -> bool:
-        """Whether an update may no longer be used."""
+        """Return whether an update has expired."""
         return update.expires_at <= self.now()
 
     def forget_expired(self, grace: float) -> list[str]:
-        """Forget tables that expired `grace` ms ago; the keys of these. No actor calls this yet."""
+        """Remove tables that expired at least `grace` ms ago and return their target keys. Not called yet."""
         assert self.acceptor is not None
         return self.acceptor.forget_expired(self.now(), grace)
 
     async def write_status(self, report: StatusReport) -> None:
-        """Acknowledge what is applied and report what was measured, in this proxy's own file.
+        """Write the status file, which acknowledges the newest applied update and contains the proxy's measurements.
 
         Raises:
             ReplaceError: the file could not be written.
--- a/tests/files/test_follower.py
+++ b/tests/files/test_follower.py
@@ -1,4 +1,4 @@
-"""`stackwheel files follow` and `serve`, on the machine's own disk."""
+"""Tests of `stackwheel files follow` and `stackwheel files serve` on the system disk."""
 
 from __future__ import annotations
 
@@ -26,12 +26,14 @@
     )
 
 
-def test_follow_and_serve(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_follow_reports_files_and_serve_passes_the_tables_in_force_to_its_outputs(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     folder = tmp_path / "in"
     folder.mkdir()
     table_file = folder / "orders-n0.table"
     torn_file = folder / "torn.table"
-    now = time.time() * 1000.0  # apart from the clock of the program
+    now = time.time() * 1000.0
     table_file.write_bytes(encode(update(2, now, Reservation("b1", "read", 1, now + 9e4))))
     torn_file.write_bytes(encode(update(3, now))[:-9])
     arguments = [str(folder), "--zone", "east", "--state", str(tmp_path), "--once", "--json"]
@@ -47,7 +49,7 @@
     received = tmp_path / "received"
     outputs = ["--out", str(out), "--command", f"cat > {received}"]
     assert root.run(["files", "serve", *arguments, *outputs]) == 1
-    assert json.loads(capsys.readouterr().out)["stage"] == "order"  # also after a restart
+    assert json.loads(capsys.readouterr().out)["stage"] == "order"
     table_file.write_bytes(encode(update(4, now)))
     assert root.run(["files", "serve", *arguments, *outputs]) == 0
     assert json.loads(out.read_text())["tables"] == {"read": {"a": 4.0}}
--- a/tests/files/test_incarnations.py
+++ b/tests/files/test_incarnations.py
@@ -1,4 +1,4 @@
-"""A planner without a disk starts above all of its earlier incarnations that it can see."""
+"""Tests that a starting planner chooses an incarnation above all known earlier ones."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from stackwheel.files.records import Incarnation
 
 
-def test_incarnations_order_without_a_disk() -> None:
-    """Within one millisecond, with a clock stepped back, with the same salt: the later one is greater."""
+def test_a_later_incarnation_compares_greater_without_persistent_storage() -> None:
+    """Covers starts within the same millisecond, a clock stepped back and equal salts."""
     seen: list[Incarnation] = []
     for now, salt in ((5000.0, 9), (5000.0, 9), (5000.0, 1), (1000.0, 3), (6000.0, 0)):
         incarnation = next_incarnation(now, salt, seen)
--- a/tests/files/test_precedence.py
+++ b/tests/files/test_precedence.py
@@ -1,4 +1,4 @@
-"""Which source is in force when a stream breaks, comes back, or says something older than the file."""
+"""Tests of the precedence of streams, files and expired tables."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("fault", ["disconnected", "silent"])
-def test_a_broken_or_silent_stream_yields_to_newer_files(fault: str) -> None:
+def test_newer_files_replace_a_disconnected_or_timed_out_stream(fault: str) -> None:
     precedence = with_stream({"a": 1.0})
     precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}), 2000.0)
     if fault == "disconnected":
@@ -55,7 +55,7 @@
     assert precedence.select(now).content.tables == {"read": {"b": 1.0}}
 
 
-def test_files_older_than_the_stream_s_last_update_do_not_take_its_place() -> None:
+def test_files_older_than_the_last_stream_update_are_not_used() -> None:
     precedence = with_stream({"a": 1.0}, now=5000.0)
     precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}, expires_at=100_000.0), 5100.0)
     precedence.stream_disconnected()
@@ -63,7 +63,7 @@
     assert selection.source is Source.EXPIRED or selection.content.tables == {"read": {"a": 1.0}}
 
 
-def test_a_stream_that_comes_back_takes_precedence_once_it_has_sent_complete_tables() -> None:
+def test_a_reconnected_stream_takes_precedence_after_it_has_sent_complete_tables() -> None:
     precedence = with_stream({"a": 1.0})
     precedence.stream_disconnected()
     precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}), 2000.0)
@@ -74,23 +74,23 @@
     assert precedence.select(3400.0).content.tables == {"read": {"c": 1.0}}
 
 
-def test_a_drain_announced_only_by_file_is_binding_while_the_stream_is_half_open() -> None:
+def test_an_ejection_by_file_applies_to_tables_from_the_stream() -> None:
     precedence = with_stream({"a": 1.0, "b": 1.0})
     precedence.file_applied("n0", file_tables("n0", 2000.0, {"b": 1.0}, ("a",)), 2000.0)
     assert precedence.select(2100.0).source is Source.STREAM
     assert precedence.select(2100.0).content.tables == {"read": {"b": 1.0}}
 
 
-def test_a_planner_restores_only_what_it_ejected_itself() -> None:
+def test_a_planner_restores_only_servers_that_it_ejected_itself() -> None:
     precedence = with_stream({"a": 1.0, "b": 1.0})
     precedence.file_applied("n1", file_tables("n1", 2000.0, {"b": 1.0}, ("a",)), 2000.0)
-    precedence.stream_updated(stream_content({"a": 1.0, "b": 1.0}), False, 2100.0)  # n0 never ejected it
+    precedence.stream_updated(stream_content({"a": 1.0, "b": 1.0}), False, 2100.0)  # from n0, which has not ejected a
     assert "a" not in precedence.select(2200.0).content.tables["read"]
     precedence.file_applied("n1", file_tables("n1", 2300.0, {"a": 1.0, "b": 1.0}), 2300.0)
     assert "a" in precedence.select(2400.0).content.tables["read"]
 
 
-def test_of_two_planners_files_the_preferred_one_stays_until_it_expires() -> None:
+def test_the_preferred_planner_changes_only_when_its_files_expire() -> None:
     precedence = SourcePrecedence(SETTINGS)
     precedence.file_applied("n0", file_tables("n0", 1000.0, {"a": 1.0}, expires_at=5000.0), 1000.0)
     assert precedence.select(1000.0).planner == "n0"
@@ -99,7 +99,7 @@
     assert precedence.select(5000.0).planner == "n1"
 
 
-def test_expired_tables_are_kept_no_longer_than_the_grace_period() -> None:
+def test_expired_tables_are_used_until_the_grace_period_ends() -> None:
     precedence = SourcePrecedence(SETTINGS)
     tables = file_tables("n0", 1000.0, {"a": 3.0, "b": 1.0}, ("c",), expires_at=5000.0)
     precedence.file_applied("n0", tables, 1000.0)
@@ -109,13 +109,13 @@
     assert selection.content.tables == {"read": {"a": 1.0, "b": 1.0}}
 
 
-def test_without_an_even_fallback_nothing_is_in_force_after_the_grace_period() -> None:
+def test_no_tables_are_in_force_after_the_grace_period_if_the_fallback_is_refuse() -> None:
     precedence = SourcePrecedence(dataclasses.replace(SETTINGS, fallback="refuse"))
     precedence.file_applied("n0", file_tables("n0", 1000.0, {"a": 1.0}, expires_at=5000.0), 1000.0)
     assert precedence.select(10_000.0).source is Source.NONE
 
 
-def test_a_class_left_empty_by_ejections_gets_the_known_servers() -> None:
+def test_a_table_without_lines_after_ejections_gets_the_known_servers() -> None:
     precedence = with_stream({"a": 1.0})
     precedence.file_applied("n0", file_tables("n0", 2000.0, {"a": 1.0, "b": 1.0}, ("a",)), 2000.0)
     assert precedence.select(2100.0).content.tables == {"read": {"b": 1.0}}
--- a/tests/files/test_publisher.py
+++ b/tests/files/test_publisher.py
@@ -1,4 +1,4 @@
-"""Publisher and readers on the machine's own disk, clock and threads."""
+"""Tests of a publisher and readers with the system's disk, clock and threads."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 FIRST_REPORT = StatusReport(expected_rate=5.0, newly_started=True)
 
 
-async def until(condition: Callable[[], bool], timeout_s: float = 20.0) -> None:
+async def wait_until(condition: Callable[[], bool], timeout_s: float = 20.0) -> None:
     end = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < end, "waited too long"
+        assert time.monotonic() < end, "the condition was not met in time"
         await asyncio.sleep(0.02)
 
 
 @dataclass
 class Deployment:
-    """The folders of one planner and one zone, and what the planner actor is told."""
+    """Folders of one planner and one zone, and the messages posted to the planner actor."""
 
     root: Path
     posted: list[PlannerMessage] = field(default_factory=list)
@@ -74,8 +74,8 @@
         return FileReader(config, system_environment(), lambda: KEYS)
 
     async def stream(self) -> ProxyStream:
-        """The first proxy that joins."""
-        await until(lambda: any(isinstance(item, ProxyStream) for item in self.posted))
+        """Wait for the first stream that is opened and return it."""
+        await wait_until(lambda: any(isinstance(item, ProxyStream) for item in self.posted))
         return next(item for item in self.posted if isinstance(item, ProxyStream))
 
 
@@ -97,7 +97,7 @@
     asyncio.run(main)
 
 
-def test_from_decision_to_application_and_back(deployment: Deployment) -> None:
+def test_an_update_is_applied_by_a_reader_and_acknowledged(deployment: Deployment) -> None:
     async def main() -> None:
         publisher = deployment.publisher()
         reader = deployment.reader(deployment.zone_folder)
@@ -108,18 +108,18 @@
             level = AdmissionLevel(0.9, Retry.ONCE_IF_NOT_EXECUTED)
             part = UpdatePart((0,), True, ((server_id("a"), 1.5),), level)
             publisher.deliver([(stream.connection, ProxyUpdate(0, (part,), nonce=3))])
-            await until(deployment.zone_file.exists)
+            await wait_until(deployment.zone_file.exists)
             (outcome,) = await reader.poll()
             assert isinstance(outcome, FileApplied)
             assert outcome.current.content.tables == {"read": {"a": 1.5}}
             assert await reader.poll() == []
             await reader.write_status(StatusReport(expected_rate=5.0))
-            await until(lambda: any("Acknowledged" in repr(item) for item in deployment.posted))
+            await wait_until(lambda: any("Acknowledged" in repr(item) for item in deployment.posted))
 
     run(main())
 
 
-def test_a_missing_folder_stalls_nothing_and_is_written_when_it_is_back(deployment: Deployment) -> None:
+def test_a_file_for_a_missing_folder_is_written_once_the_folder_exists(deployment: Deployment) -> None:
     async def main() -> None:
         deployment.zone_folder.rmdir()
         publisher = deployment.publisher()
@@ -130,22 +130,22 @@
             stream = await deployment.stream()
             part = UpdatePart((0,), True, ((server_id("a"), 1.5),))
             publisher.deliver([(stream.connection, ProxyUpdate(0, (part,)))])
-            await until(lambda: bool(publisher.failures))
+            await wait_until(lambda: bool(publisher.failures))
             deployment.zone_folder.mkdir()
-            await until(deployment.zone_file.exists)
-            await until(lambda: not publisher.failures)
+            await wait_until(deployment.zone_file.exists)
+            await wait_until(lambda: not publisher.failures)
 
     run(main())
 
 
-def test_a_new_incarnation_is_above_those_that_left_files(deployment: Deployment) -> None:
+def test_a_new_incarnation_is_later_than_those_in_existing_files(deployment: Deployment) -> None:
     async def main() -> None:
         later = Incarnation(0, int(unix_ms()) + 1_000_000, 5)
         update = TableUpdate("n0", later, 9, unix_ms(), unix_ms() + 1000.0, "east")
         deployment.zone_file.write_bytes(encode(update, KEYS))
         publisher = deployment.publisher()
         async with running(publisher):
-            await until(lambda: publisher.state.incarnation is not None)
+            await wait_until(lambda: publisher.state.incarnation is not None)
             assert publisher.state.incarnation is not None
             assert publisher.state.incarnation > later
 
--- a/tests/files/test_publisher_state.py
+++ b/tests/files/test_publisher_state.py
@@ -1,12 +1,12 @@
-"""A planner's side: updates become files that readers apply, status files become items for the planner actor."""
+"""Tests of the publisher's state: planner updates become table updates, statuses become planner messages."""
 
 from __future__ import annotations
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.files.acceptor import Acceptor
 from stackwheel.files.content import TableContent
 from stackwheel.files.file_builder import PublisherSettings
-from stackwheel.files.publisher_state import SILENT_REPORT_INTERVALS, PublisherState
+from stackwheel.files.publisher_state import STATUS_TIMEOUT_REPORT_INTERVALS, PublisherState
 from stackwheel.files.records import (
     ClassDemand,
     Incarnation,
@@ -28,7 +28,7 @@
 
 
 class PublisherHarness:
-    """A publisher's state beside readers that apply what it publishes."""
+    """A publisher's state, with readers that apply its updates."""
 
     def __init__(self, deltas_per_base: int = 20) -> None:
         ids = ServerIds()
@@ -42,14 +42,14 @@
         self.now = NOW
 
     def join(self, proxy: int, zone: str = "east") -> ProxyStream:
-        """A proxy's first status; the stream that the planner actor is told of."""
+        """Send the first status of a proxy and return the stream that the planner actor receives."""
         self.readers[proxy] = Acceptor(zone, proxy)
         stream = self.send_status(proxy)[0]
         assert isinstance(stream, ProxyStream)
         return stream
 
     def send_status(self, proxy: int, **fields: object) -> list[PlannerMessage]:
-        """A proxy's next status, which acknowledges what its reader has applied."""
+        """Send the next status of a proxy, which acknowledges the updates that its reader has applied."""
         self.sequence += 1
         reader = self.readers[proxy]
         updates = [current.update for current in reader.current.values()]
@@ -80,7 +80,7 @@
         assert self.state.apply_update(update)
 
     def publish(self) -> list[TableUpdate]:
-        """All files that are due; every reader finds them."""
+        """Create the due updates and apply them at all readers that they are for."""
         updates = list(self.state.due_updates(self.now))
         for update in updates:
             for reader in self.readers.values():
@@ -90,9 +90,9 @@
                         reader.record_applied(acceptance, self.now)
         return updates
 
-    def content(self, proxy: int, addressee: str = "all") -> TableContent:
-        """What a reader has of the zone's files, or of its own."""
-        return self.readers[proxy].current[f"n0|east|{addressee}"].content
+    def content(self, proxy: int, target: str = "all") -> TableContent:
+        """Return the content that a reader has from the zone's updates, or from those for a single proxy."""
+        return self.readers[proxy].current[f"n0|east|{target}"].content
 
 
 def table(lines: dict[str, float], complete: bool = True, admitted: float | None = None) -> UpdatePart:
@@ -100,17 +100,17 @@
     return UpdatePart((0,), complete, tuple((server_id(name), weight) for name, weight in lines.items()), level)
 
 
-def test_a_first_status_joins_the_proxy_and_shows_that_it_is_alive() -> None:
+def test_the_first_status_of_a_proxy_opens_a_stream_and_resets_its_timeout() -> None:
     harness = PublisherHarness()
     harness.readers[3] = Acceptor("west", 3)
-    stream, alive = harness.send_status(3)
+    stream, message = harness.send_status(3)
     assert isinstance(stream, ProxyStream)
     assert (stream.proxy, stream.zone, stream.newly_started) == (3, 1, True)
-    assert alive == StreamMessage(3, None, stream.connection)
+    assert message == StreamMessage(3, None, stream.connection)
     assert [type(item) for item in harness.send_status(3)] == [StreamMessage]
 
 
-def test_proxies_of_a_zone_that_agree_share_a_file() -> None:
+def test_proxies_of_a_zone_with_equal_content_share_an_update() -> None:
     harness = PublisherHarness()
     for proxy in (0, 1, 2):
         harness.join(proxy)
@@ -121,15 +121,15 @@
     ]
     for proxy in harness.readers:
         assert harness.content(proxy).tables == {"read": {"a": 1.0, "b": 0.5}}
-    assert harness.publish() == []  # nothing has changed
+    assert harness.publish() == []
     harness.update(1, table({"a": 0.0, "c": 2.0}, complete=False))
     updates = harness.publish()
     assert [(update.proxy, update.complete) for update in updates] == [(1, True)]
     assert harness.content(1, "1").tables == {"read": {"b": 0.5, "c": 2.0}}
 
 
-def test_a_proxy_with_a_file_of_its_own_follows_the_zone_again_when_they_agree() -> None:
-    """Else the zone's file does not move, the own one stays the newest, and the update never reaches the proxy."""
+def test_a_proxy_with_updates_of_its_own_returns_to_those_of_the_zone() -> None:
+    """The proxy's own update must follow until the zone's one is newer; otherwise the reader uses outdated tables."""
     harness = PublisherHarness()
     for proxy in (0, 1, 2):
         harness.join(proxy)
@@ -138,7 +138,7 @@
     harness.now += 100.0
     for proxy in (1, 2):
         harness.update(proxy, table({"a": 0.0}, complete=False))
-    harness.publish()  # the zone's file follows the majority; the first proxy gets its own
+    harness.publish()  # the zone gets the content of the majority, and proxy 0 an update of its own
     harness.now += 100.0
     harness.update(0, table({"a": 0.0}, complete=False))
     harness.publish()
@@ -147,10 +147,10 @@
     harness.now += 16_000.0
     harness.publish()
     harness.publish()
-    assert set(harness.state.files.targets) == {("east", None)}
+    assert set(harness.state.file_builder.targets) == {("east", None)}
 
 
-def test_deltas_build_on_the_base_until_the_next_one_is_due() -> None:
+def test_a_complete_update_follows_after_the_configured_number_of_deltas() -> None:
     harness = PublisherHarness(deltas_per_base=3)
     harness.join(0)
     harness.update(0, table({"a": 1.0}))
@@ -162,7 +162,7 @@
     assert complete == [True, False, False, False, True, False, False, False, True]
 
 
-def test_a_nonce_is_acknowledged_once_its_file_is_applied() -> None:
+def test_a_nonce_is_acknowledged_once_its_update_is_applied() -> None:
     harness = PublisherHarness()
     harness.join(0)
     harness.update(0, table({"a": 1.0}), nonce=5)
@@ -170,15 +170,15 @@
     harness.publish()
     _, acknowledged = harness.send_status(0, apply_delay=120.0)
     assert isinstance(acknowledged, StreamMessage)
-    assert acknowledged.event == face.Acknowledged(0, 5, 120.0)
+    assert acknowledged.event == interface.Acknowledged(0, 5, 120.0)
     assert len(harness.send_status(0)) == 1
-    harness.update(0, nonce=6)  # nothing changes, and yet it has to be acknowledged
+    harness.update(0, nonce=6)  # an update without changes is published for the nonce
     harness.publish()
     events = [item.event for item in harness.send_status(0) if isinstance(item, StreamMessage)]
-    assert face.Acknowledged(0, 6, 0.0) in events
+    assert interface.Acknowledged(0, 6, 0.0) in events
 
 
-def test_ejections_and_their_end_reach_the_reader() -> None:
+def test_readers_receive_ejections_and_restorations() -> None:
     harness = PublisherHarness()
     harness.join(0)
     harness.update(0, table({"a": 1.0, "b": 1.0}), eject=("a",))
@@ -189,7 +189,7 @@
     assert harness.content(0).ejected == ()
 
 
-def test_files_are_renewed_before_they_expire_and_not_sooner() -> None:
+def test_an_unchanged_update_is_renewed_at_half_of_its_lifetime() -> None:
     harness = PublisherHarness()
     harness.join(0)
     harness.update(0, table({"a": 1.0}))
@@ -202,7 +202,7 @@
     assert renewed.tables == ()
 
 
-def test_reports_become_events_and_contradictory_ones_nothing() -> None:
+def test_reports_become_events_and_invalid_ones_are_ignored() -> None:
     harness = PublisherHarness()
     stream = harness.join(0)
     items = harness.send_status(
@@ -216,13 +216,13 @@
         ),
     )
     assert items[1:] == [
-        StreamMessage(0, face.DemandReport(0, 0, 12, 1, 1000.0), stream.connection),
-        face.LoadReport(0, server_id("a"), 9, 1, 80.0, 1000.0, (3.0,)),
+        StreamMessage(0, interface.DemandReport(0, 0, 12, 1, 1000.0), stream.connection),
+        interface.LoadReport(0, server_id("a"), 9, 1, 80.0, 1000.0, (3.0,)),
     ]
     assert harness.send_status(0, window=0.0, demand=(ClassDemand("read", 12, 1),))[1:] == []
 
 
-def test_a_repeated_old_or_unknown_status_changes_nothing() -> None:
+def test_a_repeated_outdated_or_unknown_status_is_ignored() -> None:
     harness = PublisherHarness()
     harness.join(0)
     status = ProxyStatus(0, "east", INCARNATION, 9, NOW, window=1000.0, demand=(ClassDemand("read", 1),))
@@ -234,26 +234,27 @@
     assert harness.state.rejected_count == 2
 
 
-def test_a_restarted_proxy_rejoins_without_its_tables() -> None:
+def test_a_restarted_proxy_opens_a_new_stream_without_tables() -> None:
     harness = PublisherHarness()
     harness.join(0)
     harness.update(0, table({"a": 1.0}))
     items = harness.receive(ProxyStatus(0, "east", Incarnation(0, 60, 1), 1, NOW))
     assert isinstance(items[0], ProxyStream)
-    assert not harness.state.proxies[0].updated
+    assert not harness.state.proxies[0].has_complete_tables
 
 
-def test_a_silent_proxy_counts_as_departed_and_is_forgotten() -> None:
+def test_a_proxy_without_status_files_is_removed_after_the_timeout() -> None:
     harness = PublisherHarness()
     stream = harness.join(0)
-    harness.now += SILENT_REPORT_INTERVALS * 1000.0
+    harness.now += STATUS_TIMEOUT_REPORT_INTERVALS * 1000.0
     assert list(harness.state.expire_silent(harness.now)) == []
     (ended,) = harness.state.expire_silent(harness.now + 1.0)
     assert ended == StreamEnded(0, stream.connection)
     assert harness.state.proxies == {}
 
 
-def test_a_planner_whose_clock_was_stepped_back_learns_its_earlier_incarnation_from_a_status() -> None:
+def test_a_status_with_a_later_incarnation_starts_a_new_incarnation() -> None:
+    """A planner whose clock was stepped back may start with an incarnation that compares less than an earlier one."""
     harness = PublisherHarness()
     harness.join(0)
     harness.update(0, table({"a": 1.0}))
@@ -268,7 +269,7 @@
     assert update.incarnation == harness.state.incarnation
 
 
-def test_a_reservation_goes_along_until_it_expires() -> None:
+def test_a_reservation_is_included_in_updates_until_it_expires() -> None:
     harness = PublisherHarness()
     harness.join(0)
     harness.update(0, table({"a": 1.0}))
@@ -281,12 +282,12 @@
     assert second.reservations == ()
 
 
-def test_a_reader_that_lacks_the_base_gets_a_complete_file() -> None:
+def test_a_complete_update_can_be_forced() -> None:
     harness = PublisherHarness()
     harness.join(0)
     harness.update(0, table({"a": 1.0}))
     harness.publish()
-    harness.state.files.force_complete("east", None)
+    harness.state.file_builder.force_complete("east", None)
     (update,) = harness.publish()
     assert update.complete
     assert update.sequence == 2
--- a/tests/files/test_push_scheduler.py
+++ b/tests/files/test_push_scheduler.py
@@ -1,4 +1,4 @@
-"""When files are written: paced, bounded, retried with backoff, the newest in place of what has not been written."""
+"""Tests of the write scheduler: rate limits, bounded concurrency, retries with backoff and superseded content."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 
-def test_newer_content_supersedes_what_has_not_been_written() -> None:
+def test_newer_content_supersedes_unwritten_content() -> None:
     scheduler = PushScheduler(PushLimits(), 1)
     scheduler.submit("a", b"1", 1, 0.0)
     scheduler.submit("a", b"2", 2, 1.0)
@@ -22,7 +22,7 @@
     assert scheduler.superseded == 1
 
 
-def test_content_that_comes_during_an_attempt_is_written_next() -> None:
+def test_content_submitted_during_an_attempt_is_written_next() -> None:
     scheduler = PushScheduler(PushLimits(), 1)
     scheduler.submit("a", b"1", 1, 0.0)
     (first,) = scheduler.start_attempts(0.0)
@@ -32,7 +32,7 @@
     assert scheduler.start_attempts(2.0) == [WriteAttempt("a", b"2", 2)]
 
 
-def test_the_cap_holds_for_files_as_for_messages() -> None:
+def test_files_per_window_are_limited() -> None:
     scheduler = PushScheduler(PushLimits(max_files=3, window=10_000.0, min_interval=100.0), 1)
     written_at: list[float] = []
     for step in range(400):
@@ -45,7 +45,7 @@
     assert all(later - earlier >= 10_000.0 for earlier, later in zip(written_at, written_at[3:], strict=False))
 
 
-def test_the_backoff_grows_with_failures_and_ends_with_a_success() -> None:
+def test_the_backoff_grows_with_failures_and_is_reset_by_a_success() -> None:
     scheduler = PushScheduler(PushLimits(), 1)
     scheduler.submit("a", b"1", 1, 0.0)
     now = 0.0
@@ -66,7 +66,7 @@
     assert scheduler.next_event_at() is None
 
 
-def test_active_attempts_are_bounded_and_the_longest_waiting_target_goes_first() -> None:
+def test_active_attempts_are_limited_and_the_longest_waiting_target_is_first() -> None:
     scheduler = PushScheduler(PushLimits(), 1, max_active=2)
     for number, name in enumerate("abc"):
         scheduler.submit(name, b"x", 1, float(number))
@@ -77,19 +77,19 @@
     assert [attempt.target for attempt in scheduler.start_attempts(6.0)] == ["c"]
 
 
-def test_an_attempt_that_times_out_gives_its_slot_back_and_ends_without_effect() -> None:
+def test_a_timed_out_attempt_releases_its_slot_and_its_later_result_is_ignored() -> None:
     scheduler = PushScheduler(PushLimits(), 1, max_active=1)
     scheduler.submit("a", b"x", 1, 0.0)
-    (hung,) = scheduler.start_attempts(0.0)
+    (timed_out,) = scheduler.start_attempts(0.0)
     scheduler.submit("b", b"x", 1, 1.0)
     assert scheduler.start_attempts(ATTEMPT_TIMEOUT_MS - 1) == []
     assert [attempt.target for attempt in scheduler.start_attempts(ATTEMPT_TIMEOUT_MS)] == ["b"]
-    scheduler.finish(hung, True, ATTEMPT_TIMEOUT_MS + 1.0)
+    scheduler.finish(timed_out, True, ATTEMPT_TIMEOUT_MS + 1.0)
     assert scheduler.targets["a"].written_sequence == 0
     assert scheduler.active == 1
 
 
-def test_confirmed_sequences_only_rise_and_a_target_can_be_forgotten() -> None:
+def test_older_confirmations_are_ignored_and_a_target_can_be_removed() -> None:
     scheduler = PushScheduler(PushLimits(), 1)
     scheduler.submit("a", b"x", 7, 0.0)
     (attempt,) = scheduler.start_attempts(0.0)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("succeeded", [True, False])
-def test_active_attempts_are_counted_right_however_they_end(succeeded: bool) -> None:
+def test_the_number_of_active_attempts_is_zero_after_repeated_results(succeeded: bool) -> None:
     scheduler = PushScheduler(PushLimits(), 1)
     for number in range(50):
         now = number * 20_000.0
