--- a/stackwheel/cli/__init__.py
+++ b/stackwheel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one file for each group of commands, which parses, calls and prints."""
+"""The command line, with one module for each group of commands."""
--- a/stackwheel/cli/cells.py
+++ b/stackwheel/cli/cells.py
@@ -1,4 +1,4 @@
-"""`stackwheel cells`: make, check and show the plan that divides a fleet into cells."""
+"""`stackwheel cells`: create, check and show plans that divide a fleet into cells."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 
 class RelayParameter(click.ParamType[Relay]):
-    """A relay as `name=host`."""
+    """Parameter type of a relay in the form `name=host`."""
 
     name = "name=host"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Relay:
-        """The relay of an option's text."""
+        """Convert the text of an option to a relay."""
         if isinstance(value, Relay):
             return value
         name, equals, host = str(value).partition("=")
         if not (name and equals and host):
-            self.fail(f"{value!r} is not name=host", param, ctx)
+            self.fail(f"{value!r} does not have the form name=host", param, ctx)
         return Relay(name, host)
 
 
 @dataclass(frozen=True, slots=True)
 class PlanOptions:
-    """What a plan is made of: the options of `cells plan`."""
+    """Options of `stackwheel cells plan`."""
 
     servers_file: Path
     planners: int
@@ -50,39 +50,56 @@
     first_port: int
 
     def limits(self, former_plan: Plan | None) -> Limits:
-        """The limits of a cell: those given, else the former plan's, else the defaults."""
+        """Return the limits of a cell from the options, the former plan or the defaults, in this order."""
         inherited = Limits() if former_plan is None else former_plan.limits
         return Limits(self.max_servers or inherited.servers, self.max_planners or inherited.planners)
 
 
 @click.group()
 def cells() -> None:
-    """Cells: the servers, planners and proxies that share tables."""
+    """Create, check and show plans that divide a fleet into cells.
+
+    A cell consists of the servers, planners and proxies that share tables.
+    """
 
 
 @cells.command()
-@click.option("--servers-file", type=FILE_PATH, required=True, help="The complete list, as discovery answers it.")
-@click.option("--planners", type=click.IntRange(1), required=True, help="Planners in all, divided up by servers.")
-@click.option("--relay", "relays", type=RelayParameter(), multiple=True, required=True, help="At least two.")
-@click.option("--regions", "regions_file", type=FILE_PATH, required=True, help="A JSON object: zone to region.")
-@click.option("--former", type=FILE_PATH, help="The plan in force; as little as possible moves from it.")
+@click.option(
+    "--servers-file",
+    type=FILE_PATH,
+    required=True,
+    help="File with the complete endpoint list, as the discovery service returns it.",
+)
+@click.option(
+    "--planners",
+    type=click.IntRange(1),
+    required=True,
+    help="Total number of planners, distributed in proportion to the servers.",
+)
+@click.option(
+    "--relay", "relays", type=RelayParameter(), multiple=True, required=True, help="A relay; at least two are required."
+)
+@click.option(
+    "--regions", "regions_file", type=FILE_PATH, required=True, help="JSON file with the region of each zone."
+)
+@click.option("--former", type=FILE_PATH, help="File with the current plan; the new one moves as little as possible.")
 @click.option(
     "--most-servers",
     "max_servers",
     type=click.IntRange(1, MAX_CELL_LIMIT),
-    help="Of a cell; else the former plan's, or 512.",
+    help="Maximum number of servers per cell; by default that of the former plan, or 512.",
 )
 @click.option(
     "--most-planners",
     "max_planners",
     type=click.IntRange(1, MAX_CELL_LIMIT),
-    help="Of a cell; else the former plan's, or 16.",
+    help="Maximum number of planners per cell; by default that of the former plan, or 16.",
 )
 @click.option("--first-port", type=click.IntRange(1, MAX_PORT), default=DEFAULT_FIRST_PORT, show_default=True)
-@click.option("--out", type=FILE_PATH, required=True, help="Replaced atomically, or left as it is.")
+@click.option("--out", type=FILE_PATH, required=True, help="File for the new plan; replaced atomically.")
 @json_option
 def plan(out: Path, as_json: bool, **options: object) -> None:
-    """Make a plan for a list of servers; show how it spreads load and what it moves."""
+    """Create a plan for an endpoint list; show its load distribution and what moves."""
     plan_options = PlanOptions(**options)  # type: ignore[arg-type]  # click has converted each to its type
     servers = load_servers(plan_options.servers_file)
     try:
@@ -106,10 +123,10 @@
 
 @cells.command()
 @click.argument("path", type=FILE_PATH)
-@click.option("--list", "servers_file", type=FILE_PATH, help="Check it against a list, as discovery answers it.")
+@click.option("--list", "servers_file", type=FILE_PATH, help="File with an endpoint list to check the plan against.")
 @json_option
 def check(path: Path, servers_file: Path | None, as_json: bool) -> int:
-    """Check that a plan is valid and fits a list; exit 1 if it doesn't fit."""
+    """Check that a plan is valid and fits an endpoint list; exit 1 if it does not fit."""
     checked_plan = open_plan(path)
     lines: list[str] = []
     fleet = ""
@@ -118,37 +135,37 @@
         files = {Document.PLAN: path, Document.SERVERS: servers_file}
         findings = check_plan_against_fleet(checked_plan, servers)
         lines = [f"{files[finding.document]}: {finding.location}: {finding.reason}" for finding in findings]
-        fleet = f" for {len(servers)} servers"
+        fleet = f" for a list of {len(servers)} servers"
     if as_json:
         click.echo(json.dumps({"ok": not lines, "cells": len(checked_plan.cells), "findings": lines}))
     else:
         for line in lines:
             click.echo(line)
-        click.echo(f"{path}: {len(checked_plan.cells)} cells, {len(lines) or 'no'} faults{fleet}")
+        click.echo(f"{path}: {len(checked_plan.cells)} cells, {len(lines) or 'no'} errors{fleet}")
     return 1 if lines else 0
 
 
 @cells.command()
 @click.argument("path", type=FILE_PATH)
-@click.option("--cell", "name", help="Only this cell.")
+@click.option("--cell", "name", help="Show only the cell with this name.")
 @json_option
 def show(path: Path, name: str | None, as_json: bool) -> None:
-    """Show the cells of a plan with the relays that serve them, the first choice first."""
+    """Show the cells of a plan with the relays that serve them, in order of preference."""
     shown_plan = open_plan(path)
     selected = [cell for cell in shown_plan.cells if name is None or cell.name == name]
     if name is not None and not selected:
-        raise click.ClickException(f"{path}: no cell is called {name!r}")
+        raise click.ClickException(f"{path}: the plan has no cell named {name!r}")
     documents = [cell_document(shown_plan, cell) for cell in selected]
     if as_json:
         click.echo(json.dumps(documents))
         return
     Console().print(cell_table(shown_plan, selected))
     if name is not None:
-        click.echo(f"discovery of its planners: {documents[0]['discovery']}, in this or the other order")
+        click.echo(f"discovery addresses of its planners: {documents[0]['discovery']}, in either order")
 
 
 def open_plan(path: Path) -> Plan:
-    """The plan in a file; ClickException if it can't be used."""
+    """Load the plan in a file; raises ClickException if it cannot be read or is invalid."""
     try:
         return load_plan(path)
     except CellPlanError as error:
@@ -156,20 +173,20 @@
 
 
 def load_servers(path: Path) -> list[ListedServer]:
-    """The servers of a list that can still be used; ClickException with the place if it can't be read completely."""
+    """Load the servers in an endpoint list, except removed ones; raises ClickException if the list is invalid."""
     from stackwheel.wire.discovery_protocol import read_endpoint_list
 
-    faults: list[InvalidInputError] = []
+    errors: list[InvalidInputError] = []
     try:
-        endpoint_list = read_endpoint_list(json.loads(path.read_bytes()), faults.append)
+        endpoint_list = read_endpoint_list(json.loads(path.read_bytes()), errors.append)
     except OSError as error:
         raise click.ClickException(f"{path}: {error.strerror or error}") from error
     except (ValueError, RecursionError) as error:
-        raise click.ClickException(f"{path}: no list of servers: {error}") from error
-    if faults:
-        raise click.ClickException(f"{path}: {faults[0]}")
+        raise click.ClickException(f"{path}: invalid endpoint list: {error}") from error
+    if errors:
+        raise click.ClickException(f"{path}: {errors[0]}")
     if not endpoint_list.complete:
-        raise click.ClickException(f"{path}: reset: false, so it holds changes and not the whole list")
+        raise click.ClickException(f"{path}: reset: false; expected a complete endpoint list, found changes")
     return [
         ListedServer(instance.name, instance.zone)
         for instance in endpoint_list.instances
--- a/stackwheel/cli/cells_output.py
+++ b/stackwheel/cli/cells_output.py
@@ -1,4 +1,4 @@
-"""Cell plans as `stackwheel cells` prints them: tables for a reader, documents for `--json`."""
+"""Formats cell plans for `stackwheel cells`: tables, and documents for `--json`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def plan_document(plan: Plan, spread: Spread, movement: Movement | None) -> dict[str, object]:
-    """A new plan's figures."""
+    """Return the load distribution and the movement of a new plan as a JSON object."""
     return {
         "cells": len(plan.cells),
         "spread": {
@@ -27,20 +27,20 @@
 
 
 def range_document(load: LoadRange | None) -> dict[str, float] | None:
-    """A figure's range over cells or relays."""
+    """Return the range of a count over cells or relays as a JSON object."""
     if load is None:
         return None
     return {"least": load.minimum, "mean": load.mean, "most": load.maximum}
 
 
 def plan_table(plan: Plan, spread: Spread, movement: Movement | None) -> Table:
-    """A new plan's figures: how it spreads load, then what moves."""
-    table = Table("figure", "least", "mean", "most", box=None)
+    """Return a table of the load distribution of a new plan, followed by what moves."""
+    table = Table("count", "minimum", "mean", "maximum", box=None)
     ranges = {
-        f"servers by cell ({len(plan.cells)} cells)": spread.servers_by_cell,
-        "servers by cell that is a part": spread.servers_by_divided_cell,
-        f"cells by relay ({len(plan.relays)} relays)": spread.cells_by_relay,
-        "servers by relay": spread.servers_by_relay,
+        f"servers per cell ({len(plan.cells)} cells)": spread.servers_by_cell,
+        "servers per cell of a divided service": spread.servers_by_divided_cell,
+        f"cells per relay ({len(plan.relays)} relays)": spread.cells_by_relay,
+        "servers per relay": spread.servers_by_relay,
     }
     for name, load in ranges.items():
         if load is not None:
@@ -53,7 +53,7 @@
 
 
 def cell_document(plan: Plan, cell: Cell) -> dict[str, object]:
-    """One cell with its relays and the discovery addresses of its planners."""
+    """Return a cell with its relays and the discovery addresses of its planners as a JSON object."""
     return {
         "name": cell.name,
         "service": cell.service,
@@ -67,7 +67,7 @@
 
 
 def cell_table(plan: Plan, cells: Sequence[Cell]) -> Table:
-    """Cells with their relays."""
+    """Return a table of cells with their relays."""
     table = Table("cell", "service", "regions", "part", "port", "relays", box=None)
     for cell in cells:
         regions = ", ".join(cell.regions) or "all"
@@ -77,5 +77,5 @@
 
 
 def relay_names(plan: Plan, cell: Cell) -> list[str]:
-    """The relays that serve a cell, the first choice first."""
+    """Return the names of the relays that serve a cell, in order of preference."""
     return [relay.name for relay in relays_for_cell(cell.name, plan.relays)]
--- a/stackwheel/cli/config.py
+++ b/stackwheel/cli/config.py
@@ -19,21 +19,21 @@
 
 @click.group()
 def config() -> None:
-    """The operators' file: typed records in a notation like CUE's; JSON is valid in it."""
+    """Check and show the operators' file, which has typed records in a CUE-like notation; JSON is also accepted."""
 
 
 @config.command()
 @files_argument
 @json_option
 def check(files: tuple[Path, ...], as_json: bool) -> int:
-    """Check that files can be used together; exit 1 with the place of the fault if they can't."""
+    """Check that files form a valid configuration; exit 1 with the location of the error if they do not."""
     try:
         operators_config = load(*files)
     except OperatorsFileError as error:
         click.echo(json.dumps({"ok": False, "reason": str(error)}) if as_json else str(error))
         return 1
-    given = sum(origin != DEFAULT_ORIGIN for _, _, origin in operators_config.origins())
-    click.echo(json.dumps({"ok": True, "given": given}) if as_json else f"sound; {given} values given")
+    set_count = sum(origin != DEFAULT_ORIGIN for _, _, origin in operators_config.origins())
+    click.echo(json.dumps({"ok": True, "given": set_count}) if as_json else f"valid; values set: {set_count}")
     return 0
 
 
@@ -41,7 +41,7 @@
 @files_argument
 @json_option
 def show(files: tuple[Path, ...], as_json: bool) -> int:
-    """Show the configuration that files give, each value with its origin."""
+    """Show the configuration that results from files, with the origin of each value."""
     try:
         operators_config = load(*files)
     except OperatorsFileError as error:
@@ -58,5 +58,5 @@
 
 @config.command()
 def schema() -> None:
-    """Print all fields with their types, bounds and defaults."""
+    """Print the schema: all fields with their types, bounds and defaults."""
     click.echo(SCHEMA.rstrip())
--- a/stackwheel/cli/files.py
+++ b/stackwheel/cli/files.py
@@ -1,4 +1,4 @@
-"""`stackwheel files`: check, show, compare, make and follow table files."""
+"""`stackwheel files`: check, show, compare, create and follow table files."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class KeyFileParameter(click.ParamType[KeyRing]):
-    """A file of keys."""
+    """Parameter type of a key file."""
 
     name = "file"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> KeyRing:
-        """The keys in the file that an option names."""
+        """Load the keys from the file whose path is given as an option."""
         if isinstance(value, KeyRing):
             return value
         try:
@@ -40,46 +40,56 @@
 
 
 key_file_option = click.option(
-    "--key-file", "keys", type=KeyFileParameter(), default=NO_KEYS, help="Keys that files must be signed with."
+    "--key-file",
+    "keys",
+    type=KeyFileParameter(),
+    default=NO_KEYS,
+    help="File with the keys that table files must be signed with.",
 )
 
 
 @dataclass(frozen=True, slots=True)
 class FollowOptions:
-    """The options of the commands that follow folders."""
+    """Options of the commands that follow folders; `poll` is in seconds."""
 
     folders: tuple[str, ...]
     zone: str
     proxy: int
     state: str | None
     keys: KeyRing
-    poll: float  # s
+    poll: float
     once: bool
     as_json: bool
 
 
 def follow_options(command: Callable[..., int]) -> Callable[..., int]:
-    """Add the options of `FollowOptions` to a command; it gets them as one record, before its own."""
+    """Add the options of `FollowOptions` to a command, which receives them as its first argument."""
 
     @functools.wraps(command)
     def call(**values: object) -> int:
-        """Run the command with its `FollowOptions` as one record."""
+        """Run the command with its `FollowOptions` as the first argument."""
         follow = {field.name: values.pop(field.name) for field in fields(FollowOptions)}
         return command(FollowOptions(**follow), **values)  # type: ignore[arg-type]  # click has converted each
 
     with_options: Callable[..., int] = call
     for option in (
         click.argument("folders", nargs=-1, required=True, type=click.Path(file_okay=False)),
-        click.option("--zone", required=True, help="The reader's zone."),
-        click.option("--proxy", type=click.IntRange(0, 65535), default=0, show_default=True, help="Its number."),
-        click.option("--state", type=click.Path(file_okay=False), help="Where it keeps what it has applied."),
+        click.option("--zone", required=True, help="Name of the reader's zone."),
+        click.option(
+            "--proxy", type=click.IntRange(0, 65535), default=0, show_default=True, help="Number of the proxy."
+        ),
+        click.option(
+            "--state",
+            type=click.Path(file_okay=False),
+            help="Folder for the reader memory; a temporary folder by default.",
+        ),
         key_file_option,
         click.option(
             "--poll",
             type=click.FloatRange(0.05, 60),
             default=1.0,
             show_default=True,
-            help="s between polls where folders can't be watched.",
+            help="Seconds between polls if the folders cannot be watched.",
         ),
         click.option("--once", is_flag=True, help="Poll once; exit 1 if a file was rejected."),
         json_option,
@@ -90,7 +100,7 @@
 
 @click.group()
 def files() -> None:
-    """Table files: tables, orders and reports that are pushed and replaced atomically."""
+    """Check, show, compare, create and follow table files, which contain table updates and proxy statuses."""
 
 
 @files.command()
@@ -98,7 +108,7 @@
 @key_file_option
 @json_option
 def check(path: str, keys: KeyRing, as_json: bool) -> int:
-    """Check that a file is complete and genuine; exit 1 with the reason if it is not."""
+    """Check that a file is complete, intact and signed as required; exit 1 with the reason if it is not."""
     try:
         document = read_document(path, keys)
     except FileRejectedError as error:
@@ -108,7 +118,7 @@
     is_update = isinstance(document, TableUpdate)
     expired = isinstance(document, TableUpdate) and document.expires_at <= time.time() * 1000.0
     result = {"ok": True, "kind": "orders" if is_update else "answer", "over": expired}
-    click.echo(json.dumps(result) if as_json else f"{path}: sound{', but its time is over' if expired else ''}")
+    click.echo(json.dumps(result) if as_json else f"{path}: valid{', but expired' if expired else ''}")
     return 0
 
 
@@ -117,7 +127,7 @@
 @key_file_option
 @json_option
 def show(path: str, keys: KeyRing, as_json: bool) -> int:
-    """Show what a file says."""
+    """Show the content of a file."""
     try:
         document = read_document(path, keys)
     except FileRejectedError as error:
@@ -137,7 +147,7 @@
 @key_file_option
 @json_option
 def diff(old: str, new: str, keys: KeyRing, as_json: bool) -> int:
-    """Show what differs between two files of orders; exit 1 if something does."""
+    """Show the differences between two table updates; exit 1 if there are any."""
     from stackwheel.files.comparison import compare_updates
 
     old_update = read_update(old, keys)
@@ -147,7 +157,7 @@
         click.echo(json.dumps([{"what": name, "old": before, "new": after} for name, before, after in differences]))
     else:
         lines = [f"{name}: {before} -> {after}" for name, before, after in differences]
-        click.echo("\n".join(lines) or "no difference")
+        click.echo("\n".join(lines) or "no differences")
     return 1 if differences else 0
 
 
@@ -156,7 +166,7 @@
 @click.argument("out", type=FILE_PATH)
 @key_file_option
 def make(source: Path, out: Path, keys: KeyRing) -> int:
-    """Make a file from a document in JSON, as `show --json` prints it; signed if keys are given."""
+    """Create a file from a JSON document, as `show --json` prints it; signed if keys are given."""
     from stackwheel.files.atomic_replace import replace_file
 
     try:
@@ -175,24 +185,28 @@
 @files.command()
 @follow_options
 def follow(options: FollowOptions) -> int:
-    """Show what a reader of folders would apply and reject, as it happens."""
+    """Follow folders and show which files a reader applies or rejects."""
     return follow_folders(options, status_folder="", output_file="", output_command="")
 
 
 @files.command()
 @follow_options
-@click.option("--answers", type=click.Path(file_okay=False), default="", help="Where its reports go.")
-@click.option("--out", type=click.Path(dir_okay=False), default="", help="A file for the tables in force, as JSON.")
-@click.option("--command", default="", help="Run by the shell at each change, with the same on its standard input.")
+@click.option("--answers", type=click.Path(file_okay=False), default="", help="Folder for the status file.")
+@click.option("--out", type=click.Path(dir_okay=False), default="", help="File for the tables in force, as JSON.")
+@click.option(
+    "--command",
+    default="",
+    help="Shell command that is run at each change with the tables as JSON on its standard input.",
+)
 def serve(options: FollowOptions, answers: str, out: str, command: str) -> int:
-    """Read folders for a forwarder that can't itself: the tables in force go to a file and a command."""
+    """Follow folders and pass the tables in force to a file and a command, for proxies that cannot read table files."""
     return follow_folders(options, status_folder=answers, output_file=out, output_command=command)
 
 
 @files.command()
 @json_option
 def measure(as_json: bool) -> None:
-    """Measure what files cost on this machine; takes about half a minute."""
+    """Measure the cost of table files on this machine; takes about half a minute."""
     from stackwheel.files.measure import measure as run_measurements
 
     documents = []
@@ -205,30 +219,30 @@
 
 
 def read_document(path: str, keys: KeyRing) -> Document:
-    """The document in a file; FileRejectedError if it can't be read, is not complete or is not genuine."""
-    place = Path(path)
-    return decode(read_file(SystemDisk(), str(place.parent), place.name), keys)
+    """Read the document in a file; raises FileRejectedError if the file cannot be read or is invalid."""
+    location = Path(path)
+    return decode(read_file(SystemDisk(), str(location.parent), location.name), keys)
 
 
 def read_update(path: str, keys: KeyRing) -> TableUpdate:
-    """The table update in a file; a usage error (exit 2) if it holds none that can be used."""
+    """Read the table update in a file; raises UsageError (exit 2) if it contains no valid one."""
     try:
         document = read_document(path, keys)
     except FileRejectedError as error:
         raise click.UsageError(f"{path}: {error}") from error
     if not isinstance(document, TableUpdate):
-        raise click.UsageError(f"{path}: no file of orders")
+        raise click.UsageError(f"{path}: expected a table update, found a proxy status")
     return document
 
 
 def follow_folders(options: FollowOptions, status_folder: str, output_file: str, output_command: str) -> int:
-    """Follow folders until Ctrl-C, or poll them once; the exit code."""
+    """Follow folders until Ctrl-C, or poll them once; return the exit code."""
     from stackwheel.files.follower import FolderFollower, Outputs
     from stackwheel.files.precedence import PrecedenceSettings
     from stackwheel.files.reader import ReaderConfig
 
     def print_outcome(outcome: dict[str, object]) -> None:
-        """Print what became of a file, as JSON if asked for."""
+        """Print the outcome of reading a file, as JSON if the option is set."""
         click.echo(json.dumps(outcome) if options.as_json else describe_outcome(outcome))
 
     with contextlib.ExitStack() as stack:
--- a/stackwheel/cli/files_output.py
+++ b/stackwheel/cli/files_output.py
@@ -1,4 +1,4 @@
-"""Table files and what readers do with them, as `stackwheel files` prints them."""
+"""Formats table files and the outcomes of reading them for `stackwheel files`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def describe_document(document: Document) -> Iterator[str]:
-    """A file in lines for a reader."""
+    """Yield the lines that describe a document."""
     if isinstance(document, TableUpdate):
         yield from describe_update(document)
     else:
@@ -16,48 +16,50 @@
 
 
 def describe_status(status: ProxyStatus) -> str:
-    """What a proxy reports by a file, in one line."""
+    """Return a line that describes a proxy status."""
     return (
-        f"answer {status.sequence} of proxy {status.proxy} in {status.zone}: applied "
-        f"{status.applied_sequence} of {status.planner or 'nobody'}, {len(status.demand)} classes, "
-        f"{len(status.observations)} servers met"
+        f"status {status.sequence} of proxy {status.proxy} in zone {status.zone}: applied update "
+        f"{status.applied_sequence} of planner {status.planner or '(none)'}, demand of {len(status.demand)} classes, "
+        f"measurements of {len(status.observations)} servers"
     )
 
 
 def describe_update(update: TableUpdate) -> Iterator[str]:
-    """What a planner orders by a file."""
+    """Yield the lines that describe a table update."""
     if update.complete:
-        kind = f"whole file {update.sequence}"
+        kind = f"complete update {update.sequence}"
     else:
-        kind = f"change {update.sequence} on whole file {update.base_sequence}"
-    receiver = "all" if update.proxy is None else f"proxy {update.proxy}"
+        kind = f"delta {update.sequence} on complete update {update.base_sequence}"
+    target = "all proxies" if update.proxy is None else f"proxy {update.proxy}"
     incarnation = update.incarnation
     lifetime_s = (update.expires_at - update.created_at) / 1000.0
     yield (
-        f"{kind} of {update.planner}, life {incarnation.epoch}.{incarnation.started}.{incarnation.salt}, "
-        f"for {receiver} in {update.zone}, usable for {lifetime_s:g} s from {update.created_at / 1000.0:.3f}"
+        f"{kind} of planner {update.planner}, "
+        f"incarnation {incarnation.epoch}.{incarnation.started}.{incarnation.salt}, "
+        f"for {target} in zone {update.zone}, "
+        f"valid for {lifetime_s:g} s from Unix time {update.created_at / 1000.0:.3f}"
     )
     for table in update.tables:
         yield from describe_table(table)
     if update.ejected:
-        yield f"  withdrawn: {', '.join(update.ejected)}"
+        yield f"  ejected servers: {', '.join(update.ejected)}"
     for reservation in update.reservations:
-        yield f"  booking order {reservation.id}: {reservation.requests} of {reservation.request_class}"
+        yield f"  reservation {reservation.id}: {reservation.requests} requests of class {reservation.request_class}"
 
 
 def describe_table(table: WeightTable) -> Iterator[str]:
-    """One weight table with its lines."""
+    """Yield the lines that describe a weight table."""
     level = ""
     if table.level is not None:
-        level = f", level {table.level.admitted:g}, policy {table.level.retry}"
-    yield f"  {table.request_class}: {len(table.lines)} lines{level}"
+        level = f", admission level {table.level.admitted:g}, retry mode {table.level.retry}"
+    yield f"  table {table.request_class}: {len(table.lines)} lines{level}"
     for server, weight in sorted(table.lines.items()):
         yield f"    {server} {weight:g}"
 
 
 def describe_outcome(outcome: Mapping[str, object]) -> str:
-    """What a reader did with a file, given as the JSON object of it."""
+    """Return a line that describes the outcome of reading a file, given as a JSON object."""
     if not outcome["taken"]:
-        return f"refused {outcome['file']}: {outcome['stage']}: {outcome['reason']}"
-    kind = "whole" if outcome["whole"] else "change"
-    return f"applied {outcome['file']}: number {outcome['sequence']}, {kind}"
+        return f"rejected {outcome['file']}: {outcome['stage']}: {outcome['reason']}"
+    kind = "complete update" if outcome["whole"] else "delta"
+    return f"applied {outcome['file']}: sequence {outcome['sequence']}, {kind}"
--- a/stackwheel/cli/interrupts.py
+++ b/stackwheel/cli/interrupts.py
@@ -1,4 +1,4 @@
-"""Ends a run on SIGTERM as Ctrl-C does."""
+"""Cancels a run on SIGTERM."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 async def cancelled_by_sigterm(work: Awaitable[ResultT]) -> ResultT:
-    """Await some work; SIGTERM cancels it, so that whatever it has started ends with it."""
+    """Await `work` and cancel it on SIGTERM, so that its cleanup ends the processes that it has started."""
     task = asyncio.current_task()
-    assert task is not None  # a coroutine runs within a task
+    assert task is not None  # a coroutine always runs within a task
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     return await work
--- a/stackwheel/cli/options.py
+++ b/stackwheel/cli/options.py
@@ -1,4 +1,4 @@
-"""Options and parameter types that several groups of commands have."""
+"""Options and parameter types that several groups of commands use."""
 
 from __future__ import annotations
 
@@ -7,4 +7,4 @@
 import click
 
 FILE_PATH = click.Path(dir_okay=False, path_type=Path)
-json_option = click.option("--json", "as_json", is_flag=True, help="End with one JSON object.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print the result as JSON.")
--- a/stackwheel/cli/relay.py
+++ b/stackwheel/cli/relay.py
@@ -1,4 +1,4 @@
-"""`stackwheel relay`: one relay process."""
+"""`stackwheel relay`: runs a relay."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
     "--operators",
     required=True,
     type=FILE_PATH,
-    help="The operators' file; its record `relay` says what to serve.",
+    help="The operators' file; its record `relay` configures the relay.",
 )
 def relay(operators: Path) -> int:
-    """Follow the discovery service and serve cells their parts of its list until SIGTERM; SIGHUP reloads the plan."""
+    """Serve the planners of cells their parts of the endpoint list until SIGTERM; SIGHUP reloads the cell plan."""
     from stackwheel.service.relay import main
 
     return main(operators)
--- a/stackwheel/cli/root.py
+++ b/stackwheel/cli/root.py
@@ -1,4 +1,4 @@
-"""The command `stackwheel` and its groups; a group's module is imported when one of its commands is called."""
+"""The command `stackwheel` and its groups, whose modules are imported when one of their commands is called."""
 
 from __future__ import annotations
 
@@ -14,11 +14,18 @@
 
 
 class GroupEntry(NamedTuple):
-    """A group of commands, or a single one, before it is imported."""
+    """A group of commands, or a single command, that is imported on use.
+
+    Attributes:
+        module: name of the module.
+        attribute: attribute of the module that holds the click command.
+        extra: extra of the package that installs the libraries of the module.
+        help: description in the list of commands.
+    """
 
     module: str
-    attribute: str  # of the module: the click command
-    extra: str  # of the package: installs what the module imports
+    attribute: str
+    extra: str
     help: str
 
 
@@ -26,30 +33,35 @@
     "serve": GroupEntry("stackwheel.cli.serve", "serve", "cli", "Run the planner that ROUTER_CONFIG describes."),
     "config": GroupEntry("stackwheel.cli.config", "config", "config", "Check and show the operators' file."),
     "cells": GroupEntry(
-        "stackwheel.cli.cells", "cells", "relay", "Divide a fleet into cells, check and show the plan."
+        "stackwheel.cli.cells", "cells", "relay", "Create, check and show plans that divide a fleet into cells."
+    ),
+    "files": GroupEntry(
+        "stackwheel.cli.files", "files", "files", "Check, show, compare, create and follow table files."
     ),
-    "files": GroupEntry("stackwheel.cli.files", "files", "files", "Check, show and compare table files."),
     "relay": GroupEntry(
-        "stackwheel.cli.relay", "relay", "relay", "Serve cells of planners their parts of the endpoint list."
+        "stackwheel.cli.relay", "relay", "relay", "Serve the planners of cells their parts of the endpoint list."
     ),
     "trial": GroupEntry(
-        "stackwheel.cli.trial", "trial", "trials", "Run the service on a virtual clock against scripted faults."
+        "stackwheel.cli.trial", "trial", "trials", "Run the service on a virtual clock with scripted faults."
     ),
     "scale": GroupEntry(
-        "stackwheel.cli.scale", "scale", "scale", "Run discovery, planners and relays at the fleet's size."
+        "stackwheel.cli.scale",
+        "scale",
+        "scale",
+        "Run the discovery service, planners and relays at the size of a fleet.",
     ),
 }
 
 
 class LazyGroup(click.Group):
-    """Knows its groups by name; what they import is loaded when they are used."""
+    """A group whose subcommands are imported when they are used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of the groups."""
+        """Return the names of the commands and groups."""
         return [*GROUPS, *super().list_commands(ctx)]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import the command of a name; UsageError if a library that it needs is not installed."""
+        """Import the command with a name; raises UsageError if a library that it requires is not installed."""
         if cmd_name not in GROUPS:
             return super().get_command(ctx, cmd_name)
         entry = GROUPS[cmd_name]
@@ -58,13 +70,13 @@
         except ModuleNotFoundError as error:
             if (error.name or "").startswith("stackwheel"):
                 raise
-            advice = f"pip install 'stackwheel[{entry.extra}]'"
-            raise click.UsageError(f"{cmd_name} needs {error.name}: {advice}") from error
+            install_command = f"pip install 'stackwheel[{entry.extra}]'"
+            raise click.UsageError(f"{cmd_name} requires {error.name}: {install_command}") from error
         command: click.Command = getattr(module, entry.attribute)
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the list of groups without importing them."""
+        """Write the list of commands without importing them."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, GROUPS[name].help) for name in self.list_commands(ctx)])
 
@@ -72,11 +84,11 @@
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="stackwheel")
 def stackwheel() -> None:
-    """Central planner that publishes shared weight tables to a layer of plain proxies."""
+    """Central planner that computes weight tables for proxies and publishes them."""
 
 
 def run(arguments: list[str] | None = None) -> int:
-    """Run a command; the exit code: 0, 1 if a check found something, 2 on bad usage, 130 on Ctrl-C."""
+    """Run a command and return the exit code: 0, 1 if a check failed, 2 on incorrect usage, 130 on Ctrl-C."""
     try:
         exit_code = stackwheel.main(args=arguments, prog_name="stackwheel", standalone_mode=False)
     except click.ClickException as error:
--- a/stackwheel/cli/scale.py
+++ b/stackwheel/cli/scale.py
@@ -1,4 +1,4 @@
-"""`stackwheel scale`: runs at the fleet's size on one machine."""
+"""`stackwheel scale`: runs a fleet of full size on one machine."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from stackwheel.scale.scenarios import Scenario, default_event_rate
 
 MAX_SERVERS = 1_000_000
-MAX_PLANNERS = 65_536  # each has an address of its own on the loopback network
+MAX_PLANNERS = 65_536  # each has its own loopback address
 MAX_REAL_PLANNERS = 250  # each is a process
-MAX_FULL_LIST_PLANNERS = 50  # each is a process that keeps the list of the entire fleet
+MAX_FULL_LIST_PLANNERS = 50  # each is a process with the endpoint list of the entire fleet
 MAX_RELAYS = 200
 MAX_DURATION_S = 3_600.0
 MAX_EVENTS_PER_S = 10_000
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """What a run is asked for: the options of `scale run`."""
+    """Options of `stackwheel scale run`; `duration` is in seconds, `event_rate` in servers per second."""
 
     scenario: str | None
     servers: int
@@ -41,42 +41,42 @@
     real_planners: int
     relays: int
     full_list_planners: int
-    duration: float  # s
+    duration: float
     seed: int
-    event_rate: float | None  # servers a second
+    event_rate: float | None
     fault: str | None
     plant: str | None
 
     def contradictions(self) -> Iterator[str]:
-        """What can't be run, in the order in which it is reported."""
+        """Yield a message for each invalid combination of options."""
         yield from self._missing_options()
-        yield from self._unusable_values()
+        yield from self._invalid_values()
 
     def _missing_options(self) -> Iterator[str]:
-        """What the run or another option needs and is not given."""
+        """Yield a message for each option that the run or another option requires and that is not given."""
         if self.scenario is None:
-            yield f"--scenario is missing: {', '.join(SCENARIOS)}"
+            yield f"missing option --scenario, one of: {', '.join(SCENARIOS)}"
         if self.planners + self.real_planners == 0:
-            yield "no planner: give --planners or --real-planners"
+            yield "no planners: --planners or --real-planners has to be at least 1"
         if self.fault and not self.relays:
-            yield "--fault kill-relay: give --relays"
+            yield "--fault kill-relay requires relays; give --relays"
         if self.full_list_planners and not self.relays:
-            yield "--whole-list-planners: without --relays all planners hold the whole list"
+            yield "--whole-list-planners has no effect without --relays, because all planners have the full list"
 
-    def _unusable_values(self) -> Iterator[str]:
-        """Values that are too large, too small, or have nothing to apply to."""
+    def _invalid_values(self) -> Iterator[str]:
+        """Yield a message for each value that is out of range or contradicts another option."""
         planners = self.planners + self.real_planners
         if planners > MAX_PLANNERS:
-            yield f"{planners} planners; {MAX_PLANNERS} are the most"
+            yield f"{planners} planners requested, the maximum is {MAX_PLANNERS}"
         if self.plant and not self.planners:
-            yield "--plant loses an entry of a hollow planner: give --planners"
+            yield "--plant requires hollow planners, which --planners adds"
         if self.relays == 1:
-            yield "--relays 1: each cell needs two relays"
+            yield "--relays 1: each cell requires two relays"
         if self.zones is not None and self.zones > self.servers:
-            yield f"--zones {self.zones} is more than the {self.servers} servers"
+            yield f"--zones {self.zones} exceeds the number of servers, {self.servers}"
 
     def arguments(self) -> Arguments:
-        """The run's arguments, with what was left out filled in; a usage error (exit 2) if they contradict."""
+        """Return the arguments of the run with defaults; raises UsageError (exit 2) if the options are invalid."""
         for contradiction in self.contradictions():
             raise click.UsageError(contradiction)
         return Arguments(
@@ -98,7 +98,10 @@
 @click.group()
 @capacity_option
 def scale() -> None:
-    """Run discovery, planners and relays at the fleet's size on this machine, and compare what they hold."""
+    """Run the discovery service, planners and relays at the size of a fleet on this machine.
+
+    At the end of a run, the endpoint lists of all planners are compared with that of the discovery service.
+    """
 
 
 scale.add_command(slopes)
@@ -106,40 +109,48 @@
 
 
 @scale.command()
-@click.option("--scenario", type=click.Choice(SCENARIOS), help="What happens; required.")
+@click.option("--scenario", type=click.Choice(SCENARIOS), help="Kind of events during the run; required.")
 @click.option("--servers", type=click.IntRange(1, MAX_SERVERS), default=1_000, show_default=True)
-@click.option("--zones", type=click.IntRange(1, MAX_ZONES), help="85 for 48,000 servers, if not given.")
-@click.option("--planners", type=click.IntRange(0, MAX_PLANNERS), default=20, show_default=True, help="Hollow ones.")
 @click.option(
-    "--real-planners", type=click.IntRange(0, MAX_REAL_PLANNERS), default=0, show_default=True, help="Beside them."
+    "--zones", type=click.IntRange(1, MAX_ZONES), help="Number of zones; by default in proportion to the servers."
+)
+@click.option(
+    "--planners", type=click.IntRange(0, MAX_PLANNERS), default=20, show_default=True, help="Hollow planners."
+)
+@click.option(
+    "--real-planners", type=click.IntRange(0, MAX_REAL_PLANNERS), default=0, show_default=True, help="Real planners."
 )
-@click.option("--relays", type=click.IntRange(0, MAX_RELAYS), default=0, show_default=True, help="0: none.")
+@click.option("--relays", type=click.IntRange(0, MAX_RELAYS), default=0, show_default=True, help="Relays; 0 for none.")
 @click.option(
     "--whole-list-planners",
     "full_list_planners",
     type=click.IntRange(0, MAX_FULL_LIST_PLANNERS),
     default=0,
     show_default=True,
-    help="Real ones that follow discovery itself, to compare with those behind relays.",
+    help="Real planners that follow the discovery service directly, for comparison with those behind relays.",
 )
-@click.option("--duration", type=click.FloatRange(1, MAX_DURATION_S), default=10.0, show_default=True, help="Seconds.")
-@click.option("--seed", type=click.IntRange(0), default=0, show_default=True, help="Repeats the draw.")
+@click.option(
+    "--duration", type=click.FloatRange(1, MAX_DURATION_S), default=10.0, show_default=True, help="Duration in seconds."
+)
+@click.option("--seed", type=click.IntRange(0), default=0, show_default=True, help="Seed of the random events.")
 @click.option(
     "--event-rate",
     type=click.FloatRange(0, MAX_EVENTS_PER_S, min_open=True),
-    help="Servers that drain, leave and return a second; an ordinary day 60 times as fast if not given.",
+    help="Servers per second that drain, leave and return; by default 60 times that of an ordinary day.",
+)
+@click.option("--fault", type=click.Choice(["kill-relay"]), help="Kill a relay after two fifths of the duration.")
+@click.option(
+    "--plant", type=click.Choice(["drop-entry"]), help="Remove an entry from a hollow planner; the run has to exit 1."
 )
-@click.option("--fault", type=click.Choice(["kill-relay"]), help="Kill a relay at two fifths of the time.")
-@click.option("--plant", type=click.Choice(["drop-entry"]), help="Lose an entry on purpose; must exit 1.")
-@click.option("--json", "as_json", is_flag=True, help="Only JSON on standard output.")
+@click.option("--json", "as_json", is_flag=True, help="Print only JSON to standard output.")
 def run(as_json: bool, **options: object) -> int:
-    """Make one run; exit 1 if a planner ends with one entry wrong or missing."""
+    """Run a scenario; exit 1 if a planner has a wrong or missing entry at the end."""
     run_options = RunOptions(**options)  # type: ignore[arg-type]  # click has converted each to its type
     return run_and_print(run_options.arguments(), as_json)
 
 
 def run_and_print(arguments: Arguments, as_json: bool) -> int:
-    """Make the run and print its report; the exit code."""
+    """Execute the run, print its report and return the exit code."""
     console = Console(stderr=True)
     try:
         with console.status("starting") as status:
@@ -150,7 +161,7 @@
     except (ScaleError, ControlError) as error:
         raise click.ClickException(str(error)) from error
     except TimeoutError as error:
-        raise click.ClickException("the run did not end in time; all processes have ended") from error
+        raise click.ClickException("the run timed out; all processes have ended") from error
     if not as_json:
         Console().print(report_table(report))
     click.echo(encode(report))
--- a/stackwheel/cli/scale_output.py
+++ b/stackwheel/cli/scale_output.py
@@ -1,4 +1,4 @@
-"""A scale run's report as a table for a reader."""
+"""Formats the report of a scale run as a table."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 from stackwheel.scale.children import Role
 from stackwheel.scale.report import Report
 
-MAX_WRONG_ENTRIES = 3  # shown under the table
+MAX_SHOWN_WRONG_ENTRIES = 3
 
 
 def report_table(report: Report) -> Table:
-    """The figures of each role, with the result under them."""
-    table = Table("role", "count", "core", "RSS MB", "bytes in/s", "bytes out/s", "highest s in", "highest s out")
+    """Return a table of the figures of each role, with the result as its caption."""
+    table = Table(
+        "role", "count", "CPU cores", "RSS MB", "bytes in/s", "bytes out/s", "peak bytes in/s", "peak bytes out/s"
+    )
     for role in Role:
         figures = report.figures(role)
         cells = (
@@ -31,20 +33,20 @@
 
 
 def caption_lines(report: Report) -> Iterator[str]:
-    """What stands under the table."""
+    """Yield the lines of the caption: the result of the run and the first wrong entries."""
     in_force = report.in_force_ms
     p50 = format_figure(in_force.p50)
     p99 = format_figure(in_force.p99)
-    last = format_figure(in_force.max)
+    maximum = format_figure(in_force.max)
     yield f"{report.planners} of {report.planners_expected} planners right"
     yield f"{report.wrong_entries} of {report.entries_compared} entries wrong"
-    yield f"in force after {p50} ms (p50), {p99} (p99), {last} (last)"
-    yield f"{in_force.count} times measured, {in_force.missing} missing"
-    yield from report.wrong[:MAX_WRONG_ENTRIES]
+    yield f"updates in force after {p50} ms (p50), {p99} ms (p99), {maximum} ms (maximum)"
+    yield f"{in_force.count} delays measured, {in_force.missing} missing"
+    yield from report.wrong[:MAX_SHOWN_WRONG_ENTRIES]
 
 
 def format_figure(value: float | None) -> str:
-    """A figure with four digits, or a dash where there is none."""
+    """Return a figure with four significant digits, or a dash for None."""
     if value is None:
         return "-"
     return f"{value:,.4g}" if value < 100 else f"{value:,.0f}"
--- a/stackwheel/cli/scale_slopes.py
+++ b/stackwheel/cli/scale_slopes.py
@@ -1,4 +1,4 @@
-"""`stackwheel scale slopes` and `stackwheel scale capacity`: measure slopes, and work out the fleet from them."""
+"""`stackwheel scale slopes` and `stackwheel scale capacity`: measure costs by size, and extrapolate to the fleet."""
 
 from __future__ import annotations
 
@@ -16,17 +16,27 @@
 
 
 @click.command()
-@click.option("--out", type=FILE_PATH, required=True, help="The result file; replaced only when all is measured.")
-@click.option("--only", multiple=True, help="A sweep by its name (may be given again); all if left out.")
-@click.option("--repeats", type=click.IntRange(1, 20), default=3, show_default=True, help="Of each size.")
-@click.option("--span", type=click.FloatRange(0.5, 600), default=6.0, show_default=True, help="s that are counted.")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Of stand-ins and planner.")
-@click.option("--no-direct", is_flag=True, help="Leave out the points that are measured by themselves.")
-@click.option("--replace", is_flag=True, help="Keep what --out already holds beside what is measured now.")
+@click.option(
+    "--out", type=FILE_PATH, required=True, help="The result file; replaced after all measurements are complete."
+)
+@click.option("--only", multiple=True, help="Name of a sweep; may be repeated; all by default.")
+@click.option("--repeats", type=click.IntRange(1, 20), default=3, show_default=True, help="Measurements per size.")
+@click.option(
+    "--span", type=click.FloatRange(0.5, 600), default=6.0, show_default=True, help="Seconds per measurement."
+)
+@click.option(
+    "--seed",
+    type=click.IntRange(0),
+    default=1,
+    show_default=True,
+    help="Seed of the simulated peers and of the planner.",
+)
+@click.option("--no-direct", is_flag=True, help="Skip the measurements that belong to no sweep.")
+@click.option("--replace", is_flag=True, help="Keep the results in --out that are not measured again.")
 def slopes(
     replace: bool, out: Path, only: tuple[str, ...], repeats: int, span: float, seed: int, no_direct: bool
 ) -> int:
-    """Measure what a real planner and a real relay cost against each size; takes twelve minutes, up to two cores."""
+    """Measure the cost of a planner and a relay by size; takes twelve minutes on up to two cores."""
     from stackwheel.scale.bench import BenchError
     from stackwheel.scale.choice_timing import time_choices
 
@@ -51,13 +61,13 @@
 @click.command()
 @click.argument("file", type=FILE_PATH)
 def capacity(file: Path) -> int:
-    """Work out each role's cost at the design size from a result file, as docs/CAPACITY.md has it."""
+    """Compute the cost of each role at the design size from a result file, in the format of docs/CAPACITY.md."""
     click.echo(render_capacity(file), nl=False)
     return 0
 
 
 def show_capacity(ctx: click.Context, _param: click.Parameter, value: Path | None) -> None:
-    """`stackwheel scale --capacity FILE`: the same as `stackwheel scale capacity FILE`."""
+    """Print the capacity and exit, for `stackwheel scale --capacity FILE`."""
     if value is not None:
         click.echo(render_capacity(value), nl=False)
         ctx.exit(0)
@@ -69,26 +79,26 @@
     is_eager=True,
     expose_value=False,
     callback=show_capacity,
-    help="Work out each role's cost from a result file of `scale slopes`.",
+    help="Compute the cost of each role from a result file of `scale slopes`, and exit.",
 )
 
 
 def select_plans(names: Sequence[str]) -> list[SweepPlan]:
-    """The sweeps of some names, or all; a usage error (exit 2) if a name is unknown."""
+    """Return the sweeps with the given names, or all if none is given; raises UsageError if a name is unknown."""
     plans = {plan.name: plan for plan in PLANS}
     for name in names:
         if name not in plans:
-            raise click.UsageError(f"no sweep {name!r}; known are {', '.join(plans)}")
+            raise click.UsageError(f"unknown sweep {name!r}, expected one of: {', '.join(plans)}")
     return [plans[name] for name in names] or list(plans.values())
 
 
 def print_progress(text: str) -> None:
-    """How far the measurement is."""
+    """Print the progress of the measurement to standard error."""
     click.echo(text, err=True)
 
 
 def load_result(path: Path) -> Result:
-    """The result in a file; a usage error (exit 2) if it can't be used."""
+    """Load the result in a file; raises UsageError (exit 2) if it is invalid."""
     try:
         return read_result(path)
     except ResultError as error:
@@ -96,7 +106,7 @@
 
 
 def render_capacity(path: Path) -> str:
-    """The generated part of docs/CAPACITY.md from a result file; a usage error (exit 2) if it can't be used."""
+    """Render the generated part of docs/CAPACITY.md from a result file; raises UsageError (exit 2) if it is invalid."""
     from stackwheel.scale.capacity_page import render
 
     try:
--- a/stackwheel/cli/serve.py
+++ b/stackwheel/cli/serve.py
@@ -1,4 +1,4 @@
-"""`stackwheel serve`: the planner, as `python -m stackwheel` starts it."""
+"""`stackwheel serve`: runs the planner, like `python -m stackwheel` without arguments."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @click.command()
 def serve() -> int:
-    """Run one planner, configured by the file that ROUTER_CONFIG names, until SIGTERM."""
+    """Run a planner with the configuration file that ROUTER_CONFIG names, until SIGTERM."""
     from stackwheel.service.process import main
 
     return main()
--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -1,4 +1,4 @@
-"""`stackwheel trial`: run, replay, shrink and show seeds and scripts on the virtual clock."""
+"""`stackwheel trial`: run, replay, shrink and show seeds and scripts of trials on a virtual clock."""
 
 from __future__ import annotations
 
@@ -40,56 +40,61 @@
 from stackwheel.trials.shrink import MAX_RUNS, Shrinker, Shrunk
 from stackwheel.trials.simulation import run_script
 
-MAX_SEEDS = 10_000_000  # of one run; more would take weeks
+MAX_SEEDS = 10_000_000
 MAX_JOBS = 256
 DEFECT_NAMES = [defect.name for defect in ALL_DEFECTS]
 RULE_NAMES = [rule.name.lower() for rule in Rule]
 
 
 class SeedRangeParameter(click.ParamType[range]):
-    """A:B, from A up to but without B; or one number."""
+    """Parameter type of a range of seeds: `A:B` for the seeds from A to B - 1, or a single seed."""
 
     name = "A:B"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> range:
-        """The seeds of an option's text."""
+        """Convert the text of an option to a range of seeds."""
         if isinstance(value, range):
             return value
         first, colon, end = str(value).partition(":")
         if not first.isdecimal() or (colon and not end.isdecimal()):
-            self.fail(f"{value!r} is no range of seeds such as 0:1000", param, ctx)
+            self.fail(f"{value!r} is not a range of seeds such as 0:1000", param, ctx)
         seeds = range(int(first), int(end) if colon else int(first) + 1)
         if not seeds or len(seeds) > MAX_SEEDS:
-            self.fail(f"{value!r} holds {len(seeds)} seeds; between 1 and {MAX_SEEDS} can be run", param, ctx)
+            self.fail(f"{value!r} contains {len(seeds)} seeds, expected 1 to {MAX_SEEDS}", param, ctx)
         return seeds
 
 
 SEED_RANGE = SeedRangeParameter()
 script_argument = click.argument("seed_or_file", metavar="SEED|FILE")
 files_option = click.option(
-    "--files", is_flag=True, help="Forwarders get their tables by files; other scripts are drawn."
+    "--files", is_flag=True, help="Draw scripts in which proxies receive their tables by files."
 )
 relays_option = click.option(
-    "--relays", is_flag=True, help="Two relays stand between discovery and planners; other scripts are drawn."
+    "--relays", is_flag=True, help="Draw scripts with two relays between the discovery service and the planners."
 )
-defect_option = click.option("--defect", type=click.Choice(DEFECT_NAMES), help="With a deliberate defect planted.")
+defect_option = click.option("--defect", type=click.Choice(DEFECT_NAMES), help="Run with a deliberate defect.")
 
 
 @click.group()
 def trial() -> None:
-    """Run the service on a virtual clock against faults drawn from seeds, with every rule checked."""
+    """Run the service on a virtual clock with faults drawn from seeds, and check all rules."""
 
 
 @trial.command()
-@click.option("--seeds", type=SEED_RANGE, required=True, help="A:B, from A up to but without B.")
-@click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=default_jobs, help="Processes; all cores by default.")
+@click.option("--seeds", type=SEED_RANGE, required=True, help="Seeds from A to B - 1.")
+@click.option(
+    "--jobs",
+    type=click.IntRange(1, MAX_JOBS),
+    default=default_jobs,
+    help="Number of processes; one per core by default.",
+)
 @files_option
 @relays_option
 @json_option
 def run(seeds: range, jobs: int, files: bool, relays: bool, as_json: bool) -> int:
-    """Run seeds; exit 1 if a rule was broken."""
+    """Run the trials of a range of seeds; exit 1 if a rule was violated."""
     if files and relays:
-        raise click.UsageError("--files and --relays are drawn apart; give one of them")
+        raise click.UsageError("--files and --relays are mutually exclusive")
     console = Console(stderr=as_json)
     summary = Summary()
     started_at = time.perf_counter()
@@ -106,13 +111,13 @@
 
 @trial.command()
 @script_argument
-@click.option("--trace", is_flag=True, help="Print what happens as it does.")
+@click.option("--trace", is_flag=True, help="Print each event as it happens.")
 @defect_option
 @files_option
 @relays_option
 @json_option
 def replay(seed_or_file: str, trace: bool, defect: str | None, files: bool, relays: bool, as_json: bool) -> int:
-    """Run one seed or script file again, step by step the same."""
+    """Run a seed or a script file, with the same result every time; exit 1 if a rule was violated."""
     script = load_script(seed_or_file, files, relays)
     with planted(find_defect(defect)):
         result = run_script(script, trace=click.echo if trace else None)
@@ -126,16 +131,18 @@
 
 @trial.command()
 @script_argument
-@click.option("--out", type=FILE_PATH, required=True, help="Where the script goes.")
-@click.option("--rule", type=click.Choice(RULE_NAMES), help="The rule; the first broken if not given.")
-@click.option("--runs", type=click.IntRange(1, 100_000), default=MAX_RUNS, show_default=True, help="Trials at most.")
+@click.option("--out", type=FILE_PATH, required=True, help="File for the shrunk script.")
+@click.option("--rule", type=click.Choice(RULE_NAMES), help="The violated rule to preserve; the first one by default.")
+@click.option(
+    "--runs", type=click.IntRange(1, 100_000), default=MAX_RUNS, show_default=True, help="Maximum number of trials."
+)
 @defect_option
 @files_option
 @relays_option
 def shrink(
     seed_or_file: str, out: Path, rule: str | None, runs: int, defect: str | None, files: bool, relays: bool
 ) -> int:
-    """Find the smallest script that still breaks the same rule, and save it."""
+    """Find a smaller script that violates the same rule, and save it."""
     script = load_script(seed_or_file, files, relays)
     with planted(find_defect(defect)):
         shrunk = shrink_script(script, seed_or_file, rule, runs)
@@ -144,7 +151,7 @@
     except OSError as error:
         raise click.UsageError(f"{out}: {error.strerror or error}") from error
     click.echo("\n".join(describe(shrunk.script)))
-    click.echo(f"breaks at {shrunk.at:.2f} s: {shrunk.rule.value}; {shrunk.runs} trials; saved as {out}")
+    click.echo(f"violation at {shrunk.at:.2f} s: {shrunk.rule.value}; {shrunk.runs} trials; saved as {out}")
     return 0
 
 
@@ -152,20 +159,25 @@
 @script_argument
 @files_option
 @relays_option
-@click.option("--json", "as_json", is_flag=True, help="The script itself, as a file would hold it.")
+@click.option("--json", "as_json", is_flag=True, help="Print the script in the format of a script file.")
 def show(seed_or_file: str, files: bool, relays: bool, as_json: bool) -> None:
-    """Show a seed's script in words."""
+    """Describe the script of a seed or a file."""
     script = load_script(seed_or_file, files, relays)
     click.echo(encode(script).decode().rstrip() if as_json else "\n".join(describe(script)))
 
 
 @trial.command()
-@click.option("--seeds", type=SEED_RANGE, default="0:500", show_default=True, help="A:B, from A up to but without B.")
-@click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=default_jobs, help="Processes; all cores by default.")
-@click.option("--only", multiple=True, type=click.Choice(DEFECT_NAMES), help="A defect by its name; all if left out.")
+@click.option("--seeds", type=SEED_RANGE, default="0:500", show_default=True, help="Seeds from A to B - 1.")
+@click.option(
+    "--jobs",
+    type=click.IntRange(1, MAX_JOBS),
+    default=default_jobs,
+    help="Number of processes; one per core by default.",
+)
+@click.option("--only", multiple=True, type=click.Choice(DEFECT_NAMES), help="Name of a defect; all by default.")
 @json_option
 def defects(seeds: range, jobs: int, only: Sequence[str], as_json: bool) -> int:
-    """Plant each deliberate defect and show how many seeds it takes to find it; exit 1 if one is not found."""
+    """Run each deliberate defect and show the seeds needed to detect it; exit 1 if one is not detected."""
     selected = [defect for defect in ALL_DEFECTS if not only or defect.name in only]
     documents = []
     results = search_all([defect.name for defect in selected], seeds, jobs)
@@ -179,10 +191,12 @@
 
 
 @trial.command()
-@click.option("--span", type=click.FloatRange(1, 600), default=10.0, show_default=True, help="Virtual seconds of each.")
+@click.option(
+    "--span", type=click.FloatRange(1, 600), default=10.0, show_default=True, help="Virtual seconds per size."
+)
 @json_option
 def measure(span: float, as_json: bool) -> None:
-    """Measure what a virtual second costs, from 8 to 500 proxies, and what the rules' checks take of it."""
+    """Measure the CPU time of a virtual second with 8 to 500 proxies, and the share of the rule checks in it."""
     rows = []
     for row in measurement.measure(span):
         rows.append(row)
@@ -193,7 +207,7 @@
 
 
 def load_script(seed_or_file: str, files: bool, relays: bool) -> Script:
-    """The script that a seed draws or a file holds; a usage error (exit 2) if the file can't be used."""
+    """Draw the script of a seed or load one from a file; raises UsageError (exit 2) if the file is invalid."""
     try:
         if seed_or_file.isdecimal():
             return draw(int(seed_or_file), files, relays)
@@ -203,7 +217,7 @@
 
 
 def chunk_runner(files: bool, relays: bool) -> Callable[[Sequence[int]], list[SeedResult]]:
-    """What runs a few seeds in one process, with scripts of the wanted kind."""
+    """Return the function that runs a chunk of seeds in one process, for the selected kind of scripts."""
     if files:
         return run_file_chunk
     return run_relay_chunk if relays else run_chunk
@@ -217,7 +231,7 @@
     console: Console,
     quiet: bool,
 ) -> bool:
-    """Run seeds and add their results to the summary as they come; whether Ctrl-C stopped it."""
+    """Run seeds and add their results to the summary; returns whether Ctrl-C interrupted the run."""
     stopped = False
     results = run_seeds(seeds, jobs, chunk)
     with progress_bar(console, disabled=quiet) as bar:
@@ -228,20 +242,24 @@
                 bar.advance(task)
         except KeyboardInterrupt:
             stopped = True
-    results.close()  # type: ignore[attr-defined]  # it is a generator: closing it ends its processes
+    results.close()  # type: ignore[attr-defined]  # closing the generator ends its processes
     return stopped
 
 
 def shrink_script(script: Script, name: str, rule_name: str | None, max_runs: int) -> Shrunk:
-    """Shrink a script by the rule that it breaks first, or by a given one; a usage error if it breaks none."""
+    """Shrink a script while it violates the same rule, either the given one or the first one that it violates.
+
+    Raises:
+        UsageError: the script does not violate the rule, or any rule if none is given.
+    """
     rule = None if rule_name is None else Rule[rule_name.upper()]
     violations = [violation for violation in run_script(script).verdicts if rule in (None, violation.rule)]
     if not violations:
-        raise click.UsageError(f"{name} breaks no rule" + ("" if rule is None else f" {rule.value!r}"))
+        raise click.UsageError(f"{name} violates no rule" + ("" if rule is None else f" named {rule.value!r}"))
     first = min(violations, key=violation_time)
     return Shrinker(script, first.rule, max_runs).run()
 
 
 def violation_time(violation: Violation) -> float:
-    """When a rule was broken, in ms of the trial."""
+    """Return the time of a violation since the start of the trial, ms."""
     return violation.at
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the command line's tests."""
+"""Fixtures for the tests of the command line."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_config_command.py
+++ b/tests/cli/test_config_command.py
@@ -1,4 +1,4 @@
-"""`stackwheel config`, as its users call it."""
+"""Tests of `stackwheel config`."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     return path
 
 
-def test_a_valid_file_is_checked(path: Path, run_command: RunCommand) -> None:
-    assert run_command("config", "check", path) == (0, "sound; 1 values given\n", "")
+def test_check_accepts_a_valid_file(path: Path, run_command: RunCommand) -> None:
+    assert run_command("config", "check", path) == (0, "valid; values set: 1\n", "")
     exit_code, out, _ = run_command("config", "check", path, "--json")
     assert exit_code == 0
     assert json.loads(out) == {"ok": True, "given": 1}
 
 
-def test_a_file_is_shown_with_the_origin_of_each_value(path: Path, run_command: RunCommand) -> None:
+def test_show_prints_each_value_with_its_origin(path: Path, run_command: RunCommand) -> None:
     exit_code, out, _ = run_command("config", "show", path)
     assert exit_code == 0
     assert f"files.on: true    // {path}:1\n" in out
@@ -34,7 +34,7 @@
     assert json.loads(out)["origins"]["files.life"] == "default"
 
 
-def test_an_invalid_file_is_one_line_and_exits_one(path: Path, run_command: RunCommand) -> None:
+def test_an_invalid_file_results_in_one_line_and_exit_code_1(path: Path, run_command: RunCommand) -> None:
     path.write_text("files: on: 1")
     line = f"{path}:1: files.on: 1 found, bool expected"
     assert run_command("config", "check", path) == (1, f"{line}\n", "")
--- a/tests/cli/test_files_command.py
+++ b/tests/cli/test_files_command.py
@@ -1,4 +1,4 @@
-"""`stackwheel files`, as its users call it."""
+"""Tests of `stackwheel files`."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
     return tmp_path
 
 
-def test_check_accepts_a_complete_and_genuine_file(folder: Path, run_command: RunCommand) -> None:
+def test_check_accepts_a_complete_and_correctly_signed_file(folder: Path, run_command: RunCommand) -> None:
     exit_code, out, _ = run_command("files", "check", folder / "plain.table")
-    assert (exit_code, out) == (0, f"{folder}/plain.table: sound, but its time is over\n")
+    assert (exit_code, out) == (0, f"{folder}/plain.table: valid, but expired\n")
     exit_code, _, _ = run_command("files", "check", folder / "signed.table", "--key-file", folder / "keys.toml")
     assert exit_code == 0
     exit_code, out, _ = run_command("files", "check", folder / "plain.table", "--json")
@@ -54,13 +54,13 @@
         ("keys.toml", "open: 'keys.toml' is not a valid name for a table file"),
     ],
 )
-def test_check_gives_the_reason_of_a_rejection(folder: Path, run_command: RunCommand, name: str, reason: str) -> None:
+def test_check_prints_the_reason_for_a_rejection(folder: Path, run_command: RunCommand, name: str, reason: str) -> None:
     exit_code, out, _ = run_command("files", "check", folder / name)
     assert exit_code == 1
     assert out == f"{folder}/{name}: {reason}\n"
 
 
-def test_an_unsigned_file_is_rejected_if_a_key_is_set(folder: Path, run_command: RunCommand) -> None:
+def test_an_unsigned_file_is_rejected_if_a_key_file_is_given(folder: Path, run_command: RunCommand) -> None:
     keys = folder / "keys.toml"
     exit_code, out, _ = run_command("files", "check", folder / "plain.table", "--key-file", keys, "--json")
     assert exit_code == 1
@@ -77,7 +77,9 @@
         ('signing = 3\n[keys]\nk1 = "' + "00" * 16 + '"', "signing: expected the id"),
     ],
 )
-def test_an_unusable_key_file_is_one_line(folder: Path, run_command: RunCommand, text: str, message: str) -> None:
+def test_an_invalid_key_file_results_in_one_line_and_exit_code_2(
+    folder: Path, run_command: RunCommand, text: str, message: str
+) -> None:
     keys = folder / "keys.toml"
     keys.write_text(text)
     exit_code, _, err = run_command("files", "check", folder / "plain.table", "--key-file", keys)
@@ -86,16 +88,16 @@
     assert is_one_line(err)
 
 
-def test_show_describes_an_update(folder: Path, run_command: RunCommand) -> None:
+def test_show_prints_a_table_update(folder: Path, run_command: RunCommand) -> None:
     exit_code, out, _ = run_command("files", "show", folder / "plain.table")
     assert exit_code == 0
-    assert "whole file 2 of n0" in out
+    assert "complete update 2 of planner n0" in out
     assert "s-1 0.5" in out
-    assert "withdrawn: s-2" in out
+    assert "ejected servers: s-2" in out
     assert "b1" in out
 
 
-def test_make_is_the_inverse_of_show(folder: Path, run_command: RunCommand) -> None:
+def test_make_recreates_a_file_from_the_json_output_of_show(folder: Path, run_command: RunCommand) -> None:
     document = folder / "x.json"
     document.write_text(run_command("files", "show", folder / "plain.table", "--json").out)
     assert run_command("files", "make", document, folder / "again.table").exit_code == 0
@@ -110,7 +112,7 @@
     assert "missing required field `kind`" in err
 
 
-def test_diff_names_each_difference(folder: Path, run_command: RunCommand) -> None:
+def test_diff_prints_each_difference(folder: Path, run_command: RunCommand) -> None:
     other = msgspec.structs.replace(
         UPDATE,
         sequence=3,
@@ -126,16 +128,16 @@
     assert "sequence: 2 -> 3" in out
 
 
-def test_diff_of_equal_and_of_unusable_files(folder: Path, run_command: RunCommand) -> None:
+def test_diff_of_equal_files_exits_with_0_and_of_invalid_files_with_2(folder: Path, run_command: RunCommand) -> None:
     exit_code, out, _ = run_command("files", "diff", folder / "plain.table", folder / "signed.table")
-    assert (exit_code, out) == (0, "no difference\n")
+    assert (exit_code, out) == (0, "no differences\n")
     assert run_command("files", "diff", folder / "plain.table", folder / "torn.table").exit_code == 2
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.name)
-def test_the_examples_are_valid(path: Path, run_command: RunCommand) -> None:
+def test_the_example_files_are_valid(path: Path, run_command: RunCommand) -> None:
     assert run_command("files", "check", path).exit_code == 0
 
 
-def test_there_is_an_example_of_either_kind() -> None:
+def test_there_are_at_least_two_example_files() -> None:
     assert len(EXAMPLES) >= 2
--- a/tests/command_runner.py
+++ b/tests/command_runner.py
@@ -1,4 +1,4 @@
-"""Runs the command line within the test's process or as a process of its own."""
+"""Runs the command line for tests, in the process of the test or in a separate one."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CommandResult(NamedTuple):
-    """What a command left."""
+    """Exit code and output of a command."""
 
     exit_code: int
     out: str
@@ -29,20 +29,20 @@
 
 
 def in_process_runner(capsys: pytest.CaptureFixture[str]) -> RunCommand:
-    """Runs commands within the test's process."""
+    """Return a function that runs commands in the process of the test."""
 
-    def run_command(*words: object) -> CommandResult:
-        exit_code = root.run([str(word) for word in words])
+    def run_command(*arguments: object) -> CommandResult:
+        exit_code = root.run([str(argument) for argument in arguments])
         out, err = capsys.readouterr()
         return CommandResult(exit_code, out, err)
 
     return run_command
 
 
-def run_process(*words: str, **environment: str) -> CommandResult:
-    """Run `python -m stackwheel` as its users do."""
-    done = subprocess.run(
-        [sys.executable, "-m", "stackwheel", *words],
+def run_process(*arguments: str, **environment: str) -> CommandResult:
+    """Run `python -m stackwheel` with arguments and additional environment variables."""
+    process = subprocess.run(
+        [sys.executable, "-m", "stackwheel", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -50,9 +50,9 @@
         timeout=PROCESS_TIMEOUT_S,
         check=False,
     )
-    return CommandResult(done.returncode, done.stdout, done.stderr)
+    return CommandResult(process.returncode, process.stdout, process.stderr)
 
 
 def is_one_line(text: str) -> bool:
-    """Whether an error message is one line, as all are."""
+    """Return whether an error message consists of a single line."""
     return len(text.strip().splitlines()) == 1
