--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -144,9 +144,9 @@
 def test_serve_and_no_arguments_run_the_planner(arguments: tuple[str, ...]) -> None:
     result = run_process(*arguments, ROUTER_CONFIG="")
     assert result.exit_code == 2
-    assert result.err == "stackwheel: ROUTER_CONFIG names no configuration\n"
+    assert result.err == "stackwheel: the environment variable ROUTER_CONFIG is not set or empty\n"
 
 
 def test_each_rule_is_violated_by_a_deliberate_defect() -> None:
     assert len(ALL_DEFECTS) >= 15
-    assert {rule for defect in ALL_DEFECTS for rule in defect.visible_rules} == set(Rule)
+    assert {rule for defect in ALL_DEFECTS for rule in defect.expected_rules} == set(Rule)
--- a/tests/trials/test_relay_scenarios.py
+++ b/tests/trials/test_relay_scenarios.py
@@ -12,7 +12,7 @@
 from stackwheel.relay.messages import UnavailableError
 from stackwheel.trials.defects.planting import Defect, planted
 from stackwheel.trials.defects.relay import RELAY_DEFECTS
-from stackwheel.trials.defects.search import rules_showing
+from stackwheel.trials.defects.search import detecting_rules
 from stackwheel.trials.draw import draw
 from stackwheel.trials.network import Dial
 from stackwheel.trials.runner import run_one
@@ -51,7 +51,7 @@
 def test_each_defect_of_a_relay_is_found(defect: Defect) -> None:
     """Without it the script keeps every rule: see test_stored_script_breaks_no_rule."""
     with planted(defect):
-        assert rules_showing(defect, run_one(stored_script(SCRIPT_OF_DEFECT[defect.name])))
+        assert detecting_rules(defect, run_one(stored_script(SCRIPT_OF_DEFECT[defect.name])))
 
 
 def test_relay_trial_replays_and_its_seeds_draw_other_scripts() -> None:
@@ -68,7 +68,7 @@
         for relay in world.relays.hosts if world.relays is not None else ():
             if relay.service is not None and not hasattr(relay.service.cache.answer, "watched"):
                 relay.service.cache.answer = watched(relay.service.cache.answer)  # type: ignore[method-assign]
-        world.context.later(0.05, watch_relays)
+        world.context.schedule_after(0.05, watch_relays)
 
     def watched(original: Any) -> Any:
         def answer(*args: Any) -> Any:
@@ -81,7 +81,7 @@
         answer.watched = True  # type: ignore[attr-defined]
         return answer
 
-    world.context.later(0.01, watch_relays)
+    world.context.schedule_after(0.01, watch_relays)
     assert verdicts(world) == []
     assert "behind what the caller knows" in reasons
 
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -1,24 +1,31 @@
-"""HTTP calls: an error states how far the call had come, and a call that ends holds no descriptor."""
+"""HTTP calls: the stage of errors, timeouts, size limits, and the release of descriptors."""
 
 import asyncio
 import time
 
 import pytest
-from canned_server import OK_HEAD, UNAVAILABLE, After, Serve, canned, run_against
+from canned_server import (
+    OK_HEAD,
+    UNAVAILABLE_RESPONSE,
+    ConnectionEnd,
+    ConnectionHandler,
+    canned_response,
+    run_with_server,
+)
 from fake_services import free_port
-from scripted_discovery import ScriptedDiscovery, run
+from scripted_discovery import ScriptedDiscovery, run_async
 
-from stackwheel.wire.http import Call, CallError, Stage, get, within
+from stackwheel.wire.http import Call, CallError, Stage, get, wait_for_result
 
 LONG_MS = 10_000.0
 SHORT_MS = 20.0
 
 
-def call(serve: Serve, response_timeout_ms: float = LONG_MS) -> bytes:
-    return run_against(serve, lambda address: get(address, "/x", LONG_MS, response_timeout_ms))
+def call(serve: ConnectionHandler, response_timeout_ms: float = LONG_MS) -> bytes:
+    return run_with_server(serve, lambda address: get(address, "/x", LONG_MS, response_timeout_ms))
 
 
-def call_error(serve: Serve, response_timeout_ms: float = LONG_MS) -> CallError:
+def call_error(serve: ConnectionHandler, response_timeout_ms: float = LONG_MS) -> CallError:
     with pytest.raises(CallError) as caught:
         call(serve, response_timeout_ms)
     return caught.value
@@ -30,42 +37,42 @@
     return caught.value
 
 
-def test_body() -> None:
-    assert call(canned(OK_HEAD + b"body")) == b"body"
-    assert call(canned(b"HTTP/1.1 200 OK\r\n\r\nto the end")) == b"to the end"
+def test_body_is_returned() -> None:
+    assert call(canned_response(OK_HEAD + b"body")) == b"body"
+    assert call(canned_response(b"HTTP/1.1 200 OK\r\n\r\nto the end")) == b"to the end"
 
 
 @pytest.mark.parametrize(
     ("serve", "stage"),
     [
-        (canned(b""), Stage.HEAD),
-        (canned(b"", After.RESET), Stage.HEAD),
-        (canned(b"what\r\n\r\n"), Stage.HEAD),
-        (canned(UNAVAILABLE), Stage.STATUS),
-        (canned(OK_HEAD + b"bo"), Stage.BODY),
+        (canned_response(b""), Stage.HEAD),
+        (canned_response(b"", ConnectionEnd.RESET), Stage.HEAD),
+        (canned_response(b"what\r\n\r\n"), Stage.HEAD),
+        (canned_response(UNAVAILABLE_RESPONSE), Stage.STATUS),
+        (canned_response(OK_HEAD + b"bo"), Stage.BODY),
     ],
 )
-def test_error_states_stage(serve: Serve, stage: Stage) -> None:
+def test_error_has_the_stage_of_the_failure(serve: ConnectionHandler, stage: Stage) -> None:
     error = call_error(serve)
     assert error.stage is stage
     assert not error.timed_out
 
 
-def test_silence_times_out() -> None:
-    before_head = call_error(canned(b"", After.KEEP_OPEN), SHORT_MS)
-    in_body = call_error(canned(OK_HEAD + b"bo", After.KEEP_OPEN), SHORT_MS)
+def test_missing_data_times_out() -> None:
+    before_head = call_error(canned_response(b"", ConnectionEnd.KEEP_OPEN), SHORT_MS)
+    in_body = call_error(canned_response(OK_HEAD + b"bo", ConnectionEnd.KEEP_OPEN), SHORT_MS)
     assert (before_head.stage, before_head.timed_out) == (Stage.HEAD, True)
     assert (in_body.stage, in_body.timed_out) == (Stage.BODY, True)
 
 
-def test_nobody_listens() -> None:
+def test_unreachable_server_fails_to_connect() -> None:
     assert asyncio.run(error_at(f"127.0.0.1:{free_port()}")).stage is Stage.CONNECT
     assert asyncio.run(error_at("nowhere")).stage is Stage.CONNECT
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:99999999", "127.0.0.1:", "nowhere", ":-1"])
 def test_invalid_address_fails_to_connect(address: str) -> None:
-    """A port beyond 65535 raised OverflowError, which ended the health check with no answer."""
+    """A port over 65535 must not raise OverflowError instead of CallError."""
     assert asyncio.run(error_at(address)).stage is Stage.CONNECT
 
 
@@ -75,38 +82,38 @@
     assert str(error).startswith("nowhere: connect: ")
 
 
-def test_response_beyond_its_limit_is_cut_off() -> None:
-    async def work() -> None:
+def test_response_over_the_size_limit_is_aborted() -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         task = asyncio.create_task(get(discovery.address, "/stats", 5000.0, 5000.0, 1000))
-        received = await discovery.calls.get()
-        received.respond(b"x" * 5000)
+        scripted_call = await discovery.calls.get()
+        scripted_call.respond(b"x" * 5000)
         with pytest.raises(CallError) as caught:
             await task
-        assert caught.value.reason == "over 1000 bytes"
-        await received.ended.wait()
+        assert caught.value.reason == "body larger than 1000 bytes"
+        await scripted_call.ended.wait()
 
-    run(work)
+    run_async(scenario)
 
 
-def test_result_that_is_ready_when_timeout_expires_still_counts() -> None:
-    """After this process was stalled, the answer and the end of its time come together."""
+def test_result_available_when_timeout_expires_is_returned() -> None:
+    """After this process was suspended, a result may become available at the same time as the timeout expires."""
 
-    async def work() -> str | None:
+    async def scenario() -> str | None:
         loop = asyncio.get_running_loop()
         ready = loop.create_future()
         loop.call_later(0.01, ready.set_result, "answer")
-        waiting = asyncio.ensure_future(within(5.0, ready))
+        waiting = asyncio.ensure_future(wait_for_result(5.0, ready))
         await asyncio.sleep(0)
         time.sleep(0.05)
         return await waiting
 
-    assert asyncio.run(work()) == "answer"
+    assert asyncio.run(scenario()) == "answer"
 
 
 @pytest.mark.parametrize("cancelled_when", ["connecting", "connected", "answered"])
-def test_call_cancelled_at_any_moment_holds_no_descriptor(cancelled_when: str) -> None:
-    async def work() -> None:
+def test_cancelled_call_releases_its_descriptor(cancelled_when: str) -> None:
+    async def scenario() -> None:
         discovery = await ScriptedDiscovery().start()
         call = Call(discovery.address, "/x")
 
@@ -118,21 +125,21 @@
                 call.close()
 
         task = asyncio.create_task(open_and_hold())
-        while call.connecting is None:
+        while call.connect_task is None:
             await asyncio.sleep(0)
-        if cancelled_when == "connected":  # in the very turn of the connection, before anybody took it
-            call.connecting.add_done_callback(lambda _: task.cancel())
+        if cancelled_when == "connected":  # after the connection is established, before `open` stores its streams
+            call.connect_task.add_done_callback(lambda _: task.cancel())
         elif cancelled_when == "answered":
             (await discovery.calls.get()).respond(b"x")
             while call.protocol.their_state.__name__ != "DONE" and call.writer is None:
                 await asyncio.sleep(0)
         if cancelled_when != "connected":
             task.cancel()
-        await asyncio.wait({task, call.connecting})
+        await asyncio.wait({task, call.connect_task})
         assert call.writer is None or cancelled_when == "answered"
         await asyncio.sleep(0)
-        if not call.connecting.cancelled():
-            _, writer = call.connecting.result()
+        if not call.connect_task.cancelled():
+            _, writer = call.connect_task.result()
             assert writer.transport.is_closing()
 
-    run(work)
+    run_async(scenario)
