--- a/stackwheel/cli/scale_slopes.py
+++ b/stackwheel/cli/scale_slopes.py
@@ -42,7 +42,7 @@
 
     plans = select_plans(only)
     points = [] if no_direct else list(DIRECT)
-    former = load_result(out) if replace else None
+    previous = load_result(out) if replace else None
     work = run_all(plans, points, Timing(span), repeats, seed, print_progress)
     try:
         measured = asyncio.run(cancelled_by_sigterm(work))
@@ -53,7 +53,7 @@
         return 1
     arguments = {"repeats": float(repeats), "span": span, "seed": float(seed)}
     result = Result(VERSION, arguments, this_machine(), measured.sweeps, measured.direct, time_choices())
-    write_result(out, result if former is None else merged(former, result))
+    write_result(out, result if previous is None else merged(previous, result))
     click.echo(f"written: {out}")
     return 0
 
--- a/stackwheel/cli/trial.py
+++ b/stackwheel/cli/trial.py
@@ -81,7 +81,7 @@
 
 
 @trial.command()
-@click.option("--seeds", type=SEED_RANGE, required=True, help="Seeds from A to B - 1.")
+@click.option("--seeds", type=SEED_RANGE, required=True, help="Seeds from A to B - 1, or one seed.")
 @click.option(
     "--jobs",
     type=click.IntRange(1, MAX_JOBS),
@@ -167,7 +167,9 @@
 
 
 @trial.command()
-@click.option("--seeds", type=SEED_RANGE, default="0:500", show_default=True, help="Seeds from A to B - 1.")
+@click.option(
+    "--seeds", type=SEED_RANGE, default="0:500", show_default=True, help="Seeds from A to B - 1, or one seed."
+)
 @click.option(
     "--jobs",
     type=click.IntRange(1, MAX_JOBS),
@@ -255,7 +257,7 @@
     rule = None if rule_name is None else Rule[rule_name.upper()]
     violations = [violation for violation in run_script(script).verdicts if rule in (None, violation.rule)]
     if not violations:
-        raise click.UsageError(f"{name} violates no rule" + ("" if rule is None else f" named {rule.value!r}"))
+        raise click.UsageError(f"{name} does not violate" + (" any rule" if rule is None else f" rule {rule.value!r}"))
     first = min(violations, key=violation_time)
     return Shrinker(script, first.rule, max_runs).run()
 
--- a/stackwheel/cli/trial_output.py
+++ b/stackwheel/cli/trial_output.py
@@ -33,17 +33,17 @@
 
 
 def print_summary(console: Console, summary: Summary, jobs: int, stopped: bool) -> None:
-    """Print the seeds with violations, if there are any, and a summary of the run."""
+    """Print the failed seeds, if there are any, and a summary of the run."""
     if summary.broken:
-        console.print(broken_seeds_table(summary))
+        console.print(failed_seeds_table(summary))
         for rule, results in group_by_rule(summary.broken).items():
             console.print(f"{rule.value}: {len(results)} seeds, first seed {results[0].seed}")
     console.print(summary_line(summary, jobs, stopped))
 
 
-def broken_seeds_table(summary: Summary) -> Table:
-    """Return a table of the first seeds with violations."""
-    table = Table("seed", "time (s)", "rule", "violation")
+def failed_seeds_table(summary: Summary) -> Table:
+    """Return a table of the first failed seeds, with their violations or the exception of the trial."""
+    table = Table("seed", "time (s)", "rule", "details")
     for result in summary.broken[:MAX_SHOWN_SEEDS]:
         seed = str(result.seed)
         if result.error:
@@ -58,7 +58,7 @@
     seeds_per_s = summary.seeds / max(MIN_SECONDS, summary.wall_seconds)
     virtual_s_per_core_s = summary.virtual_seconds / max(MIN_SECONDS, summary.cpu_seconds)
     return (
-        f"{'stopped after ' if stopped else ''}{summary.seeds} seeds, {len(summary.broken)} with violations; "
+        f"{'stopped after ' if stopped else ''}{summary.seeds} seeds, {len(summary.broken)} failed; "
         f"{summary.virtual_seconds:.0f} virtual s in {summary.wall_seconds:.1f} s on {jobs} processes: "
         f"{seeds_per_s:.1f} seeds/s, {virtual_s_per_core_s:.0f} virtual s per CPU "
         f"second; mean service {summary.service:.3f}; digest {summary.hasher.hexdigest()}"
--- a/stackwheel/files/measure.py
+++ b/stackwheel/files/measure.py
@@ -123,8 +123,8 @@
 def calls_per_second(call: Callable[[], object]) -> float:
     """Measure the number of sequential calls of a function per second."""
     count = 0
-    began = time.perf_counter()
-    while (elapsed := time.perf_counter() - began) < RATE_WINDOW_S:
+    started_at = time.perf_counter()
+    while (elapsed := time.perf_counter() - started_at) < RATE_WINDOW_S:
         call()
         count += 1
     return count / elapsed
@@ -152,13 +152,13 @@
     """Write a file to every folder under the limits of the scheduler, and return the time taken in seconds."""
     scheduler = PushScheduler(PushLimits(), 1)
     disk = SystemDisk()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for target in targets:
         scheduler.submit(str(target), data, 1, 0.0)
     while True:
         attempts = scheduler.start_attempts(0.0)
         if not attempts:
-            return time.perf_counter() - began
+            return time.perf_counter() - started_at
         writes = (
             asyncio.to_thread(replace_file, disk, attempt.target, TABLE_NAME, attempt.data) for attempt in attempts
         )
@@ -210,7 +210,7 @@
         (folder / name).mkdir(parents=True, exist_ok=True)
     publisher = build_publisher(folder, disk, servers)
     reader = build_reader(folder)
-    running = asyncio.create_task(publisher.run())
+    publishing = asyncio.create_task(publisher.run())
     await reader.start()
     while publisher.state.incarnation is None:
         await asyncio.sleep(0.01)
@@ -221,13 +221,13 @@
     delays_ms: list[float] = []
     for number in range(rounds):
         update = sample_proxy_update(servers, number)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         publisher.deliver([(connection, update)])
         while not await reader.poll():
             await asyncio.sleep(0.001)
-        delays_ms.append((time.perf_counter() - began) * 1000.0)
+        delays_ms.append((time.perf_counter() - started_at) * 1000.0)
     sampling.cancel()
-    running.cancel()
+    publishing.cancel()
     return ExchangeResult(delays_ms, max(lags_ms, default=0.0))
 
 
@@ -241,6 +241,6 @@
 async def sample_loop_lag(lags_ms: list[float]) -> None:
     """Record the delays of short sleeps in ms, until cancelled."""
     while True:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
-        lags_ms.append((time.perf_counter() - began - LAG_SAMPLE_INTERVAL_S) * 1000.0)
+        lags_ms.append((time.perf_counter() - started_at - LAG_SAMPLE_INTERVAL_S) * 1000.0)
--- a/tests/cli/test_cells_command.py
+++ b/tests/cli/test_cells_command.py
@@ -72,7 +72,7 @@
     assert len(document["discovery"].split(",")) == 2
 
 
-def test_a_plan_from_a_former_one_shows_what_moves(folder: Path, call: RunCommand) -> None:
+def test_a_plan_based_on_a_former_one_shows_what_moves(folder: Path, call: RunCommand) -> None:
     call(*plan_arguments(folder))
     first = (folder / "plan.json").read_bytes()
     exit_code, out, _ = call(*plan_arguments(folder, "--former", folder / "plan.json", "--json"))
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -64,7 +64,7 @@
 
 def test_a_script_is_shown_as_text_and_as_json(tmp_path: Path, drain_script: str) -> None:
     shrink = run_process("trial", "shrink", drain_script, "--out", str(tmp_path / "out.json"))
-    assert "violates no rule" in shrink.err
+    assert "does not violate any rule" in shrink.err
     show = run_process("trial", "show", drain_script)
     assert show.exit_code == 0
     assert "drain: servers server-0; gone 10; back 0" in show.out
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""What version 52b45c2 stored is read with the same values, and written again with the same bytes."""
+"""Tests that data stored by version 52b45c2 is read with the same values and written with the same bytes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 DATA = Path(__file__).parent / "data" / "52b45c2"
 INCARNATION = Incarnation(2, 1796000000000, 421)
 
-WHOLE = TableUpdate(
+COMPLETE_UPDATE = TableUpdate(
     "n0",
     INCARNATION,
     7,
@@ -50,8 +50,8 @@
     ejected=("s-3", "s-4"),
     reservations=(Reservation("b-1", "write", 3, 1796000040000.0, 1796000000500.0),),
 )
-SIGNED = msgspec.structs.replace(WHOLE, sequence=9, proxy=5, created_at=1796000002500.0)
-CHANGE = TableUpdate(
+SIGNED_UPDATE = msgspec.structs.replace(COMPLETE_UPDATE, sequence=9, proxy=5, created_at=1796000002500.0)
+DELTA = TableUpdate(
     "n0",
     INCARNATION,
     8,
@@ -86,21 +86,21 @@
 
 
 def as_json(value: object) -> typing.Any:
-    """A record by the names and values that its file holds."""
+    """Return a record with the field names and values of its stored form."""
     return json.loads(msgspec.json.encode(value))
 
 
 @pytest.mark.parametrize(
     ("name", "document", "signed"),
     [
-        ("orders-whole.table", WHOLE, False),
-        ("orders-change.table", CHANGE, False),
-        ("orders-signed.table", SIGNED, True),
+        ("orders-whole.table", COMPLETE_UPDATE, False),
+        ("orders-change.table", DELTA, False),
+        ("orders-signed.table", SIGNED_UPDATE, True),
         ("answer.table", STATUS, False),
         ("answer-signed.table", STATUS, True),
     ],
 )
-def test_table_files_hold_the_same_values_and_bytes(name: str, document: Document, signed: bool) -> None:
+def test_table_files_have_the_same_values_and_bytes(name: str, document: Document, signed: bool) -> None:
     keys = load_keys(DATA / "keys.toml") if signed else KeyRing()
     data = stored(name)
     assert decode(data, keys) == document
@@ -108,12 +108,12 @@
     assert as_json(document) == json.loads(data.splitlines()[1])
 
 
-def test_key_file() -> None:
+def test_the_key_file_has_the_same_keys() -> None:
     keys = load_keys(DATA / "keys.toml")
     assert keys == KeyRing({"k1": b"\x11" * 32, "k2": b"\x22" * 32}, "k2")
 
 
-def test_reader_memory(tmp_path: Path) -> None:
+def test_the_reader_memory_has_the_same_values_and_bytes(tmp_path: Path) -> None:
     memory = load_memory(SystemDisk(), str(DATA))
     assert memory is not None
     assert as_json(memory) == {
@@ -142,7 +142,7 @@
     assert (tmp_path / "memory.table").read_bytes() == stored("memory.table")
 
 
-def test_cell_plan() -> None:
+def test_the_cell_plan_has_the_same_values_and_bytes() -> None:
     data = stored("cells-plan.json")
     plan = load_plan(DATA / "cells-plan.json")
     assert as_json(plan) == json.loads(data)
@@ -163,7 +163,7 @@
         ("script-relays.json", 3, False, True),
     ],
 )
-def test_drawn_trial_scripts(name: str, seed: int, files: bool, relays: bool) -> None:
+def test_drawn_trial_scripts_have_the_same_values_and_bytes(name: str, seed: int, files: bool, relays: bool) -> None:
     data = stored(name)
     script = trial_script.load(DATA / name)
     assert as_json(script) == json.loads(data)
@@ -173,7 +173,7 @@
     assert trial_script.decode(trial_script.encode(script)) == script
 
 
-def test_a_trial_script_with_every_kind_of_fault() -> None:
+def test_a_trial_script_with_every_fault_type_has_the_same_values_and_bytes() -> None:
     data = stored("script-every-fault.json")
     script = trial_script.load(DATA / "script-every-fault.json")
     assert as_json(script) == json.loads(data)
@@ -195,7 +195,7 @@
     assert (last.at, last.machines, last.span, last.mode, last.delay) == (14.0, ("planners",), 2.0, "slow", 0.75)
 
 
-def test_scale_run_result() -> None:
+def test_the_result_of_a_scale_run_has_the_same_values_and_bytes() -> None:
     data = stored("scale-run.json")
     report = msgspec.json.decode(data, type=Report)
     assert as_json(report) == json.loads(data)
@@ -205,7 +205,7 @@
     assert (report.registry.core, report.relay.count, report.in_force_ms.p99) == (0.004434, 17, 77.375)
 
 
-def test_scale_slopes_result(tmp_path: Path) -> None:
+def test_the_result_of_the_scale_slopes_has_the_same_values_and_bytes(tmp_path: Path) -> None:
     data = stored("scale-slopes.json")
     result = read_result(DATA / "scale-slopes.json")
     assert as_json(result) == json.loads(data)
@@ -216,7 +216,7 @@
     assert (tmp_path / "again.json").read_bytes() == data
 
 
-def test_operators_file() -> None:
+def test_the_operators_file_has_the_same_values() -> None:
     records = load_operators(DATA / "operators.cue").records
     assert records.files.pace.max_files == 4
     assert records.files.silent_planner.fallback == "refuse"
