--- a/stackwheel/files/acceptor.py
+++ b/stackwheel/files/acceptor.py
@@ -182,7 +182,7 @@
 
     def _check_target(self, update: TableUpdate) -> None:
         if update.zone != self.zone or update.proxy not in (None, self.proxy):
-            raise FileRejectedError(Stage.TARGET, f"the file is for zone {update.zone}, proxy {update.proxy}")
+            raise FileRejectedError(Stage.TARGET, f"for zone {update.zone}, proxy {update.proxy}, not for this reader")
 
     def _new_reservations(self, update: TableUpdate, now: float) -> tuple[Reservation, ...]:
         """Return the reservations of an update that may take effect.
