--- a/stackwheel/cli/scale.py
+++ b/stackwheel/cli/scale.py
@@ -69,7 +69,7 @@
         if planners > MAX_PLANNERS:
             yield f"{planners} planners requested, the maximum is {MAX_PLANNERS}"
         if self.plant and not self.planners:
-            yield "--plant requires hollow planners, which --planners adds"
+            yield "--plant drops an entry of a hollow planner: give --planners"
         if self.relays == 1:
             yield "--relays 1: each cell requires two relays"
         if self.zones is not None and self.zones > self.servers:
