--- a/stackwheel/trials/context.py
+++ b/stackwheel/trials/context.py
@@ -94,7 +94,7 @@
         if not machine.alive:
             present = Machine(machine.name)
             self.retired_machines.append(machine)
-        self.network.place(host, present)
+        self.network.assign_host(host, present)
         self.network.reset_vanished(machine)
         return present
 
--- a/stackwheel/trials/loop.py
+++ b/stackwheel/trials/loop.py
@@ -1,7 +1,7 @@
-"""An asyncio event loop in virtual time: nothing sleeps, and callbacks run in a fixed order.
+"""An asyncio event loop in virtual time: no call blocks, and callbacks run in a deterministic order.
 
-The shipped code runs in it as it is. Every callback belongs to a machine, inherited from the callback that
-scheduled it: a stalled machine has its callbacks parked, a killed one has them dropped.
+The code of the service runs in it unchanged. Every callback belongs to a machine, inherited from the callback that
+scheduled it. Callbacks of a stalled machine are parked until it resumes; callbacks of a killed machine are dropped.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 Callback = Callable[..., object]
 Address = tuple[str, int]
 
-KEPT_TASKS = 256  # of one machine before those that are done are forgotten
-FORGET_EVERY = 128  # tasks beyond that
+MAX_RETAINED_TASKS = 256  # per machine; beyond this limit, completed tasks are dropped
+PRUNE_INTERVAL_TASKS = 128
 
 
 def do_nothing(*_: object) -> None:
-    """The default of optional callbacks."""
+    """Ignore all arguments; the default of optional callbacks."""
 
 
 class LoopNetwork(Protocol):
-    """What the loop needs of the simulated network: connections and datagrams."""
+    """The part of the simulated network that the loop uses: connections and datagrams."""
 
     def dial(
         self, machine: Machine, address: Address, protocol: Any, opened: asyncio.Future[Any] | None = None
     ) -> None:
-        """Connect for a machine; `opened` is resolved with transport and protocol."""
+        """Open a connection from a machine; `opened` is resolved with the transport and the protocol."""
 
     def bind(self, machine: Machine, address: Address, protocol: Any) -> tuple[Any, Any]:
         """Open a datagram endpoint."""
 
 
 class Machine:
-    """One incarnation of a process on its machine: what runs there stalls or dies with it."""
+    """One incarnation of a process and its machine; its callbacks and tasks stall or end with it."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -48,23 +48,23 @@
         self.stalled = False
         self.parked_callbacks: deque[Handle] = deque()
         self.signal_handlers: dict[int, Handle] = {}
-        self.tasks: list[asyncio.Task[Any]] = []  # kept until the run ends: none is finalised at a random time
+        self.tasks: list[asyncio.Task[Any]] = []  # referenced, so that no task is finalised at a nondeterministic time
 
     def __repr__(self) -> str:
         return self.name
 
     def close_tasks(self) -> None:
-        """Close what is left of its coroutines, in the order they were made; the run is over."""
+        """Close the unfinished coroutines in the order of their creation, after the end of the run."""
         for task in self.tasks:
             coroutine = task.get_coro()
             if not task.done() and isinstance(coroutine, Coroutine):
-                with contextlib.suppress(Exception):  # what they do at their end goes to a loop that is closed
+                with contextlib.suppress(Exception):  # cleanup code of the coroutine may use the closed loop
                     coroutine.close()
         self.tasks.clear()
 
 
 class Handle:
-    """A scheduled callback. Without a context it runs in the present one: nothing here keeps context variables."""
+    """A scheduled callback; without a context of its own, it runs in the current context."""
 
     __slots__ = ("args", "callback", "context", "due_at", "is_cancelled", "machine")
 
@@ -84,33 +84,33 @@
         self.is_cancelled = False
 
     def cancel(self) -> None:
-        """Do not run the callback."""
+        """Prevent the callback from running."""
         self.is_cancelled = True
 
     def cancelled(self) -> bool:
-        """Whether it was cancelled."""
+        """Return whether the callback was cancelled."""
         return self.is_cancelled
 
     def when(self) -> float:
-        """When it is due, in s of the loop's clock."""
+        """Return the time at which the callback is due, in s of the loop's clock."""
         return self.due_at
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """Time is seconds since the run began; it moves only when nothing is left to do at the present one.
+    """An event loop whose clock advances only when no callback is due at the current time.
 
     Attributes:
-        now: The virtual time.
-        machine: The machine whose callback is running, if any.
-        uncaught_errors: What callbacks and tasks raised and nobody caught, as text.
-        after_callback: Called with the time after each callback.
+        now: The virtual time, in s since the start of the run.
+        machine: The machine whose callback is running; None outside of callbacks of machines.
+        uncaught_errors: Descriptions of the exceptions that callbacks and tasks raised and did not handle.
+        after_callback: Called with the virtual time after each callback.
     """
 
     def __init__(self) -> None:
         self.now = 0.0
         self.ready: deque[Handle] = deque()
         self.timers: list[tuple[float, int, Handle]] = []  # a heap
-        self.timer_count = 0  # so that timers of the same time run in the order made
+        self.timer_count = 0  # timers that are due at the same time run in the order of their creation
         self.callbacks_run = 0
         self.machine: Machine | None = None
         self.closed = False
@@ -118,10 +118,10 @@
         self.network: LoopNetwork | None = None
         self.after_callback: Callable[[float], None] = do_nothing
 
-    # For the simulation.
+    # Methods for the simulation.
 
     def schedule_at(self, when: float, machine: Machine | None, callback: Callback, *args: object) -> Handle:
-        """Run a callback of a machine at a time, outside of any task."""
+        """Schedule a callback of a machine at a virtual time, outside of any task."""
         handle = Handle(callback, args, None, machine, when)
         self.timer_count += 1
         heapq.heappush(self.timers, (when, self.timer_count, handle))
@@ -129,7 +129,7 @@
 
     @contextlib.contextmanager
     def running_as(self, machine: Machine) -> Generator[None, None, None]:
-        """Let what the block schedules belong to a machine."""
+        """Assign all callbacks that the block schedules to a machine."""
         previous = self.machine
         self.machine = machine
         try:
@@ -138,24 +138,24 @@
             self.machine = previous
 
     def start_process(self, machine: Machine, main: Coroutine[Any, Any, object]) -> asyncio.Task[Any]:
-        """Run a coroutine as a machine's own process."""
+        """Start a coroutine as the main task of a machine."""
         with self.running_as(machine):
             return self.create_task(main)
 
     def set_stalled(self, machine: Machine, stalled: bool) -> None:
-        """Stall a machine, or wake it: what came meanwhile runs at once on waking, in the order it came."""
+        """Stall a machine or resume it; on resumption the parked callbacks run at once, in their original order."""
         machine.stalled = stalled
         if not stalled:
             self.ready.extend(machine.parked_callbacks)
             machine.parked_callbacks.clear()
 
     def kill(self, machine: Machine) -> None:
-        """Drop all callbacks of a machine, those to come as well."""
+        """Drop all current and future callbacks of a machine."""
         machine.alive = False
         machine.parked_callbacks.clear()
 
     def run_until(self, until: float) -> None:
-        """Run all callbacks up to a time."""
+        """Run all callbacks that are due up to a virtual time, in s."""
         events._set_running_loop(self)
         ready = self.ready
         timers = self.timers
@@ -176,7 +176,7 @@
             events._set_running_loop(None)
 
     def run_callback(self, handle: Handle) -> None:
-        """Run a callback unless it was cancelled or its machine is dead; park it where its machine is stalled."""
+        """Run a callback; drop it if it was cancelled or its machine has ended, park it if its machine is stalled."""
         machine = handle.machine
         if handle.is_cancelled:
             return
@@ -193,12 +193,12 @@
                 handle.callback(*handle.args)
             else:
                 handle.context.run(handle.callback, *handle.args)
-        except Exception as error:  # what asyncio itself would log and go on after
+        except Exception as error:  # asyncio logs such an exception and continues
             self.uncaught_errors.append(f"{machine}: {error!r}")
         self.after_callback(self.now)
 
     def deliver_signal(self, machine: Machine, signal_number: int) -> None:
-        """Deliver a signal to a machine's process, as far as it listens for it."""
+        """Deliver a signal to the process of a machine; ignore it if the process has no handler for it."""
         if machine.alive and signal_number in machine.signal_handlers:
             handler = machine.signal_handlers[signal_number]
             self.schedule_at(self.now, machine, handler.callback, *handler.args)
@@ -206,7 +206,7 @@
     # The part of asyncio.AbstractEventLoop that the service uses.
 
     def time(self) -> float:
-        """The virtual time in s."""
+        """Return the virtual time in s."""
         return self.now
 
     def call_soon(  # type: ignore[override]  # Handle stands in for asyncio.Handle
@@ -215,7 +215,7 @@
         *args: object,
         context: contextvars.Context | None = None,
     ) -> Handle:
-        """Run a callback of the present machine at the present time."""
+        """Schedule a callback of the current machine at the current time."""
         handle = Handle(callback, args, context, self.machine, self.now)
         if not self.closed:
             self.ready.append(handle)
@@ -228,7 +228,7 @@
         *args: object,
         context: contextvars.Context | None = None,
     ) -> Handle:
-        """Run a callback of the present machine after a delay in s."""
+        """Schedule a callback of the current machine after a delay in s."""
         return self.call_at(self.now + max(0.0, delay), callback, *args, context=context)
 
     def call_at(  # type: ignore[override]  # Handle stands in for asyncio.TimerHandle
@@ -238,7 +238,7 @@
         *args: object,
         context: contextvars.Context | None = None,
     ) -> Handle:
-        """Run a callback of the present machine at a time."""
+        """Schedule a callback of the current machine at a virtual time in s."""
         handle = Handle(callback, args, context, self.machine, when)
         if not self.closed:
             self.timer_count += 1
@@ -246,7 +246,7 @@
         return handle
 
     def create_future(self) -> asyncio.Future[Any]:
-        """Make a future of this loop."""
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
@@ -256,34 +256,34 @@
         name: str | None = None,
         context: contextvars.Context | None = None,
     ) -> asyncio.Task[T]:
-        """Make a task of the present machine."""
+        """Create a task of the current machine."""
         task: asyncio.Task[T] = asyncio.Task(coro, loop=self, name=name, context=context)
-        task._log_destroy_pending = False  # type: ignore[attr-defined]  # asyncio's own switch
+        task._log_destroy_pending = False  # type: ignore[attr-defined]  # a private attribute of asyncio
         if self.machine is not None:
             tasks = self.machine.tasks
             tasks.append(task)
-            if len(tasks) > KEPT_TASKS and len(tasks) % FORGET_EVERY == 0:
-                tasks[:] = [kept for kept in tasks if not kept.done()]
+            if len(tasks) > MAX_RETAINED_TASKS and len(tasks) % PRUNE_INTERVAL_TASKS == 0:
+                tasks[:] = [retained for retained in tasks if not retained.done()]
         return task
 
     def is_running(self) -> bool:
-        """Whether the loop still takes callbacks."""
+        """Return whether the loop accepts callbacks."""
         return not self.closed
 
     def is_closed(self) -> bool:
-        """Whether the run is over."""
+        """Return whether the loop is closed."""
         return self.closed
 
     def get_debug(self) -> bool:
-        """Asyncio's debug mode is always off."""
+        """Return False: debug mode is not supported."""
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Note what a task raised and nobody caught."""
+        """Record an exception that a task raised and did not handle."""
         self.uncaught_errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def add_signal_handler(self, sig: int, callback: Callback, *args: object) -> None:
-        """Listen for a signal on the present machine."""
+        """Set the current machine's handler of a signal."""
         if self.machine is not None:
             self.machine.signal_handlers[sig] = Handle(callback, args, None, self.machine, self.now)
 
@@ -296,7 +296,7 @@
         sock: Any = None,
         **_: object,
     ) -> tuple[Any, Any]:
-        """Connect through the simulated network, or take over an accepted connection given as `sock`."""
+        """Open a connection on the simulated network, or attach a protocol to the accepted connection `sock`."""
         assert self.network is not None
         if sock is not None:
             accepted: tuple[Any, Any] = sock.attach(protocol_factory())
@@ -316,10 +316,10 @@
         sock: Any = None,
         **_: object,
     ) -> Any:
-        """Serve a listener of the simulated network, given as `sock`."""
+        """Accept connections at `sock`, a listener of the simulated network, with a protocol factory."""
         return sock.serve(protocol_factory)
 
-    async def create_datagram_endpoint(  # type: ignore[override]  # of what asyncio takes, one address is enough
+    async def create_datagram_endpoint(  # type: ignore[override]  # supports only a local address
         self,
         protocol_factory: Callable[[], Any],
         local_addr: Any = None,
@@ -336,7 +336,7 @@
         return accepted
 
     def close(self) -> None:
-        """Forget all that waits; coroutines that are finalised after this schedule nothing."""
+        """Drop all scheduled callbacks and accept no more, such as those of coroutines that are finalised later."""
         self.closed = True
         self.ready.clear()
         self.timers.clear()
--- a/stackwheel/trials/network.py
+++ b/stackwheel/trials/network.py
@@ -1,7 +1,7 @@
-"""A network between machines: connections, datagrams, and what goes wrong with them.
+"""A simulated network between machines, with connections, datagrams and faults.
 
-A connection's bytes arrive in order, late, in pieces or run together, are blocked while the path is cut, and wait
-where the reader does not read. All random numbers come from the generator handed in.
+The bytes of a connection arrive in order and with a delay, possibly fragmented. They are blocked while the path is
+cut, and queued while the receiver does not read. All random numbers are drawn from the given generator.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from stackwheel.trials.loop import Address, Machine, VirtualLoop, do_nothing
 from stackwheel.trials.transport import (
-    RECEIVE_WINDOW,
+    RECEIVE_WINDOW_BYTES,
     ConnectionEnd,
     ConnectionProtocol,
     DatagramTransport,
@@ -24,33 +24,41 @@
     Transport,
 )
 
-CONNECT_RETRY_S = (1.0, 3.0, 7.0)  # after a first attempt that met silence: the usual doubling
-REORDER_DELAY_S = 0.02  # by which a reordered datagram comes later than it would, at most
+CONNECT_RETRY_DELAYS_S = (1.0, 3.0, 7.0)  # between attempts that get no answer, as in TCP's exponential backoff
+MAX_REORDER_DELAY_S = 0.02
 UNKNOWN_HOST = "127.0.0.1"
-FIRST_PORT = 20000  # of those who connect
-PORT_COUNT = 40000
+FIRST_EPHEMERAL_PORT = 20000
+EPHEMERAL_PORT_COUNT = 40000
 
 
 @dataclass(slots=True)
 class Conditions:
-    """The present conditions on the network; a script changes them."""
+    """Current conditions of the network; faults change them.
+
+    Attributes:
+        latency_factor: Factor of all latencies.
+        fragmented: Share of writes that arrive in two pieces.
+        lost: Share of datagrams that are lost.
+        duplicated: Share of datagrams that arrive twice.
+        reordered: Share of datagrams that are delayed, so that later ones may overtake them.
+    """
 
     latency_factor: float = 1.0
-    fragmented: float = 0.0  # share of writes that arrive in pieces
-    lost: float = 0.0  # share of datagrams
+    fragmented: float = 0.0
+    lost: float = 0.0
     duplicated: float = 0.0
     reordered: float = 0.0
 
 
 class DatagramSocket(NamedTuple):
-    """Who receives the datagrams of an address."""
+    """The machine and the protocol that receive the datagrams of an address."""
 
     machine: Machine
     protocol: Any
 
 
 class Dial(NamedTuple):
-    """An attempt to connect; asyncio's caller waits on `opened`, a scripted peer's protocol is notified."""
+    """An attempt to connect; its result is set on `opened`, or passed to the protocol where `opened` is None."""
 
     machine: Machine
     address: Address
@@ -59,11 +67,11 @@
 
     @property
     def cancelled(self) -> bool:
-        """Whether nobody waits for it any more."""
+        """Whether the caller has cancelled the attempt."""
         return self.opened is not None and self.opened.cancelled()
 
     def refuse(self) -> None:
-        """Notify the caller that nobody listens."""
+        """Notify the caller that the connection was refused."""
         error = ConnectionRefusedError("connection refused")
         if self.opened is None:
             self.protocol.connection_lost(error)
@@ -72,14 +80,14 @@
 
 
 class Network:
-    """Machines by address, the connections between them and the conditions that hold.
+    """The machines, the connections between them and the current network conditions.
 
     Attributes:
-        machines: By host: which incarnation has the address now, or had it last.
-        cuts: From one machine's name to another's: how many cuts lie there.
+        machines: By host: the machine that has the address now, or had it last.
+        cuts: By names of the sending and the receiving machine: number of cuts on that path.
         vanished: Machines that ended without resetting their connections.
-        on_received: Called with an end and the bytes that its protocol takes.
-        on_written: Called with an end and the bytes that were written at it.
+        on_received: Called with a transport and the bytes that its protocol is about to receive.
+        on_written: Called with a transport and the bytes that were written to it.
     """
 
     def __init__(
@@ -89,7 +97,7 @@
         self.random = generator
         self.latency = latency
         self.conditions = Conditions()
-        self.receive_window = RECEIVE_WINDOW
+        self.receive_window = RECEIVE_WINDOW_BYTES
         self.listeners: dict[Address, Listener] = {}
         self.datagram_sockets: dict[Address, DatagramSocket] = {}
         self.multicast_groups: dict[Address, tuple[Address, ...]] = {}
@@ -104,16 +112,16 @@
 
     # Machines.
 
-    def place(self, host: str, machine: Machine) -> None:
-        """Give a machine an address."""
+    def assign_host(self, host: str, machine: Machine) -> None:
+        """Assign a host address to a machine."""
         self.machines[host] = machine
 
     def host_of(self, machine: Machine) -> str:
-        """The address of a machine."""
-        return next((host for host, placed in self.machines.items() if placed is machine), UNKNOWN_HOST)
+        """Return the host address of a machine, or `UNKNOWN_HOST` if it has none."""
+        return next((host for host, assigned in self.machines.items() if assigned is machine), UNKNOWN_HOST)
 
     def kill(self, machine: Machine, resets_connections: bool = True) -> None:
-        """End a process; without resets its connections stay open and silent at their other ends."""
+        """End a process; without resets, the peers of its connections are not notified."""
         self.loop.kill(machine)
         for address in [address for address, listener in self.listeners.items() if listener.machine is machine]:
             del self.listeners[address]
@@ -127,7 +135,7 @@
                 self.deliver(transport.peer, ConnectionEnd(ConnectionResetError("reset by peer")))
 
     def reset_vanished(self, machine: Machine) -> None:
-        """A machine that vanished is back, as another: what still speaks to the old one is reset."""
+        """Reset the remaining connections to a machine that vanished, because its successor has started."""
         self.vanished.pop(machine, None)
         for transport in [transport for transport in self.transports if transport.peer.machine is machine]:
             self.deliver(transport, ConnectionEnd(ConnectionResetError("reset by peer")))
@@ -135,22 +143,22 @@
     # Cuts.
 
     def is_cut(self, source: Machine, target: Machine) -> bool:
-        """Whether nothing passes from one machine to another."""
+        """Return whether the path from one machine to another is cut."""
         return bool(self.cuts) and (source.name, target.name) in self.cuts
 
     def is_cut_between(self, one: Machine, other: Machine) -> bool:
-        """Whether something does not pass between two machines."""
+        """Return whether the path between two machines is cut in at least one direction."""
         return self.is_cut(one, other) or self.is_cut(other, one)
 
     def cut(self, source: str, target: str) -> None:
-        """Cut the path from one machine to another."""
+        """Add a cut to the path from one machine to another."""
         self.cuts[source, target] = self.cuts.get((source, target), 0) + 1
 
     def heal(self, source: str, target: str) -> None:
-        """Remove a cut; what waited behind it goes on, unless another cut lies on the same path."""
-        left = self.cuts.get((source, target), 0) - 1
-        if left > 0:
-            self.cuts[source, target] = left
+        """Remove a cut; blocked pieces are delivered if it was the last cut of the path."""
+        remaining = self.cuts.get((source, target), 0) - 1
+        if remaining > 0:
+            self.cuts[source, target] = remaining
             return
         self.cuts.pop((source, target), None)
         on_path = [
@@ -172,28 +180,28 @@
         """Accept connections at an address.
 
         Raises:
-            OSError: Somebody listens there already.
+            OSError: The address already has a listener.
         """
         if address in self.listeners:
-            raise OSError(f"{address[0]}:{address[1]} is taken")
+            raise OSError(f"address already in use: {address[0]}:{address[1]}")
         listener = Listener(machine, self.loop, protocol_factory)
         self.listeners[address] = listener
         listener.close = lambda: self.stop_listening(address, listener)
         return listener
 
     def stop_listening(self, address: Address, listener: Listener) -> None:
-        """Accept nothing more; what is open stays so."""
+        """Accept no more connections at an address; open connections stay open."""
         if self.listeners.get(address) is listener:
             del self.listeners[address]
 
     def dial(
         self, machine: Machine, address: Address, protocol: Any, opened: asyncio.Future[Any] | None = None
     ) -> None:
-        """Connect; asyncio's caller waits on `opened`, a scripted peer is notified by its protocol."""
+        """Open a connection; the result is set on `opened`, or passed to the protocol where `opened` is None."""
         self.try_connect(Dial(machine, address, protocol, opened), 0)
 
     def try_connect(self, dial: Dial, retries: int) -> None:
-        """Try to connect; silence is met with retries as a kernel makes them."""
+        """Try to connect; without an answer, retry with the delays of a TCP implementation."""
         if dial.cancelled:
             return
         target = self.machines.get(dial.address[0])
@@ -206,23 +214,23 @@
             self.loop.schedule_at(self.loop.now + 2 * delay, dial.machine, dial.refuse)
             return
         near, far = self.open_transports(dial, listener)
-        # The kernel takes the connection in, whether its process is stalled or not.
+        # The kernel accepts the connection even if the process is stalled.
         self.loop.schedule_at(self.loop.now + delay, None, self.accept_by_kernel, listener, far)
         self.loop.schedule_at(self.loop.now + 2 * delay, dial.machine, self.connected, near, dial)
 
     def retry_connect(self, dial: Dial, retries: int) -> None:
-        """Nothing came back: try again later, or notify a scripted peer that there is no answer."""
-        if retries < len(CONNECT_RETRY_S):
-            at = self.loop.now + CONNECT_RETRY_S[retries]
+        """Schedule the next attempt after one without an answer; after the last, notify a scripted peer."""
+        if retries < len(CONNECT_RETRY_DELAYS_S):
+            at = self.loop.now + CONNECT_RETRY_DELAYS_S[retries]
             self.loop.schedule_at(at, dial.machine, self.try_connect, dial, retries + 1)
         elif dial.opened is None:
-            error = TimeoutError("no answer")
+            error = TimeoutError("connection timed out")
             self.loop.schedule_at(self.loop.now, dial.machine, dial.protocol.connection_lost, error)
 
     def open_transports(self, dial: Dial, listener: Listener) -> tuple[Transport, Transport]:
-        """Make the two ends of a connection: the caller's and the listener's."""
+        """Create the two transports of a connection: the caller's and the listener's."""
         self.ports_used += 1
-        local = (self.host_of(dial.machine), FIRST_PORT + self.ports_used % PORT_COUNT)
+        local = (self.host_of(dial.machine), FIRST_EPHEMERAL_PORT + self.ports_used % EPHEMERAL_PORT_COUNT)
         near = Transport(self, dial.machine, local, dial.address)
         far = Transport(self, listener.machine, dial.address, local)
         near.peer = far
@@ -232,7 +240,7 @@
         return near, far
 
     def accept_by_kernel(self, listener: Listener, transport: Transport) -> None:
-        """A connection has reached the listener's machine."""
+        """Pass a connection that has reached the listener's machine to the listener; reset it if the machine ended."""
         if listener.machine.alive:
             self.loop.schedule_at(self.loop.now, listener.machine, listener.accept, transport)
         else:
@@ -240,7 +248,7 @@
 
     @staticmethod
     def connected(transport: Transport, dial: Dial) -> None:
-        """The answer of the listener's machine has reached the caller."""
+        """Complete a dial when the answer of the listener's machine reaches the caller."""
         if dial.cancelled:
             transport.abort()
             return
@@ -253,20 +261,20 @@
             dial.opened.set_result((transport, dial.protocol))
         transport.resume_reading()
 
-    def forget(self, transport: Transport) -> None:
-        """An end is closed."""
+    def remove_transport(self, transport: Transport) -> None:
+        """Remove a closed end from the open transports."""
         self.transports.pop(transport, None)
 
     def schedule(self, transport: Transport, callback: Callable[..., object], *args: object) -> None:
-        """Run a callback of the end's machine at the present time."""
+        """Schedule a callback of the transport's machine at the current time."""
         self.loop.schedule_at(self.loop.now, transport.machine, callback, *args)
 
     def delay(self, source: Machine, target: Machine) -> float:
-        """Draw how long something takes from one machine to another, in s."""
+        """Draw the delay from one machine to another, in s."""
         return self.latency(source, target) * self.conditions.latency_factor * (0.5 + self.random.random())
 
     def send(self, sender: Transport, data: bytes) -> None:
-        """Put bytes on their way to the sender's peer, in pieces at times."""
+        """Send bytes to the sender's peer, in two pieces if the write is drawn to be fragmented."""
         self.on_written(sender, data)
         receiver = sender.peer
         receiver.unread_bytes += len(data)
@@ -275,14 +283,14 @@
             sender.protocol.pause_writing()
         fragmented = self.conditions.fragmented
         if fragmented and len(data) > 1 and self.random.random() < fragmented:
-            first = self.random.randrange(1, len(data))
-            self.deliver(receiver, data[:first])
-            self.deliver(receiver, data[first:])
+            split = self.random.randrange(1, len(data))
+            self.deliver(receiver, data[:split])
+            self.deliver(receiver, data[split:])
         else:
             self.deliver(receiver, data)
 
     def deliver(self, receiver: Transport, piece: Piece) -> None:
-        """Put something on its way to an end, behind what is on its way already."""
+        """Schedule the arrival of a piece at the receiving end, after all pieces sent before it."""
         if receiver.lost:
             if self.is_answered_with_reset(receiver, piece):
                 self.deliver(receiver.peer, ConnectionEnd(ConnectionResetError("reset by peer")))
@@ -292,7 +300,7 @@
         self.loop.schedule_at(receiver.last_arrival, receiver.machine, receiver.arrive, piece)
 
     def is_answered_with_reset(self, receiver: Transport, piece: Piece) -> bool:
-        """Whether the machine of an abandoned end resets who still writes to it."""
+        """Return whether a piece that is sent to a closed end causes a reset of the sender."""
         return (
             receiver.abandoned
             and not receiver.peer.closing
@@ -311,18 +319,18 @@
         return transport, protocol
 
     def send_datagram(self, sender: DatagramTransport, data: bytes, address: Address) -> None:
-        """Send a datagram, unless it is lost; at times twice or late."""
+        """Send a datagram to one address; it may be lost, duplicated or reordered."""
         target = self.machines.get(address[0])
         conditions = self.conditions
         if target is None or self.is_cut(sender.machine, target) or self.random.random() < conditions.lost:
             return
         copies = 1 + (self.random.random() < conditions.duplicated)
         for _ in range(copies):
-            late = REORDER_DELAY_S * self.random.random() * (self.random.random() < conditions.reordered)
-            at = self.loop.now + self.delay(sender.machine, target) + late
+            reorder_delay = MAX_REORDER_DELAY_S * self.random.random() * (self.random.random() < conditions.reordered)
+            at = self.loop.now + self.delay(sender.machine, target) + reorder_delay
             self.loop.schedule_at(at, target, self.receive_datagram, data, sender.local, address)
 
     def receive_datagram(self, data: bytes, source: Address, address: Address) -> None:
-        """A datagram has arrived at its target's machine."""
+        """Pass an arrived datagram to the socket of its address, if there is one."""
         if address in self.datagram_sockets:
             self.datagram_sockets[address].protocol.datagram_received(data, source)
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -268,7 +268,7 @@
         name = self.machine.name
         self.machine = Machine(name)
         self.process = Machine(name)
-        self.context.network.place(host, self.machine)
+        self.context.network.assign_host(host, self.machine)
         self.context.loop.schedule_at(self.context.loop.now, self.process, self.start)
 
     def start(self) -> None:
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -135,7 +135,7 @@
         self.hosts = [RelayHost(context, discovery, self.plan, number) for number in range(context.shape.relays)]
         for host in self.hosts:
             context.zone_of_machine[host.machine.name] = zone_of(host.number, context.shape)
-            context.network.place(host.host, host.machine)
+            context.network.assign_host(host.host, host.machine)
         self.hosts_by_name = {host.machine.name: host for host in self.hosts}
         self.open_paths: dict[tuple[int, int], OpenPath] = {}
         self.checks = RelayChecks(context, discovery, planners, PLANNERS_CELL)
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -57,7 +57,7 @@
         self.network = self.context.network
         self.checker = self.context.checker
         self.client_machine = Machine("outside")
-        self.network.place(CLIENT_HOST, self.client_machine)
+        self.network.assign_host(CLIENT_HOST, self.client_machine)
         self.planners: list[PlannerHost] = []
         self.proxies: list[Proxy] = []
 
@@ -100,7 +100,7 @@
     def make_discovery(self) -> Discovery:
         """Make the discovery service on its machine."""
         machine = Machine("discovery")
-        self.network.place(DISCOVERY_ADDRESS[0], machine)
+        self.network.assign_host(DISCOVERY_ADDRESS[0], machine)
         return Discovery(self.loop, self.network, machine, DISCOVERY_ADDRESS, self.context.zones)
 
     def add_planners(self) -> None:
@@ -133,7 +133,7 @@
             proxy = Proxy(self.context, self.proxy_parts, number, zone)
             self.context.zone_of_machine[proxy.machine.name] = zone
             subnet, host = divmod(number, PROXIES_PER_SUBNET)
-            self.network.place(f"10.1.{subnet}.{host + 1}", proxy.machine)
+            self.network.assign_host(f"10.1.{subnet}.{host + 1}", proxy.machine)
             self.checker.proxy_started(number, zone)
             self.proxies.append(proxy)
 
@@ -142,7 +142,7 @@
         for zone in range(self.shape.zones):
             machine = Machine(f"collector-{zone}")
             self.context.zone_of_machine[machine.name] = zone
-            self.network.place(f"10.4.0.{zone + 1}", machine)
+            self.network.assign_host(f"10.4.0.{zone + 1}", machine)
             for planner in self.planners:
                 self.collectors.append(
                     Collector(
--- a/tests/trials/test_loop.py
+++ b/tests/trials/test_loop.py
@@ -1,4 +1,4 @@
-"""The virtual loop: time moves when nothing is left to do, callbacks keep their order, machines stall or die."""
+"""The virtual loop: virtual time, the order of callbacks, and machines that stall or are killed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return loop, task
 
 
-def test_hours_pass_at_once_and_in_order() -> None:
+def test_sleeping_tasks_resume_in_order_of_virtual_time_without_waiting() -> None:
     woken: list[tuple[str, float]] = []
 
     async def sleeper(name: str, delay: float) -> None:
@@ -36,7 +36,7 @@
     assert woken == [("a", 1.0), ("b", 3600.0), ("c", 3600.0)]
 
 
-def test_asyncio_primitives_work() -> None:
+def test_asyncio_queues_timeouts_and_wait_use_virtual_time() -> None:
     async def main() -> list[object]:
         queue: asyncio.Queue[int] = asyncio.Queue()
         asyncio.get_running_loop().call_later(2.0, queue.put_nowait, 7)
@@ -44,7 +44,7 @@
         try:
             await asyncio.wait_for(asyncio.sleep(10.0), 1.0)
         except TimeoutError:
-            observed.append("late")
+            observed.append("timeout")
         done, pending = await asyncio.wait({asyncio.ensure_future(asyncio.sleep(5.0))}, timeout=1.0)
         for task in pending:
             task.cancel()
@@ -52,10 +52,10 @@
         return observed
 
     _, task = run(main())
-    assert task.result() == [7, "late", 0, 1, 4.0]
+    assert task.result() == [7, "timeout", 0, 1, 4.0]
 
 
-def test_stalled_machine_runs_all_on_waking_in_order() -> None:
+def test_stalled_machine_runs_parked_callbacks_in_order_when_it_resumes() -> None:
     loop = make_loop()
     machine = Machine("m")
     events: list[Any] = []
@@ -67,38 +67,38 @@
     assert events == [(2.0, 3.5), (3.0, 3.5), (4.0, 4.0)]
 
 
-def test_killed_machine_runs_nothing_more_and_callbacks_inherit_their_machine() -> None:
+def test_callbacks_inherit_their_machine_and_stop_when_it_is_killed() -> None:
     loop = make_loop()
     machine = Machine("m")
     other = Machine("o")
     events: list[Any] = []
 
-    def child() -> None:
+    def reschedule() -> None:
         events.append(loop.machine)
-        loop.call_later(1.0, child)
+        loop.call_later(1.0, reschedule)
 
-    loop.schedule_at(0.5, machine, child)
+    loop.schedule_at(0.5, machine, reschedule)
     loop.schedule_at(0.6, other, lambda: events.append(loop.machine))
     loop.schedule_at(2.0, None, loop.kill, machine)
     loop.run_until(10.0)
     assert events == [machine, other, machine]
 
 
-def test_uncaught_error_is_kept_and_the_rest_goes_on() -> None:
+def test_uncaught_error_is_recorded_and_later_callbacks_run() -> None:
     loop = make_loop()
     events: list[Any] = []
 
     def fail() -> None:
-        raise KeyError("gone")
+        raise KeyError("missing")
 
     loop.schedule_at(1.0, Machine("m"), fail)
     loop.schedule_at(2.0, None, events.append, 1)
     loop.run_until(3.0)
     assert events == [1]
-    assert loop.uncaught_errors == ["m: KeyError('gone')"]
+    assert loop.uncaught_errors == ["m: KeyError('missing')"]
 
 
-def test_signal_reaches_who_listens_for_it() -> None:
+def test_signal_is_delivered_only_to_a_handler_of_its_number() -> None:
     loop = make_loop()
     machine = Machine("m")
     events: list[Any] = []
--- a/tests/trials/test_network.py
+++ b/tests/trials/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network: bytes in order, late, held, in pieces or lost; connections refused, reset, half open."""
+"""The simulated network: delays, fragments, cuts, refused, reset and half-open connections, and datagrams."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from stackwheel.trials.loop import Machine, VirtualLoop
 from stackwheel.trials.network import Network
-from stackwheel.trials.transport import HIGH_WATER, RECEIVE_WINDOW
+from stackwheel.trials.transport import HIGH_WATER_BYTES, RECEIVE_WINDOW_BYTES
 
 ADDRESS = ("10.0.0.2", 80)
 
 
 class RecordingPeer:
-    """A scripted peer that notes what it is notified of."""
+    """A scripted peer that records the callbacks of its protocol."""
 
     def __init__(self) -> None:
         self.received: list[bytes] = []
@@ -44,15 +44,15 @@
 
 
 class Pair:
-    """A client and a server, one connection between them."""
+    """A client and a server on two machines, connected if the server listens."""
 
     def __init__(self, listening: bool = True) -> None:
         self.loop = VirtualLoop()  # type: ignore[abstract]
         self.network = Network(self.loop, random.Random(1), lambda _source, _target: 0.01)
         self.a = Machine("a")
         self.b = Machine("b")
-        self.network.place("10.0.0.1", self.a)
-        self.network.place("10.0.0.2", self.b)
+        self.network.assign_host("10.0.0.1", self.a)
+        self.network.assign_host("10.0.0.2", self.b)
         self.client = RecordingPeer()
         self.servers: list[RecordingPeer] = []
         if listening:
@@ -76,7 +76,7 @@
             self.client.transport.write(piece)
 
 
-def test_bytes_arrive_late_and_in_order() -> None:
+def test_bytes_arrive_after_the_latency_and_in_order() -> None:
     pair = Pair()
     pair.send(b"one", b"two")
     assert pair.servers[0].received == []
@@ -86,7 +86,7 @@
     assert pair.servers[0].received == [b"one", b"two"]
 
 
-def test_bytes_arrive_in_pieces() -> None:
+def test_fragmented_write_arrives_in_two_pieces() -> None:
     pair = Pair()
     pair.network.conditions.fragmented = 1.0
     pair.send(b"abcdefgh")
@@ -115,7 +115,7 @@
     assert pair.servers[0].received == [b"one", b"two"]
 
 
-def test_two_cuts_on_one_path_both_have_to_heal() -> None:
+def test_path_with_two_cuts_is_open_after_both_are_removed() -> None:
     pair = Pair()
     pair.network.cut("a", "b")
     pair.network.cut("a", "b")
@@ -128,7 +128,7 @@
     assert pair.servers[0].received == [b"one"]
 
 
-def test_dial_into_a_cut_connects_after_it_as_the_kernel_retries() -> None:
+def test_dial_during_a_cut_connects_after_it_by_a_retry() -> None:
     pair = Pair()
     pair.network.cut("a", "b")
     pair.client = RecordingPeer()
@@ -141,7 +141,7 @@
     assert pair.client.transport is not None
 
 
-def test_killed_process_resets_its_connections_and_a_vanished_one_does_not() -> None:
+def test_killed_process_resets_its_connections_unless_resets_are_off() -> None:
     pair = Pair()
     pair.network.kill(pair.b)
     pair.run(0.1)
@@ -151,7 +151,7 @@
     pair.send(b"anyone")
     pair.run(60.0)
     assert not pair.client.lost
-    pair.network.place("10.0.0.2", Machine("b"))
+    pair.network.assign_host("10.0.0.2", Machine("b"))
     pair.network.reset_vanished(pair.b)
     pair.run(0.1)
     assert isinstance(pair.client.lost[0], ConnectionResetError)
@@ -194,21 +194,21 @@
     pair = Pair()
     server = pair.servers[0].transport
     server.pause_reading()
-    pair.send(b"x" * RECEIVE_WINDOW)
+    pair.send(b"x" * RECEIVE_WINDOW_BYTES)
     assert not pair.client.paused
-    pair.send(b"x" * (HIGH_WATER + 1))
+    pair.send(b"x" * (HIGH_WATER_BYTES + 1))
     assert pair.client.paused
     assert pair.client.transport is not None
-    assert pair.client.transport.get_write_buffer_size() == HIGH_WATER + 1
+    assert pair.client.transport.get_write_buffer_size() == HIGH_WATER_BYTES + 1
     pair.run(1.0)
     assert not pair.servers[0].received
     server.resume_reading()
     pair.run(0.1)
     assert not pair.client.paused
-    assert sum(map(len, pair.servers[0].received)) == RECEIVE_WINDOW + HIGH_WATER + 1
+    assert sum(map(len, pair.servers[0].received)) == RECEIVE_WINDOW_BYTES + HIGH_WATER_BYTES + 1
 
 
-def test_stalled_process_receives_on_waking_what_its_kernel_took() -> None:
+def test_stalled_process_receives_buffered_bytes_when_it_resumes() -> None:
     pair = Pair()
     pair.loop.set_stalled(pair.b, True)
     pair.send(b"one")
@@ -239,7 +239,7 @@
     assert field != "reordered" or received != sent
 
 
-def test_asyncio_streams_run_on_it() -> None:
+def test_asyncio_streams_work_on_the_simulated_network() -> None:
     pair = Pair(listening=False)
 
     async def serve() -> bytes:
@@ -262,8 +262,8 @@
     assert task.result() == b"HELLO\n"
 
 
-def test_served_listener_hands_connections_to_tasks_and_ends_without_them() -> None:
-    """`asyncio.start_server` needs this of the loop and of a socket that was opened before."""
+def test_asyncio_server_serves_connections_that_stay_open_after_it_is_closed() -> None:
+    """Guards `asyncio.start_server` with a listener that was opened before."""
     pair = Pair(listening=False)
     served: list[asyncio.StreamWriter] = []
 
@@ -293,14 +293,14 @@
     served[0].transport.abort()
 
 
-def test_writer_with_high_water_mark_zero_waits_until_the_kernel_has_taken_all() -> None:
+def test_writer_with_high_watermark_zero_pauses_until_the_buffer_is_empty() -> None:
     pair = Pair()
     pair.network.receive_window = 1000
     assert pair.client.transport is not None
     assert pair.servers[0].transport is not None
     pair.servers[0].transport.pause_reading()
     pair.send(b"x" * 1500)
-    assert not pair.client.paused  # the usual marks
+    assert not pair.client.paused  # below the default high watermark
     pair.client.transport.set_write_buffer_limits(high=0)
     assert pair.client.transport.get_write_buffer_limits() == (0, 0)
     pair.send(b"x")
