--- a/stackwheel/trials/__init__.py
+++ b/stackwheel/trials/__init__.py
@@ -1,1 +1,1 @@
-"""The shipped service on a virtual clock and network, against faults drawn from seeds."""
+"""Deterministic simulation of the service on a virtual clock and network, with faults drawn from seeds."""
--- a/stackwheel/trials/context.py
+++ b/stackwheel/trials/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one simulated run share: script, clock, network, random numbers, checker and digest."""
+"""State shared by all parts of a simulation: script, clock, network, random numbers, checker and digest."""
 
 from __future__ import annotations
 
@@ -18,44 +18,44 @@
 
 
 class RunDigest:
-    """A hash over all that happened: two runs with the same digest are the same run."""
+    """Hash of all events of a run; runs with the same events have the same digest."""
 
-    HEADER = struct.Struct("<dI")  # when, and a number that says to whom
+    HEADER = struct.Struct("<dI")  # time in s, and a port or request number
 
     def __init__(self) -> None:
         self.hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
 
     def add(self, now: float, number: int, data: bytes) -> None:
-        """Add an event."""
+        """Add an event with its time in s and a number that identifies the receiver or the request."""
         self.hasher.update(self.HEADER.pack(now, number) + data)
 
     def add_text(self, text: str) -> None:
-        """Add a line that belongs to no time."""
+        """Add a text without a time."""
         self.hasher.update(text.encode())
 
     def hexdigest(self) -> str:
-        """The digest so far."""
+        """Return the digest of all events added so far, as hexadecimal digits."""
         return self.hasher.hexdigest()
 
 
 class SimulationContext:
-    """The base that the parts of a simulation are built on; it knows none of them.
+    """State and services that all parts of a simulation use; it does not refer to the parts.
 
     Attributes:
-        random: Draws what the script leaves to chance outside of the network and the proxies.
-        zone_of_machine: By a machine's name; machines without a zone are near to all.
-        planner_numbers: By a planner machine's name.
-        retired_machines: Former incarnations, kept so that none is finalised at a random time.
-        transit_factor: Of the time that updates take.
-        counts: Figures of the run, by name.
-        trace: Takes a line for each thing that happens, if asked for.
+        random: Random numbers of all parts except the network, the proxies and the relays.
+        zone_of_machine: Zone by machine name; a machine without a zone has the latency within a zone to all others.
+        planner_numbers: Number of the planner by machine name.
+        retired_machines: Former incarnations, referenced so that none is finalised at a nondeterministic time.
+        transit_factor: Factor of the transit time of updates.
+        counts: Counts of the run, by name.
+        trace: Called with a line for each event, if a trace is requested.
     """
 
     def __init__(self, script: Script, trace: Callable[[str], None] | None = None) -> None:
         self.script = script
         self.shape = script.shape
         self.trace = trace
-        self.loop = VirtualLoop()  # type: ignore[abstract]  # it has what the service uses of a loop
+        self.loop = VirtualLoop()  # type: ignore[abstract]  # implements only the methods that the service uses
         self.random = random.Random(f"world {script.seed}")
         self.zones = tuple(f"z{number}" for number in range(self.shape.zones))
         self.network = Network(self.loop, random.Random(f"network {script.seed}"), self.latency)
@@ -70,34 +70,34 @@
         self.counts: dict[str, int] = {}
 
     def now_ms(self) -> float:
-        """The virtual time in ms, as the checker takes it."""
+        """Return the virtual time in ms."""
         return self.loop.now * 1000.0
 
     def schedule_after(self, delay: float, callback: Callable[..., object], *args: object) -> None:
-        """Run something that belongs to no machine after a delay in s."""
+        """Schedule a callback that belongs to no machine after a delay in s."""
         self.loop.schedule_at(self.loop.now + delay, None, callback, *args)
 
     def latency(self, source: Machine, target: Machine) -> float:
-        """Seconds from one machine to another, as a mean."""
+        """Return the mean latency from one machine to another, in s."""
         source_zone = self.zone_of_machine.get(source.name)
         target_zone = self.zone_of_machine.get(target.name)
         same_zone = source_zone is None or target_zone is None or source_zone == target_zone
         return (self.shape.zone_latency if same_zone else self.shape.cross_zone_latency) / 1000.0
 
     def planner_of(self, machine: Machine) -> int | None:
-        """The number of the planner on a machine, if it is one's."""
+        """Return the number of the planner that runs on a machine; None for other machines."""
         return self.planner_numbers.get(machine.name)
 
-    def successor(self, machine: Machine, host: str) -> Machine:
-        """The machine of the next incarnation of a process: the same one if it still lives."""
-        present = machine
+    def start_machine(self, machine: Machine, host: str) -> Machine:
+        """Return the machine of a process's next incarnation: the same one if it is alive, otherwise a new one."""
+        current = machine
         if not machine.alive:
-            present = Machine(machine.name)
+            current = Machine(machine.name)
             self.retired_machines.append(machine)
-        self.network.assign_host(host, present)
+        self.network.assign_host(host, current)
         self.network.reset_vanished(machine)
-        return present
+        return current
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to one of the run's figures."""
+        """Increment a count of the run."""
         self.counts[name] = self.counts.get(name, 0) + by
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -30,7 +30,7 @@
 from stackwheel.trials.file_proxies import KEYS, FileProxy
 from stackwheel.trials.fleet import ServerFleet
 from stackwheel.trials.loop import Machine
-from stackwheel.trials.planner_config import EPOCH_S
+from stackwheel.trials.planner_config import START_UNIX_TIME_S
 from stackwheel.trials.planners import PlannerHost
 from stackwheel.trials.proxies import Proxy
 
@@ -127,7 +127,7 @@
 
     def wall_clock_ms(self) -> float:
         """Unix time in ms."""
-        return (EPOCH_S + self.context.loop.now) * 1000.0
+        return (START_UNIX_TIME_S + self.context.loop.now) * 1000.0
 
     @staticmethod
     def disk_runner(disk: SimulatedDisk) -> Callable[..., Any]:
--- a/stackwheel/trials/fleet.py
+++ b/stackwheel/trials/fleet.py
@@ -9,7 +9,7 @@
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.discovery import Discovery
 from stackwheel.trials.discovery_records import ServerRecord
-from stackwheel.trials.planner_config import EPOCH_S
+from stackwheel.trials.planner_config import START_UNIX_TIME_S
 from stackwheel.trials.servers import Server
 from stackwheel.trials.shape import zone_of
 
@@ -59,7 +59,7 @@
     @staticmethod
     def record_of(server: Server) -> ServerRecord:
         """A server as discovery would list it now."""
-        started_at = 0.0 if server.started_at is None else (EPOCH_S + server.started_at) * 1000.0
+        started_at = 0.0 if server.started_at is None else (START_UNIX_TIME_S + server.started_at) * 1000.0
         subnet, host = divmod(server.number, SERVERS_PER_SUBNET)
         return ServerRecord(
             server.name,
--- a/stackwheel/trials/monitor.py
+++ b/stackwheel/trials/monitor.py
@@ -10,7 +10,7 @@
 from stackwheel.trials.channel import UpdateChannels
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.discovery import DiscoveryCall
-from stackwheel.trials.planners import BelievedState, PlannerHost
+from stackwheel.trials.planners import AssumedProxyState, PlannerHost
 from stackwheel.trials.proxies import PlannerStream, Proxy
 from stackwheel.trials.relays import RelayGroup
 from stackwheel.trials.transport import Transport
@@ -103,7 +103,7 @@
     def compare(self, planner: PlannerHost, proxy: Proxy) -> None:
         """All that a planner sent has been applied: both hold the same."""
         self.context.count("agreements")
-        believed = planner.believed_state(proxy.number)
+        believed = planner.assumed_state(proxy.number)
         if believed is None:
             return
         for reason in find_disagreements(believed, proxy):
@@ -139,7 +139,7 @@
                 self.context.checker.check_deadlines(now * 1000.0)
 
 
-def find_disagreements(believed: BelievedState, proxy: Proxy) -> list[str]:
+def find_disagreements(believed: AssumedProxyState, proxy: Proxy) -> list[str]:
     """In what a proxy's state differs from what its planner believes."""
     reasons = []
     for class_index, wanted in believed.lines.items():
--- a/stackwheel/trials/planner_config.py
+++ b/stackwheel/trials/planner_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a simulated planner: the settings and deploy file as the platform hands them out."""
+"""The configuration of a simulated planner: its settings and its deploy file."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from stackwheel.settings import load_settings
 from stackwheel.trials.shape import ScriptClass, Shape
 
-EPOCH_S = 1_800_000_000.0  # the wall clock at the start of every trial
+START_UNIX_TIME_S = 1_800_000_000.0
 LISTEN_PORT = 8081
 GOSSIP_PORT = 7946
-MULTICAST_HOST = "10.3.255.1"  # datagrams to it reach all planners
-CONNECTION_LIMIT = 1024
-SEED_FACTOR = 1000  # keeps the seeds of planners of different trials apart
-SEEDS_PER_INCARNATION = 16  # as many planners as a shape may have
+MULTICAST_HOST = "10.3.255.1"
+MAX_CONNECTIONS = 1024
+PLANNER_SEED_FACTOR = 1000  # separates the seeds of planners in different trials
+SEEDS_PER_INCARNATION = 16  # the maximum number of planners of a shape
 
 
 def planner_host(number: int) -> str:
-    """The address of a planner's machine."""
+    """Return the host address of a planner."""
     return f"10.0.0.{number + 1}"
 
 
 def class_document(request_class: ScriptClass) -> dict[str, Any]:
-    """One request class as the settings state it."""
+    """Return the settings of a request class."""
     return {
         "name": request_class.name,
         "target": request_class.latency_objective,
@@ -37,7 +37,7 @@
 
 
 def family_document(shape: Shape) -> dict[str, Any]:
-    """The settings of the channel and of how proxies forward."""
+    """Return the settings of the update channel and of the forwarding proxies."""
     return {
         "agents": shape.proxies,
         "backlog": shape.queue_limit,
@@ -60,7 +60,7 @@
 
 
 def obligations_document(shape: Shape) -> dict[str, Any]:
-    """The settings of what obliges planners."""
+    """Return the settings of the obligations of planners."""
     return {
         "ask_within": shape.list_poll_deadline,
         "cold": shape.slow_start_duration,
@@ -73,7 +73,7 @@
 
 
 def settings_document(shape: Shape, zones: Sequence[str], number: int) -> dict[str, Any]:
-    """The settings of one planner, by the names of the platform."""
+    """Return the settings of a planner, with the keys that the settings file uses."""
     return {
         "me": number,
         "instances": shape.planners,
@@ -96,7 +96,7 @@
 
 
 def simulated_settings(shape: Shape, zones: Sequence[str]) -> Settings:
-    """The settings as the planners of a shape read them."""
+    """Return the settings that the planners of a shape load."""
     return load_settings(settings_document(shape, zones, 0)).settings
 
 
@@ -107,19 +107,19 @@
     seed: int,
     incarnation: int,
     discovery_addresses: str,
-    known_list: dict[str, object],
+    current_list: dict[str, object],
 ) -> dict[str, Any]:
-    """The deploy file of one planner, by the names of the platform."""
+    """Return the deploy file of a planner, with the keys that the file uses."""
     host = planner_host(number)
     return {
         "name": f"planner-{number}",
         "listen": f"{host}:{LISTEN_PORT}",
         "discovery": discovery_addresses,
-        "seed": f"{seed * SEED_FACTOR + incarnation * SEEDS_PER_INCARNATION + number:x}",
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": CONNECTION_LIMIT},
+        "seed": f"{seed * PLANNER_SEED_FACTOR + incarnation * SEEDS_PER_INCARNATION + number:x}",
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": MAX_CONNECTIONS},
         "peer_listen": f"{host}:{GOSSIP_PORT}",
         "peers": [f"{planner_host(peer)}:{GOSSIP_PORT}" for peer in range(shape.planners)],
         "peers_all": f"{MULTICAST_HOST}:{GOSSIP_PORT}",
-        "known": known_list,
+        "known": current_list,
         "settings": settings_document(shape, zones, number),
     }
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -1,4 +1,4 @@
-"""A simulated planner: the shipped service, from configuration to accept to write, on the virtual loop."""
+"""Simulated planners: the unmodified service on the virtual loop and network."""
 
 from __future__ import annotations
 
@@ -17,42 +17,48 @@
 from stackwheel.state.streams import ProxyStream
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.loop import Address, Machine
-from stackwheel.trials.planner_config import CONNECTION_LIMIT, EPOCH_S, LISTEN_PORT, planner_document, planner_host
+from stackwheel.trials.planner_config import (
+    LISTEN_PORT,
+    MAX_CONNECTIONS,
+    START_UNIX_TIME_S,
+    planner_document,
+    planner_host,
+)
 from stackwheel.wire.connection import Connection
 
-MAX_MAILBOX = 20_000  # messages
+MAX_MAILBOX_MESSAGES = 20_000
 MAX_TIMERS = 256
-MAX_LIST_CALLS = 16  # calls for the endpoint list at once
-MAX_PENDING_NONCES = 64  # of one stream
+MAX_LIST_FETCHES = 16  # concurrent fetches of the endpoint list
+MAX_PENDING_NONCES_PER_STREAM = 64
 
 
 class PlannerEnvironment(Protocol):
-    """What a planner's machine needs of the rest of a simulation."""
+    """The part of the simulation that planners use."""
 
     def discovery_addresses(self, planner: int) -> str:
-        """Where a planner is configured to call for the endpoint list."""
+        """Return the configured addresses at which a planner fetches the endpoint list."""
 
-    def known_list(self) -> dict[str, object]:
-        """The endpoint list as it is now, as a document."""
+    def current_list(self) -> dict[str, object]:
+        """Return the current endpoint list as a document."""
 
-    def transports_of(self, planner: PlannerHost, context: PlannerContext) -> list[ProxyTransport]:
-        """The planner's transports beside its sockets."""
+    def create_transports(self, planner: PlannerHost, context: PlannerContext) -> list[ProxyTransport]:
+        """Create the transports of a planner in addition to its sockets."""
 
     def planner_started(self, planner: PlannerHost) -> None:
-        """A planner is ready to serve."""
+        """Register that a planner has started to listen."""
 
     def planner_stopped(self, planner: PlannerHost) -> None:
-        """A planner's process is about to end."""
+        """Register that the process of a planner is about to end."""
 
 
 @dataclass(frozen=True, slots=True)
-class BelievedState:
-    """What a planner believes a proxy to hold.
+class AssumedProxyState:
+    """The state that a planner assumes a proxy to have.
 
     Attributes:
-        lines: By class: weights by server.
-        levels: By class: the admission level.
-        ejected: By server: whether it is ejected there.
+        lines: By class index: weights by server name.
+        levels: By class index: the admission level, or None.
+        ejected: By server name: whether the server is ejected.
     """
 
     lines: Mapping[int, Mapping[str, float]]
@@ -61,13 +67,13 @@
 
 
 class PlannerHost:
-    """The machine a planner runs on: start, kill, reload, and what can be seen of it from outside.
+    """The machine of a planner; it starts, kills and reloads the service and inspects its state.
 
     Attributes:
-        service: The running service; None after a kill.
-        publisher: What writes files, where there are files.
-        incarnation: How often a process was started.
-        discovery: The addresses of discovery, as configured.
+        service: The running service; None before the first start and after a kill.
+        publisher: The publisher of files; None in trials without files.
+        incarnation: Number of processes started so far.
+        discovery: The configured addresses of the endpoint list.
     """
 
     def __init__(self, context: SimulationContext, environment: PlannerEnvironment, number: int) -> None:
@@ -84,11 +90,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether a process lives."""
+        """Whether the process of the planner is running."""
         return self.machine.alive and self.service is not None
 
     def document(self) -> dict[str, Any]:
-        """The deploy file as it is now."""
+        """Return the current deploy file."""
         return planner_document(
             self.context.shape,
             self.context.zones,
@@ -96,47 +102,47 @@
             self.context.script.seed,
             self.incarnation,
             self.discovery,
-            self.environment.known_list(),
+            self.environment.current_list(),
         )
 
     def load_config(self) -> Config:
-        """Read the configuration, as the service does at its start and at SIGHUP."""
+        """Read the configuration from the current deploy file."""
         return read_config(self.document())
 
     def start(self) -> None:
-        """Start a process: it knows the list as it is now and nothing else."""
+        """Start a process; its only initial knowledge is its configuration with the current endpoint list."""
         context = self.context
-        self.machine = context.successor(self.machine, self.host)
+        self.machine = context.start_machine(self.machine, self.host)
         self.incarnation += 1
         self.discovery = self.environment.discovery_addresses(self.number)
         config = self.load_config()
         loop = context.loop
         environment = ProcessEnvironment(
-            transports=self.make_transports,
-            wall_clock=lambda: EPOCH_S + loop.now,
+            transports=self.additional_transports,
+            wall_clock=lambda: START_UNIX_TIME_S + loop.now,
             monotonic_clock=lambda: loop.now,
             load_config=self.load_config,
-            open_listener=self.listen_at,
-            unblock_signals=self.ready,
+            open_listener=self.open_listener,
+            unblock_signals=self.listening_started,
         )
         with loop.running_as(self.machine):
             self.service = Service(config, environment)
         loop.start_process(self.machine, self.service.run())
 
-    def make_transports(self, context: PlannerContext) -> list[ProxyTransport]:
-        """The transports beside the sockets."""
-        return self.environment.transports_of(self, context)
+    def additional_transports(self, context: PlannerContext) -> list[ProxyTransport]:
+        """Create the transports of this planner in addition to its sockets."""
+        return self.environment.create_transports(self, context)
 
-    def listen_at(self, _address: str) -> socket.socket:
-        """Listen on the simulated network."""
+    def open_listener(self, _address: str) -> socket.socket:
+        """Open a listener on the simulated network at this planner's address."""
         return cast(socket.socket, self.context.network.listen(self.machine, self.address))
 
-    def ready(self) -> None:
-        """The service has begun to listen."""
+    def listening_started(self) -> None:
+        """Notify the simulation that the service has started to listen."""
         self.environment.planner_started(self)
 
     def kill(self, resets_connections: bool = True) -> None:
-        """End the process; without resets its machine vanishes."""
+        """End the process; without resets, its peers are not notified."""
         if not self.machine.alive:
             return
         self.environment.planner_stopped(self)
@@ -144,19 +150,19 @@
         self.service = None
 
     def reload(self) -> None:
-        """Let the configuration name where discovery is now, and send SIGHUP."""
+        """Configure the current addresses of the endpoint list and send SIGHUP to the service."""
         self.discovery = self.environment.discovery_addresses(self.number)
         self.context.loop.deliver_signal(self.machine, signal.SIGHUP)
 
-    # What can be seen.
+    # Inspection.
 
     def stream_of(self, proxy: int) -> ProxyStream | None:
-        """The planner's stream of a proxy."""
+        """Return the stream of a proxy to this planner; None without a stream."""
         assert self.service is not None
         return self.service.planner.streams.by_proxy.get(proxy)
 
-    def believed_state(self, proxy: int) -> BelievedState | None:
-        """What it believes a proxy to hold; None without a stream."""
+    def assumed_state(self, proxy: int) -> AssumedProxyState | None:
+        """Return the state that the planner assumes a proxy to have; None without a stream."""
         assert self.service is not None
         tables = self.service.planner.updates
         name_of = self.service.endpoints.server_ids.name
@@ -174,20 +180,20 @@
         ejected = {
             name: is_ejected for server, is_ejected in stream.ejected.items() if (name := name_of(server)) is not None
         }
-        return BelievedState(lines, levels, ejected)
+        return AssumedProxyState(lines, levels, ejected)
 
     def last_pending_nonce(self, proxy: int) -> int | None:
-        """The newest nonce that it has sent a proxy and got no answer to."""
+        """Return the newest nonce sent to a proxy and not acknowledged yet; None if there is none."""
         stream = self.stream_of(proxy)
         return next(reversed(stream.pending_nonces), None) if stream is not None else None
 
     def unsent_bytes(self, proxy: int) -> int:
-        """Bytes for a proxy that still wait in the planner."""
+        """Return the number of bytes for a proxy that the planner has not written yet."""
         stream = self.stream_of(proxy)
         return stream.connection.unsent_bytes if stream is not None and isinstance(stream.connection, Connection) else 0
 
     def bounded_sizes(self) -> Iterator[BoundedCount]:
-        """What it keeps for others; the names appear in verdicts."""
+        """Iterate over the sizes of the planner's collections, with their limits; verdicts contain the names."""
         assert self.service is not None
         shape = self.context.shape
         transport = self.service.transport
@@ -197,25 +203,31 @@
         table = transport.connection_table
         connections = table.connections
         yield BoundedCount("streams", len(planner.streams.by_proxy) + len(planner.streams.timed_out), shape.proxies)
-        yield BoundedCount("limiters", len(transport.limiters), shape.proxies)
-        yield BoundedCount("bytes that wait", budget.total_bytes, budget.max_bytes)
+        yield BoundedCount("rate limiters", len(transport.limiters), shape.proxies)
+        yield BoundedCount("buffered bytes", budget.total_bytes, budget.max_bytes)
         yield BoundedCount(
-            "bytes that wait, beside their sum", abs(budget.total_bytes - sum(budget.bytes_by_connection.values())), 0
+            "difference of buffered bytes from their sum over connections",
+            abs(budget.total_bytes - sum(budget.bytes_by_connection.values())),
+            0,
         )
         yield BoundedCount(
-            "peers that hold bytes, not attended",
+            "peers with buffered bytes and no connection",
             sum(peer not in connections for peer in budget.bytes_by_connection),
             0,
         )
-        yield BoundedCount("unidentified not attended", sum(peer not in connections for peer in table.unidentified), 0)
-        yield BoundedCount("connections", len(connections) + table.arriving, CONNECTION_LIMIT)
+        yield BoundedCount(
+            "unidentified peers without a connection", sum(peer not in connections for peer in table.unidentified), 0
+        )
+        yield BoundedCount("connections", len(connections) + table.arriving, MAX_CONNECTIONS)
         yield BoundedCount("tasks", len(transport.supervisor.tasks), 8 + 2 * len(connections) + 4 * shape.servers)
-        yield BoundedCount("calls for the list", len(transport.discovery.fetch_tasks), MAX_LIST_CALLS)
-        yield BoundedCount("gone servers", len(endpoints.removed), 64 + 3 * len(endpoints.entries) + 8)
+        yield BoundedCount("fetches of the endpoint list", len(transport.discovery.fetch_tasks), MAX_LIST_FETCHES)
+        yield BoundedCount("removed servers", len(endpoints.removed), 64 + 3 * len(endpoints.entries) + 8)
         yield BoundedCount(
-            "names", len(endpoints.server_ids.names), len(endpoints.entries) + len(endpoints.removed) + 8
+            "server names", len(endpoints.server_ids.names), len(endpoints.entries) + len(endpoints.removed) + 8
         )
-        yield BoundedCount("mailbox", len(planner.mailbox), MAX_MAILBOX)
+        yield BoundedCount("mailbox messages", len(planner.mailbox), MAX_MAILBOX_MESSAGES)
         yield BoundedCount("timers", len(planner.timers), MAX_TIMERS)
         for stream in planner.streams.by_proxy.values():
-            yield BoundedCount(f"marks of proxy {stream.proxy}", len(stream.pending_nonces), MAX_PENDING_NONCES)
+            yield BoundedCount(
+                f"pending nonces of proxy {stream.proxy}", len(stream.pending_nonces), MAX_PENDING_NONCES_PER_STREAM
+            )
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -22,7 +22,7 @@
 from stackwheel.trials.discovery_records import ServerRecord
 from stackwheel.trials.loop import Machine
 from stackwheel.trials.network import Conditions
-from stackwheel.trials.planner_config import EPOCH_S
+from stackwheel.trials.planner_config import START_UNIX_TIME_S
 from stackwheel.trials.planners import PlannerHost
 from stackwheel.trials.relay_checks import RelayChecks
 from stackwheel.trials.shape import zone_of
@@ -76,7 +76,7 @@
     def start(self) -> None:
         """Start a process, which knows nothing."""
         context = self.context
-        self.machine = context.successor(self.machine, self.host)
+        self.machine = context.start_machine(self.machine, self.host)
         self.incarnation += 1
         config = RelayConfig(self.machine.name, "{}:{}".format(*self.discovery.address), Path("plan"))
         environment = RelayEnvironment(self.open_listener, self.load_assignment, lambda: None)
@@ -199,7 +199,7 @@
         elif before.availability is Availability.DRAINING:
             now = replace(before, availability=Availability.REMOVED)
         else:
-            now = self.other_record(number, (EPOCH_S + self.context.loop.now) * 1000.0)
+            now = self.other_record(number, (START_UNIX_TIME_S + self.context.loop.now) * 1000.0)
         self.other_records[number] = now
         self.discovery.change([now])
         self.checks.remember([now])
--- a/stackwheel/trials/simulation.py
+++ b/stackwheel/trials/simulation.py
@@ -1,4 +1,4 @@
-"""Runs a world from its beginning to the end of its script, with the script's faults."""
+"""Runs of simulated deployments, with the faults of a script."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from stackwheel.trials.script import Script
 from stackwheel.trials.world import World
 
-MAX_UNCAUGHT_ERRORS = 3  # of one run that become verdicts
+MAX_REPORTED_ERRORS = 3  # uncaught exceptions of a run that become verdicts
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of a trial.
+    """The result of a trial.
 
     Attributes:
         seed: The script's seed.
-        digest: A hash over all that happened.
-        verdicts: The rules that were broken.
-        virtual_seconds: How long the run was, on its own clock.
-        callbacks_run: Steps of the virtual loop.
-        requests: Clients' retries included.
-        service: Value answered over value requested.
-        figures: Other counts, by name.
+        digest: Hash of all events of the run.
+        verdicts: The violations of rules.
+        virtual_seconds: Duration of the run on the virtual clock.
+        callbacks_run: Number of callbacks that the virtual loop ran.
+        requests: Number of requests, retries of clients included.
+        service: Value of the answered requests divided by the value of all requests, from 0 to 1.
+        figures: Further counts, by name.
     """
 
     seed: int
@@ -44,26 +44,26 @@
 
     @property
     def broken(self) -> bool:
-        """Whether a rule was broken."""
+        """Whether the run violated a rule."""
         return bool(self.verdicts)
 
 
 def run_script(script: Script, trace: Callable[[str], None] | None = None) -> Result:
-    """Run a script in a new world; `trace` is given a line for each thing that happens."""
+    """Run a script in a new simulation; `trace` is called with a line for each event."""
     return run_world(World(script, trace))
 
 
 def run_world(world: World) -> Result:
-    """Run a world to the end of its script; it can't be run again."""
-    with log_taken(world):
+    """Run a simulation to the end of its script; a simulation can be run only once."""
+    with captured_log(world):
         try:
             begin(world)
             world.loop.run_until(world.script.span)
             if world.relays is not None:
                 world.relays.settle()
-            for error in world.loop.uncaught_errors[:MAX_UNCAUGHT_ERRORS]:
+            for error in world.loop.uncaught_errors[:MAX_REPORTED_ERRORS]:
                 world.checker.report_violation(world.context.now_ms(), Rule.UPRIGHT, error)
-            return result_of(world)
+            return collect_result(world)
         finally:
             world.loop.close()
             for machine in world.machines():
@@ -71,27 +71,27 @@
 
 
 def begin(world: World) -> None:
-    """Schedule the first callbacks and the script's faults."""
+    """Schedule the first callbacks and the faults of the script."""
     world.begin()
     for fault in world.script.faults:
         world.loop.schedule_at(fault.at, None, begin_fault, world, fault)
 
 
 @contextmanager
-def log_taken(world: World) -> Iterator[None]:
-    """Give the log to the world: errors break a rule, and a trace gets all lines; other sinks are removed."""
+def captured_log(world: World) -> Iterator[None]:
+    """Replace the sinks of the log: errors become violations, and all lines are traced if a trace is requested."""
     logger.remove()
     sinks = [logger.add(world.monitor.error_logged, level="ERROR", format="{message}", catch=False)]
     if world.context.trace is not None:
         trace = world.context.trace
 
         def trace_message(message: Any) -> None:
-            """Trace a log line with the time and the machine."""
+            """Trace a log line with the virtual time and the machine."""
             trace(f"{world.loop.now:9.3f} {world.loop.machine}: {message.record['message']}")
 
         sinks.append(logger.add(trace_message, level="DEBUG", format="{message}", catch=False))
     hook = sys.unraisablehook
-    sys.unraisablehook = lambda _: None  # of coroutines that are thrown away
+    sys.unraisablehook = lambda _: None  # unfinished coroutines may raise when they are finalised
     try:
         yield
     finally:
@@ -100,8 +100,8 @@
             logger.remove(sink)
 
 
-def result_of(world: World) -> Result:
-    """What has come of a world so far."""
+def collect_result(world: World) -> Result:
+    """Return the result of a simulation up to now."""
     context = world.context
     for verdict in world.checker.violations:
         context.digest.add_text(str(verdict))
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -1,4 +1,4 @@
-"""One simulated deployment: all its parts, put together as a script's shape describes it."""
+"""A simulated deployment, with all parts that the shape of a script describes."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 CLIENT_HOST = "10.8.0.1"
 DISCOVERY_ADDRESS = ("10.2.0.1", 8500)
 PROXIES_PER_SUBNET = 250
-FIRST_REPORT_S = 1.0  # of the first planner's collectors
-REPORT_STAGGER_S = 0.1  # between the collectors of one planner and the next
-COLLECTOR_START_S = 0.1
-PROXY_START_S = 0.05
-PROXY_START_SPREAD_S = 0.5
-FIRST_REQUEST_S = 1.0
+FIRST_LOAD_REPORT_AT_S = 1.0
+LOAD_REPORT_STAGGER_S = 0.1  # between the first load reports to one planner and to the next
+COLLECTOR_START_AT_S = 0.1
+FIRST_PROXY_START_AT_S = 0.05
+MAX_PROXY_START_DELAY_S = 0.5
+FIRST_REQUEST_AT_S = 1.0
 
 
 class World:
-    """The parts of a simulation, and what concerns several of them.
+    """The parts of a simulation, and the operations that concern several of them.
 
-    It is built, not run: see `simulation.run_world`.
+    The constructor builds the deployment; `simulation.run_world` runs it.
 
     Attributes:
-        loop, network, checker: Of the context, for short.
-        client_machine: Where clients that belong to nobody run.
-        relays: Between discovery and planners, if the shape has any.
-        files: The exchange by files, if the shape has it.
+        loop, network, checker: Shortcuts to the attributes of the context.
+        client_machine: Machine outside of the deployment, from which faults open connections.
+        relays: The relays between discovery service and planners; None if the shape has none.
+        files: The exchange of files between planners and proxies; None if the shape has none.
     """
 
     def __init__(self, script: Script, trace: Callable[[str], None] | None = None) -> None:
@@ -61,21 +61,21 @@
         self.planners: list[PlannerHost] = []
         self.proxies: list[Proxy] = []
 
-        self.discovery = self.make_discovery()
+        self.discovery = self.create_discovery()
         self.notifications = Notifications(self.context, self.discovery, self.planners)
         self.fleet = ServerFleet(self.context, self.discovery, self.cell_records, self.list_changed)
         has_relays = bool(self.shape.relays)
         self.relays = RelayGroup(self.context, self.discovery, self.planners) if has_relays else None
 
-        self.add_planners()
+        self.create_planners()
         self.channels = UpdateChannels(self.context)
         self.reports = ReportPath(self.context)
         self.clients = Clients(self.context, self.proxies)
         self.attempts = Attempts(self.context, self.fleet)
-        self.proxy_parts = self.make_proxy_parts()
-        self.add_proxies()
+        self.proxy_parts = self.collect_proxy_parts()
+        self.create_proxies()
         self.collectors: list[Collector] = []
-        self.add_collectors()
+        self.create_collectors()
         self.files: FileExchange | None = None
         if self.shape.files:
             self.files = FileExchange(self.context, self.fleet, self.planners, self.proxies)
@@ -86,10 +86,10 @@
         self.warmup_monitor = WarmupMonitor(self.context, self.fleet, self.channels, self.proxies)
         self.connect_observers()
 
-    # Building.
+    # Construction.
 
     def connect_observers(self) -> None:
-        """Let the lower parts notify those that observe them."""
+        """Set the callbacks by which network, loop and discovery service notify the monitor and notifications."""
         self.discovery.planner_of = self.context.planner_of
         self.discovery.on_sent = self.notifications.update_sent
         self.discovery.on_received = self.notifications.update_received
@@ -97,14 +97,14 @@
         self.network.on_written = self.monitor.bytes_written
         self.loop.after_callback = self.monitor.after_callback
 
-    def make_discovery(self) -> Discovery:
-        """Make the discovery service on its machine."""
+    def create_discovery(self) -> Discovery:
+        """Create the discovery service on a machine of its own."""
         machine = Machine("discovery")
         self.network.assign_host(DISCOVERY_ADDRESS[0], machine)
         return Discovery(self.loop, self.network, machine, DISCOVERY_ADDRESS, self.context.zones)
 
-    def add_planners(self) -> None:
-        """Make the planners' machines, which all hear the multicast group."""
+    def create_planners(self) -> None:
+        """Create the planners, with their zones and the multicast group of all of them."""
         for number in range(self.shape.planners):
             planner = PlannerHost(self.context, self, number)
             name = planner.machine.name
@@ -114,8 +114,8 @@
         gossip_addresses = tuple((planner.host, GOSSIP_PORT) for planner in self.planners)
         self.network.multicast_groups[(MULTICAST_HOST, GOSSIP_PORT)] = gossip_addresses
 
-    def make_proxy_parts(self) -> ProxyParts:
-        """Gather what proxies use of the other parts."""
+    def collect_proxy_parts(self) -> ProxyParts:
+        """Return the parts of the simulation that proxies use."""
         return ProxyParts(
             self.fleet,
             self.channels,
@@ -126,8 +126,8 @@
             self.planner_machine,
         )
 
-    def add_proxies(self) -> None:
-        """Make the proxies."""
+    def create_proxies(self) -> None:
+        """Create the proxies on machines of their own."""
         for number in range(self.shape.proxies):
             zone = zone_of(number, self.shape)
             proxy = Proxy(self.context, self.proxy_parts, number, zone)
@@ -137,8 +137,8 @@
             self.checker.proxy_started(number, zone)
             self.proxies.append(proxy)
 
-    def add_collectors(self) -> None:
-        """Make a collector's machine in each zone, with a connection to each planner."""
+    def create_collectors(self) -> None:
+        """Create a machine in each zone, with one collector for each planner."""
         for zone in range(self.shape.zones):
             machine = Machine(f"collector-{zone}")
             self.context.zone_of_machine[machine.name] = zone
@@ -157,41 +157,41 @@
                 )
 
     def begin(self) -> None:
-        """Schedule the first callbacks of all parts."""
+        """Schedule the first callbacks of all parts of the simulation."""
         if self.relays is not None:
             self.relays.begin()
         for planner in self.planners:
             self.loop.schedule_at(0.0, None, planner.start)
         for proxy in self.proxies:
-            at = PROXY_START_S + PROXY_START_SPREAD_S * proxy.random.random()
+            at = FIRST_PROXY_START_AT_S + MAX_PROXY_START_DELAY_S * proxy.random.random()
             self.loop.schedule_at(at, proxy.process, proxy.start)
         for collector in self.collectors:
-            first_report = FIRST_REPORT_S + REPORT_STAGGER_S * collector.planner.number
-            self.loop.schedule_at(COLLECTOR_START_S, collector.machine, collector.dial)
+            first_report = FIRST_LOAD_REPORT_AT_S + LOAD_REPORT_STAGGER_S * collector.planner.number
+            self.loop.schedule_at(COLLECTOR_START_AT_S, collector.machine, collector.dial)
             self.loop.schedule_at(first_report, collector.machine, collector.send_load_reports)
-        self.context.schedule_after(FIRST_REQUEST_S, self.clients.make_next_request)
+        self.context.schedule_after(FIRST_REQUEST_AT_S, self.clients.make_next_request)
         self.context.schedule_after(WARMUP_CHECK_S, self.warmup_monitor.check)
         self.context.schedule_after(BOUNDS_INTERVAL_S, self.monitor.check_bounds)
 
-    # What planners' machines need (`PlannerEnvironment`).
+    # The interface `PlannerEnvironment`.
 
     def discovery_addresses(self, planner: int) -> str:
-        """Where a planner is configured to call for the endpoint list."""
+        """Return the configured addresses at which a planner fetches the endpoint list."""
         if self.relays is not None:
             return self.relays.addresses_of(planner)
         return "{}:{}".format(*self.discovery.address)
 
-    def known_list(self) -> dict[str, object]:
-        """The planners' endpoint list as it is now, as a document."""
+    def current_list(self) -> dict[str, object]:
+        """Return the current endpoint list of the planners as a document."""
         records = tuple(self.cell_records().values())
         return list_document(records, True, self.discovery.generation, self.context.zones)
 
-    def transports_of(self, planner: PlannerHost, context: PlannerContext) -> list[ProxyTransport]:
-        """A planner's transports beside its sockets."""
+    def create_transports(self, planner: PlannerHost, context: PlannerContext) -> list[ProxyTransport]:
+        """Create the transports of a planner in addition to its sockets."""
         return [] if self.files is None else [self.files.make_publisher(planner, context)]
 
     def planner_started(self, planner: PlannerHost) -> None:
-        """A planner is ready to serve: it knows the list as it is now."""
+        """Register a planner that has started to listen, with the current endpoint list as its known list."""
         number = planner.number
         now = self.context.now_ms()
         self.checker.planner_ready(number, now)
@@ -202,7 +202,7 @@
             self.checker.endpoint_notified(number, now, record.name, listed_endpoint(record))
 
     def planner_stopped(self, planner: PlannerHost) -> None:
-        """A planner's process is about to end."""
+        """Register that the process of a planner is about to end."""
         number = planner.number
         self.checker.planner_stopped(number, self.context.now_ms())
         if self.files is not None:
@@ -214,26 +214,26 @@
         self.channels.clear(number)
 
     def planner_machine(self, planner: int) -> Machine:
-        """The machine that a planner runs on now."""
+        """Return the current machine of a planner."""
         return self.planners[planner].machine
 
     # The endpoint list.
 
     def cell_records(self) -> Mapping[str, ServerRecord]:
-        """What discovery lists of the planners' servers."""
+        """Return the records of the planners' servers in the endpoint list, by name."""
         return self.discovery.records if self.relays is None else self.relays.cell_records()
 
     def list_changed(self, records: Sequence[ServerRecord]) -> None:
-        """Discovery has listed changes of the planners' servers."""
+        """Register a change of the planners' servers in the endpoint list."""
         if self.relays is None:
             self.notifications.expect_polls()
         else:
             self.relays.records_changed(records)
 
-    # What concerns several parts.
+    # Operations on several parts.
 
     def count_cut_streams_as_left(self) -> None:
-        """A cut has begun: streams across it count as left; who hears nothing any more finds that out."""
+        """Count proxies across a new cut as left; proxies that receive nothing notice it after a delay."""
         if self.files is not None:
             self.files.cut_began()
         for proxy in self.proxies:
@@ -244,7 +244,7 @@
                 proxy.path_cut(stream)
 
     def machines(self) -> list[Machine]:
-        """All machines whose tasks have to be closed at the end."""
+        """Return all machines whose tasks have to be closed at the end of the run."""
         relays = self.relays.hosts if self.relays is not None else ()
         return [
             *self.context.retired_machines,
