--- a/stackwheel/trials/channel.py
+++ b/stackwheel/trials/channel.py
@@ -1,4 +1,4 @@
-"""The channels between planners and proxies: updates enter one after the other, take time and arrive in order."""
+"""Channels from planners to proxies: they limit the rate of updates, delay them and deliver them in order."""
 
 from __future__ import annotations
 
@@ -10,82 +10,89 @@
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.loop import Machine
 
-TRANSIT_SPREAD = (0.6, 1.4)  # of the mean, for a message that has left the channel
-BURST_S = 2.0  # after a cut or a stalled reader within which what was blocked arrives
+TRANSIT_FACTOR_RANGE = (0.6, 1.4)
+BURST_GRACE_S = 2.0  # after a cut or a stall, while blocked updates enter the channel at once
 
 
 class UpdateReceiver(Protocol):
-    """What a channel needs of a proxy."""
+    """The part of a proxy that channels use."""
 
     @property
     def number(self) -> int:
-        """The proxy's number."""
+        """Number of the proxy."""
 
     @property
     def process(self) -> Machine:
-        """What applies updates."""
+        """Machine of the process that applies updates."""
 
     def apply(self, stream: Any, update: ConfigUpdate, entered_at: float) -> None:
-        """An update has come out of the channel; it entered it at `entered_at` (s)."""
+        """Apply an update that arrives from the channel, which it entered at `entered_at` (s)."""
 
 
 class UpdateStream(Protocol):
-    """What a channel needs of a stream."""
+    """The part of a stream that channels use."""
 
     @property
     def planner(self) -> int:
-        """The planner that it leads to."""
+        """Number of the planner."""
 
     @property
     def proxy(self) -> UpdateReceiver:
-        """The proxy that it belongs to."""
+        """The proxy that receives the updates."""
 
 
 @dataclass(frozen=True, slots=True)
-class QueuedMessage:
-    """A message in a channel: when it leaves (s), and its cost in lines."""
+class QueuedUpdate:
+    """An update in a channel, with the time when it leaves the channel (s) and its cost in lines."""
 
-    leaves_at: float
+    departs_at: float
     cost: float
 
 
 class Channel:
-    """What one planner has sent and proxies have not got yet; costs are lines, times s."""
+    """The updates that one planner has sent and that have not left the channel; costs are lines, times s.
+
+    Attributes:
+        idle_from: Time from which the channel has no queued updates.
+        queued_lines: Cost of all queued updates.
+        max_queued_lines: Maximum of `queued_lines` so far.
+        last_arrival: By proxy: arrival time of the last update so far; later updates do not overtake it.
+    """
 
     def __init__(self) -> None:
-        self.free_at = 0.0
-        self.messages: deque[QueuedMessage] = deque()
+        self.idle_from = 0.0
+        self.queue: deque[QueuedUpdate] = deque()
         self.queued_lines = 0.0
         self.max_queued_lines = 0.0
-        self.last_arrival: dict[int, float] = {}  # by proxy, so that its messages come in order
+        self.last_arrival: dict[int, float] = {}
 
     def enqueue(self, now: float, proxy: int, cost: float, rate: float, transit: float) -> float:
-        """Return when a message that enters now reaches its proxy.
+        """Add an update to the queue; return the time of its arrival at the proxy.
 
         Args:
-            now: The present time.
-            proxy: Whom it is for.
-            cost: Its lines, the overhead included.
-            rate: Lines a second that leave the channel.
-            transit: Seconds from leaving the channel to the proxy.
+            now: The current time.
+            proxy: Number of the receiving proxy.
+            cost: Lines of the update, the overhead included.
+            rate: Lines per second that leave the channel.
+            transit: Transit time from the channel to the proxy, in s.
         """
-        while self.messages and self.messages[0].leaves_at <= now:
-            self.queued_lines -= self.messages.popleft().cost
-        self.free_at = max(self.free_at, now) + cost / rate
-        self.messages.append(QueuedMessage(self.free_at, cost))
+        while self.queue and self.queue[0].departs_at <= now:
+            self.queued_lines -= self.queue.popleft().cost
+        self.idle_from = max(self.idle_from, now) + cost / rate
+        self.queue.append(QueuedUpdate(self.idle_from, cost))
         self.queued_lines += cost
         self.max_queued_lines = max(self.max_queued_lines, self.queued_lines)
-        arrival = max(self.last_arrival.get(proxy, 0.0), self.free_at + transit)
+        arrival = max(self.last_arrival.get(proxy, 0.0), self.idle_from + transit)
         self.last_arrival[proxy] = arrival
         return arrival
 
 
 class UpdateChannels:
-    """The channel of each planner.
+    """The channels of all planners.
 
     Attributes:
-        burst_until: By planner: until when the length of its queue is not its doing, in s, because what the network
-            or a process that did not read delayed enters the channel at once.
+        burst_until: By planner: time in s until which the length of its queue is not checked, because updates that
+            were blocked by the network or by a stalled process enter the channel at once.
     """
 
     def __init__(self, context: SimulationContext) -> None:
@@ -94,25 +101,25 @@
         self.burst_until: dict[int, float] = {}
 
     def clear(self, planner: int) -> None:
-        """A planner has ended; nothing waits for the next one."""
+        """Replace the channel of a planner that has ended with an empty one."""
         self.channels[planner] = Channel()
 
     def allow_burst(self, planner: int) -> None:
-        """What was blocked or unread is about to arrive at once."""
-        self.burst_until[planner] = self.context.loop.now + BURST_S
+        """Suspend the check of a planner's queue for `BURST_GRACE_S`, because blocked updates arrive at once."""
+        self.burst_until[planner] = self.context.loop.now + BURST_GRACE_S
 
     def last_arrival(self, planner: int, proxy: int) -> float:
-        """When the last message so far reaches a proxy, in s."""
+        """Return the arrival time of the last update from a planner to a proxy so far, in s."""
         return self.channels[planner].last_arrival.get(proxy, 0.0)
 
     def enter(self, stream: UpdateStream, update: ConfigUpdate) -> None:
-        """A message's last byte has arrived: it enters its planner's channel."""
+        """Put an update that was received completely into its planner's channel and schedule its application."""
         context = self.context
         shape = context.shape
         now = context.loop.now
         proxy = stream.proxy
         cost = update.cost() + shape.message_overhead
-        spread = context.random.uniform(*TRANSIT_SPREAD)
+        spread = context.random.uniform(*TRANSIT_FACTOR_RANGE)
         transit = shape.transit_time / 1000.0 * context.transit_factor * spread
         channel = self.channels[stream.planner]
         arrival = channel.enqueue(now, proxy.number, cost, shape.channel_rate, transit)
@@ -123,9 +130,9 @@
         context.loop.schedule_at(arrival, proxy.process, proxy.apply, stream, update, now)
 
     def max_queued_lines(self) -> float:
-        """The longest queue that any present channel has had."""
+        """Return the maximum length that the queue of any current channel has had, in lines."""
         return max(channel.max_queued_lines for channel in self.channels)
 
     def transit_allowance_ms(self) -> float:
-        """Twice the usual transit: what an update may take beyond the protocol's allowance."""
+        """Return the transit time allowed for an update, in ms: twice the current mean."""
         return 2 * self.context.shape.transit_time * self.context.transit_factor
--- a/stackwheel/trials/collectors.py
+++ b/stackwheel/trials/collectors.py
@@ -1,4 +1,4 @@
-"""Collectors: they pass on to a planner what the proxies of one zone met at servers."""
+"""Collectors: they report to a planner how servers answered the proxies of one zone."""
 
 from __future__ import annotations
 
@@ -14,14 +14,18 @@
 from stackwheel.trials.proxy_requests import ServerStatistics
 from stackwheel.trials.reports import ReportPath
 
-MAX_LINES_PER_REPORT = 300  # the oldest first
+MAX_LINES_PER_REPORT = 300
 MAX_PENDING_LINES = 20 * MAX_LINES_PER_REPORT
-REDIAL_BASE_S = 0.5  # after the connection has ended; up to 1 s more
-EXTRA_DELAY_S = 0.3  # of load reports, beyond the delay of others
+MIN_REDIAL_DELAY_S = 0.5  # a random part of up to 1 s is added
+LOAD_REPORT_DELAY_S = 0.3  # in addition to the delay of all reports
 
 
 class Collector(LineProtocol):
-    """The connection for one zone's load reports to one planner."""
+    """A connection that sends the load reports of one zone to one planner.
+
+    Attributes:
+        pending_lines: Lines that are not sent yet, the oldest first.
+    """
 
     def __init__(
         self,
@@ -48,31 +52,32 @@
         self.context.network.dial(self.machine, self.planner.address, self)
 
     def opened(self) -> None:
-        """The connection is open."""
+        """Send the first line of the connection, which names the zone."""
         self.partial_line = b""
         self.send(f"SOURCE site={self.context.zones[self.zone]}")
 
     def closed(self) -> None:
-        """The connection has ended; dial again after a while."""
+        """Schedule the next dial after the connection has ended."""
         self.transport = None
         loop = self.context.loop
-        loop.schedule_at(loop.now + REDIAL_BASE_S + self.context.random.random(), self.machine, self.dial)
+        loop.schedule_at(loop.now + MIN_REDIAL_DELAY_S + self.context.random.random(), self.machine, self.dial)
 
     def send_load_reports(self) -> None:
-        """Report, once an interval, what the planner's proxies of this zone saw of servers, at most so many lines."""
+        """Send a load report of at most `MAX_LINES_PER_REPORT` lines and schedule the next one."""
         interval_ms = self.context.shape.report_interval
         self.pending_lines.extend(
-            self.report_line(name, statistics, interval_ms) for name, statistics in self.take_sums().items()
+            self.report_line(name, statistics, interval_ms)
+            for name, statistics in self.take_statistics_by_server().items()
         )
         count = min(len(self.pending_lines), MAX_LINES_PER_REPORT)
         lines = [self.pending_lines.popleft() for _ in range(count)]
         if lines:
-            self.reports.send(self.machine, self, lines, EXTRA_DELAY_S)
+            self.reports.send(self.machine, self, lines, LOAD_REPORT_DELAY_S)
         loop = self.context.loop
         loop.schedule_at(loop.now + interval_ms / 1000.0, self.machine, self.send_load_reports)
 
-    def take_sums(self) -> dict[str, ServerStatistics]:
-        """Take the statistics of all proxies of the zone that are joined to the planner, summed by server."""
+    def take_statistics_by_server(self) -> dict[str, ServerStatistics]:
+        """Return and reset the statistics of the zone's proxies that are joined to the planner, summed by server."""
         sums: dict[str, ServerStatistics] = {}
         for proxy in self.proxies:
             if proxy.zone != self.zone or not proxy.forwarder.statistics or not self.is_joined_to_planner(proxy):
@@ -85,11 +90,11 @@
         return sums
 
     def is_joined_to_planner(self, proxy: Proxy) -> bool:
-        """Whether a proxy has its stream to this collector's planner."""
+        """Return whether a proxy has its stream to the planner of this collector."""
         return proxy.stream is not None and proxy.stream.planner == self.planner.number
 
     def report_line(self, name: str, statistics: ServerStatistics, interval_ms: float) -> str:
-        """The line that reports one server."""
+        """Return the line of a load report for one server."""
         in_flight = self.fleet.in_flight(name)
         columns = "" if in_flight is None else f" util=inflight:{in_flight}"
         return (
--- a/stackwheel/trials/discovery_records.py
+++ b/stackwheel/trials/discovery_records.py
@@ -1,4 +1,4 @@
-"""What the simulated discovery service lists, and how it is encoded."""
+"""Records of the simulated discovery service and their encoding."""
 
 from __future__ import annotations
 
@@ -19,7 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """A server as listed; `started_at` is Unix ms (0: long ago), `warm_at` s of the trial's clock."""
+    """A server in the endpoint list.
+
+    Attributes:
+        name: Name of the server.
+        address: Host and port.
+        zone: Index of the zone.
+        kind: Index of the machine type.
+        availability: Whether the server is ready, draining or removed.
+        started_at: Start of the process, in ms of Unix time; 0 if it started before the trial.
+        warm_at: End of the slow start, in s of the virtual clock.
+    """
 
     name: str
     address: str
@@ -31,7 +41,7 @@
 
 
 class LoggedChange(NamedTuple):
-    """One entry of discovery's log: what a generation changed."""
+    """An entry of the log: the generation, the new record of a server and the previous one, if any."""
 
     generation: int
     record: ServerRecord
@@ -40,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SentUpdate:
-    """What was sent on a connection.
+    """An update that was written on a connection.
 
     Attributes:
-        end_offset: The caller has received it once it has taken so many bytes of the answer.
-        records: The servers named.
-        complete: Whether it names all servers.
-        generation: Of the list.
-        written_at: When it was written, in s.
+        end_offset: Offset in bytes of the end of the update in the response.
+        records: The records that the update contains.
+        complete: Whether the update is a complete list.
+        generation: Generation of the list.
+        written_at: Time of the write, in s.
     """
 
     end_offset: int
@@ -64,7 +74,7 @@
     zones: Sequence[str],
     unreadable: Container[str] = (),
 ) -> dict[str, object]:
-    """The endpoint list or a change to it, as discovery answers it; entries of `unreadable` servers can't be read."""
+    """Return a complete list or a change as a document; entries of `unreadable` servers have an invalid weight."""
     return {
         "generation": generation,
         "reset": complete,
@@ -85,5 +95,5 @@
 
 
 def encode_list(document: dict[str, object]) -> bytes:
-    """A document as one line."""
+    """Encode a document as one line of JSON."""
     return json.dumps(document, separators=(",", ":")).encode() + b"\n"
--- a/stackwheel/trials/disks.py
+++ b/stackwheel/trials/disks.py
@@ -1,4 +1,4 @@
-"""Disks of a simulation: files in memory, with what can go wrong with them; no file of the machine is touched."""
+"""Simulated disks: files in memory, with delays and faults."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from stackwheel.files.disk import PART_SUFFIX
 from stackwheel.trials.loop import do_nothing
 
-DEFAULT_DELAY_S = 0.002  # that an operation takes
+DEFAULT_DELAY_S = 0.002
 
 
 @dataclass(slots=True)
 class OpenFile:
-    """A file that is being written."""
+    """A file that is open for writing."""
 
     path: str
     data: bytearray = field(default_factory=bytearray)
 
 
 class SimulatedDisk:
-    """One machine's disk. It outlives the machine's processes.
+    """The disk of one machine; its files persist when processes of the machine end.
 
     Attributes:
-        full: Nothing can be written.
-        missing: The folders have vanished.
-        delay: What an operation takes, in s.
-        on_renamed: Called with path and data of a file that has got its final name.
-        on_written_in_place: Called with the path where somebody writes to a final name.
+        full: Whether writes fail because the disk is full.
+        missing: Whether operations fail because the folders are missing.
+        delay: Duration of an operation, in s.
+        on_renamed: Called with the path and the data of a file that has received its final name.
+        on_written_in_place: Called with the path of a file that is opened for writing under its final name.
     """
 
     def __init__(self, owner: str) -> None:
@@ -42,14 +42,14 @@
         self.on_renamed: Callable[[str, bytes], None] = do_nothing
         self.on_written_in_place: Callable[[str], None] = do_nothing
 
-    def check_present(self) -> None:
-        """Raise `FileNotFoundError` where the folders have vanished."""
+    def check_folders_exist(self) -> None:
+        """Raise `FileNotFoundError` if the folders are missing."""
         if self.missing:
             raise OSError(errno.ENOENT, "No such file or directory")
 
     def create(self, path: str) -> int:
         """Open a file for writing; return its handle."""
-        self.check_present()
+        self.check_folders_exist()
         if not path.endswith(PART_SUFFIX):
             self.on_written_in_place(path)
             self.files[path] = b""
@@ -58,7 +58,7 @@
         return self.handle_count
 
     def write(self, handle: int, data: bytes) -> int:
-        """Append to an open file; return how many bytes were written."""
+        """Append to an open file; return the number of bytes written."""
         if self.full:
             raise OSError(errno.ENOSPC, "No space left on device")
         file = self.open_files[handle]
@@ -68,9 +68,9 @@
         return len(data)
 
     def sync(self, handle: int) -> None:
-        """Write a file's data through to the disk."""
+        """Flush the data of an open file to the disk."""
         assert handle in self.open_files
-        self.check_present()
+        self.check_folders_exist()
 
     def close(self, handle: int) -> None:
         """Close an open file."""
@@ -81,32 +81,32 @@
             self.files[file.path] = bytes(file.data)
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, replacing what has it."""
-        self.check_present()
+        """Rename a file, replacing any file of that name."""
+        self.check_folders_exist()
         if old not in self.files:
             raise OSError(errno.ENOENT, "No such file or directory")
         self.files[new] = self.files.pop(old)
         self.on_renamed(new, self.files[new])
 
     def sync_folder(self, path: str) -> None:
-        """Write a folder's entries through to the disk."""
+        """Flush the entries of a folder to the disk."""
         assert path.startswith("/")
-        self.check_present()
+        self.check_folders_exist()
 
     def remove(self, path: str) -> None:
-        """Remove a file, if it is there."""
+        """Remove a file if it exists."""
         self.files.pop(path, None)
 
     def names(self, path: str) -> list[str]:
-        """The names in a folder, in order."""
-        self.check_present()
-        start = path.rstrip("/") + "/"
-        inside = [name[len(start) :] for name in self.files if name.startswith(start)]
-        return sorted(dict.fromkeys(name.partition("/")[0] for name in inside))
+        """Return the names in a folder, sorted."""
+        self.check_folders_exist()
+        prefix = path.rstrip("/") + "/"
+        relative_paths = [name[len(prefix) :] for name in self.files if name.startswith(prefix)]
+        return sorted(dict.fromkeys(name.partition("/")[0] for name in relative_paths))
 
     def read(self, path: str, limit: int) -> bytes:
-        """The first bytes of a file, one more than `limit` where it is longer."""
-        self.check_present()
+        """Return the first bytes of a file, at most `limit` + 1, so that callers can detect longer files."""
+        self.check_folders_exist()
         if path not in self.files:
             raise OSError(errno.ENOENT, "No such file or directory")
         return self.files[path][: limit + 1]
--- a/stackwheel/trials/line_protocol.py
+++ b/stackwheel/trials/line_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol of scripted peers: lines that end with CR LF."""
+"""Protocol of scripted peers: lines that end with CR LF."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 
 
 class LineProtocol:
-    """Cuts what it receives into lines; subclasses take them."""
+    """Base class of scripted peers; it splits received bytes into lines."""
 
     def __init__(self) -> None:
         self.transport: Transport | None = None
         self.partial_line = b""
 
     def connection_made(self, transport: Any) -> None:
-        """The connection is open."""
+        """Handle the opening of the connection."""
         self.transport = transport
         self.opened()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Split received bytes into lines and handle each complete line."""
         *lines, self.partial_line = (self.partial_line + data).split(LINE_END)
         for line in lines:
             self.line_received(line.decode())
 
     def eof_received(self) -> bool | None:
-        """The other end writes no more: the connection ends."""
+        """Close the connection when the peer sends no more data."""
         return None
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Handle the end of the connection."""
         self.closed()
 
     def pause_writing(self) -> None:
-        """Scripted peers write on whether the other end reads or not."""
+        """Do nothing; scripted peers ignore flow control."""
 
     def resume_writing(self) -> None:
-        """Scripted peers write on whether the other end reads or not."""
+        """Do nothing; scripted peers ignore flow control."""
 
     def send(self, *lines: str) -> None:
-        """Send lines if the connection is open."""
+        """Send lines if the connection is open; drop them otherwise."""
         if self.transport is not None and not self.transport.closing:
             self.transport.write("".join(f"{line}\r\n" for line in lines).encode())
 
     def opened(self) -> None:
-        """The connection is open; for subclasses."""
+        """Handle the opening of the connection; to be overridden by subclasses."""
 
     def line_received(self, line: str) -> None:
-        """A line has arrived; for subclasses."""
+        """Handle a received line; to be overridden by subclasses."""
 
     def closed(self) -> None:
-        """The connection has ended; for subclasses."""
+        """Handle the end of the connection; to be overridden by subclasses."""
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -142,7 +142,7 @@
         self.settling = False
         self.last_change_at = 0.0
         self.other_records = [self.other_record(number) for number in range(OTHER_SERVERS)]
-        discovery.ordered_delays = True
+        discovery.keeps_order = True
         discovery.generation = FIRST_GENERATION
         discovery.records |= {record.name: record for record in self.other_records}
 
