--- a/stackwheel/trials/proxy_requests.py
+++ b/stackwheel/trials/proxy_requests.py
@@ -11,7 +11,7 @@
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.loop import Machine
 from stackwheel.trials.requests import Attempts, Clients, Request, RequestReceiver
-from stackwheel.trials.servers import Outcome, Proof
+from stackwheel.trials.servers import AttemptProgress, Outcome
 
 AVOID_S = 5.0  # that a server which failed too often in a row is avoided
 MAX_IN_FLIGHT = 4096  # attempts of one proxy; more requests are rejected
@@ -217,5 +217,5 @@
         if retry is Retry.NEVER:
             return False
         if retry is Retry.ONCE_IF_NOT_EXECUTED:
-            return outcome.proof is Proof.NOT_SENT and request.retries < 1
+            return outcome.progress is AttemptProgress.NOT_SENT and request.retries < 1
         return request.retries < (1 if retry is Retry.ONCE else 2)
--- a/stackwheel/trials/requests.py
+++ b/stackwheel/trials/requests.py
@@ -1,4 +1,4 @@
-"""Requests: clients that make them, attempts at servers, effects and final answers."""
+"""Requests: the clients that make them, attempts at servers, executions and final answers."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from stackwheel.trials.context import SimulationContext
 from stackwheel.trials.fleet import ServerFleet
 from stackwheel.trials.loop import Machine
-from stackwheel.trials.servers import Outcome, Proof, Server
+from stackwheel.trials.servers import AttemptProgress, Outcome, Server
 from stackwheel.trials.shape import ScriptClass
 
-CLIENT_RETRY_DELAY_S = 0.05  # until a client tries again
-LATE_VALUE = 0.15  # of an answer that misses the latency objective
-DEADLINE_SPREAD = (0.5, 1.0)  # of the class's deadline
-WORK_SPREAD = (0.5, 1.5)  # of the class's mean work
-DEMAND_SPREAD = 0.5  # the least weight of a proxy in the demand; the largest is 1 more
-NUMBER_MASK = 0xFFFFFFFF  # of a request's number in the digest
+CLIENT_RETRY_DELAY_S = 0.05
+LATE_ANSWER_VALUE = 0.15  # relative to an answer within the latency objective
+DEADLINE_FACTOR_RANGE = (0.5, 1.0)  # relative to the deadline of the request class
+WORK_FACTOR_RANGE = (0.5, 1.5)  # relative to the mean work of the request class
+MIN_DEMAND_WEIGHT = 0.5  # of a proxy; a random part of up to 1 is added
+REQUEST_NUMBER_MASK = 0xFFFFFFFF  # the digest contains 32 bits of a request's number
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """What a client asks for; its own retries are requests of their own.
+    """A request of a client; each retry of the client is a request of its own.
 
     Attributes:
-        number: Of all requests.
-        class_index: Its request class.
-        arrived_at: When the client asked first, in s.
-        deadline: When the client gives up, in s.
-        client_retries_left: How often the client asks again.
-        attempted_servers: Where the proxy has tried.
-        retries: Attempts of the proxy after the first.
+        number: Number of the request, unique in a trial.
+        class_index: Index of the request class.
+        arrived_at: Time of the client's first request, in s.
+        deadline: Time until which the client waits, in s.
+        client_retries_left: Number of retries that the client may still make.
+        attempted_servers: Names of the servers at which attempts have failed.
+        retries: Number of the proxy's attempts after the first.
     """
 
     number: int
@@ -45,41 +45,41 @@
 
 
 class RequestReceiver(Protocol):
-    """What clients and attempts need of a proxy."""
+    """The part of a proxy that clients and attempts use."""
 
     base_rate: float
 
     @property
     def number(self) -> int:
-        """The proxy's number."""
+        """Number of the proxy."""
 
     @property
     def zone(self) -> int:
-        """The proxy's zone."""
+        """Index of the proxy's zone."""
 
     @property
     def machine(self) -> Machine:
-        """What its connections belong to."""
+        """Machine that the proxy's connections belong to."""
 
     @property
     def process(self) -> Machine:
-        """What takes requests."""
+        """Machine of the process that forwards requests."""
 
     def rate(self) -> float:
-        """Requests a second that clients make."""
+        """Return the rate of the clients' requests, in requests per second."""
 
     def receive_request(self, request: Request) -> None:
-        """A request arrives."""
+        """Receive a request of a client."""
 
 
 class Clients:
-    """All clients: they make requests at proxies, retry, and value answers.
+    """All clients: they send requests to proxies, retry them, and record the value of the answers.
 
     Attributes:
-        requested_value: Priority weights of all requests.
-        answered_value: What was answered, by priority weight and time.
-        request_count: Requests so far, clients' retries included.
-        cumulative_rates: By proxy and class, so that one draw finds both.
+        requested_value: Sum of the priority weights of all requests.
+        answered_value: Sum of the priority weights of all answered requests, reduced for late answers.
+        request_count: Number of requests, retries of clients included.
+        cumulative_rates: Cumulative request rates over all proxies and request classes, for drawing both at once.
     """
 
     def __init__(self, context: SimulationContext, proxies: Sequence[RequestReceiver]) -> None:
@@ -91,18 +91,18 @@
         self.cumulative_rates: list[float] = []
 
     def set_demand(self, servers: Sequence[Server]) -> None:
-        """Set the requests a second of each proxy, from what the servers can do together."""
+        """Set the base request rate of each proxy according to the total capacity of the servers."""
         shape = self.context.shape
         capacity = sum(1000.0 * shape.cores * server.speed for server in servers)
         work = sum(request_class.share * request_class.work for request_class in shape.classes)
         total = shape.utilization * capacity / work
-        weights = [DEMAND_SPREAD + self.context.random.random() for _ in self.proxies]
+        weights = [MIN_DEMAND_WEIGHT + self.context.random.random() for _ in self.proxies]
         for proxy, weight in zip(self.proxies, weights, strict=True):
             proxy.base_rate = total * weight / sum(weights)
         self.rates_changed()
 
     def rates_changed(self) -> None:
-        """Work out the cumulative rates again."""
+        """Recompute the cumulative rates."""
         self.cumulative_rates = []
         total = 0.0
         for proxy in self.proxies:
@@ -111,7 +111,7 @@
                 self.cumulative_rates.append(total)
 
     def make_next_request(self) -> None:
-        """Make a request at a random proxy, and schedule the next one."""
+        """Send a request to a random proxy and schedule the next one."""
         context = self.context
         now = context.loop.now
         total = self.cumulative_rates[-1]
@@ -120,7 +120,7 @@
             index = min(drawn, len(self.cumulative_rates) - 1)
             proxy_index, class_index = divmod(index, len(context.shape.classes))
             request_class = context.shape.classes[class_index]
-            deadline = now + request_class.deadline / 1000.0 * context.random.uniform(*DEADLINE_SPREAD)
+            deadline = now + request_class.deadline / 1000.0 * context.random.uniform(*DEADLINE_FACTOR_RANGE)
             self.requested_value += request_class.priority_weight
             self.request_count += 1
             request = Request(self.request_count, class_index, now, deadline, context.shape.client_retries)
@@ -129,86 +129,86 @@
         context.schedule_after(context.random.expovariate(max(1.0, total)), self.make_next_request)
 
     def finish(self, request: Request, proxy: RequestReceiver, good: bool, decided_at: float) -> None:
-        """A final answer goes to a client at once; the client may ask again.
+        """Pass the final answer to the client, which may retry.
 
         Args:
-            request: What was asked for.
-            proxy: Who answers.
-            good: Whether it is what the client asked for, in time.
-            decided_at: When the answer could have been given, in s.
+            request: The answered request.
+            proxy: The proxy that answers.
+            good: Whether the request succeeded before its deadline.
+            decided_at: Earliest time at which the answer could have been sent, in s.
         """
         context = self.context
         now = context.loop.now
         context.checker.request_answered(request.number, proxy.number, min(decided_at, now) * 1000.0, now * 1000.0)
         context.checker.forget_request(request.number)
         request_class = context.shape.classes[request.class_index]
-        context.digest.add(now, request.number & NUMBER_MASK, b"+" if good else b"-")
+        context.digest.add(now, request.number & REQUEST_NUMBER_MASK, b"+" if good else b"-")
         if good:
             in_time = now - request.arrived_at <= request_class.latency_objective / 1000.0
-            self.answered_value += request_class.priority_weight * (1.0 if in_time else LATE_VALUE)
+            self.answered_value += request_class.priority_weight * (1.0 if in_time else LATE_ANSWER_VALUE)
         elif request.client_retries_left and now + CLIENT_RETRY_DELAY_S < request.deadline:
             self.retry(request, proxy)
 
     def retry(self, request: Request, proxy: RequestReceiver) -> None:
-        """A client asks the same proxy again."""
+        """Schedule a retry of a client at the same proxy."""
         loop = self.context.loop
         self.request_count += 1
-        again = Request(
+        new_request = Request(
             self.request_count,
             request.class_index,
             request.arrived_at,
             request.deadline,
             request.client_retries_left - 1,
         )
-        loop.schedule_at(loop.now + CLIENT_RETRY_DELAY_S, proxy.process, proxy.receive_request, again)
+        loop.schedule_at(loop.now + CLIENT_RETRY_DELAY_S, proxy.process, proxy.receive_request, new_request)
 
-    def service(self) -> float:
-        """Value answered over value requested."""
+    def answered_value_share(self) -> float:
+        """Return the answered value divided by the requested value; 1 without requests."""
         return self.answered_value / self.requested_value if self.requested_value else 1.0
 
 
 class Attempts:
-    """Attempts of proxies at servers, and the effects that requests take there."""
+    """Attempts of proxies at servers, and the executions of requests there."""
 
     def __init__(self, context: SimulationContext, fleet: ServerFleet) -> None:
         self.context = context
         self.fleet = fleet
 
     def attempt(self, request: Request, proxy: RequestReceiver, name: str, until: float) -> Outcome:
-        """An attempt leaves a proxy for a server; the proxy waits for an answer until `until` (s)."""
+        """Send a request from a proxy to a server; the proxy waits for an answer until the time `until` (s)."""
         context = self.context
         shape = context.shape
         now = context.loop.now
         request_class = shape.classes[request.class_index]
         server = self.fleet.servers.get(name)
         if server is None:
-            return Outcome(now + 2 * shape.cross_zone_latency / 1000.0, False, Proof.NOT_SENT, None)
+            return Outcome(now + 2 * shape.cross_zone_latency / 1000.0, False, AttemptProgress.NOT_SENT, None)
         latency = (shape.zone_latency if server.zone == proxy.zone else shape.cross_zone_latency) / 1000.0
         if context.network.cuts and self.is_cut_off(proxy, server):
-            return Outcome(until, False, Proof.UNKNOWN, None)
-        work = request_class.work * context.random.uniform(*WORK_SPREAD)
+            return Outcome(until, False, AttemptProgress.UNKNOWN, None)
+        work = request_class.work * context.random.uniform(*WORK_FACTOR_RANGE)
         outcome = server.serve(now, latency, work, until, context.random)
         if outcome.effect_at is not None:
-            self.take_effect(request, request_class, proxy, server, outcome.effect_at)
+            self.execute(request, request_class, proxy, server, outcome.effect_at)
         return outcome
 
     def is_cut_off(self, proxy: RequestReceiver, server: Server) -> bool:
-        """Whether something does not pass between a proxy and a server."""
+        """Return whether the path between a proxy and a server is cut in at least one direction."""
         cuts = self.context.network.cuts
         proxy_name = proxy.machine.name
         server_name = f"server-{server.slot}"
         return (proxy_name, server_name) in cuts or (server_name, proxy_name) in cuts
 
-    def take_effect(
-        self, request: Request, request_class: ScriptClass, proxy: RequestReceiver, server: Server, at: float
+    def execute(
+        self, request: Request, request_class: ScriptClass, proxy: RequestReceiver, server: Server, executed_at: float
     ) -> None:
-        """A request runs at a server, unless its key shows that it ran within the scope before."""
+        """Record the execution of a request, unless the server recognises its idempotency key within the scope."""
         checker = self.context.checker
         scope = server.zone if request_class.deduplication_scope == "zone" else 0
-        at_ms = at * 1000.0
+        executed_at_ms = executed_at * 1000.0
         if request_class.idempotency == "by_key":
             ttl = request_class.idempotency_key_ttl
-            effects = checker.executions.get(request.number, [])
-            if any(known_scope == scope and at_ms - known_at < ttl for known_scope, known_at in effects):
+            previous = checker.executions.get(request.number, [])
+            if any(other_scope == scope and executed_at_ms - other_at < ttl for other_scope, other_at in previous):
                 return
-        checker.request_executed(request.number, request.class_index, scope, proxy.number, server.name, at_ms)
+        checker.request_executed(request.number, request.class_index, scope, proxy.number, server.name, executed_at_ms)
--- a/stackwheel/trials/simulation.py
+++ b/stackwheel/trials/simulation.py
@@ -117,6 +117,6 @@
         world.loop.now,
         world.loop.callbacks_run,
         world.clients.request_count,
-        world.clients.service(),
+        world.clients.answered_value_share(),
         figures,
     )
--- a/tests/trials/test_servers.py
+++ b/tests/trials/test_servers.py
@@ -1,4 +1,4 @@
-"""Servers as models: slow start, queueing, rejections, overload."""
+"""The model of servers: slow start, queueing, rejections, overload."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stackwheel.trials.servers import Outcome, Proof, Server
+from stackwheel.trials.servers import AttemptProgress, Outcome, Server
 from stackwheel.trials.shape import Shape
 
 SHAPE = Shape(
@@ -16,20 +16,20 @@
     overload_multiple=2.0,
     overload_duration=1_000.0,
 )
-LATENCY = 0.01  # s
+LATENCY_S = 0.01
 
 
 @pytest.fixture
 def server() -> Server:
-    """A warm server of speed 1."""
+    """Return a warm server of speed 1."""
     return Server("s-1", 1, 0, SHAPE)
 
 
-def serve(server: Server, now: float, work: float = 100.0, patience: float = 1.0) -> Outcome:
-    return server.serve(now, LATENCY, work, now + patience, random.Random(1))
+def serve(server: Server, now: float, work: float = 100.0, timeout: float = 1.0) -> Outcome:
+    return server.serve(now, LATENCY_S, work, now + timeout, random.Random(1))
 
 
-def test_request_takes_its_work_and_two_ways(server: Server) -> None:
+def test_request_takes_its_work_and_twice_the_latency(server: Server) -> None:
     outcome = serve(server, 5.0)
     assert outcome.succeeded
     assert outcome.effect_at == pytest.approx(5.11)
@@ -38,30 +38,30 @@
     assert server.in_flight(5.2) == 0
 
 
-def test_requests_queue_and_the_last_is_rejected_unexecuted(server: Server) -> None:
+def test_requests_queue_and_one_beyond_the_queue_limit_is_rejected(server: Server) -> None:
     outcomes = [serve(server, 0.0, work=600.0) for _ in range(3)]
     assert [outcome.succeeded for outcome in outcomes] == [True, False, False]
-    assert outcomes[1].proof is Proof.UNKNOWN  # it runs, but its answer comes after the deadline
+    assert outcomes[1].progress is AttemptProgress.UNKNOWN  # executed, but answered after the deadline
     assert outcomes[1].effect_at is not None
-    assert outcomes[2].proof is Proof.NOT_SENT
+    assert outcomes[2].progress is AttemptProgress.NOT_SENT
     assert outcomes[2].effect_at is None
 
 
-def test_ended_server_executes_nothing(server: Server) -> None:
+def test_stopped_server_does_not_execute_requests(server: Server) -> None:
     server.stop()
     outcome = serve(server, 0.0)
     assert not outcome.succeeded
-    assert outcome.proof is Proof.NOT_SENT
+    assert outcome.progress is AttemptProgress.NOT_SENT
 
 
 def test_failing_server_answers_with_an_error(server: Server) -> None:
     server.failing_share = 1.0
     outcome = serve(server, 0.0)
     assert not outcome.succeeded
-    assert outcome.proof is Proof.ANSWERED
+    assert outcome.progress is AttemptProgress.ANSWERED
 
 
-def test_started_server_warms_up(server: Server) -> None:
+def test_started_server_gains_capacity_during_its_slow_start(server: Server) -> None:
     assert server.warmup_progress(0.0) == 1.0
     server.start(100.0)
     assert server.incarnation == 1
@@ -72,15 +72,15 @@
     assert server.capacity(105.0) == pytest.approx(600.0)
 
 
-def test_cold_server_is_pushed_over_by_too_much_work(server: Server) -> None:
+def test_server_in_slow_start_is_overloaded_by_too_much_work(server: Server) -> None:
     server.start(100.0)
     for step in range(400):
         serve(server, 100.0 + step * 0.01, work=20.0)
     assert server.overloaded
-    assert serve(server, 105.0).proof is Proof.NOT_SENT
+    assert serve(server, 105.0).progress is AttemptProgress.NOT_SENT
 
 
-def test_warm_server_is_not_pushed_over(server: Server) -> None:
+def test_warm_server_is_not_overloaded_by_the_same_work(server: Server) -> None:
     for step in range(400):
         serve(server, 100.0 + step * 0.01, work=20.0)
     assert not server.overloaded
