--- a/stackwheel/trials/fleet.py
+++ b/stackwheel/trials/fleet.py
@@ -1,4 +1,4 @@
-"""The servers of a simulation: their incarnations, and how discovery comes to list them."""
+"""The servers of a simulation: their incarnations and their records in the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from stackwheel.trials.servers import Server
 from stackwheel.trials.shape import zone_of
 
-LIST_CHANGE_DELAY_S = (0.2, 1.0)  # until discovery knows of a change
-REPLACEMENT_DRAIN_S = 3.0  # from the drain of a replaced server to its end
+LIST_CHANGE_DELAY_RANGE_S = (0.2, 1.0)  # from a change of a server to the change of the endpoint list
+REPLACEMENT_DRAIN_DURATION_S = 3.0
 SERVERS_PER_SUBNET = 250
 
 
 class ServerFleet:
-    """All servers that there are or were.
+    """All current and former servers.
 
     Attributes:
-        servers: By name, former ones included.
-        current_servers: By slot: the server that runs there now.
-        warming_up: By name: servers whose slow start is not over.
-        listed_names: Names that discovery has ever listed.
-        cell_records: What discovery lists of the planners' servers.
-        on_list_changed: Called with what discovery has just listed.
+        servers: All servers by name, former ones included.
+        current_servers: By slot: the server that currently occupies it.
+        created: Number of servers created so far.
+        warming_up: By name: the servers in their slow start.
+        listed_names: Names of all servers that were ever listed.
+        cell_records: Returns the records of the planners' servers in the endpoint list, by name.
+        on_list_changed: Called with the records that have just been changed in the endpoint list.
     """
 
     def __init__(
@@ -54,11 +55,11 @@
         discovery.records.update(records)
         self.listed_names.update(dict.fromkeys(records))
 
-    # Listing.
+    # The endpoint list.
 
     @staticmethod
     def record_of(server: Server) -> ServerRecord:
-        """A server as discovery would list it now."""
+        """Return the current record of a server."""
         started_at = 0.0 if server.started_at is None else (START_UNIX_TIME_S + server.started_at) * 1000.0
         subnet, host = divmod(server.number, SERVERS_PER_SUBNET)
         return ServerRecord(
@@ -72,24 +73,24 @@
         )
 
     def schedule_list_change(self, *servers: Server) -> None:
-        """Let discovery learn of changes, a moment late."""
+        """Schedule a change of the endpoint list to the current records of some servers."""
         records = tuple(self.record_of(server) for server in servers)
         self.listed_names.update(dict.fromkeys(record.name for record in records))
-        self.context.schedule_after(self.context.random.uniform(*LIST_CHANGE_DELAY_S), self.change_list, records)
+        self.context.schedule_after(self.context.random.uniform(*LIST_CHANGE_DELAY_RANGE_S), self.change_list, records)
 
     def change_list(self, records: tuple[ServerRecord, ...]) -> None:
-        """Discovery has learnt of changes."""
-        known = [
+        """Change the endpoint list, ignoring removals of servers that are not listed."""
+        changed = [
             record
             for record in records
             if record.availability is not Availability.REMOVED or record.name in self.discovery.records
         ]
-        if known:
-            self.discovery.change(known)
-            self.on_list_changed(known)
+        if changed:
+            self.discovery.change(changed)
+            self.on_list_changed(changed)
 
     def standing_table(self, zone: int, generator: random.Random) -> Sequence[str]:
-        """Draw the table that a proxy of a zone starts with: ready servers of the zone, of all where it has none."""
+        """Draw the standing table of a proxy from the ready servers of its zone, or of all zones if it has none."""
         ready = [record.name for record in self.cell_records().values() if record.availability is Availability.READY]
         candidates = [name for name in ready if self.servers[name].zone == zone] or ready
         size = min(len(candidates), self.context.shape.standing_table_size)
@@ -98,13 +99,13 @@
     # Incarnations.
 
     def start(self, server: Server) -> None:
-        """Start a server anew, cold."""
+        """Start a new incarnation of a server, which begins with a slow start."""
         server.start(self.context.loop.now)
         self.warming_up[server.name] = server
         self.schedule_list_change(server)
 
     def crash(self, server: Server, restart_after: float) -> None:
-        """End a server at once; it starts again after `restart_after` s unless that is 0."""
+        """Stop a server at once and restart it after `restart_after` s; 0 means no restart."""
         server.stop()
         server.availability = Availability.REMOVED
         self.schedule_list_change(server)
@@ -112,12 +113,12 @@
             self.context.schedule_after(restart_after, self.restart, server, server.incarnation)
 
     def restart(self, server: Server, incarnation: int) -> None:
-        """Start a server that crashed, unless it has been started or replaced meanwhile."""
+        """Start a crashed server, unless it has been started or replaced in the meantime."""
         if server.incarnation == incarnation and self.current_servers[server.slot] is server:
             self.start(server)
 
     def drain(self, server: Server, removed_after: float, restart_after: float) -> None:
-        """Drain a server that runs; it ends after `removed_after` s."""
+        """Drain a running server and stop it after `removed_after` s."""
         if not server.alive:
             return
         server.availability = Availability.DRAINING
@@ -125,14 +126,14 @@
         self.context.schedule_after(removed_after, self.end_drained, server, server.incarnation, restart_after)
 
     def end_drained(self, server: Server, incarnation: int, restart_after: float) -> None:
-        """End a server that was drained, if it is still the same incarnation."""
+        """Stop a drained server if its incarnation is still the same."""
         if server.alive and server.incarnation == incarnation:
             self.crash(server, restart_after)
 
     def replace(self, slot: int) -> None:
-        """Drain the server of a slot for good and start a new one in its place."""
+        """Drain and stop the server of a slot without a restart, and start a new server in the same slot."""
         former = self.current_servers[slot]
-        self.drain(former, REPLACEMENT_DRAIN_S, 0.0)
+        self.drain(former, REPLACEMENT_DRAIN_DURATION_S, 0.0)
         server = Server(f"s-{self.created}", self.created, former.zone, self.context.shape)
         server.slot = slot
         self.created += 1
@@ -140,10 +141,10 @@
         self.current_servers[slot] = server
         self.start(server)
 
-    # What servers report.
+    # Load columns.
 
     def in_flight(self, name: str) -> int | None:
-        """How many requests a server works on; None where servers do not report it."""
+        """Return the number of requests in flight at a server; None if servers do not report it."""
         server = self.servers.get(name)
         if server is None or not self.context.shape.load_columns_enabled:
             return None
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -1,4 +1,4 @@
-"""Proxies as scripted peers: they follow their tables, keep them without a planner, and judge no server."""
+"""Simulated proxies: scripted peers that apply updates to their tables and keep the tables without a planner."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from stackwheel.trials.reports import ReportPath
 from stackwheel.trials.requests import Attempts, Clients, Request
 
-REDIAL_DELAY_S = (0.1, 2.4)  # after a break is noticed
-DIAL_TIMEOUT_S = 3.0  # without an open connection until a dial counts as failed
-NOTICE_SILENCE_S = (0.2, 2.7)  # until a proxy finds by itself that its stream is dead
-START_DELAY_S = (0.0, 0.3)  # from a proxy's start to its first dial
-FIRST_REPORT = (0.3, 1.0)  # of the report interval, from a proxy's start to its first report
-SAME_PLANNER_SHARE = 0.7  # of second streams that go to the planner of the first
+REDIAL_DELAY_RANGE_S = (0.1, 2.4)
+DIAL_TIMEOUT_S = 3.0
+SILENCE_DETECTION_RANGE_S = (0.2, 2.7)  # from the loss of a planner or path until the proxy detects it
+FIRST_DIAL_DELAY_RANGE_S = (0.0, 0.3)  # measured from the start of the proxy
+FIRST_REPORT_INTERVALS_RANGE = (0.3, 1.0)  # in report intervals, measured from the start of the proxy
+SAME_PLANNER_SHARE = 0.7  # share of second streams that go to the planner of the first one
 
 
 class PlannerStream(LineProtocol):
-    """A proxy's stream to one planner.
+    """A stream of a proxy to one planner.
 
     Attributes:
-        partial_received: Of a line that the planner has taken in part.
-        counts_as_joined: For the rules.
-        broken: By the network or its own proxy: it counts as left.
-        reset_in_next_message: It breaks in the middle of the next message.
+        partial_received: Beginning of a line that the planner has received incompletely.
+        counts_as_joined: Whether the checker counts the proxy as joined by this stream.
+        broken: Whether the network or the proxy has broken the stream, so that the proxy counts as left.
+        reset_in_next_message: Whether the proxy resets the stream in the middle of the next message.
     """
 
     def __init__(self, proxy: Proxy, planner: int) -> None:
@@ -47,11 +47,11 @@
         self.reset_in_next_message = False
 
     def opened(self) -> None:
-        """The connection is open."""
+        """Notify the proxy of the open connection."""
         self.proxy.stream_opened(self)
 
     def line_received(self, line: str) -> None:
-        """Collect the lines of a message; a complete one enters the channel."""
+        """Collect the lines of a message and put a complete message into the channel."""
         if line in ("PONG", "NACK"):
             return
         if self.reset_in_next_message and (" continued=1" in line or not self.reader.parts):
@@ -67,18 +67,18 @@
             self.proxy.parts.channels.enter(self, update)
 
     def closed(self) -> None:
-        """The connection has ended."""
+        """Notify the proxy of the end of the connection."""
         self.proxy.stream_closed(self)
 
 
 @dataclass(slots=True)
 class ProxyParts:
-    """What proxies use of the rest of a simulation.
+    """The parts of the simulation that proxies use.
 
     Attributes:
-        planner_addresses: By planner.
-        planner_machine: The machine that a planner runs on now.
-        start_reading_files: Starts a proxy that is sent files in place of streams, where there are files.
+        planner_addresses: Address by planner number.
+        planner_machine: Returns the current machine of a planner.
+        start_reading_files: Starts the file reader of a proxy; None in trials without files.
     """
 
     fleet: ServerFleet
@@ -92,15 +92,19 @@
 
 
 class Proxy:
-    """A proxy: its streams, updates and reports; its requests are the forwarder's.
+    """A proxy with its streams, updates and reports; its forwarder handles the requests.
 
     Attributes:
-        machine: What its connections belong to: the kernel.
-        process: What applies and forwards: it may be stalled while the kernel still takes bytes.
-        state: Its tables, as the forwarder's law has them.
-        is_new: It has applied no update since its start.
-        demand_factor: Of its usual demand.
-        base_rate: Its usual requests a second.
+        machine: Machine that the connections belong to; it represents the kernel.
+        process: Machine of the process that applies updates and forwards requests; it may stall independently.
+        state: Tables of the proxy.
+        stream: The open stream to a planner, or None.
+        pending_stream: The stream that is being opened, or None.
+        is_new: Whether the proxy has applied no update since its start.
+        demand_factor: Current demand relative to the base rate.
+        base_rate: Usual rate of requests, in requests per second.
+        next_planner: Number of the planner that the next dial connects to.
+        reported_at: Time of the last demand report, in s.
     """
 
     def __init__(self, context: SimulationContext, parts: ProxyParts, number: int, zone: int) -> None:
@@ -123,21 +127,21 @@
         self.forwarder = RequestForwarder(context, parts.clients, parts.attempts, self)
 
     def schedule(self, delay: float, callback: Callable[..., object], *args: object) -> None:
-        """Run something of its process after a delay in s."""
+        """Schedule a callback of the proxy's process after a delay in s."""
         self.context.loop.schedule_at(self.context.loop.now + delay, self.process, callback, *args)
 
     def rate(self) -> float:
-        """Requests a second that clients make."""
+        """Return the rate of the clients' requests, in requests per second."""
         return self.base_rate * self.demand_factor
 
     def receive_request(self, request: Request) -> None:
-        """A request arrives."""
+        """Pass a request of a client to the forwarder."""
         self.forwarder.receive(request)
 
     # Streams.
 
     def dial(self) -> None:
-        """Connect to the next planner in turn."""
+        """Dial the next planner in turn."""
         if not self.process.alive or self.pending_stream is not None:
             return
         planner = self.next_planner
@@ -148,25 +152,25 @@
         self.schedule(DIAL_TIMEOUT_S, self.dial_timed_out, stream)
 
     def dial_timed_out(self, stream: PlannerStream) -> None:
-        """Give a dial up that has not come through."""
+        """Abandon a dial that did not complete in time."""
         if self.pending_stream is stream:
             self.pending_stream = None
             self.redial()
 
     def redial(self) -> None:
-        """Dial again after a while."""
-        self.schedule(self.random.uniform(*REDIAL_DELAY_S), self.dial_without_stream)
+        """Schedule another dial."""
+        self.schedule(self.random.uniform(*REDIAL_DELAY_RANGE_S), self.dial_without_stream)
 
     def dial_without_stream(self) -> None:
-        """Dial unless there is a stream."""
+        """Dial unless the proxy has a stream."""
         if self.stream is None:
             self.dial()
 
     def stream_opened(self, stream: PlannerStream) -> None:
-        """A dial has come through: the stream replaces the one before it."""
+        """Replace the current stream with one that has been opened, and subscribe on it."""
         if self.pending_stream is stream:
             self.pending_stream = None
-        elif stream.transport is not None:  # given up meanwhile
+        elif stream.transport is not None:  # the dial has been abandoned
             stream.broken = True
             stream.transport.abort()
             return
@@ -179,7 +183,7 @@
         stream.send(f"SUBSCRIBE id={self.number} site={zone} rps={self.rate():.1f} new={int(self.is_new)}")
 
     def stream_closed(self, stream: PlannerStream) -> None:
-        """A stream has ended, by whomever."""
+        """Dial again after the end of a stream, whichever side ended it."""
         if self.pending_stream is stream:
             self.pending_stream = None
             self.redial()
@@ -190,20 +194,20 @@
             self.redial()
 
     def count_as_left(self, stream: PlannerStream) -> None:
-        """A stream is broken: for the rules the proxy has left, unless another stream has replaced it."""
+        """Count the proxy as left in the checker because a stream is broken, unless another stream replaced it."""
         stream.counts_as_joined = False
         if self.stream is stream or self.stream is None:
             self.context.checker.proxy_left(self.number, self.context.now_ms())
 
     def break_stream(self, stream: PlannerStream) -> None:
-        """The stream is reset; at once the proxy counts as left."""
+        """Reset a stream and count the proxy as left."""
         stream.broken = True
         self.count_as_left(stream)
         if stream.transport is not None:
             stream.transport.reset()
 
     def make_half_open(self, noticed_after: float) -> None:
-        """The stream is half open from now on; neither end is notified."""
+        """Make the stream half open; the proxy detects it after `noticed_after` s, the planner is not notified."""
         stream = self.stream
         if stream is None or stream.transport is None:
             return
@@ -211,36 +215,36 @@
         stream.transport.half_open = True
         stream.transport.peer.half_open = True
         self.count_as_left(stream)
-        self.schedule(noticed_after, self.notice_dead_stream, stream)
+        self.schedule(noticed_after, self.abandon_dead_stream, stream)
 
     def planner_vanished(self, planner: int) -> None:
-        """The planner's machine vanished without resets: after a while the proxy notices."""
+        """Schedule the detection of a planner's machine that ended without resetting its connections."""
         if self.stream is not None and self.stream.planner == planner:
-            self.schedule(self.random.uniform(*NOTICE_SILENCE_S), self.notice_dead_stream, self.stream)
+            self.schedule(self.random.uniform(*SILENCE_DETECTION_RANGE_S), self.abandon_dead_stream, self.stream)
 
     def path_cut(self, stream: PlannerStream) -> None:
-        """A cut lies on the stream's path: the proxy counts as left, and notices after a while."""
+        """Count the proxy as left because the stream's path is cut, and schedule the detection of the cut."""
         self.count_as_left(stream)
-        self.schedule(self.random.uniform(*NOTICE_SILENCE_S), self.notice_cut, stream)
+        self.schedule(self.random.uniform(*SILENCE_DETECTION_RANGE_S), self.abandon_cut_stream, stream)
 
-    def notice_dead_stream(self, stream: PlannerStream) -> None:
-        """Find the stream dead, and look for another planner."""
+    def abandon_dead_stream(self, stream: PlannerStream) -> None:
+        """Abandon a dead stream and dial another planner."""
         if self.stream is stream and stream.transport is not None:
             self.stream = None
             stream.transport.abandon()
             self.redial()
 
-    def notice_cut(self, stream: PlannerStream) -> None:
-        """Find the stream dead where nothing arrives; a proxy that still hears its planner notices nothing."""
+    def abandon_cut_stream(self, stream: PlannerStream) -> None:
+        """Abandon the stream if its path is cut in both directions; a cut of one direction is not detected."""
         planner_machine = self.parts.planner_machine(stream.planner)
         network = self.context.network
-        hears_nothing = network.is_cut(planner_machine, self.machine)
-        if self.stream is stream and hears_nothing and network.is_cut(self.machine, planner_machine):
+        receives_nothing = network.is_cut(planner_machine, self.machine)
+        if self.stream is stream and receives_nothing and network.is_cut(self.machine, planner_machine):
             stream.broken = True
-            self.notice_dead_stream(stream)
+            self.abandon_dead_stream(stream)
 
     def open_second_stream(self, delay: float) -> None:
-        """Open a new stream while what was sent on the old one is still on its way, for `delay` s."""
+        """Open a second stream while bytes sent on the first one are still in transit, for `delay` s."""
         former = self.stream
         if former is None or former.transport is None:
             return
@@ -254,7 +258,7 @@
     # Incarnations.
 
     def stop(self) -> None:
-        """End the process; its connections are reset."""
+        """End the process and reset its connections."""
         self.stream = None
         self.pending_stream = None
         self.context.checker.proxy_left(self.number, self.context.now_ms())
@@ -262,7 +266,7 @@
         self.context.loop.kill(self.process)
 
     def start_new_incarnation(self) -> None:
-        """Start again on new machines at the same address."""
+        """Start a new process on new machines at the same address."""
         host = self.context.network.host_of(self.machine)
         self.context.retired_machines.append(self.machine)
         name = self.machine.name
@@ -272,7 +276,7 @@
         self.context.loop.schedule_at(self.context.loop.now, self.process, self.start)
 
     def start(self) -> None:
-        """Begin with only the standing table."""
+        """Start with only the standing table, and schedule the first dial and report or start the file reader."""
         self.stream = None
         self.pending_stream = None
         self.is_new = True
@@ -283,21 +287,21 @@
         if self.parts.start_reading_files is not None:
             self.parts.start_reading_files(self)
             return
-        self.schedule(self.random.uniform(*START_DELAY_S), self.dial_without_stream)
-        first_report_ms = self.random.uniform(*FIRST_REPORT) * self.context.shape.report_interval
+        self.schedule(self.random.uniform(*FIRST_DIAL_DELAY_RANGE_S), self.dial_without_stream)
+        first_report_ms = self.random.uniform(*FIRST_REPORT_INTERVALS_RANGE) * self.context.shape.report_interval
         self.schedule(first_report_ms / 1000.0, self.send_demand_reports, self.process)
 
     # Updates.
 
     def reject_update(self, stream: PlannerStream, reason: str) -> None:
-        """An update can't be used: the stream is reset, and the planner is to blame."""
+        """Report an invalid update as a violation by the planner and abort the stream."""
         self.context.checker.report_violation(self.context.now_ms(), Rule.USABLE, reason, stream.planner, self.number)
         if stream.transport is not None:
             stream.transport.abort()
         self.stream_closed(stream)
 
     def apply(self, stream: PlannerStream, update: ConfigUpdate, entered_at: float) -> None:
-        """A message has come out of the channel: all of it is applied, or nothing."""
+        """Apply an update that arrives from the channel as a whole, and acknowledge it."""
         if self.stream is not stream or stream.transport is None or stream.transport.closing:
             return
         try:
@@ -318,7 +322,7 @@
             stream.send(f"ACK id={self.number} seq={nonce} ms={took_ms:.1f}")
 
     def report_served_classes(self) -> None:
-        """Let the checker know for which classes there are servers."""
+        """Report to the checker which request classes have servers."""
         now = self.context.now_ms()
         for class_index, name in enumerate(self.class_names):
             self.context.checker.lines_changed(self.number, class_index, not self.state.has_no_servers(name), now)
@@ -326,7 +330,7 @@
     # Reports.
 
     def take_demand_reports(self) -> list[str]:
-        """The lines that report the requests since the last report."""
+        """Return the lines that report the demand since the last report."""
         now = self.context.loop.now
         window_ms = max(1.0, (now - self.reported_at) * 1000.0)
         self.reported_at = now
@@ -337,7 +341,7 @@
         ]
 
     def send_demand_reports(self, process: Machine) -> None:
-        """Report once an interval, as long as the process is the one that began to."""
+        """Send a demand report and schedule the next one, unless `process` is no longer the current process."""
         if process is not self.process:
             return
         if self.stream is not None:
--- a/stackwheel/trials/proxy_requests.py
+++ b/stackwheel/trials/proxy_requests.py
@@ -1,4 +1,4 @@
-"""How a proxy forwards requests: admission, choice of a server, retries, and what it counts."""
+"""Forwarding of requests by a simulated proxy: admission, choice of a server, retries and statistics."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 from stackwheel.trials.requests import Attempts, Clients, Request, RequestReceiver
 from stackwheel.trials.servers import AttemptProgress, Outcome
 
-AVOID_S = 5.0  # that a server which failed too often in a row is avoided
-MAX_IN_FLIGHT = 4096  # attempts of one proxy; more requests are rejected
-RETRY_FACTOR = 0.8  # of the latency objective, after which an attempt is given up for another
+AVOIDANCE_DURATION_S = 5.0  # after too many consecutive failures of a server
+MAX_ATTEMPTS_IN_FLIGHT = 4096  # per proxy; further requests are rejected
+ATTEMPT_TIMEOUT_FACTOR = 0.8  # relative to the latency objective; applies to attempts that may be retried
 
 
 class ForwardingProxy(RequestReceiver, Protocol):
-    """What the forwarder needs of its proxy."""
+    """The part of a proxy that its forwarder uses."""
 
     @property
     def random(self) -> Random:
-        """Draws the proxy's choices."""
+        """Random numbers for the choices of the proxy."""
 
     @property
     def state(self) -> ForwarderState:
-        """The proxy's tables."""
+        """Tables of the proxy."""
 
     @property
     def class_names(self) -> tuple[str, ...]:
-        """The names of the request classes."""
+        """Names of the request classes."""
 
 
 @dataclass(slots=True)
 class ServerStatistics:
-    """What one server did since the last report; the time is ms of good answers in all."""
+    """Statistics of one server since the last report; `total_ms` is the sum of all successful attempts' latencies."""
 
     attempts: float = 0.0
     failures: float = 0.0
     total_ms: float = 0.0
 
     def mean_ms(self) -> float:
-        """The mean time of good answers."""
+        """Return the mean latency of successful attempts, in ms."""
         return self.total_ms / max(1.0, self.attempts - self.failures)
 
 
 class ClassDemand(NamedTuple):
-    """Requests of one class since the last report."""
+    """Number of requests of one class, and of unserved ones among them, since the last report."""
 
     class_name: str
     requests: int
@@ -56,7 +56,7 @@
 
 
 class Attempt(NamedTuple):
-    """An attempt at a server: when it was sent (s), what comes of it, and the process that waits."""
+    """An attempt at a server, with its time (s), its outcome, the retry mode and the waiting process."""
 
     server: str
     sent_at: float
@@ -69,12 +69,12 @@
     """Forwards the requests of one proxy.
 
     Attributes:
-        in_flight: By server: attempts under way.
-        consecutive_failures: By server.
-        avoided_until: By server, in s.
-        request_counts: By class, since the last report.
-        unserved_counts: By class, since the last report: requests that no server was found for.
-        statistics: By server, since the last report.
+        in_flight: By server: number of attempts in flight.
+        consecutive_failures: By server: number of consecutive failed attempts.
+        avoided_until: By server: time until which the server is avoided, in s.
+        request_counts: By class index: number of requests since the last report.
+        unserved_counts: By class index: number of requests without an available server since the last report.
+        statistics: By server: statistics since the last report.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Begin with nothing."""
+        """Reset all counts and statistics."""
         classes = len(self.context.shape.classes)
         self.in_flight: dict[str, int] = {}
         self.consecutive_failures: dict[str, int] = {}
@@ -97,7 +97,7 @@
         self.statistics: dict[str, ServerStatistics] = {}
 
     def take_demand(self) -> list[ClassDemand]:
-        """The classes that had requests since the last report; the counts begin anew."""
+        """Return and reset the demand of all classes with requests since the last report."""
         names = self.proxy.class_names
         demand = [
             ClassDemand(name, requests, unserved)
@@ -109,13 +109,13 @@
         return demand
 
     def take_statistics(self) -> dict[str, ServerStatistics]:
-        """What servers did since the last report; it begins anew."""
+        """Return and reset the statistics of servers since the last report."""
         statistics = self.statistics
         self.statistics = {}
         return statistics
 
     def receive(self, request: Request) -> None:
-        """A request arrives: it is answered at once where its client has left or it is not admitted."""
+        """Forward a request, or answer it at once if its deadline has passed or it is not admitted."""
         proxy = self.proxy
         now = self.context.loop.now
         class_index = request.class_index
@@ -132,7 +132,7 @@
         self.attempt(request)
 
     def attempt(self, request: Request) -> None:
-        """Send a request to a server that the table allows; without one it is answered at once."""
+        """Send a request to a server of the table; answer it at once if no server is available."""
         proxy = self.proxy
         context = self.context
         shape = context.shape
@@ -142,7 +142,7 @@
         avoided = self.avoided_servers(now) if self.avoided_until else ()
         policy = shape.load_balancing_policy
         name = choose(table, policy, proxy.random, self.in_flight, avoided, request.attempted_servers)
-        if name is None or sum(self.in_flight.values()) >= MAX_IN_FLIGHT:
+        if name is None or sum(self.in_flight.values()) >= MAX_ATTEMPTS_IN_FLIGHT:
             self.unserved_counts[request.class_index] += 1
             self.clients.finish(request, proxy, False, now)
             return
@@ -152,7 +152,7 @@
         until = request.deadline
         if retry >= Retry.ONCE and request.retries < retry - Retry.ONCE_IF_NOT_EXECUTED:
             objective = shape.classes[request.class_index].latency_objective
-            until = min(until, now + RETRY_FACTOR * objective / 1000.0)
+            until = min(until, now + ATTEMPT_TIMEOUT_FACTOR * objective / 1000.0)
         outcome = self.attempts.attempt(request, proxy, name, until)
         context.loop.schedule_at(
             outcome.known_at,
@@ -163,12 +163,12 @@
         )
 
     def avoided_servers(self, now: float) -> tuple[str, ...]:
-        """The servers that are avoided for now."""
+        """Return the names of the servers that are avoided at a given time."""
         self.avoided_until = {name: until for name, until in self.avoided_until.items() if until > now}
         return tuple(self.avoided_until)
 
     def finish_attempt(self, request: Request, attempt: Attempt) -> None:
-        """What came of an attempt is known: answer, or try another server."""
+        """Process the outcome of an attempt: answer the request or try another server."""
         if attempt.process is not self.proxy.process:
             return
         now = self.context.loop.now
@@ -187,10 +187,10 @@
             self.clients.finish(request, self.proxy, False, outcome.known_at)
 
     def count_attempt(self, attempt: Attempt, now: float) -> None:
-        """An attempt is no longer in flight; count it for the next report."""
-        left = self.in_flight[attempt.server] - 1
-        if left:
-            self.in_flight[attempt.server] = left
+        """Remove an attempt from those in flight and add it to the statistics."""
+        remaining = self.in_flight[attempt.server] - 1
+        if remaining:
+            self.in_flight[attempt.server] = remaining
         else:
             del self.in_flight[attempt.server]
         statistics = self.statistics.get(attempt.server)
@@ -202,18 +202,18 @@
         statistics.total_ms += succeeded * (now - attempt.sent_at) * 1000.0
 
     def count_failure(self, server: str, now: float) -> None:
-        """A server has failed; after too many failures in a row it is avoided."""
+        """Count a failed attempt at a server; after too many consecutive failures, avoid the server."""
         limit = self.context.shape.consecutive_failure_limit
         if not limit:
             return
         self.consecutive_failures[server] = self.consecutive_failures.get(server, 0) + 1
         if self.consecutive_failures[server] >= limit:
             del self.consecutive_failures[server]
-            self.avoided_until[server] = now + AVOID_S
+            self.avoided_until[server] = now + AVOIDANCE_DURATION_S
 
     @staticmethod
     def may_retry(request: Request, outcome: Outcome, retry: Retry) -> bool:
-        """Whether the retry mode allows another attempt, by how far the last one had come."""
+        """Return whether the retry mode allows another attempt after an outcome."""
         if retry is Retry.NEVER:
             return False
         if retry is Retry.ONCE_IF_NOT_EXECUTED:
