--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -1,7 +1,7 @@
-"""Trials with files: planners publish them, something pushes them to proxies, and all that goes wrong between.
+"""Exchange of files between planners and proxies in trials, with faults of the pushes.
 
-The shipped publisher, scheduler, reader and precedence run here as they are. The push between two machines is
-the model's: late, duplicated, torn (copied in place), out of order, or of an old file again.
+The publisher, push scheduler, reader and source precedence of the service run unmodified. The push of a file between
+two machines is simulated: it may be delayed, duplicated, torn (copied in place), reordered, or repeat an old file.
 """
 
 from __future__ import annotations
@@ -34,31 +34,31 @@
 from stackwheel.trials.planners import PlannerHost
 from stackwheel.trials.proxies import Proxy
 
-PUSH_DURATION_S = (0.02, 0.2)
-TORN_SECOND_STEP_S = 0.3  # at most, between the two steps of a copy in place
-DUPLICATE_DELAY_S = 3.0  # at most
-STALE_DELAY_S = 1.0  # at most
-LARGE_DELAY_S = 0.5  # of pushes, from which on proxies count as left
-REST_AFTER_FAULT_S = 1.0  # beyond its delay, until pushes count as sound again
-RESERVATION_INTERVAL_S = 2.0  # between reservations
+PUSH_DURATION_RANGE_S = (0.02, 0.2)
+MAX_TORN_COPY_PAUSE_S = 0.3
+MAX_DUPLICATE_DELAY_S = 3.0
+MAX_STALE_PUSH_DELAY_S = 1.0
+MIN_DISRUPTIVE_DELAY_S = 0.5  # proxies count as left while pushes may be delayed longer
+RECOVERY_AFTER_FAULT_S = 1.0  # after the last push that a fault has delayed
+RESERVATION_INTERVAL_S = 2.0
 RESERVATION_LIFETIME_MS = 15_000.0
-MAX_RECENT_FILES = 40  # old files that may be pushed again
-FILE_LIFETIME_MS = 8_000.0  # short, so that much comes after its time
-FILE_CYCLES = 10  # see PublisherSettings
-PUSH_SPACING_MS = 50.0  # see PushLimits
-PUBLISHER_INTERVAL_S = 0.1  # see FilePublisher
+MAX_RECENT_FILES = 40
+FILE_LIFETIME_MS = 8_000.0  # short, so that many files arrive after they have expired
+FILE_LIFETIME_CYCLES = 10
+MIN_PUSH_INTERVAL_MS = 50.0
+PUBLISHER_POLL_INTERVAL_S = 0.1
 
 
 @dataclass(slots=True)
 class PushFault:
-    """The present condition of pushes between planners' folders and proxies'.
+    """Current faults of the pushes between the folders of planners and proxies.
 
     Attributes:
-        max_delay: Seconds, drawn up to it: so files overtake each other.
-        duplicated: Share that comes once more, late.
-        torn: Share that is copied in place, in two steps.
-        stale: Share beside which an old file is pushed again.
-        lost: Share that never comes.
+        max_delay: Maximum of the random additional delay, in s; it lets files overtake each other.
+        duplicated: Share of pushes that are repeated after a delay.
+        torn: Share of pushes that are copied in place, in two steps.
+        stale: Share of pushes with which an old file is pushed again.
+        lost: Share of pushes that are lost.
     """
 
     max_delay: float = 0.0
@@ -69,23 +69,25 @@
 
 
 class PublishedFile(NamedTuple):
-    """A file that a planner has published."""
+    """Path and data of a file that a planner has published."""
 
     path: str
     data: bytes
 
 
 class FileExchange:
-    """All files of a simulation, and what the rules say of them.
+    """All files of a simulation, the pushes between machines, and checks of the files that proxies use.
 
     Attributes:
-        disks: By machine.
-        home_planners: By proxy: whose folder takes its answers.
-        published: All that planners published.
-        used: By proxy and target: the newest file used.
-        reservation_effects: By proxy and reservation: how often it took effect.
-        pushes_healthy_from: Pushes have been sound since then, in s.
-        joined: By proxy: the planner that knows it.
+        fault: Current faults of the pushes.
+        disks: Disk by machine name.
+        home_planners: By proxy: number of the planner that its status reports are pushed to.
+        published: Data of all published files.
+        recent_files: Recently published files, which may be pushed again.
+        newest_used: By proxy and target: version of the newest file used.
+        reservation_effects: By proxy and reservation: number of times that the reservation took effect.
+        pushes_healthy_from: Time from which pushes are without faults, in s.
+        joined: By joined proxy: number of its planner.
     """
 
     def __init__(
@@ -106,7 +108,7 @@
         self.file_proxies: dict[int, FileProxy] = {}
         self.published: set[bytes] = set()
         self.recent_files: list[PublishedFile] = []
-        self.used: dict[tuple[int, str], FileVersion] = {}
+        self.newest_used: dict[tuple[int, str], FileVersion] = {}
         self.reservation_effects: dict[tuple[int, str], int] = {}
         self.reservations_made = 0
         self.pushes_healthy_from = 0.0
@@ -118,23 +120,23 @@
         context.schedule_after(RESERVATION_INTERVAL_S, self.make_reservations)
 
     def report(self, detail: str, proxy: int | None = None) -> None:
-        """Report that a file was used that may not be."""
+        """Report a violation of the rule that only complete and genuine files are used."""
         self.context.checker.report_violation(self.context.now_ms(), Rule.GENUINE, detail, None, proxy)
 
     def written_in_place(self, owner: str, path: str) -> None:
-        """Somebody wrote to a final name."""
-        self.report(f"{owner} wrote {path} in place")
+        """Report a file that was written under its final name."""
+        self.report(f"{owner} wrote {path} under its final name, expected a temporary name")
 
     def wall_clock_ms(self) -> float:
-        """Unix time in ms."""
+        """Return the Unix time in ms."""
         return (START_UNIX_TIME_S + self.context.loop.now) * 1000.0
 
     @staticmethod
-    def disk_runner(disk: SimulatedDisk) -> Callable[..., Any]:
-        """In place of a thread: the disk's time passes, then the work is done."""
+    def make_disk_runner(disk: SimulatedDisk) -> Callable[..., Any]:
+        """Return a function that runs disk operations on the virtual clock, in place of a thread pool."""
 
         async def run(work: Callable[..., Any], *args: Any) -> Any:
-            """Wait for the disk, then do the work."""
+            """Wait for the delay of the disk, then run the operation."""
             await asyncio.sleep(disk.delay)
             return work(*args)
 
@@ -143,45 +145,47 @@
     # Planners.
 
     def make_publisher(self, planner: PlannerHost, context: PlannerContext) -> FilePublisher:
-        """Make the publisher of a planner's new process."""
+        """Create the publisher of a planner's new process."""
         config = context.config
         settings = config.settings
         state = PublisherState(
             config.name,
             config.names,
             settings.proxy_count,
-            PublisherSettings(FILE_LIFETIME_MS, FILE_CYCLES, settings.report_interval),
+            PublisherSettings(FILE_LIFETIME_MS, FILE_LIFETIME_CYCLES, settings.report_interval),
             context.endpoints.server_ids.name,
             config.seed & 0xFFFF,
         )
         scheduler = PushScheduler(
-            PushLimits(settings.message_cap, settings.message_window, PUSH_SPACING_MS), config.seed
+            PushLimits(settings.message_cap, settings.message_window, MIN_PUSH_INTERVAL_MS), config.seed
         )
         disk = self.disks[planner.machine.name]
         publisher = FilePublisher(
             state,
             scheduler,
             Folders("/out", "/answers"),
-            FileEnvironment(disk, context.clock.now, self.disk_runner(disk)),
-            partial(self.publisher_posted, planner, context),
+            FileEnvironment(disk, context.clock.now, self.make_disk_runner(disk)),
+            partial(self.post_from_publisher, planner, context),
             KEYS,
-            PUBLISHER_INTERVAL_S,
+            PUBLISHER_POLL_INTERVAL_S,
         )
         planner.publisher = publisher
         return publisher
 
-    def publisher_posted(self, planner: PlannerHost, context: PlannerContext, item: PlannerMessage) -> None:
-        """A publisher posts to its planner: a proxy that joins by files counts as joined."""
+    def post_from_publisher(self, planner: PlannerHost, context: PlannerContext, item: PlannerMessage) -> None:
+        """Post a message of a publisher to its planner; a proxy that joins by files counts as joined."""
         if isinstance(item, ProxyStream):
             self.count_as_joined(item.proxy, planner.number)
         context.post(item)
 
     def planner_stopped(self, planner: int) -> None:
-        """A planner's process is about to end."""
-        self.joined = {proxy: known_by for proxy, known_by in self.joined.items() if known_by != planner}
+        """Remove the proxies of a planner whose process is about to end from the joined ones."""
+        self.joined = {
+            proxy: joined_planner for proxy, joined_planner in self.joined.items() if joined_planner != planner
+        }
 
     def make_reservations(self) -> None:
-        """Let each planner reserve what must take effect once, at whoever reads it."""
+        """Make a reservation at each running planner and schedule the next ones."""
         for planner in self.planners:
             if not planner.running or planner.publisher is None or planner.publisher.state.incarnation is None:
                 continue
@@ -195,76 +199,76 @@
     # Pushes.
 
     def file_published(self, planner: PlannerHost, path: str, data: bytes) -> None:
-        """A planner's file has got its final name: it is pushed to the proxies concerned."""
+        """Push a file that a planner has published to the proxies that it is for."""
         _, _, folder, name = path.split("/")
         self.published.add(data)
         kind, _, number = folder.partition("-")
         for proxy in self.proxies:
-            concerns_zone = kind == "zone" and self.context.zones[proxy.zone] == number
-            concerns_proxy = kind == "proxy" and str(proxy.number) == number
-            if concerns_zone or concerns_proxy:
+            is_for_zone = kind == "zone" and self.context.zones[proxy.zone] == number
+            is_for_proxy = kind == "proxy" and str(proxy.number) == number
+            if is_for_zone or is_for_proxy:
                 self.push(planner.machine, proxy, f"/{kind}/{name}", data)
         self.recent_files = [*self.recent_files[-MAX_RECENT_FILES:], PublishedFile(path, data)]
 
     def push(self, source: Machine, proxy: Proxy, path: str, data: bytes) -> None:
-        """Push a file to a proxy, with what goes wrong for now."""
+        """Push a file to a proxy, with the current faults."""
         context = self.context
         fault = self.fault
         generator = context.random
         if context.network.is_cut(source, proxy.machine) or generator.random() < fault.lost:
             return
-        delay = generator.uniform(*PUSH_DURATION_S) + fault.max_delay * generator.random()
+        delay = generator.uniform(*PUSH_DURATION_RANGE_S) + fault.max_delay * generator.random()
         disk = self.disks[proxy.machine.name]
         if generator.random() < fault.torn:
             first = generator.randrange(1, len(data))
-            context.schedule_after(delay, self.copy_beginning, disk, path, data, first)
-            delay += TORN_SECOND_STEP_S * generator.random()
+            context.schedule_after(delay, self.copy_prefix, disk, path, data, first)
+            delay += MAX_TORN_COPY_PAUSE_S * generator.random()
         context.schedule_after(delay, disk.files.__setitem__, path, data)
         if generator.random() < fault.duplicated:
-            again = delay + DUPLICATE_DELAY_S * generator.random()
-            context.schedule_after(again, disk.files.__setitem__, path, data)
+            repeat_delay = delay + MAX_DUPLICATE_DELAY_S * generator.random()
+            context.schedule_after(repeat_delay, disk.files.__setitem__, path, data)
         if self.recent_files and generator.random() < fault.stale:
             stale = generator.choice(self.recent_files)
             folder = path.rpartition("/")[0]
             stale_path = f"{folder}/{stale.path.rpartition('/')[2]}"
-            at = context.loop.now + delay + STALE_DELAY_S * generator.random()
+            at = context.loop.now + delay + MAX_STALE_PUSH_DELAY_S * generator.random()
             context.loop.schedule_at(at, None, disk.files.__setitem__, stale_path, stale.data)
 
     @staticmethod
-    def copy_beginning(disk: SimulatedDisk, path: str, data: bytes, end: int) -> None:
-        """Copied in place: the file's start over what lies there."""
+    def copy_prefix(disk: SimulatedDisk, path: str, data: bytes, end: int) -> None:
+        """Overwrite the beginning of a file, as an incomplete copy in place does."""
         disk.files[path] = data[:end] + disk.files.get(path, b"")[end:]
 
     def set_fault(self, fault: PushFault, span: float) -> None:
-        """While pushes are late or lost, proxies count as left: no update is sure to reach them."""
+        """Begin a fault for `span` s; proxies count as left during faults that may withhold updates from them."""
         self.fault = fault
-        if fault.max_delay > LARGE_DELAY_S or fault.lost or fault.torn:
+        if fault.max_delay > MIN_DISRUPTIVE_DELAY_S or fault.lost or fault.torn:
             self.proxies_left(list(self.joined))
         self.context.schedule_after(span, self.end_fault, fault)
 
     def end_fault(self, fault: PushFault) -> None:
-        """A fault ends, unless another has replaced it."""
+        """End a fault, unless another one has replaced it."""
         if self.fault is fault:
             self.fault = PushFault()
-            self.pushes_healthy_from = self.context.loop.now + fault.max_delay + REST_AFTER_FAULT_S
+            self.pushes_healthy_from = self.context.loop.now + fault.max_delay + RECOVERY_AFTER_FAULT_S
 
     def count_as_joined(self, proxy: int, planner: int) -> None:
-        """A proxy counts as joined for the rules."""
+        """Count a proxy as joined in the checker."""
         self.joined[proxy] = planner
         self.context.checker.proxy_joined(proxy, planner, self.context.now_ms())
 
     def proxies_left(self, proxies: list[int]) -> None:
-        """Proxies count as left for the rules."""
+        """Count proxies as left in the checker."""
         for proxy in proxies:
             if self.joined.pop(proxy, None) is not None:
                 self.context.checker.proxy_left(proxy, self.context.now_ms())
 
     def is_cut_off(self, proxy: Proxy, planner: int) -> bool:
-        """Whether something does not pass between a proxy and a planner."""
+        """Return whether the path between a proxy and a planner is cut in at least one direction."""
         return self.context.network.is_cut_between(proxy.machine, self.planners[planner].machine)
 
     def cut_began(self) -> None:
-        """Proxies across a cut count as left until an answer has passed again."""
+        """Count proxies across a new cut as left until a status report arrives again."""
         self.proxies_left(
             [proxy for proxy, planner in self.joined.items() if self.is_cut_off(self.proxies[proxy], planner)]
         )
@@ -272,63 +276,63 @@
     # Proxies.
 
     def start_proxy(self, proxy: Proxy) -> None:
-        """Start the file reader of a proxy's new process: it reads the files that are there."""
+        """Start the file reader of a proxy's new process, which begins with the files on the disk."""
         self.joined.pop(proxy.number, None)
         disk = self.disks[proxy.machine.name]
-        file_proxy = FileProxy(self.context, self.fleet, self, proxy, disk, self.disk_runner(disk))
+        file_proxy = FileProxy(self.context, self.fleet, self, proxy, disk, self.make_disk_runner(disk))
         self.file_proxies[proxy.number] = file_proxy
         self.context.loop.start_process(proxy.process, file_proxy.run())
 
     def answer_written(self, proxy: Proxy, path: str, data: bytes) -> None:
-        """A proxy's answer has got its final name: it is pushed to the proxy's home planner."""
+        """Push a status report that a proxy has written to the proxy's home planner."""
         planner = self.planners[self.home_planners[proxy.number]]
         if path.startswith("/answers/") and not self.is_cut_off(proxy, planner.number):
             generator = self.context.random
-            delay = generator.uniform(*PUSH_DURATION_S) + self.fault.max_delay * generator.random()
+            delay = generator.uniform(*PUSH_DURATION_RANGE_S) + self.fault.max_delay * generator.random()
             disk = self.disks[planner.machine.name]
             self.context.schedule_after(delay, self.answer_arrived, proxy, planner, disk, path, data)
 
     def answer_arrived(self, proxy: Proxy, planner: PlannerHost, disk: SimulatedDisk, path: str, data: bytes) -> None:
-        """A proxy's answer lies in its planner's folder: the proxy counts as joined again, if all is sound."""
+        """Store a status report in the planner's folder; the proxy counts as joined again if pushes are healthy."""
         disk.files[path] = data
-        known = planner.publisher is not None and proxy.number in planner.publisher.state.proxies
-        if known and planner.running and proxy.number not in self.joined and self.is_healthy(proxy, planner.number):
+        is_known = planner.publisher is not None and proxy.number in planner.publisher.state.proxies
+        if is_known and planner.running and proxy.number not in self.joined and self.is_healthy(proxy, planner.number):
             self.count_as_joined(proxy.number, planner.number)
 
     def is_healthy(self, proxy: Proxy, planner: int) -> bool:
-        """Whether pushes are in order, and the path between a proxy and a planner is open."""
+        """Return whether pushes are without faults and the path between a proxy and a planner is open."""
         return (
             self.fault == PushFault()
             and self.context.loop.now >= self.pushes_healthy_from
             and not self.is_cut_off(proxy, planner)
         )
 
-    def file_used(self, proxy: Proxy, applied: FileApplied, remembered: bool) -> None:
-        """A reader uses a file: it has to be genuine, newer than the last, and its reservations new.
+    def file_used(self, proxy: Proxy, applied: FileApplied, is_saved: bool) -> None:
+        """Check a file that a reader applies: it is published, not expired and not older than the one before.
 
         Args:
-            proxy: Whose reader it is.
-            applied: The file.
-            remembered: Whether the reader could store that; if not, it may use an older file after a restart.
+            proxy: The proxy of the reader.
+            applied: The applied file.
+            is_saved: Whether the reader has saved the version; if not, it may apply an older file after a restart.
         """
         update = applied.current.update
         key = proxy.number, target_key(update)
-        last = self.used.get(key)
+        last = self.newest_used.get(key)
         if last is not None and update.version < last:
-            self.report(f"{key[1]}: number {update.sequence} applied after {last.sequence}", proxy.number)
-        if remembered:
-            self.used[key] = max(update.version, last) if last is not None else update.version
+            self.report(f"{key[1]}: sequence {update.sequence} applied after {last.sequence}", proxy.number)
+        if is_saved:
+            self.newest_used[key] = max(update.version, last) if last is not None else update.version
         if encode(update, KEYS) not in self.published:
-            self.report(f"{applied.name}: used, and no planner wrote it", proxy.number)
+            self.report(f"{applied.name}: applied, but not published by any planner", proxy.number)
         if update.expires_at <= self.wall_clock_ms():
-            self.report(f"{applied.name}: used after its time", proxy.number)
+            self.report(f"{applied.name}: applied after its expiry", proxy.number)
         for reservation in applied.reservations:
-            self.reservation_took_effect(proxy.number, reservation.id)
+            self.count_reservation_effect(proxy.number, reservation.id)
 
-    def reservation_took_effect(self, proxy: int, reservation: str) -> None:
-        """A reservation has run at a proxy; it may only once."""
+    def count_reservation_effect(self, proxy: int, reservation: str) -> None:
+        """Count an effect of a reservation at a proxy; a second one is a violation."""
         times = self.reservation_effects.get((proxy, reservation), 0) + 1
         self.reservation_effects[proxy, reservation] = times
         if times > 1:
-            detail = f"booking order {reservation} took effect {times} times"
+            detail = f"reservation {reservation} took effect {times} times, expected once"
             self.context.checker.report_violation(self.context.now_ms(), Rule.ONCE, detail, None, proxy)
--- a/stackwheel/trials/file_proxies.py
+++ b/stackwheel/trials/file_proxies.py
@@ -1,4 +1,4 @@
-"""What a proxy's process does with files: reads them, applies them and answers."""
+"""The file reader of a simulated proxy, which applies files and writes status reports."""
 
 from __future__ import annotations
 
@@ -24,32 +24,37 @@
 from stackwheel.trials.proxy_requests import ServerStatistics
 
 KEYS = KeyRing({"k1": b"trial key, thirty-two bytes long"}, "k1")
-POLL_INTERVAL_S = 0.1  # between looks at the folders
-KEEP_MS = 5_000.0  # that a source's content is kept after its time; short, so that much comes after it
+READER_POLL_INTERVAL_S = 0.1
+EXPIRED_RETENTION_MS = 5_000.0  # short, so that many files arrive after the retention of the one before
 
 
 class FileObserver(Protocol):
-    """What a proxy's file reader notifies the rest of a simulation of."""
+    """The part of the simulation that the file reader of a proxy uses."""
 
     def wall_clock_ms(self) -> float:
-        """Unix time in ms."""
+        """Return the Unix time in ms."""
 
     def answer_written(self, proxy: Proxy, path: str, data: bytes) -> None:
-        """A proxy's file has got its final name."""
+        """Handle a file that a proxy has written."""
 
-    def file_used(self, proxy: Proxy, applied: FileApplied, remembered: bool) -> None:
-        """A reader uses a file."""
+    def file_used(self, proxy: Proxy, applied: FileApplied, is_saved: bool) -> None:
+        """Handle a file that a reader applies; `is_saved` tells whether the reader has saved its version."""
 
 
-class AppliedChoice(NamedTuple):
-    """The source that a proxy goes by, and its content."""
+class AppliedSelection(NamedTuple):
+    """The selected source of a proxy and its content."""
 
     source: Source
     content: TableContent
 
 
 class FileProxy:
-    """The files' side of one incarnation of a proxy."""
+    """File reader of one incarnation of a proxy.
+
+    Attributes:
+        applied_selection: The source and content that were applied last; None before the first.
+        reported_at: Time of the last status report, in s.
+    """
 
     def __init__(
         self,
@@ -72,12 +77,12 @@
             lambda: KEYS,
             int(context.loop.now * 1000) & 0xFFFF,
         )
-        self.precedence = SourcePrecedence(PrecedenceSettings(expired_grace=KEEP_MS))
-        self.applied_choice: AppliedChoice | None = None
+        self.precedence = SourcePrecedence(PrecedenceSettings(expired_grace=EXPIRED_RETENTION_MS))
+        self.applied_selection: AppliedSelection | None = None
         self.reported_at = context.loop.now
 
     async def run(self) -> None:
-        """Look at the folders, go by what prevails, and answer once an interval."""
+        """Poll the folders, apply the source with the highest precedence and write status reports, until cancelled."""
         loop = self.context.loop
         await self.reader.start()
         while True:
@@ -85,32 +90,32 @@
                 if isinstance(event, FileApplied):
                     self.observer.file_used(self.proxy, event, self.reader.memory_saved)
                     self.apply_file(event)
-            self.apply_choice()
+            self.apply_selected_source()
             if loop.now - self.reported_at >= self.context.shape.report_interval / 1000.0:
                 await self.write_answer()
-            await asyncio.sleep(POLL_INTERVAL_S)
+            await asyncio.sleep(READER_POLL_INTERVAL_S)
 
     def apply_file(self, applied: FileApplied) -> None:
-        """A file is in force: it may prevail over the other sources."""
+        """Pass an applied file to the precedence of sources."""
         current = applied.current
         self.precedence.file_applied(target_key(current.update), current, self.observer.wall_clock_ms())
 
-    def apply_choice(self) -> None:
-        """Set the tables by the sources that prevail; with nothing received yet, the standing ones stay."""
+    def apply_selected_source(self) -> None:
+        """Apply the content of the selected source if it has changed; without any source, keep the standing table."""
         choice = self.precedence.select(self.observer.wall_clock_ms())
-        applied = AppliedChoice(choice.source, choice.content)
-        if choice.source is Source.NONE or self.applied_choice == applied:
+        applied = AppliedSelection(choice.source, choice.content)
+        if choice.source is Source.NONE or self.applied_selection == applied:
             return
-        self.applied_choice = applied
+        self.applied_selection = applied
         self.apply_content(choice.content)
         self.proxy.is_new = False
         self.context.checker.record_event(
-            self.context.now_ms(), f"goes by {choice.source.value}", f"proxy-{self.proxy.number}"
+            self.context.now_ms(), f"selected source {choice.source.value}", f"proxy-{self.proxy.number}"
         )
         self.proxy.report_served_classes()
 
     def apply_content(self, content: TableContent) -> None:
-        """Set tables, levels and ejected servers."""
+        """Set the tables, admission levels and ejected servers of the proxy."""
         state = self.proxy.state
         for class_name, table in state.class_tables.items():
             if class_name not in content.tables:
@@ -123,7 +128,7 @@
             state.update_available_servers(table)
 
     async def write_answer(self) -> None:
-        """Report the requests and the servers since the last answer."""
+        """Write a status report with the demand and the observations since the last one."""
         now = self.context.loop.now
         window_ms = (now - self.reported_at) * 1000.0
         self.reported_at = now
@@ -133,11 +138,11 @@
         ]
         observations = [self.observation(name, statistics) for name, statistics in forwarder.take_statistics().items()]
         report = StatusReport(self.proxy.rate(), window_ms, demand, observations, self.proxy.is_new)
-        with contextlib.suppress(ReplaceError):  # a disk that is full or missing: the next report makes up for it
+        with contextlib.suppress(ReplaceError):  # the disk is full or missing; the next report is written as usual
             await self.reader.write_status(report)
 
     def observation(self, name: str, statistics: ServerStatistics) -> ServerObservation:
-        """What one server did, as status reports state it."""
+        """Return the observation of one server for a status report."""
         in_flight = self.fleet.in_flight(name)
         columns = {} if in_flight is None else {"outstanding": float(in_flight)}
         return ServerObservation(
--- a/stackwheel/trials/monitor.py
+++ b/stackwheel/trials/monitor.py
@@ -1,4 +1,4 @@
-"""Observes a run: feeds the digest and the checker with what the network shows, and looks into planners."""
+"""Observer of a run: it adds network events to the digest and the checker, and inspects the state of planners."""
 
 from __future__ import annotations
 
@@ -15,13 +15,17 @@
 from stackwheel.trials.relays import RelayGroup
 from stackwheel.trials.transport import Transport
 
-BOUNDS_INTERVAL_S = 5.0  # between looks at what planners keep
-MAX_LOGGED_CHARACTERS = 300  # of a logged error in a verdict
-PORT_MASK = 0xFFFF  # of a local port in the digest
+BOUNDS_CHECK_INTERVAL_S = 5.0
+MAX_DETAIL_CHARACTERS = 300
+PORT_MASK = 0xFFFF  # the digest contains 16 bits of a port
 
 
 class Monitor:
-    """The simulation's observer."""
+    """The observer of a simulation.
+
+    Attributes:
+        checked_at: Virtual time of the last check of deadlines, in s.
+    """
 
     def __init__(
         self,
@@ -36,10 +40,10 @@
         self.relays = relays
         self.checked_at = -1.0
 
-    # What the network shows.
+    # Network events.
 
     def bytes_received(self, end: Transport, data: bytes) -> None:
-        """Bytes have been taken by one end of a connection."""
+        """Process bytes that one end of a connection has received."""
         context = self.context
         context.digest.add(context.loop.now, end.local[1] & PORT_MASK, data)
         if self.relays is not None:
@@ -54,7 +58,7 @@
             sender.received(len(data))
 
     def bytes_written(self, end: Transport, data: bytes) -> None:
-        """Bytes have been written at one end of a connection."""
+        """Process bytes that were written at one end of a connection."""
         if self.relays is not None:
             self.relays.bytes_written(end, data)
         planner = self.context.planner_of(end.machine)
@@ -63,35 +67,35 @@
             self.context.checker.message_written(planner, receiver.proxy.number, self.context.now_ms())
 
     def planner_received(self, planner: PlannerHost, stream: PlannerStream, data: bytes) -> None:
-        """A planner has taken bytes of a proxy: the proxy counts as joined; at an acknowledgement both are compared."""
+        """Count a proxy as joined when its planner receives bytes; compare both states at an acknowledgement."""
         proxy = stream.proxy
-        if not stream.counts_as_joined and self.may_count_as_joined(planner, stream):
+        if not stream.counts_as_joined and self.can_count_as_joined(planner, stream):
             stream.counts_as_joined = True
             self.context.checker.proxy_joined(proxy.number, planner.number, self.context.now_ms())
         *lines, stream.partial_received = (stream.partial_received + data).split(b"\r\n")
         for line in lines:
-            if line.startswith(b"ACK ") and self.is_all_applied(planner, stream, nonce_of(line)):
-                self.compare(planner, proxy)
+            if line.startswith(b"ACK ") and self.acknowledges_all_updates(planner, stream, parse_nonce(line)):
+                self.compare_states(planner, proxy)
 
-    def may_count_as_joined(self, planner: PlannerHost, stream: PlannerStream) -> bool:
-        """Whether a stream is its proxy's present one and in order."""
+    def can_count_as_joined(self, planner: PlannerHost, stream: PlannerStream) -> bool:
+        """Return whether a stream is the current stream of its proxy and is not broken or cut."""
         return (
             not stream.broken
             and stream.proxy.stream is stream
             and not self.context.network.is_cut_between(stream.proxy.machine, planner.machine)
         )
 
-    def is_all_applied(self, planner: PlannerHost, stream: PlannerStream, nonce: int) -> bool:
-        """Whether an acknowledgement answers all that its planner has sent."""
+    def acknowledges_all_updates(self, planner: PlannerHost, stream: PlannerStream, nonce: int) -> bool:
+        """Return whether an acknowledgement confirms all updates that the planner has sent to the proxy."""
         return (
             stream.proxy.stream is stream
             and planner.service is not None
             and planner.last_pending_nonce(stream.proxy.number) == nonce
-            and self.is_quiet(planner, stream)
+            and self.has_no_updates_in_transit(planner, stream)
         )
 
-    def is_quiet(self, planner: PlannerHost, stream: PlannerStream) -> bool:
-        """Whether nothing more is on its way to a proxy, with a nonce or without."""
+    def has_no_updates_in_transit(self, planner: PlannerHost, stream: PlannerStream) -> bool:
+        """Return whether no updates are in transit to a proxy, including updates without a nonce."""
         number = stream.proxy.number
         return (
             stream.transport is not None
@@ -100,61 +104,61 @@
             and not planner.unsent_bytes(number)
         )
 
-    def compare(self, planner: PlannerHost, proxy: Proxy) -> None:
-        """All that a planner sent has been applied: both hold the same."""
+    def compare_states(self, planner: PlannerHost, proxy: Proxy) -> None:
+        """Report differences between the assumed and the actual state of a proxy that has applied all updates."""
         self.context.count("agreements")
-        believed = planner.assumed_state(proxy.number)
-        if believed is None:
+        assumed = planner.assumed_state(proxy.number)
+        if assumed is None:
             return
-        for reason in find_disagreements(believed, proxy):
+        for reason in find_disagreements(assumed, proxy):
             self.context.checker.report_violation(
                 self.context.now_ms(), Rule.AGREES, reason, planner.number, proxy.number
             )
 
-    # What planners keep and log.
+    # State and log of planners.
 
     def check_bounds(self) -> None:
-        """Look again and again whether planners keep more for others than they may."""
+        """Report collections of planners that exceed their limits, and schedule the next check."""
         checker = self.context.checker
         for planner in self.planners:
             if planner.running and not planner.machine.stalled and checker.planners.get(planner.number) is not None:
                 for reason in exceeded_bounds(planner.bounded_sizes()):
                     checker.report_violation(self.context.now_ms(), Rule.BOUNDED, reason, planner.number)
-        self.context.schedule_after(BOUNDS_INTERVAL_S, self.check_bounds)
+        self.context.schedule_after(BOUNDS_CHECK_INTERVAL_S, self.check_bounds)
 
     def error_logged(self, message: Any) -> None:
-        """Something was logged as an error: no task may die, no batch fail."""
+        """Report a logged error as a violation."""
         record = message.record
         error = f": {record['exception'].value!r}" if record["exception"] else ""
         machine = self.context.loop.machine
         planner = self.context.planner_of(machine) if machine is not None else None
-        detail = record["message"][:MAX_LOGGED_CHARACTERS] + error
+        detail = record["message"][:MAX_DETAIL_CHARACTERS] + error
         self.context.checker.report_violation(self.context.now_ms(), Rule.UPRIGHT, detail, planner)
 
     def after_callback(self, now: float) -> None:
-        """Time may have moved: limits that ran out are looked at."""
+        """Check the deadlines of the checker if the virtual time has advanced."""
         if now > self.checked_at:
             self.checked_at = now
             if self.context.checker.deadlines:
                 self.context.checker.check_deadlines(now * 1000.0)
 
 
-def find_disagreements(believed: AssumedProxyState, proxy: Proxy) -> list[str]:
-    """In what a proxy's state differs from what its planner believes."""
+def find_disagreements(assumed: AssumedProxyState, proxy: Proxy) -> list[str]:
+    """Return the differences between the state of a proxy and the state that its planner assumes."""
     reasons = []
-    for class_index, wanted in believed.lines.items():
+    for class_index, expected_lines in assumed.lines.items():
         table = proxy.state.class_tables[proxy.class_names[class_index]]
-        reason = line_mismatch(table.lines, wanted)
-        reason = reason or level_mismatch(table.level, believed.levels[class_index])
+        reason = line_mismatch(table.lines, expected_lines)
+        reason = reason or level_mismatch(table.level, assumed.levels[class_index])
         if reason is not None:
             reasons.append(f"class {class_index}: {reason}")
-    for server, is_ejected in believed.ejected.items():
+    for server, is_ejected in assumed.ejected.items():
         if (server in proxy.state.ejected) != is_ejected:
-            reasons.append(f"{server} ejected: {not is_ejected}, believed {is_ejected}")
+            reasons.append(f"{server} ejected: {not is_ejected}, assumed {is_ejected}")
     return reasons
 
 
-def nonce_of(line: bytes) -> int:
-    """The nonce that an acknowledgement answers; -1 without one."""
+def parse_nonce(line: bytes) -> int:
+    """Return the nonce of an acknowledgement; -1 if it contains none."""
     text = line.partition(b" seq=")[2].partition(b" ")[0]
     return int(text) if text.isdigit() else -1
--- a/stackwheel/trials/notifications.py
+++ b/stackwheel/trials/notifications.py
@@ -1,4 +1,4 @@
-"""What planners count as having been notified of by discovery, whether the bytes came or not."""
+"""Notifications of planners: which changes of the endpoint list a planner counts as informed about."""
 
 from __future__ import annotations
 
@@ -15,16 +15,19 @@
 
 
 def listed_endpoint(record: ServerRecord) -> ListedEndpoint:
-    """A record as the checker takes it."""
+    """Convert a record to the form that the checker uses."""
     return ListedEndpoint(record.availability, record.zone, record.kind, record.warm_at * 1000.0, record.started_at)
 
 
 class Notifications:
-    """Feeds the checker with what planners without relays are notified of.
+    """Reports to the checker which changes planners are notified of, in trials without relays.
+
+    A planner counts as notified when it has received an update, and also when a deadline has passed during which it
+    could have received the update.
 
     Attributes:
-        reachable_since: By planner: since when it could have been notified, in s.
-        notified_generation: By planner: the newest generation that it was notified of.
+        reachable_since: By planner: time since which the discovery service can reach it, in s.
+        notified_generation: By planner: newest generation that it was notified of.
     """
 
     def __init__(self, context: SimulationContext, discovery: Discovery, planners: Sequence[PlannerHost]) -> None:
@@ -35,40 +38,40 @@
         self.notified_generation: dict[int, int] = {}
 
     def planner_started(self, planner: int) -> None:
-        """A planner begins with the list as it is now."""
+        """Register that a planner has started with the current endpoint list."""
         self.mark_reachable(planner)
         self.notified_generation[planner] = self.discovery.generation
 
     def mark_reachable(self, planner: int) -> None:
-        """The way to discovery is open from now on."""
+        """Register that the path between a planner and the discovery service is open from now on."""
         self.reachable_since[planner] = self.context.loop.now
 
     def generations_restarted(self) -> None:
-        """Discovery has restarted its generations: any is newer now."""
+        """Reset the notified generations after the discovery service has restarted its numbering."""
         for planner in self.planners:
             self.notified_generation[planner.number] = 0
 
     def update_received(self, planner: int | None, update: SentUpdate) -> None:
-        """A planner has taken what discovery wrote.
+        """Report an update that a planner has received.
 
-        An update of an older generation than known counts only where it is not superseded by what is known.
+        A change of an older generation is reported only for servers whose known state it does not contradict.
         """
         checker = self.context.checker
         if planner is None or planner not in checker.planners:
             return
         notified = self.notified_generation.get(planner, 0)
-        overtaken = not update.complete and update.generation < notified
+        is_superseded = not update.complete and update.generation < notified
         view = checker.planners[planner]
         for record in update.records:
             listed = listed_endpoint(record)
-            if not (overtaken and view.is_outdated(record.name, listed)):
+            if not (is_superseded and view.is_outdated(record.name, listed)):
                 checker.endpoint_notified(planner, self.context.now_ms(), record.name, listed)
         if update.complete:
             self.remove_unnamed(planner, {record.name for record in update.records})
         self.notified_generation[planner] = max(update.generation, notified)
 
     def remove_unnamed(self, planner: int, named: set[str]) -> None:
-        """A complete list does not name some servers that a planner knows: they are removed."""
+        """Report the removal of servers that a planner knows and that are missing from a complete list."""
         checker = self.context.checker
         known = checker.planners[planner].listed
         for name, entry in [item for item in known.items() if item[0] not in named]:
@@ -76,18 +79,18 @@
             checker.endpoint_notified(planner, self.context.now_ms(), name, removed)
 
     def update_sent(self, call: DiscoveryCall, update: SentUpdate) -> None:
-        """What was written counts as received after a while, where the path is open, whether it arrived or not."""
+        """Schedule the time from which a written update counts as received."""
         self.context.schedule_after(NOTIFICATION_DEADLINE_MS / 1000.0, self.count_as_received, call, update)
 
     def count_as_received(self, call: DiscoveryCall, update: SentUpdate) -> None:
-        """The time has passed after which an update counts."""
+        """Report an update as received after its deadline if the planner could be reached since it was written."""
         if call.planner is None or update not in call.pending_updates or call.transport is None:
             return
         if self.can_be_reached(call.planner, update.written_at):
             self.update_received(call.planner, update)
 
     def can_be_reached(self, planner: int, since: float) -> bool:
-        """Whether discovery has been within a planner's reach all the time since (s)."""
+        """Return whether the discovery service could reach a planner continuously since a time in s."""
         host = self.planners[planner]
         return (
             host.running
@@ -98,12 +101,12 @@
         )
 
     def expect_polls(self) -> None:
-        """The list has changed: planners that neither watch nor poll in time count as notified."""
+        """Schedule the time from which all reachable planners count as notified of the current list."""
         delay = self.context.shape.list_poll_deadline / 1000.0 + NOTIFICATION_DEADLINE_MS / 1000.0
-        self.context.schedule_after(delay, self.poll_deadline_passed, self.discovery.generation, self.context.loop.now)
+        self.context.schedule_after(delay, self.apply_poll_deadline, self.discovery.generation, self.context.loop.now)
 
-    def poll_deadline_passed(self, generation: int, since: float) -> None:
-        """Planners that could have polled since a generation came up count as having received the list."""
+    def apply_poll_deadline(self, generation: int, since: float) -> None:
+        """Report the current list as received by planners that could have polled since a generation was created."""
         for host in self.planners:
             notified = self.notified_generation.get(host.number, 0)
             is_behind = notified < generation <= self.discovery.generation
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -1,4 +1,4 @@
-"""Simulated relays: the shipped service on the virtual loop, which paths lead through it, and whom else it serves."""
+"""Simulated relays: the unmodified service on the virtual loop, the paths through it, and a second cell."""
 
 from __future__ import annotations
 
@@ -31,30 +31,31 @@
 from stackwheel.wire.endpoint_watch import HEARTBEAT_CHUNK
 from stackwheel.wire.http import split_address
 
-PLANNERS_CELL = "s"  # all servers `s-0` and so on
-OTHER_CELL = "t"  # shares relays and registry with it, and nothing else
+PLANNERS_CELL = "s"  # prefix of the names of its servers
+OTHER_CELL = "t"  # has the same relays and registry
 CELL_PORTS = {PLANNERS_CELL: 9001, OTHER_CELL: 19001}
 OTHER_SERVERS = 5
-OTHER_CHANGE_INTERVAL_S = (0.5, 2.5)  # between changes in the other cell
-CONNECTION_LIMIT = 1024
-# A restarted numbering begins far below the one before, so that a trial never reaches its numbers: a registry that
-# does so can't be told from one that goes on, by whoever was away meanwhile.
+OTHER_CHANGE_INTERVAL_RANGE_S = (0.5, 2.5)
+MAX_CONNECTIONS = 1024
+# Generations after a restart of the numbering are far below those before it, so that a trial never reaches a former
+# generation again: a client that missed the restart could not distinguish the two.
 FIRST_GENERATION = 10**15
-RESTART_DIVISOR = 100
-CHECK_INTERVAL_S = 0.1  # between checks of which paths are open
-STALE_LIST_S = 6.0  # that a relay, or a planner, holds a list for an older state
-SETTLE_LIMIT_S = 120.0  # after a script's end within which its last fault must have ended
-SETTLE_STEP_S = 1.0
-MAX_VOUCHING_S = (
-    timing.WATCH_SILENCE_TIMEOUT_MS + timing.HEARTBEAT_INTERVAL_MS
-) / 1000.0  # after the registry was heard last
+GENERATION_RESTART_DIVISOR = 100
+PATH_CHECK_INTERVAL_S = 0.1
+MAX_LIST_STALENESS_S = 6.0  # for which a relay or a planner may reject a list as outdated
+MAX_SETTLE_DURATION_S = 120.0  # from the end of the script to the end of the last fault
+SETTLE_CHECK_INTERVAL_S = 1.0
+MAX_REGISTRY_SILENCE_S = (timing.WATCH_SILENCE_TIMEOUT_MS + timing.HEARTBEAT_INTERVAL_MS) / 1000.0
 
 
 class RelayHost:
-    """The machine a relay runs on.
+    """The machine of a relay; it starts, kills and reloads the service.
 
     Attributes:
-        registry_received_at: When the registry's answer last reached it, in s.
+        plan: Returns the current cell plan.
+        service: The running service; None before the first start and after a kill.
+        incarnation: Number of processes started so far.
+        registry_received_at: Time at which the relay last received data from the registry, in s.
     """
 
     def __init__(self, context: SimulationContext, discovery: Discovery, plan: Callable[[], Plan], number: int) -> None:
@@ -70,11 +71,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether a process lives."""
+        """Whether the process of the relay is running."""
         return self.machine.alive and self.service is not None
 
     def start(self) -> None:
-        """Start a process, which knows nothing."""
+        """Start a process without any state of a former one."""
         context = self.context
         self.machine = context.start_machine(self.machine, self.host)
         self.incarnation += 1
@@ -82,34 +83,36 @@
         environment = RelayEnvironment(self.open_listener, self.load_assignment, lambda: None)
         with context.loop.running_as(self.machine):
             assignment = self.load_assignment(config.name, config.plan)
-            self.service = RelayService(config, assignment, CONNECTION_LIMIT, environment)
+            self.service = RelayService(config, assignment, MAX_CONNECTIONS, environment)
         context.loop.start_process(self.machine, self.service.run()).add_done_callback(self.process_ended)
 
     def open_listener(self, address: str) -> socket.socket:
-        """Listen on the simulated network."""
+        """Open a listener on the simulated network."""
         return cast(socket.socket, self.context.network.listen(self.machine, split_address(address)))
 
     def load_assignment(self, name: str, path: Path) -> RelayAssignment:
-        """What the relay serves by the plan as it is now."""
+        """Return the assignment of a relay according to the current plan."""
         return assignment_for_relay(name, self.plan(), str(path))
 
     def process_ended(self, task: asyncio.Task[Any]) -> None:
-        """The service has ended by itself, which it never should."""
+        """Report a violation because the service has ended by itself."""
         reason = "cancelled" if task.cancelled() else repr(task.exception())
-        self.context.checker.report_violation(self.context.now_ms(), Rule.UPRIGHT, f"{self.machine} ended: {reason}")
+        self.context.checker.report_violation(
+            self.context.now_ms(), Rule.UPRIGHT, f"service of {self.machine} ended unexpectedly: {reason}"
+        )
 
     def kill(self, resets_connections: bool = True) -> None:
-        """End the process; without resets its machine vanishes."""
+        """End the process; without resets, its peers are not notified."""
         self.context.network.kill(self.machine, resets_connections)
         self.service = None
 
     def reload(self) -> None:
-        """Send SIGHUP."""
+        """Send SIGHUP to the service."""
         self.context.loop.deliver_signal(self.machine, signal.SIGHUP)
 
 
 class OpenPath(NamedTuple):
-    """Since when (s) a relay has led from the registry to a planner, and between which incarnations."""
+    """An open path from the registry through a relay to a planner: its begin in s, and the incarnations of both."""
 
     since: float
     relay_incarnation: int
@@ -117,13 +120,15 @@
 
 
 class RelayGroup:
-    """All relays of a trial, between the simulated discovery (their registry) and the planners.
+    """All relays of a trial, between the simulated discovery service (their registry) and the planners.
 
     Attributes:
-        port_offset: How often the plan has given the cells other ports.
-        open_paths: By relay and planner.
-        settling: The script has ended: nothing new goes wrong.
-        last_change_at: When something last changed or went wrong, in s.
+        port_offset: Number of changes of the cells' ports so far.
+        open_paths: Open paths by numbers of relay and planner.
+        checks: Checks of the lists that relays and planners have.
+        settling: Whether the script has ended, so that the other cell no longer changes.
+        last_change_at: Time of the last change or disturbance, in s.
+        other_records: Records of the servers of the other cell.
     """
 
     def __init__(self, context: SimulationContext, discovery: Discovery, planners: Sequence[PlannerHost]) -> None:
@@ -149,47 +154,47 @@
     # The plan.
 
     def plan(self) -> Plan:
-        """The cell plan as it is now."""
+        """Return the current cell plan."""
         relays = tuple(Relay(f"relay-{number}", relay_host(number)) for number in range(self.context.shape.relays))
         cells = tuple(Cell(name, name, (), 0, 1, port + self.port_offset) for name, port in CELL_PORTS.items())
         return Plan(PLAN_FORMAT_VERSION, Limits(), dict.fromkeys(self.context.zones, "region-0"), relays, cells)
 
     def addresses_of(self, planner: int) -> str:
-        """Where a planner calls for its endpoint list, the preferred relay first."""
+        """Return the addresses at which a planner fetches its endpoint list, the preferred relay first."""
         plan = self.plan()
         return discovery_addresses(plan, plan.cells[0], f"planner-{planner}")
 
     def change_ports(self) -> None:
-        """Serve the cells at other ports: relays read the plan again."""
+        """Change the ports of the cells in the plan and reload the running relays."""
         self.port_offset += 1
         for host in self.hosts:
             if host.running:
                 host.reload()
 
     def cell_records(self) -> Mapping[str, ServerRecord]:
-        """The planners' cell's part of the registry's list."""
+        """Return the records of the planners' cell in the registry's list, by name."""
         return {name: record for name, record in self.discovery.records.items() if self.is_in_cell(name)}
 
     @staticmethod
     def is_in_cell(server: str) -> bool:
-        """Whether a server is in the planners' cell."""
+        """Return whether a server belongs to the planners' cell."""
         return service_of(server) == PLANNERS_CELL
 
     def first_generation_after_restart(self) -> int:
-        """Where the registry begins when it restarts its generations."""
-        return max(1, self.discovery.generation // RESTART_DIVISOR)
+        """Return the first generation of the registry after a restart of its numbering."""
+        return max(1, self.discovery.generation // GENERATION_RESTART_DIVISOR)
 
     # The other cell.
 
     def other_record(self, number: int, started_at: float = 0.0) -> ServerRecord:
-        """A server of the other cell, ready."""
+        """Return the record of a ready server of the other cell."""
         zone = zone_of(number, self.context.shape)
         return ServerRecord(
             f"{OTHER_CELL}-{number}", f"10.8.1.{number}:80", zone, 0, Availability.READY, started_at, 0.0
         )
 
     def change_other_cell(self) -> None:
-        """One of its servers drains, leaves or returns: a generation that says nothing to the planners."""
+        """Change the availability of a server of the other cell, and schedule the next change."""
         if self.settling:
             return
         number = self.random.randrange(OTHER_SERVERS)
@@ -203,19 +208,19 @@
         self.other_records[number] = now
         self.discovery.change([now])
         self.checks.remember([now])
-        self.context.schedule_after(self.random.uniform(*OTHER_CHANGE_INTERVAL_S), self.change_other_cell)
+        self.context.schedule_after(self.random.uniform(*OTHER_CHANGE_INTERVAL_RANGE_S), self.change_other_cell)
 
     # The run.
 
     def begin(self) -> None:
-        """Start the relays and what happens beside them."""
+        """Start the relays, the checks of paths and the changes of the other cell."""
         for host in self.hosts:
             self.context.loop.schedule_at(0.0, None, host.start)
         self.check_paths()
         self.change_other_cell()
 
     def check_paths(self) -> None:
-        """Note which paths are open, and what planners count as notified of by now."""
+        """Record the open paths, run the checks of all planners and schedule the next check."""
         now = self.context.loop.now
         for relay in self.hosts:
             for planner in self.planners:
@@ -225,21 +230,21 @@
         for planner in self.planners:
             self.checks.pass_time(planner.number, self.open_since(planner.number))
             self.checks.check_planner(planner)
-        self.context.schedule_after(CHECK_INTERVAL_S, self.check_paths)
+        self.context.schedule_after(PATH_CHECK_INTERVAL_S, self.check_paths)
 
     def check_path(self, relay: RelayHost, planner: PlannerHost, now: float) -> None:
-        """Note whether a path is open, and since when between the present incarnations."""
+        """Record whether a path is open, and since when it has been open between the current incarnations."""
         key = relay.number, planner.number
         if not self.is_path_open(relay, planner):
             self.open_paths.pop(key, None)
             return
-        present = OpenPath(now, relay.incarnation, planner.incarnation)
-        known = self.open_paths.get(key)
-        if known is None or known[1:] != present[1:]:
-            self.open_paths[key] = present
+        current = OpenPath(now, relay.incarnation, planner.incarnation)
+        recorded = self.open_paths.get(key)
+        if recorded is None or recorded[1:] != current[1:]:
+            self.open_paths[key] = current
 
     def is_path_open(self, relay: RelayHost, planner: PlannerHost) -> bool:
-        """Whether what the registry writes can reach a planner through a relay."""
+        """Return whether changes of the registry can reach a planner through a relay."""
         if self.discovery.fault or not (relay.running and planner.running):
             return False
         if relay.machine.stalled or planner.machine.stalled:
@@ -251,12 +256,12 @@
         )
 
     def open_since(self, planner: int) -> float | None:
-        """Since when one and the same relay has led from the registry to a planner, in s; None where none does."""
+        """Return the time since which a planner has had an open path through one relay, in s; None without a path."""
         paths = self.open_paths.items()
         return min((path.since for (_, target), path in paths if target == planner), default=None)
 
     def is_disturbed(self) -> bool:
-        """Whether something is wrong now."""
+        """Return whether a fault is active or a path is closed."""
         discovery = self.discovery
         if discovery.fault or discovery.watch_delays or discovery.unreadable:
             return True
@@ -264,12 +269,12 @@
         return self.context.network.conditions != Conditions() or len(self.open_paths) < path_count
 
     def records_changed(self, records: Sequence[ServerRecord]) -> None:
-        """The registry has written a change in the cell."""
+        """Record changes that the registry has written in the planners' cell."""
         self.last_change_at = self.context.loop.now
         self.checks.records_changed(records)
 
     def bytes_received(self, end: Transport, data: bytes) -> None:
-        """Bytes have been taken by one end of a connection."""
+        """Process bytes that one end of a connection has received."""
         relay = self.hosts_by_name.get(end.machine.name)
         if relay is not None:
             call = end.peer.protocol
@@ -281,37 +286,39 @@
                 self.checks.bytes_received(planner, end, data)
 
     def bytes_written(self, end: Transport, data: bytes) -> None:
-        """A relay vouches for its list by answering a call, or by an empty line."""
+        """Report a relay that sends a response or a heartbeat after the registry has been silent for too long."""
         relay = self.hosts_by_name.get(end.machine.name)
         if relay is None or not (data.startswith(b"HTTP/1.1 200") or HEARTBEAT_CHUNK in data):
             return
         silence = self.context.loop.now - relay.registry_received_at
-        if silence > MAX_VOUCHING_S:
-            detail = f"{relay.machine} vouches {silence:.2f} s after it heard the registry last"
+        if silence > MAX_REGISTRY_SILENCE_S:
+            detail = f"{relay.machine} presents its list as current {silence:.2f} s after the last data of the registry"
             self.context.checker.report_violation(self.context.now_ms(), Rule.VOUCHED, detail)
 
     def settle(self) -> None:
-        """Go on until all faults have ended for long enough; then everyone holds what the registry holds.
+        """Run until all faults have ended and lists have converged, then compare them with the registry's list.
 
         Raises:
-            RuntimeError: Faults or changes do not end.
+            RuntimeError: Faults or changes continue beyond the maximum duration.
         """
         self.settling = True
         loop = self.context.loop
-        rest = self.context.shape.list_poll_deadline / 1000.0 + 2 * STALE_LIST_S
-        latest = loop.now + SETTLE_LIMIT_S
-        while loop.now < self.last_change_at + rest:
+        convergence_duration = self.context.shape.list_poll_deadline / 1000.0 + 2 * MAX_LIST_STALENESS_S
+        latest = loop.now + MAX_SETTLE_DURATION_S
+        while loop.now < self.last_change_at + convergence_duration:
             if loop.now > latest:
                 seed = self.context.script.seed
-                raise RuntimeError(f"seed {seed} does not settle within {SETTLE_LIMIT_S:g} s")
-            loop.run_until(loop.now + SETTLE_STEP_S)
+                raise RuntimeError(
+                    f"seed {seed}: faults or changes persist {MAX_SETTLE_DURATION_S:g} s after the script"
+                )
+            loop.run_until(loop.now + SETTLE_CHECK_INTERVAL_S)
         self.checks.compare_planners(self.cell_records())
         for host in self.hosts:
             if host.service is not None:
-                known = host.service.cache.instances.values()
-                self.checks.compare_relay(str(host.machine), known)
+                cached = host.service.cache.instances.values()
+                self.checks.compare_relay(str(host.machine), cached)
 
 
 def relay_host(number: int) -> str:
-    """The address of a relay's machine."""
+    """Return the host address of a relay."""
     return f"10.5.0.{number + 1}"
--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -1,4 +1,4 @@
-"""Checks what all joined proxies, as their tables say, send to servers that are warming up."""
+"""Checks of the load that joined proxies send, according to their tables, to servers that are warming up."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from stackwheel.trials.servers import Server
 
 CHECK_INTERVAL_S = 0.25
-UPDATE_ALLOWANCE_MS = 300.0  # the protocol's, before an update's transit
+UPDATE_ALLOWANCE_MS = 300.0  # for computing an update, in addition to its transit time
 
 
 class WarmupMonitor:
-    """Feeds the checker with the load on servers whose slow start is not over."""
+    """Reports the load on servers in their slow start to the checker."""
 
     def __init__(
         self, context: SimulationContext, fleet: ServerFleet, channels: UpdateChannels, proxies: Sequence[Proxy]
@@ -26,7 +26,7 @@
         self.proxies = proxies
 
     def check(self) -> None:
-        """Look at all servers that are warming up, again and again."""
+        """Report the load on all servers that are warming up, and schedule the next check."""
         checker = self.context.checker
         now = self.context.loop.now
         for name, server in list(self.fleet.warming_up.items()):
@@ -34,13 +34,13 @@
                 del self.fleet.warming_up[name]
                 checker.server_warmed_up(name)
                 continue
-            load = sum(self.load_from(proxy, server, now) for proxy in self.proxies)
+            load = sum(self.load_of_proxy(proxy, server, now) for proxy in self.proxies)
             checker.warming_server_load(name, load, server.capacity(now), now * 1000.0)
         self.context.schedule_after(CHECK_INTERVAL_S, self.check)
 
-    def load_from(self, proxy: Proxy, server: Server, now: float) -> float:
-        """Work a second (ms of a core) that a proxy sends to a server which its planner knows to be warming up."""
-        if not self.counts(proxy, server, now):
+    def load_of_proxy(self, proxy: Proxy, server: Server, now: float) -> float:
+        """Return the load from a proxy, in ms of work per second; 0 unless its planner could have limited the load."""
+        if not self.can_have_limited_load(proxy, server, now):
             return 0.0
         mode = self.context.shape.admission_mode
         avoided = proxy.forwarder.avoided_servers(now) if proxy.forwarder.avoided_until else ()
@@ -57,8 +57,8 @@
             work += share * rate * request_class.work
         return work
 
-    def counts(self, proxy: Proxy, server: Server, now: float) -> bool:
-        """Whether the proxy's planner has known of the server long enough for an update to have arrived."""
+    def can_have_limited_load(self, proxy: Proxy, server: Server, now: float) -> bool:
+        """Return whether the proxy's planner has known the server long enough for an update to have arrived."""
         checker = self.context.checker
         state = checker.proxies[proxy.number]
         view = checker.planners.get(state.planner) if state.planner is not None else None
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -13,7 +13,7 @@
 from stackwheel.trials.file_exchange import FileExchange
 from stackwheel.trials.fleet import ServerFleet
 from stackwheel.trials.loop import Machine
-from stackwheel.trials.monitor import BOUNDS_INTERVAL_S, Monitor
+from stackwheel.trials.monitor import BOUNDS_CHECK_INTERVAL_S, Monitor
 from stackwheel.trials.notifications import Notifications, listed_endpoint
 from stackwheel.trials.planner_config import GOSSIP_PORT, MULTICAST_HOST
 from stackwheel.trials.planners import PlannerHost
@@ -171,7 +171,7 @@
             self.loop.schedule_at(first_report, collector.machine, collector.send_load_reports)
         self.context.schedule_after(FIRST_REQUEST_AT_S, self.clients.make_next_request)
         self.context.schedule_after(WARMUP_CHECK_S, self.warmup_monitor.check)
-        self.context.schedule_after(BOUNDS_INTERVAL_S, self.monitor.check_bounds)
+        self.context.schedule_after(BOUNDS_CHECK_INTERVAL_S, self.monitor.check_bounds)
 
     # The interface `PlannerEnvironment`.
 
