--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -42,7 +42,7 @@
 FIRST_GENERATION = 10**15
 GENERATION_RESTART_DIVISOR = 100
 PATH_CHECK_INTERVAL_S = 0.1
-MAX_LIST_STALENESS_S = 6.0  # for which a relay or a planner may reject a list as outdated
+MAX_LIST_STALENESS_S = 6.0  # for which relays and planners defer lists of an older generation
 MAX_SETTLE_DURATION_S = 120.0  # from the end of the script to the end of the last fault
 SETTLE_CHECK_INTERVAL_S = 1.0
 MAX_REGISTRY_SILENCE_S = (timing.WATCH_SILENCE_TIMEOUT_MS + timing.HEARTBEAT_INTERVAL_MS) / 1000.0
@@ -207,7 +207,7 @@
             now = self.other_record(number, (START_UNIX_TIME_S + self.context.loop.now) * 1000.0)
         self.other_records[number] = now
         self.discovery.change([now])
-        self.checks.remember([now])
+        self.checks.add_to_history([now])
         self.context.schedule_after(self.random.uniform(*OTHER_CHANGE_INTERVAL_RANGE_S), self.change_other_cell)
 
     # The run.
@@ -228,7 +228,7 @@
         if self.is_disturbed():
             self.last_change_at = now
         for planner in self.planners:
-            self.checks.pass_time(planner.number, self.open_since(planner.number))
+            self.checks.assume_notified(planner.number, self.open_since(planner.number))
             self.checks.check_planner(planner)
         self.context.schedule_after(PATH_CHECK_INTERVAL_S, self.check_paths)
 
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -144,9 +144,9 @@
 def test_serve_is_the_plain_planner(words: tuple[str, ...]) -> None:
     result = run_process(*words, ROUTER_CONFIG="")
     assert result.exit_code == 2
-    assert result.err == "stackwheel: ROUTER_CONFIG names no configuration\n"
+    assert result.err == "stackwheel: the environment variable ROUTER_CONFIG is not set or empty\n"
 
 
 def test_defects_cover_all_rules() -> None:
     assert len(ALL_DEFECTS) >= 15
-    assert {rule for defect in ALL_DEFECTS for rule in defect.visible_rules} == set(Rule)
+    assert {rule for defect in ALL_DEFECTS for rule in defect.expected_rules} == set(Rule)
