--- a/tests/trials/test_failure_scenarios.py
+++ b/tests/trials/test_failure_scenarios.py
@@ -1,4 +1,4 @@
-"""The failures that trials are meant for, each caused by a script; each test shows that its failure did happen."""
+"""Failures caused by scripts: each test checks that the failure occurred and that no rule was violated."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class AttemptRecord(NamedTuple):
-    """An attempt at a server, and whether its proxy was joined."""
+    """An attempt at a server, with its time in s and whether its proxy was joined."""
 
     at: float
     proxy: int
@@ -29,7 +29,7 @@
 
 
 class ObservedWorld(World):
-    """Notes what the tests ask about; the run itself is the same."""
+    """A simulation that records attempts at servers and updates without changing the run."""
 
     def __init__(self, *script_faults: faults.Fault, shape: Shape = SHAPE, span: float = 30.0) -> None:
         super().__init__(check(Script(7, span, shape, script_faults)))
@@ -38,14 +38,14 @@
         self.original_attempt = self.attempts.attempt
         self.original_enter = self.channels.enter
         self.attempts.attempt = self.record_attempt  # type: ignore[method-assign]
-        self.channels.enter = self.update_enters  # type: ignore[method-assign]
+        self.channels.enter = self.record_update  # type: ignore[method-assign]
 
     def record_attempt(self, request: Any, proxy: Any, name: str, until: float) -> Any:
         joined = self.checker.proxies[proxy.number].planner is not None
         self.recorded_attempts.append(AttemptRecord(self.loop.now, proxy.number, name, joined))
         return self.original_attempt(request, proxy, name, until)
 
-    def update_enters(self, stream: Any, update: ConfigUpdate) -> None:
+    def record_update(self, stream: Any, update: ConfigUpdate) -> None:
         self.updates.append((self.loop.now, update))
         self.original_enter(stream, update)
 
@@ -61,12 +61,12 @@
         return result
 
 
-def test_half_of_the_proxies_lose_their_planner_for_17_s_while_a_server_drains() -> None:
+def test_proxies_without_planner_keep_forwarding_and_stop_using_a_drained_server_after_rejoining() -> None:
     half = tuple(f"proxy-{number}" for number in range(4))
     world = ObservedWorld(faults.Cut(5.0, half, ("planners",), 17.0), faults.Drain(8.0, ("server-0",), 10.0))
     world.run_without_verdicts()
     unjoined = [attempt for attempt in world.recorded_attempts if not attempt.joined and 9.0 < attempt.at < 21.0]
-    assert {attempt.proxy for attempt in unjoined} == {0, 1, 2, 3}  # they kept forwarding
+    assert {attempt.proxy for attempt in unjoined} == {0, 1, 2, 3}
     drained = [attempt.at for attempt in world.attempts_at("s-0") if attempt.at > 13.0]
     assert drained
     assert max(drained) < 30.0
@@ -74,26 +74,26 @@
 
 
 @pytest.mark.parametrize("resets_connections", [True, False])
-def test_planner_is_killed_between_the_write_of_a_removal_and_its_acknowledgement(resets_connections: bool) -> None:
+def test_drain_takes_effect_when_its_planner_is_killed_before_the_acknowledgement(resets_connections: bool) -> None:
     killed: list[float] = []
 
-    class KillingWorld(ObservedWorld):
-        def update_enters(self, stream: Any, update: ConfigUpdate) -> None:
-            super().update_enters(stream, update)
+    class WorldWithKilledPlanner(ObservedWorld):
+        def record_update(self, stream: Any, update: ConfigUpdate) -> None:
+            super().record_update(stream, update)
             removes = any(weight == 0 for part in update.parts for name, weight in part.lines if name == "s-0")
             if removes and not killed:
                 killed.append(self.loop.now)
                 planner = self.planners[stream.planner]
                 self.context.schedule_after(0.0, kill_planner, self, planner, 0.5, resets_connections)
 
-    world = KillingWorld(faults.Drain(8.0, ("server-0",), 15.0))
+    world = WorldWithKilledPlanner(faults.Drain(8.0, ("server-0",), 15.0))
     world.run_without_verdicts()
     assert killed
     assert max(planner.incarnation for planner in world.planners) == 2
     assert not world.joined_attempts_after("s-0", 15.0)
 
 
-def test_bytes_of_an_older_stream_arrive_after_the_newer_one_has_joined() -> None:
+def test_late_bytes_of_an_older_stream_do_not_affect_the_newer_one() -> None:
     world = ObservedWorld(faults.SecondStream(8.0, ("proxies",), 2.0), faults.Drain(9.0, ("server-0",), 5.0))
     joins: list[float] = []
     original = world.checker.proxy_joined
@@ -107,20 +107,20 @@
     assert len([at for at in joins if 8000.0 < at < 9000.0]) == 8
 
 
-@pytest.mark.parametrize("renewed", [False, True])
-def test_watch_sends_a_drain_six_seconds_late(monkeypatch: pytest.MonkeyPatch, renewed: bool) -> None:
-    """The rule holds either way; a watch that is renewed, as it sends heartbeats and no change, learns it sooner."""
-    if not renewed:
+@pytest.mark.parametrize("is_renewed", [False, True])
+def test_renewed_watch_receives_a_delayed_drain_earlier(monkeypatch: pytest.MonkeyPatch, is_renewed: bool) -> None:
+    """Guards the renewal of watches that send heartbeats but no changes."""
+    if not is_renewed:
         monkeypatch.setattr("stackwheel.wire.timing.watch_renewal_interval", lambda _planners: 1e9)
     late = faults.DiscoveryFault(5.0, 12.0, "late", 6.0)
     world = ObservedWorld(late, faults.Drain(6.0, ("server-0",), 12.0))
     world.run_without_verdicts()
     last = max(attempt.at for attempt in world.attempts_at("s-0") if attempt.joined)
-    assert (12.0 < last < 16.0) if not renewed else (6.0 < last < 12.0)
+    assert (12.0 < last < 16.0) if not is_renewed else (6.0 < last < 12.0)
 
 
-def test_watch_sends_a_drain_in_an_older_generation_after_a_newer_one() -> None:
-    """And one that sends the state before it, in its generation, does not restore the server."""
+def test_older_state_sent_after_a_drain_does_not_restore_the_server() -> None:
+    """Guards against watches that send the state before a drain in an older generation."""
     world = ObservedWorld(faults.Drain(8.0, ("server-0",), 15.0))
     original = world.fleet.change_list
 
@@ -140,18 +140,18 @@
         assert planner.service.endpoints.generation == world.discovery.generation
 
 
-def test_updates_arrive_but_acknowledgements_do_not() -> None:
+def test_planner_handles_lost_acknowledgements_of_updates_that_arrive() -> None:
     cut = faults.Cut(6.0, ("proxies",), ("planners",), 9.0, True)
     world = ObservedWorld(cut, faults.Drain(8.0, ("server-0",), 12.0))
     world.run_without_verdicts()
-    assert [at for at, _ in world.updates if 6.5 < at < 14.0]  # written, and on their way to proxies
+    assert [at for at, _ in world.updates if 6.5 < at < 14.0]
     for planner in world.planners:
         assert planner.service is not None
         streams = planner.service.planner.streams
         assert len(streams.by_proxy) + len(streams.timed_out) > 0
 
 
-def test_zone_is_lost_and_warms_up_while_both_planners_restart() -> None:
+def test_servers_of_a_lost_zone_are_used_again_after_both_planners_restart() -> None:
     world = ObservedWorld(faults.LoseZone(8.0, 0, 4.0, proxies=True), faults.Kill(8.1, ("planners",), 3.0))
     world.run_without_verdicts()
     assert [planner.incarnation for planner in world.planners] == [2, 2]
@@ -161,7 +161,7 @@
     assert used >= {server.name for server in returned}
 
 
-def test_sighup_moves_to_a_new_discovery_in_the_middle_of_a_complete_list() -> None:
+def test_reload_during_a_complete_list_moves_planners_to_the_new_discovery_address() -> None:
     shape = Shape(planners=2, zones=2, proxies=8, servers=60, utilization=0.05)
     world = ObservedWorld(
         faults.RestartGenerations(7.9),
@@ -181,27 +181,27 @@
         assert len(planner.service.endpoints.entries) == 60 - removed
 
 
-def test_stalled_planner_wakes_to_ten_seconds_of_events_at_once() -> None:
+def test_stalled_planner_processes_its_parked_events_when_it_resumes() -> None:
     world = ObservedWorld(
         faults.Stall(6.0, ("planner-0",), 10.0),
         faults.Drain(8.0, ("server-0", "server-1"), 4.0),
         faults.Reset(9.0, ("proxies",)),
     )
-    largest = 0
+    max_parked = 0
     planner = world.planners[0]
 
     def observe() -> None:
-        nonlocal largest
-        largest = max(largest, len(planner.machine.parked_callbacks))
+        nonlocal max_parked
+        max_parked = max(max_parked, len(planner.machine.parked_callbacks))
         world.context.schedule_after(0.1, observe)
 
     world.context.schedule_after(6.0, observe)
     world.run_without_verdicts()
-    assert largest > 20
+    assert max_parked > 20
 
 
-def test_proxy_resets_in_the_middle_of_a_message_of_several_parts() -> None:
-    broken: list[int] = []
+def test_reset_within_a_message_of_several_parts_does_not_prevent_a_drain() -> None:
+    reset_proxies: list[int] = []
     classes = (
         ScriptClass("a", 0.5, 120.0),
         ScriptClass("b", 0.5, 240.0, 1000.0, 3000.0, 5.0, "once"),
@@ -212,16 +212,16 @@
         original = proxy.break_stream
 
         def break_stream(stream: PlannerStream, original: Any = original, number: int = proxy.number) -> None:
-            broken.append(number)
+            reset_proxies.append(number)
             original(stream)
 
         proxy.break_stream = break_stream  # type: ignore[method-assign]
     world.run_without_verdicts()
-    assert sorted(broken) == [0, 1, 2, 3]
+    assert sorted(reset_proxies) == [0, 1, 2, 3]
     assert not world.joined_attempts_after("s-0", 14.0)
 
 
-def test_servers_warm_up_under_three_planners_that_do_not_hear_each_other() -> None:
+def test_restarted_servers_warm_up_without_overload_under_three_isolated_planners() -> None:
     shape = Shape(
         planners=3, zones=1, proxies=12, servers=6, utilization=0.6, slow_start_duration=17000.0, overload_multiple=2.5
     )
--- a/tests/trials/test_notifications.py
+++ b/tests/trials/test_notifications.py
@@ -1,4 +1,4 @@
-"""What counts as notified: by generation and by process, also where discovery's updates come out of order."""
+"""Notifications of planners by generation and process, also for updates that arrive out of order."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("availability", [DRAINING, REMOVED])
-def test_older_generation_restores_a_new_process_but_not_the_removed_one(
+def test_older_generation_restores_a_newer_process_but_not_the_unavailable_one(
     world: World, availability: Availability
 ) -> None:
     first = world.discovery.records["s-0"]
@@ -47,25 +47,25 @@
 
 
 @pytest.mark.parametrize("availability", [DRAINING, REMOVED])
-@pytest.mark.parametrize(("generation", "binds"), [(4, False), (5, True), (6, True)])
-def test_former_process_removes_its_successor_in_no_older_generation(
-    world: World, availability: Availability, generation: int, binds: bool
+@pytest.mark.parametrize(("generation", "is_applied"), [(4, False), (5, True), (6, True)])
+def test_change_of_a_former_process_applies_to_its_successor_unless_its_generation_is_older(
+    world: World, availability: Availability, generation: int, is_applied: bool
 ) -> None:
     first = world.discovery.records["s-0"]
     notify(world, 5, replace(first, started_at=first.started_at + 1000.0))
     notify(world, generation, replace(first, availability=availability))
-    assert ("s-0" in view(world).unavailable_since) is binds
+    assert ("s-0" in view(world).unavailable_since) is is_applied
 
 
 @pytest.mark.parametrize("availability", [DRAINING, REMOVED])
-def test_older_generation_binds_where_it_is_of_the_known_process(world: World, availability: Availability) -> None:
+def test_change_of_the_known_process_applies_in_an_older_generation(world: World, availability: Availability) -> None:
     restarted = replace(world.discovery.records["s-0"], started_at=1000.0)
     notify(world, 5, restarted)
     notify(world, 4, replace(restarted, availability=availability))
     assert "s-0" in view(world).unavailable_since
 
 
-def test_server_missing_from_a_complete_list_is_removed_whatever_process_it_was(world: World) -> None:
+def test_server_missing_from_a_complete_list_is_removed(world: World) -> None:
     first = world.discovery.records["s-0"]
     other = world.discovery.records["s-1"]
     notify(world, 5, replace(first, started_at=first.started_at + 1000.0))
--- a/tests/trials/test_relay_scenarios.py
+++ b/tests/trials/test_relay_scenarios.py
@@ -1,4 +1,4 @@
-"""Relays on the virtual clock: each test shows that what its script is about did happen."""
+"""Failures of relays, caused by scripts: each test checks that the failure occurred."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from stackwheel.wire.endpoint_watch import EndpointWatch
 
 SCRIPTS = Path(__file__).parent / "scripts"
-BOTH_RELAYS_BACK_AT = 14.0  # s, of the script `relays-lost-and-back`: they are lost for 8 s
-PLANNERS = 16  # as many as a cell may hold
-SCRIPT_OF_DEFECT: dict[str, str] = {  # that shows it
+RELAYS_RETURN_AT_S = 14.0  # in the script `relays-lost-and-back`
+MAX_PLANNERS_PER_CELL = 16
+SCRIPT_BY_DEFECT: dict[str, str] = {
     "old-generation-served": "cell-shrinks",
     "behind-served": "relay-overtaken-by-its-twin",
     "gap-before-watch": "relay-killed-during-a-drain",
@@ -48,29 +48,29 @@
 
 
 @pytest.mark.parametrize("defect", RELAY_DEFECTS, ids=lambda defect: defect.name)
-def test_each_defect_of_a_relay_is_found(defect: Defect) -> None:
-    """Without it the script keeps every rule: see test_stored_script_breaks_no_rule."""
+def test_script_of_a_relay_defect_reports_the_defect(defect: Defect) -> None:
+    """Without the defect the script violates no rule, see `test_stored_script_violates_no_rule`."""
     with planted(defect):
-        assert detecting_rules(defect, run_one(stored_script(SCRIPT_OF_DEFECT[defect.name])))
+        assert detecting_rules(defect, run_one(stored_script(SCRIPT_BY_DEFECT[defect.name])))
 
 
-def test_relay_trial_replays_and_its_seeds_draw_other_scripts() -> None:
+def test_relay_trial_is_reproducible_and_differs_from_the_trial_without_relays() -> None:
     assert run_script(draw(5, relays=True)).digest == run_script(draw(5, relays=True)).digest
     assert draw(5, relays=True).faults != draw(5).faults
     assert draw(5, relays=True).shape.relays == 2
 
 
-def test_relay_that_is_behind_rejects_callers_that_know_more() -> None:
+def test_relay_rejects_callers_that_know_a_newer_generation() -> None:
     reasons: list[str] = []
     world = World(stored_script("relay-overtaken-by-its-twin"))
 
-    def watch_relays() -> None:
+    def instrument_relays() -> None:
         for relay in world.relays.hosts if world.relays is not None else ():
-            if relay.service is not None and not hasattr(relay.service.cache.answer, "watched"):
-                relay.service.cache.answer = watched(relay.service.cache.answer)  # type: ignore[method-assign]
-        world.context.schedule_after(0.05, watch_relays)
+            if relay.service is not None and not hasattr(relay.service.cache.answer, "instrumented"):
+                relay.service.cache.answer = instrumented(relay.service.cache.answer)  # type: ignore[method-assign]
+        world.context.schedule_after(0.05, instrument_relays)
 
-    def watched(original: Any) -> Any:
+    def instrumented(original: Any) -> Any:
         def answer(*args: Any) -> Any:
             try:
                 return original(*args)
@@ -78,15 +78,15 @@
                 reasons.append(str(error))
                 raise
 
-        answer.watched = True  # type: ignore[attr-defined]
+        answer.instrumented = True  # type: ignore[attr-defined]
         return answer
 
-    world.context.schedule_after(0.01, watch_relays)
+    world.context.schedule_after(0.01, instrument_relays)
     assert verdicts(world) == []
     assert "behind what the caller knows" in reasons
 
 
-def test_relay_without_the_registry_ends_its_watches_and_its_twin_goes_on() -> None:
+def test_only_the_relay_that_lost_the_registry_ends_its_watches() -> None:
     lines: list[str] = []
     world = World(stored_script("relay-cut-off-and-healed"), trace=lines.append)
     assert verdicts(world) == []
@@ -109,33 +109,33 @@
     assert min(pending_bytes) > 32 << 10
 
 
-def test_both_relays_restart_and_planners_find_them_again() -> None:
+def test_restart_of_both_relays_violates_no_rule() -> None:
     world = World(stored_script("relay-restarted"))
     assert verdicts(world) == []
     assert world.relays is not None
     assert [relay.incarnation for relay in world.relays.hosts] == [3, 3]
 
 
-def test_plan_with_other_ports_moves_relays_and_planners() -> None:
+def test_change_of_ports_in_the_plan_moves_relays_and_planners() -> None:
     world = World(stored_script("plan-gives-other-ports"))
     assert verdicts(world) == []
     for planner in world.planners:
         assert planner.service is not None
         assert planner.service.transport.discovery.source == planner.discovery
-        assert ":9003" in planner.discovery  # the second move
+        assert ":9003" in planner.discovery  # the ports after the second move
 
 
 class CallCountingWorld(World):
-    """Notes when planners connect to relays, and relays to the registry."""
+    """A simulation that records the times of calls to relays and to the registry."""
 
     def __init__(self, script: Script) -> None:
         super().__init__(script)
         self.calls_to_relays: list[float] = []
         self.calls_to_registry: list[float] = []
         self.original_try_connect = self.network.try_connect
-        self.network.try_connect = self.note_call  # type: ignore[method-assign]
+        self.network.try_connect = self.record_call  # type: ignore[method-assign]
 
-    def note_call(self, dial: Dial, retries: int) -> None:
+    def record_call(self, dial: Dial, retries: int) -> None:
         if retries == 0:
             if dial.address[0].startswith("10.5."):
                 self.calls_to_relays.append(self.loop.now)
@@ -144,29 +144,30 @@
         self.original_try_connect(dial, retries)
 
 
-def max_calls(calls: list[float], since: float, span: float) -> int:
-    """The most calls in any of the spans (s) that time is divided into, from `since` on."""
-    counts = Counter(int(at / span) for at in calls if at >= since)
+def max_calls(calls: list[float], since: float, interval: float) -> int:
+    """Return the maximum number of calls in any interval (s) from the time `since` on."""
+    counts = Counter(int(at / interval) for at in calls if at >= since)
     return max(counts.values(), default=0)
 
 
 @pytest.mark.parametrize("on_request", [True, False])
-def test_relays_that_return_meet_no_herd(on_request: bool) -> None:
-    """Whether the policy says when to poll again, or the client of the list does."""
-    script = stored_script("relays-lost-and-back", planners=PLANNERS, endpoint_list_on_request=on_request)
+def test_calls_to_restarted_relays_are_spread_over_time(on_request: bool) -> None:
+    """Guards against many simultaneous calls, with fetches by the policy and with watches."""
+    script = stored_script("relays-lost-and-back", planners=MAX_PLANNERS_PER_CELL, endpoint_list_on_request=on_request)
     world = CallCountingWorld(script)
     assert verdicts(world) == []
-    calls = [at for at in world.calls_to_relays if at < BOTH_RELAYS_BACK_AT + 5.0]
-    assert len([at for at in calls if at >= BOTH_RELAYS_BACK_AT]) >= PLANNERS  # all of them came
-    assert max_calls(calls, BOTH_RELAYS_BACK_AT, 1.0) <= PLANNERS
-    assert max_calls(calls, BOTH_RELAYS_BACK_AT, 0.25) <= PLANNERS // 2
-    assert max_calls(world.calls_to_registry, 1.0, 1.0) <= 2  # one call a relay
+    calls = [at for at in world.calls_to_relays if at < RELAYS_RETURN_AT_S + 5.0]
+    assert len([at for at in calls if at >= RELAYS_RETURN_AT_S]) >= MAX_PLANNERS_PER_CELL
+    assert max_calls(calls, RELAYS_RETURN_AT_S, 1.0) <= MAX_PLANNERS_PER_CELL
+    assert max_calls(calls, RELAYS_RETURN_AT_S, 0.25) <= MAX_PLANNERS_PER_CELL // 2
+    assert max_calls(world.calls_to_registry, 1.0, 1.0) <= 2  # one call per relay
 
 
-def test_callers_without_backoff_are_a_herd(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calls_without_backoff_are_not_spread_over_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a spread test that would pass without any backoff."""
     monkeypatch.setattr(Backoff, "next_delay_ms", lambda _self: 50.0)
-    script = stored_script("relays-lost-and-back", planners=PLANNERS, endpoint_list_on_request=False)
+    script = stored_script("relays-lost-and-back", planners=MAX_PLANNERS_PER_CELL, endpoint_list_on_request=False)
     world = CallCountingWorld(script)
     run_world(world)
-    calls = [at for at in world.calls_to_relays if at < BOTH_RELAYS_BACK_AT + 5.0]
-    assert max_calls(calls, BOTH_RELAYS_BACK_AT, 0.25) > PLANNERS // 2
+    calls = [at for at in world.calls_to_relays if at < RELAYS_RETURN_AT_S + 5.0]
+    assert max_calls(calls, RELAYS_RETURN_AT_S, 0.25) > MAX_PLANNERS_PER_CELL // 2
--- a/tests/trials/test_simulation.py
+++ b/tests/trials/test_simulation.py
@@ -1,4 +1,4 @@
-"""A seed is a run: the same in every process; scripts that once broke a rule keep it now."""
+"""Reproducibility of trials, and stored scripts that must not violate a rule."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 
-def test_seed_replays_byte_for_byte_in_another_process_with_other_hashes() -> None:
+def test_digest_of_a_seed_is_independent_of_process_and_hash_seed() -> None:
     seeds = ["3", "11", "19"]
     digests = {
         subprocess.run(
@@ -39,12 +39,12 @@
 
 
 @pytest.mark.parametrize("path", SCRIPTS, ids=lambda path: path.stem)
-def test_stored_script_breaks_no_rule(path: Path) -> None:
-    """Scripts shrunk from seeds that broke a rule, before the cause was removed."""
+def test_stored_script_violates_no_rule(path: Path) -> None:
+    """Guards against the defects that were found with these scripts."""
     assert [str(verdict) for verdict in run_script(load(path)).verdicts] == []
 
 
-def test_trace_changes_nothing() -> None:
+def test_trace_does_not_change_the_digest() -> None:
     lines: list[str] = []
     assert run_script(draw(6), trace=lines.append).digest == run_script(draw(6)).digest
     assert any("fault:" in line for line in lines)
