--- a/stackwheel/trials/channel.py
+++ b/stackwheel/trials/channel.py
@@ -11,7 +11,7 @@
 from stackwheel.trials.loop import Machine
 
 TRANSIT_FACTOR_RANGE = (0.6, 1.4)
-BURST_GRACE_S = 2.0  # after a cut or a stall, while blocked updates enter the channel at once
+BURST_GRACE_S = 2.0  # blocked updates enter the channel at once when a cut or a stall ends
 
 
 class UpdateReceiver(Protocol):
--- a/stackwheel/trials/context.py
+++ b/stackwheel/trials/context.py
@@ -20,7 +20,7 @@
 class RunDigest:
     """Hash of all events of a run; runs with the same events have the same digest."""
 
-    HEADER = struct.Struct("<dI")  # time in s, and a port or request number
+    HEADER = struct.Struct("<dI")  # time of the event in s, and a port or request number
 
     def __init__(self) -> None:
         self.hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -38,12 +38,12 @@
 MAX_TORN_COPY_PAUSE_S = 0.3
 MAX_DUPLICATE_DELAY_S = 3.0
 MAX_STALE_PUSH_DELAY_S = 1.0
-MIN_DISRUPTIVE_DELAY_S = 0.5  # proxies count as left while pushes may be delayed longer
-RECOVERY_AFTER_FAULT_S = 1.0  # after the last push that a fault has delayed
+MIN_DISRUPTIVE_DELAY_S = 0.5  # proxies count as left while pushes may be delayed for longer
+RECOVERY_AFTER_FAULT_S = 1.0  # begins when the last push that a fault has delayed has arrived
 RESERVATION_INTERVAL_S = 2.0
 RESERVATION_LIFETIME_MS = 15_000.0
 MAX_RECENT_FILES = 40
-FILE_LIFETIME_MS = 8_000.0  # short, so that many files arrive after they have expired
+FILE_LIFETIME_MS = 8_000.0  # a short lifetime, so that many files arrive after they have expired
 FILE_LIFETIME_CYCLES = 10
 MIN_PUSH_INTERVAL_MS = 50.0
 PUBLISHER_POLL_INTERVAL_S = 0.1
@@ -283,16 +283,18 @@
         self.file_proxies[proxy.number] = file_proxy
         self.context.loop.start_process(proxy.process, file_proxy.run())
 
-    def answer_written(self, proxy: Proxy, path: str, data: bytes) -> None:
+    def status_report_written(self, proxy: Proxy, path: str, data: bytes) -> None:
         """Push a status report that a proxy has written to the proxy's home planner."""
         planner = self.planners[self.home_planners[proxy.number]]
         if path.startswith("/answers/") and not self.is_cut_off(proxy, planner.number):
             generator = self.context.random
             delay = generator.uniform(*PUSH_DURATION_RANGE_S) + self.fault.max_delay * generator.random()
             disk = self.disks[planner.machine.name]
-            self.context.schedule_after(delay, self.answer_arrived, proxy, planner, disk, path, data)
+            self.context.schedule_after(delay, self.store_status_report, proxy, planner, disk, path, data)
 
-    def answer_arrived(self, proxy: Proxy, planner: PlannerHost, disk: SimulatedDisk, path: str, data: bytes) -> None:
+    def store_status_report(
+        self, proxy: Proxy, planner: PlannerHost, disk: SimulatedDisk, path: str, data: bytes
+    ) -> None:
         """Store a status report in the planner's folder; the proxy counts as joined again if pushes are healthy."""
         disk.files[path] = data
         is_known = planner.publisher is not None and proxy.number in planner.publisher.state.proxies
--- a/stackwheel/trials/file_proxies.py
+++ b/stackwheel/trials/file_proxies.py
@@ -25,7 +25,7 @@
 
 KEYS = KeyRing({"k1": b"trial key, thirty-two bytes long"}, "k1")
 READER_POLL_INTERVAL_S = 0.1
-EXPIRED_RETENTION_MS = 5_000.0  # short, so that many files arrive after the retention of the one before
+EXPIRED_RETENTION_MS = 5_000.0  # a short retention, so that trials also cover the time after it
 
 
 class FileObserver(Protocol):
@@ -34,7 +34,7 @@
     def wall_clock_ms(self) -> float:
         """Return the Unix time in ms."""
 
-    def answer_written(self, proxy: Proxy, path: str, data: bytes) -> None:
+    def status_report_written(self, proxy: Proxy, path: str, data: bytes) -> None:
         """Handle a file that a proxy has written."""
 
     def file_used(self, proxy: Proxy, applied: FileApplied, is_saved: bool) -> None:
@@ -69,7 +69,7 @@
         self.fleet = fleet
         self.observer = observer
         self.proxy = proxy
-        disk.on_renamed = lambda path, data: observer.answer_written(proxy, path, data)
+        disk.on_renamed = lambda path, data: observer.status_report_written(proxy, path, data)
         zone = context.zones[proxy.zone]
         self.reader = FileReader(
             ReaderConfig(zone, proxy.number, ("/zone", "/proxy"), "/answers", "/state"),
@@ -92,7 +92,7 @@
                     self.apply_file(event)
             self.apply_selected_source()
             if loop.now - self.reported_at >= self.context.shape.report_interval / 1000.0:
-                await self.write_answer()
+                await self.write_status_report()
             await asyncio.sleep(READER_POLL_INTERVAL_S)
 
     def apply_file(self, applied: FileApplied) -> None:
@@ -127,7 +127,7 @@
         for table in state.class_tables.values():
             state.update_available_servers(table)
 
-    async def write_answer(self) -> None:
+    async def write_status_report(self) -> None:
         """Write a status report with the demand and the observations since the last one."""
         now = self.context.loop.now
         window_ms = (now - self.reported_at) * 1000.0
--- a/stackwheel/trials/fleet.py
+++ b/stackwheel/trials/fleet.py
@@ -13,7 +13,7 @@
 from stackwheel.trials.servers import Server
 from stackwheel.trials.shape import zone_of
 
-LIST_CHANGE_DELAY_RANGE_S = (0.2, 1.0)  # from a change of a server to the change of the endpoint list
+LIST_CHANGE_DELAY_RANGE_S = (0.2, 1.0)  # the endpoint list changes later than the server
 REPLACEMENT_DRAIN_DURATION_S = 3.0
 SERVERS_PER_SUBNET = 250
 
@@ -123,18 +123,18 @@
             return
         server.availability = Availability.DRAINING
         self.schedule_list_change(server)
-        self.context.schedule_after(removed_after, self.end_drained, server, server.incarnation, restart_after)
+        self.context.schedule_after(removed_after, self.stop_drained, server, server.incarnation, restart_after)
 
-    def end_drained(self, server: Server, incarnation: int, restart_after: float) -> None:
+    def stop_drained(self, server: Server, incarnation: int, restart_after: float) -> None:
         """Stop a drained server if its incarnation is still the same."""
         if server.alive and server.incarnation == incarnation:
             self.crash(server, restart_after)
 
     def replace(self, slot: int) -> None:
         """Drain and stop the server of a slot without a restart, and start a new server in the same slot."""
-        former = self.current_servers[slot]
-        self.drain(former, REPLACEMENT_DRAIN_DURATION_S, 0.0)
-        server = Server(f"s-{self.created}", self.created, former.zone, self.context.shape)
+        replaced = self.current_servers[slot]
+        self.drain(replaced, REPLACEMENT_DRAIN_DURATION_S, 0.0)
+        server = Server(f"s-{self.created}", self.created, replaced.zone, self.context.shape)
         server.slot = slot
         self.created += 1
         self.servers[server.name] = server
--- a/stackwheel/trials/loop.py
+++ b/stackwheel/trials/loop.py
@@ -19,7 +19,7 @@
 Callback = Callable[..., object]
 Address = tuple[str, int]
 
-MAX_RETAINED_TASKS = 256  # per machine; beyond this limit, completed tasks are dropped
+MAX_RETAINED_TASKS = 256  # per machine; completed tasks beyond this limit are dropped
 PRUNE_INTERVAL_TASKS = 128
 
 
@@ -109,8 +109,8 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.ready: deque[Handle] = deque()
-        self.timers: list[tuple[float, int, Handle]] = []  # a heap
-        self.timer_count = 0  # timers that are due at the same time run in the order of their creation
+        self.timers: list[tuple[float, int, Handle]] = []  # heap, ordered by due time and creation
+        self.timer_count = 0
         self.callbacks_run = 0
         self.machine: Machine | None = None
         self.closed = False
--- a/stackwheel/trials/network.py
+++ b/stackwheel/trials/network.py
@@ -24,7 +24,7 @@
     Transport,
 )
 
-CONNECT_RETRY_DELAYS_S = (1.0, 3.0, 7.0)  # between attempts that get no answer, as in TCP's exponential backoff
+CONNECT_RETRY_DELAYS_S = (1.0, 3.0, 7.0)  # TCP retransmits an unanswered SYN with exponential backoff
 MAX_REORDER_DELAY_S = 0.02
 UNKNOWN_HOST = "127.0.0.1"
 FIRST_EPHEMERAL_PORT = 20000
--- a/stackwheel/trials/planner_config.py
+++ b/stackwheel/trials/planner_config.py
@@ -14,8 +14,8 @@
 GOSSIP_PORT = 7946
 MULTICAST_HOST = "10.3.255.1"
 MAX_CONNECTIONS = 1024
-PLANNER_SEED_FACTOR = 1000  # separates the seeds of planners in different trials
-SEEDS_PER_INCARNATION = 16  # the maximum number of planners of a shape
+PLANNER_SEED_FACTOR = 1000  # planners of different trials have different seeds
+SEEDS_PER_INCARNATION = 16  # the maximum number of planners in a trial
 
 
 def planner_host(number: int) -> str:
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -20,7 +20,7 @@
 
 REDIAL_DELAY_RANGE_S = (0.1, 2.4)
 DIAL_TIMEOUT_S = 3.0
-SILENCE_DETECTION_RANGE_S = (0.2, 2.7)  # from the loss of a planner or path until the proxy detects it
+SILENCE_DETECTION_RANGE_S = (0.2, 2.7)  # measured from the loss of the planner or of the path to it
 FIRST_DIAL_DELAY_RANGE_S = (0.0, 0.3)  # measured from the start of the proxy
 FIRST_REPORT_INTERVALS_RANGE = (0.3, 1.0)  # in report intervals, measured from the start of the proxy
 SAME_PLANNER_SHARE = 0.7  # share of second streams that go to the planner of the first one
@@ -174,11 +174,11 @@
             stream.broken = True
             stream.transport.abort()
             return
-        former = self.stream
+        previous = self.stream
         self.stream = stream
-        if former is not None and former.transport is not None:
-            former.broken = True
-            former.transport.abort()
+        if previous is not None and previous.transport is not None:
+            previous.broken = True
+            previous.transport.abort()
         zone = self.context.zones[self.zone]
         stream.send(f"SUBSCRIBE id={self.number} site={zone} rps={self.rate():.1f} new={int(self.is_new)}")
 
@@ -245,14 +245,14 @@
 
     def open_second_stream(self, delay: float) -> None:
         """Open a second stream while bytes sent on the first one are still in transit, for `delay` s."""
-        former = self.stream
-        if former is None or former.transport is None:
+        first = self.stream
+        if first is None or first.transport is None:
             return
-        planner_end = former.transport.peer
+        planner_end = first.transport.peer
         planner_end.last_arrival = max(planner_end.last_arrival, self.context.loop.now + delay)
-        former.send(*self.take_demand_reports())
+        first.send(*self.take_demand_reports())
         if self.random.random() < SAME_PLANNER_SHARE:
-            self.next_planner = former.planner
+            self.next_planner = first.planner
         self.dial()
 
     # Incarnations.
--- a/stackwheel/trials/proxy_requests.py
+++ b/stackwheel/trials/proxy_requests.py
@@ -13,7 +13,7 @@
 from stackwheel.trials.requests import Attempts, Clients, Request, RequestReceiver
 from stackwheel.trials.servers import AttemptProgress, Outcome
 
-AVOIDANCE_DURATION_S = 5.0  # after too many consecutive failures of a server
+AVOIDANCE_DURATION_S = 5.0  # begins when a server has had too many consecutive failures
 MAX_ATTEMPTS_IN_FLIGHT = 4096  # per proxy; further requests are rejected
 ATTEMPT_TIMEOUT_FACTOR = 0.8  # relative to the latency objective; applies to attempts that may be retried
 
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -31,8 +31,8 @@
 from stackwheel.wire.endpoint_watch import HEARTBEAT_CHUNK
 from stackwheel.wire.http import split_address
 
-PLANNERS_CELL = "s"  # prefix of the names of its servers
-OTHER_CELL = "t"  # has the same relays and registry
+PLANNERS_CELL = "s"  # names of servers begin with the name of their cell
+OTHER_CELL = "t"  # a second cell with the same relays and registry
 CELL_PORTS = {PLANNERS_CELL: 9001, OTHER_CELL: 19001}
 OTHER_SERVERS = 5
 OTHER_CHANGE_INTERVAL_RANGE_S = (0.5, 2.5)
@@ -42,8 +42,8 @@
 FIRST_GENERATION = 10**15
 GENERATION_RESTART_DIVISOR = 100
 PATH_CHECK_INTERVAL_S = 0.1
-MAX_LIST_STALENESS_S = 6.0  # for which relays and planners defer lists of an older generation
-MAX_SETTLE_DURATION_S = 120.0  # from the end of the script to the end of the last fault
+MAX_LIST_STALENESS_S = 6.0  # relays and planners defer a list of an older generation for this time
+MAX_SETTLE_DURATION_S = 120.0  # measured from the end of the script
 SETTLE_CHECK_INTERVAL_S = 1.0
 MAX_REGISTRY_SILENCE_S = (timing.WATCH_SILENCE_TIMEOUT_MS + timing.HEARTBEAT_INTERVAL_MS) / 1000.0
 
--- a/stackwheel/trials/transport.py
+++ b/stackwheel/trials/transport.py
@@ -10,7 +10,7 @@
 
 from stackwheel.trials.loop import Address, Machine, VirtualLoop, do_nothing
 
-RECEIVE_WINDOW_BYTES = 128 * 1024  # in transit or unread; further bytes fill the write buffer of the sender
+RECEIVE_WINDOW_BYTES = 128 * 1024  # unread bytes beyond the window fill the write buffer of the sender
 HIGH_WATER_BYTES = 64 * 1024  # asyncio's default
 LOW_WATER_BYTES = 16 * 1024  # asyncio's default
 
@@ -80,7 +80,7 @@
         blocked_pieces: Pieces sent to this end that a cut blocks.
         last_arrival: Arrival time of the last piece sent to this end, in s.
         unread_bytes: Number of bytes written to this end and not read yet.
-        peer_paused: Whether the peer's protocol was told to pause writing, because this end does not read.
+        peer_paused: Whether the peer's protocol has paused writing because this end does not read.
         abandoned: Whether this end was discarded without notifying the peer.
         half_open: Whether pieces sent to this end are lost.
     """
--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -11,7 +11,7 @@
 from stackwheel.trials.servers import Server
 
 CHECK_INTERVAL_S = 0.25
-UPDATE_ALLOWANCE_MS = 300.0  # for computing an update, in addition to its transit time
+UPDATE_ALLOWANCE_MS = 300.0  # is added to the transit time of an update
 
 
 class WarmupMonitor:
--- a/tests/trials/test_relay_scenarios.py
+++ b/tests/trials/test_relay_scenarios.py
@@ -23,7 +23,7 @@
 from stackwheel.wire.endpoint_watch import EndpointWatch
 
 SCRIPTS = Path(__file__).parent / "scripts"
-RELAYS_RETURN_AT_S = 14.0  # in the script `relays-lost-and-back`
+RELAYS_RETURN_AT_S = 14.0  # according to the script `relays-lost-and-back`
 MAX_PLANNERS_PER_CELL = 16
 SCRIPT_BY_DEFECT: dict[str, str] = {
     "old-generation-served": "cell-shrinks",
