--- a/stackwheel/scale/accounting.py
+++ b/stackwheel/scale/accounting.py
@@ -1,4 +1,4 @@
-"""What a process costs: processor time and memory as the kernel counts them, and traffic counted by the stand-ins."""
+"""Resource usage of a process: CPU time and memory from the kernel, and traffic counted by the stand-ins."""
 
 from __future__ import annotations
 
@@ -10,77 +10,86 @@
 
 from stackwheel.errors import StackwheelError
 
-PROC = Path("/proc")
+PROC_PATH = Path("/proc")
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-MEBIBYTE = 1 << 20
-UTIME_FIELD = 11  # of /proc/PID/stat, counted from 0 after the closing bracket of the name; stime follows (proc(5))
-NANOSECONDS = 1e9  # in a second
+BYTES_PER_MIB = 1 << 20
+# Index of utime among the fields of /proc/PID/stat that follow the process name; stime is the next one (proc(5)).
+UTIME_FIELD_INDEX = 11
+NANOSECONDS_PER_SECOND = 1e9
 
 
 class AccountingError(StackwheelError):
-    """A process's figures can't be read: it has ended, or the kernel does not report them."""
+    """The usage of a process cannot be read: it has ended, or the kernel does not report it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """One reading of a process."""
+    """The resource usage of a process at one moment.
 
-    cpu_seconds: float  # processor time since the process started
-    rss_mb: float  # resident memory in MiB
+    Attributes:
+        cpu_seconds: CPU time since the process started.
+        rss_mb: resident memory in MiB.
+    """
+
+    cpu_seconds: float
+    rss_mb: float
 
 
-def read_usage(pid: int, proc: Path = PROC) -> ProcessUsage:
-    """Read a process's figures; AccountingError if it has ended. `proc`: where the kernel's files are."""
+def read_usage(pid: int, proc: Path = PROC_PATH) -> ProcessUsage:
+    """Read the usage of a process from the proc file system mounted at `proc`.
+
+    Raises:
+        AccountingError: the process has ended, or the kernel does not report its usage.
+    """
     folder = proc / str(pid)
     try:
         return ProcessUsage(_cpu_seconds(folder), _rss_mb(folder))
     except (OSError, ValueError, IndexError) as error:
-        raise AccountingError(f"process {pid}: {error}") from error
+        raise AccountingError(f"process {pid}: cannot read its usage: {error}") from error
 
 
 def _cpu_seconds(folder: Path) -> float:
-    """Processor time by schedstat, in nanoseconds, where the kernel has it; else utime + stime, in ticks.
+    """Return the CPU time of a process from schedstat if the kernel provides it, otherwise from stat.
 
-    /proc/PID/stat counts in ticks of 10 ms, a third of what an idle planner takes in a span of some seconds, so it
-    is too coarse. schedstat is kept for each thread, so threads are added up. A thread that has ended counts in
-    stat alone, so the larger of both is taken.
+    schedstat counts nanoseconds for each thread. /proc/PID/stat counts ticks of 10 ms, too coarse for an idle
+    planner, but includes threads that have ended. A process with several threads gets the larger of both values.
     """
     fields = (folder / "stat").read_text().rpartition(")")[2].split()
-    by_ticks = (int(fields[UTIME_FIELD]) + int(fields[UTIME_FIELD + 1])) / TICKS_PER_SECOND
+    tick_seconds = (int(fields[UTIME_FIELD_INDEX]) + int(fields[UTIME_FIELD_INDEX + 1])) / TICKS_PER_SECOND
     threads = list((folder / "task").iterdir())
     if len(threads) > 1 or not (folder / "schedstat").exists():
-        return max(by_ticks, sum(_thread_seconds(thread) for thread in threads))
+        return max(tick_seconds, sum(_thread_seconds(thread) for thread in threads))
     return _thread_seconds(threads[0])
 
 
 def _thread_seconds(thread: Path) -> float:
     path = thread / "schedstat"
-    return int(path.read_text().split()[0]) / NANOSECONDS if path.exists() else 0.0
+    return int(path.read_text().split()[0]) / NANOSECONDS_PER_SECOND if path.exists() else 0.0
 
 
 def _rss_mb(folder: Path) -> float:
-    return int((folder / "statm").read_text().split()[1]) * PAGE_BYTES / MEBIBYTE
+    return int((folder / "statm").read_text().split()[1]) * PAGE_BYTES / BYTES_PER_MIB
 
 
 class Channel(StrEnum):
-    """The kinds of connections that a planner or a relay has, by what is at the other end."""
+    """A kind of connection of a planner or a relay, named after what is at the other end."""
 
     LIST = "list"
     PEERS = "peers"
-    STREAMS = "streams"  # of proxies
+    STREAMS = "streams"  # to proxies
     COLLECTORS = "collectors"
     HEALTH_CHECKS = "probes"
-    WATCHES = "watches"  # of planners at a relay
+    WATCHES = "watches"  # from planners to a relay
 
 
-# The channels that count against a planner's budget for control; the others are the data path.
-CONTROL = (Channel.LIST, Channel.PEERS, Channel.WATCHES)
+# Channels whose traffic counts against the budget for control traffic; all others carry data.
+CONTROL_CHANNELS = (Channel.LIST, Channel.PEERS, Channel.WATCHES)
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Payload bytes and messages of one channel, as the process under test receives (in) and sends (out) them."""
+    """Payload bytes and messages of one channel that the process under test receives (in) and sends (out)."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -88,17 +97,17 @@
     messages_out: int = 0
 
     def count_received(self, size: int, messages: int = 1) -> None:
-        """Count bytes and messages that the process under test was sent."""
+        """Count payload bytes and messages that the process under test received."""
         self.bytes_in += size
         self.messages_in += messages
 
     def count_sent(self, size: int, messages: int = 1) -> None:
-        """Count bytes and messages that the process under test has sent."""
+        """Count payload bytes and messages that the process under test sent."""
         self.bytes_out += size
         self.messages_out += messages
 
     def since(self, earlier: Traffic) -> Traffic:
-        """The traffic between an earlier reading and this one."""
+        """Return the traffic between an earlier snapshot and this one."""
         return Traffic(
             self.bytes_in - earlier.bytes_in,
             self.bytes_out - earlier.bytes_out,
@@ -107,15 +116,15 @@
         )
 
     def copy(self) -> Traffic:
-        """A copy, which later traffic does not change."""
+        """Return a copy that is independent of later traffic."""
         return Traffic(self.bytes_in, self.bytes_out, self.messages_in, self.messages_out)
 
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """Counters of all channels of one process under test, written by the stand-ins at the other ends.
+    """Traffic counters of all channels of one process under test, updated by the stand-ins at the other ends.
 
-    Bytes are payload, without headers of TCP, UDP and IP.
+    Bytes are payload without TCP, UDP and IP headers.
     """
 
     channels: dict[Channel, Traffic] = field(default_factory=lambda: {channel: Traffic() for channel in Channel})
@@ -123,18 +132,18 @@
     def __getitem__(self, channel: Channel) -> Traffic:
         return self.channels[channel]
 
-    def reading(self) -> TrafficCounters:
-        """A copy of the present counts."""
+    def snapshot(self) -> TrafficCounters:
+        """Return a copy of the current counters."""
         return TrafficCounters({channel: traffic.copy() for channel, traffic in self.channels.items()})
 
     def since(self, earlier: TrafficCounters) -> TrafficCounters:
-        """The traffic between an earlier reading and this one."""
+        """Return the traffic between an earlier snapshot and this one."""
         return TrafficCounters({channel: self[channel].since(earlier[channel]) for channel in self.channels})
 
-    def control(self) -> Iterator[Traffic]:
-        """The channels that count against the control budget."""
-        return (self[channel] for channel in CONTROL)
+    def control_channels(self) -> Iterator[Traffic]:
+        """Return the counters of the channels that count against the budget for control traffic."""
+        return (self[channel] for channel in CONTROL_CHANNELS)
 
-    def data_path(self) -> Iterator[Traffic]:
-        """The channels of updates to proxies, reports and health checks."""
-        return (traffic for channel, traffic in self.channels.items() if channel not in CONTROL)
+    def data_channels(self) -> Iterator[Traffic]:
+        """Return the counters of all other channels: updates to proxies, load reports and health checks."""
+        return (traffic for channel, traffic in self.channels.items() if channel not in CONTROL_CHANNELS)
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -14,7 +14,14 @@
 
 from stackwheel.policy.peer_planners import MAX_DATAGRAMS_PER_INTERVAL
 from stackwheel.scale.accounting import Channel
-from stackwheel.scale.bench import READY_POLL_SECONDS, READY_SECONDS, Bench, BenchError, address_of, started
+from stackwheel.scale.bench import (
+    START_POLL_INTERVAL_S,
+    START_TIMEOUT_S,
+    Bench,
+    BenchError,
+    listen_address,
+    stackwheel_process,
+)
 from stackwheel.scale.fake_environment import FakeDiscovery, FakePeerPlanners, FakeServers
 from stackwheel.scale.ping import answers_ping
 from stackwheel.scale.planner_settings import PlannerSettings, RequestClassSettings
@@ -75,22 +82,22 @@
     async def running(self) -> AsyncIterator[asyncio.subprocess.Process]:
         """The process, ready, with its proxies started; on exit it is ended together with all stand-ins."""
         async with contextlib.AsyncExitStack() as stack:
-            stack.callback(self.cancel)
+            stack.callback(self.cancel_tasks)
             servers = await asyncio.start_server(FakeServers(self.counters[Channel.HEALTH_CHECKS]).serve, HOST, 0)
             stack.callback(servers.close)
-            entries = self.point.entries(address_of(servers))
-            self.feed = FakeDiscovery(entries, self.counters[Channel.LIST])
-            discovery = await asyncio.start_server(self.feed.serve, HOST, 0)
+            entries = self.point.entries(listen_address(servers))
+            self.discovery = FakeDiscovery(entries, self.counters[Channel.LIST])
+            discovery = await asyncio.start_server(self.discovery.serve, HOST, 0)
             stack.callback(discovery.close)
             names = [entry.instance_id for entry in entries]
             peers = FakePeerPlanners(names, MAX_DATAGRAMS_PER_INTERVAL, self.counters[Channel.PEERS])
             stack.callback(peers.close)
             await peers.open(self.point.planners - 1)
-            config = planner_config(self.point, f"{HOST}:{free_port()}", address_of(discovery), peers, self.seed)
+            config = planner_config(self.point, f"{HOST}:{free_port()}", listen_address(discovery), peers, self.seed)
             folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="stackwheel-scale-"))
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(config))
-            process = await stack.enter_async_context(started((), {CONFIG_VARIABLE: str(path)}))
+            process = await stack.enter_async_context(stackwheel_process((), {CONFIG_VARIABLE: str(path)}))
             await wait_until_ready(str(config["listen"]), process)
             self.start_proxies(str(config["listen"]), names)
             self.start_task(peers.run(split_address(str(config["peer_listen"]))))
@@ -114,20 +121,20 @@
             collector = HollowCollector(zone, address, servers, reports, Random(random.getrandbits(64)))
             self.start_task(collector.run())
 
-    def cancel(self) -> None:
+    def cancel_tasks(self) -> None:
         """End the tasks of all stand-ins, and reset the proxies' streams."""
-        super().cancel()
+        super().cancel_tasks()
         for proxy in self.proxies:
             proxy.close()
 
-    def all_served(self) -> bool:
+    def all_clients_served(self) -> bool:
         """Whether every proxy has a server for every request class."""
         return all(proxy.has_tables() for proxy in self.proxies)
 
-    def start_disturbances(self) -> None:
+    def start_list_changes(self) -> None:
         """Begin the changes of the list, and the loss of a zone, that the point asks for."""
         if self.point.changes:
-            self.start_task(self.change(self.point.changes))
+            self.start_task(self.change_list(self.point.changes))
         if self.point.zone_lost:
             self.start_task(self.lose_zone())
 
@@ -137,16 +144,16 @@
 
     async def lose_zone(self) -> None:
         """Remove all servers of the first zone at once, some time into the span."""
-        assert self.feed is not None
+        assert self.discovery is not None
         await asyncio.sleep(ZONE_LOST_AFTER)
-        self.feed.remove_zone(self.point.zone(0))
+        self.discovery.remove_zone(self.point.zone(0))
 
 
 async def wait_until_ready(address: str, process: asyncio.subprocess.Process) -> None:
     """Wait until the planner answers a PING; BenchError if it does not in time, or ends."""
-    end = time.monotonic() + READY_SECONDS
+    end = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < end and process.returncode is None:
-        if await answers_ping(address, READY_SECONDS):
+        if await answers_ping(address, START_TIMEOUT_S):
             return
-        await asyncio.sleep(READY_POLL_SECONDS)
-    raise BenchError(f"planner at {address} was not ready within {READY_SECONDS:g} s")
+        await asyncio.sleep(START_POLL_INTERVAL_S)
+    raise BenchError(f"planner at {address} was not ready within {START_TIMEOUT_S:g} s")
--- a/stackwheel/scale/relay_bench.py
+++ b/stackwheel/scale/relay_bench.py
@@ -12,7 +12,7 @@
 from stackwheel.cells.plan import Cell, Limits, Plan, Relay
 from stackwheel.cells.plan_file import save_plan
 from stackwheel.scale.accounting import Channel
-from stackwheel.scale.bench import READY_SECONDS, Bench, BenchError, address_of, started
+from stackwheel.scale.bench import START_TIMEOUT_S, Bench, BenchError, listen_address, stackwheel_process
 from stackwheel.scale.discovery_http import LIST_PATH
 from stackwheel.scale.fake_environment import READ_BYTES, FakeDiscovery
 from stackwheel.scale.points import ZONES, RelayPoint, cell_name
@@ -42,19 +42,19 @@
     async def running(self) -> AsyncIterator[asyncio.subprocess.Process]:
         """The relay's process once it has served every watcher; on exit it is ended together with all stand-ins."""
         async with contextlib.AsyncExitStack() as stack:
-            stack.callback(self.cancel)
-            self.feed = FakeDiscovery(self.point.entries(), self.counters[Channel.LIST])
-            registry = await asyncio.start_server(self.feed.serve, HOST, 0)
+            stack.callback(self.cancel_tasks)
+            self.discovery = FakeDiscovery(self.point.entries(), self.counters[Channel.LIST])
+            registry = await asyncio.start_server(self.discovery.serve, HOST, 0)
             stack.callback(registry.close)
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="stackwheel-scale-")))
             save_plan(self.plan(), folder / "plan.json")
-            record = {"on": True, "name": NAME, "upstream": address_of(registry), "plan": "plan.json"}
+            record = {"on": True, "name": NAME, "upstream": listen_address(registry), "plan": "plan.json"}
             operators = folder / "operators.json"
             operators.write_text(json.dumps({"relay": record}))
-            process = await stack.enter_async_context(started(("relay", "--operators", str(operators)), {}))
+            process = await stack.enter_async_context(stackwheel_process(("relay", "--operators", str(operators)), {}))
             for number in range(self.point.watchers):
                 self.start_task(self.watch(number, process))
-            if not await wait_until(self.all_served, READY_SECONDS):
+            if not await wait_until(self.all_clients_served, START_TIMEOUT_S):
                 raise BenchError(
                     f"{len(self.watchers_served)} of {self.point.watchers} watchers were told their part in time"
                 )
@@ -100,11 +100,11 @@
             traffic.count_sent(len(data), data.count(LINE_END))
             self.watchers_served.add(number)
 
-    def all_served(self) -> bool:
+    def all_clients_served(self) -> bool:
         """Whether every watcher has received the list of its cell."""
         return len(self.watchers_served) >= self.point.watchers
 
-    def start_disturbances(self) -> None:
+    def start_list_changes(self) -> None:
         """Begin the changes of the list that the point asks for."""
         if self.point.changes:
-            self.start_task(self.change(self.point.changes))
+            self.start_task(self.change_list(self.point.changes))
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -78,10 +78,10 @@
     """Measure one repeat at one point, without a time limit."""
     bench = bench_of(point, seed)
     async with bench.running() as process:
-        await wait_until(bench.all_served, TABLES_SECONDS)
+        await wait_until(bench.all_clients_served, TABLES_SECONDS)
         await asyncio.sleep(timing.settle)
         start_list_bytes = bench.counters[Channel.LIST].bytes_in
-        bench.start_disturbances()
+        bench.start_list_changes()
         try:
             readings = await sample(process.pid, bench.counters, timing.span)
         except AccountingError as error:
@@ -113,11 +113,11 @@
 
 async def sample(pid: int, counters: TrafficCounters, span: float) -> list[Reading]:
     """Take a reading each second over a span in seconds, and at its start and end."""
-    readings = [Reading(time.monotonic(), read_usage(pid), counters.reading())]
+    readings = [Reading(time.monotonic(), read_usage(pid), counters.snapshot())]
     end = readings[0].at + span
     while (remaining := end - time.monotonic()) > 0:
         await asyncio.sleep(min(SAMPLE_INTERVAL, remaining))
-        readings.append(Reading(time.monotonic(), read_usage(pid), counters.reading()))
+        readings.append(Reading(time.monotonic(), read_usage(pid), counters.snapshot()))
     return readings
 
 
@@ -135,8 +135,8 @@
     """Rates between two readings; memory is that of the later one."""
     span = after.at - before.at
     traffic = after.traffic.since(before.traffic)
-    control = list(traffic.control())
-    data = list(traffic.data_path())
+    control = list(traffic.control_channels())
+    data = list(traffic.data_channels())
     rates = {
         f"{name}_{field}": round(sum(getattr(channel, field) for channel in group) / span, 2)
         for name, group in (("control", control), ("data", data))
--- a/tests/scale/test_sweep.py
+++ b/tests/scale/test_sweep.py
@@ -62,7 +62,7 @@
 
 def test_a_planner_that_ends_while_it_is_measured_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     class KillingBench(PlannerBench):
-        def start_disturbances(self) -> None:
+        def start_list_changes(self) -> None:
             (child,) = Path(f"/proc/self/task/{os.getpid()}/children").read_text().split()
             os.kill(int(child), signal.SIGKILL)
 
@@ -76,7 +76,7 @@
 
 
 def test_a_relay_that_has_not_served_its_watchers_is_not_measured(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(relay_bench, "READY_SECONDS", 0.0)
+    monkeypatch.setattr(relay_bench, "START_TIMEOUT_S", 0.0)
 
     async def work() -> None:
         with pytest.raises(BenchError, match="0 of 4 watchers were told"):
