--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -1,4 +1,4 @@
-"""The bench of a planner: one real planner's process between stand-ins for all that it is connected with."""
+"""Bench of a planner: one real planner process between stand-ins for all of its connections."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 from stackwheel.service.config import CONFIG_VARIABLE
 from stackwheel.wire.http import split_address
 
-ROUTES = ("read", "write")
-ZONE_LOST_AFTER = 1.5  # s from the start of the measured span
-SPARE_SOCKETS = 256  # beside those of the proxies
-MAX_SOCKETS = 15_000  # of the 20,000 descriptors of a process
+REQUEST_CLASSES = ("read", "write")
+ZONE_LOSS_DELAY_S = 1.5  # from the start of the measured span
+SPARE_SOCKETS = 256  # in addition to one for each proxy
+MAX_SOCKETS = 15_000  # leaves file descriptors for other uses; the limit of a process is 20,000
 
 
 def bench_settings(point: Point) -> PlannerSettings:
-    """The settings of the planner's tier, at a point of a sweep."""
+    """Return the planner settings for a point of a sweep."""
     return PlannerSettings(
         zones=[f"zone-{number:02d}" for number in range(point.zones)],
         kinds=["m1"],
@@ -55,7 +55,7 @@
 
 
 def planner_config(point: Point, listen: str, discovery: str, peers: FakePeerPlanners, seed: int) -> dict[str, object]:
-    """The configuration of the planner under test, which is number 0 of its tier."""
+    """Return the configuration file of the planner under test, which is number 0 of its peer planners."""
     peer_listen = f"{HOST}:{free_port(socket.SOCK_DGRAM)}"
     return {
         "name": "planner-0",
@@ -71,7 +71,7 @@
 
 
 class PlannerBench(Bench):
-    """One planner's process, with discovery, proxies, collectors, peers and servers that answer health checks."""
+    """One planner process and stand-ins for discovery, proxies, collectors, peer planners and servers."""
 
     def __init__(self, point: Point, seed: int) -> None:
         super().__init__(seed)
@@ -80,20 +80,22 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[asyncio.subprocess.Process]:
-        """The process, ready, with its proxies started; on exit it is ended together with all stand-ins."""
+        """Yield the process once it is ready and its proxies have started; on exit, end it and all stand-ins."""
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self.cancel_tasks)
             servers = await asyncio.start_server(FakeServers(self.counters[Channel.HEALTH_CHECKS]).serve, HOST, 0)
             stack.callback(servers.close)
             entries = self.point.entries(listen_address(servers))
             self.discovery = FakeDiscovery(entries, self.counters[Channel.LIST])
-            discovery = await asyncio.start_server(self.discovery.serve, HOST, 0)
-            stack.callback(discovery.close)
+            discovery_server = await asyncio.start_server(self.discovery.serve, HOST, 0)
+            stack.callback(discovery_server.close)
             names = [entry.instance_id for entry in entries]
             peers = FakePeerPlanners(names, MAX_DATAGRAMS_PER_INTERVAL, self.counters[Channel.PEERS])
             stack.callback(peers.close)
             await peers.open(self.point.planners - 1)
-            config = planner_config(self.point, f"{HOST}:{free_port()}", listen_address(discovery), peers, self.seed)
+            config = planner_config(
+                self.point, f"{HOST}:{free_port()}", listen_address(discovery_server), peers, self.seed
+            )
             folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="stackwheel-scale-"))
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(config))
@@ -104,8 +106,8 @@
             yield process
 
     def start_proxies(self, address: str, names: Sequence[str]) -> None:
-        """Start the proxies and the collectors of the planner under test."""
-        settings = ProxySettings(address, ROUTES, frozenset(names), REQUESTS_PER_PROXY)
+        """Start the proxies and the collectors that connect to the planner under test."""
+        settings = ProxySettings(address, REQUEST_CLASSES, frozenset(names), REQUESTS_PER_PROXY)
         random = Random(self.seed)
         streams = self.counters[Channel.STREAMS]
         reports = self.counters[Channel.COLLECTORS]
@@ -114,7 +116,7 @@
             proxy = HollowProxy(number, zone, settings, streams, Random(random.getrandbits(64)))
             self.proxies.append(proxy)
             self.start_task(proxy.run())
-        requested = names[: self.point.requests]  # a server that has had no request has no report
+        requested = names[: self.point.requests]  # collectors report only servers that received requests
         for index in range(self.point.zones):
             zone = self.point.zone(index)
             servers = requested[index :: self.point.zones]
@@ -122,38 +124,42 @@
             self.start_task(collector.run())
 
     def cancel_tasks(self) -> None:
-        """End the tasks of all stand-ins, and reset the proxies' streams."""
+        """Cancel the tasks of all stand-ins and reset the streams of the proxies."""
         super().cancel_tasks()
         for proxy in self.proxies:
             proxy.close()
 
     def all_clients_served(self) -> bool:
-        """Whether every proxy has a server for every request class."""
+        """Return whether every proxy has a server for every request class."""
         return all(proxy.has_tables() for proxy in self.proxies)
 
     def start_list_changes(self) -> None:
-        """Begin the changes of the list, and the loss of a zone, that the point asks for."""
+        """Start the changes of the endpoint list and the loss of a zone that the point specifies."""
         if self.point.changes:
             self.start_task(self.change_list(self.point.changes))
         if self.point.zone_lost:
             self.start_task(self.lose_zone())
 
     def updates_received(self) -> int:
-        """Updates that all proxies together have received so far."""
+        """Return the number of updates that all proxies have received."""
         return sum(proxy.state.updates for proxy in self.proxies)
 
     async def lose_zone(self) -> None:
-        """Remove all servers of the first zone at once, some time into the span."""
+        """Remove all servers of the first zone at once, `ZONE_LOSS_DELAY_S` after the start of the span."""
         assert self.discovery is not None
-        await asyncio.sleep(ZONE_LOST_AFTER)
+        await asyncio.sleep(ZONE_LOSS_DELAY_S)
         self.discovery.remove_zone(self.point.zone(0))
 
 
 async def wait_until_ready(address: str, process: asyncio.subprocess.Process) -> None:
-    """Wait until the planner answers a PING; BenchError if it does not in time, or ends."""
+    """Wait until the planner answers a PING.
+
+    Raises:
+        BenchError: the planner ended or did not answer within `START_TIMEOUT_S`.
+    """
     end = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < end and process.returncode is None:
         if await answers_ping(address, START_TIMEOUT_S):
             return
         await asyncio.sleep(START_POLL_INTERVAL_S)
-    raise BenchError(f"planner at {address} was not ready within {START_TIMEOUT_S:g} s")
+    raise BenchError(f"planner at {address} ended or did not answer a PING within {START_TIMEOUT_S:g} s")
--- a/stackwheel/scale/planner_settings.py
+++ b/stackwheel/scale/planner_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a real planner in a run or sweep, in the form in which the platform provides them."""
+"""Settings of a real planner in a run or sweep, encoded as in the `settings` object of its configuration."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSettings:
-    """A request class; what has no field here is as in `examples/config.json`."""
+    """The settings of a request class; those without a field have the values of `examples/config.json`."""
 
     name: str
     priority_weight: float = 1.0
-    idempotency: str = "repeatable"  # in the words of the settings page
+    idempotency: str = "repeatable"  # a value of the setting `effect`
 
     def document(self) -> dict[str, object]:
-        """The class as an entry of `settings.services`."""
+        """Return the request class as an entry of `settings.services`."""
         return {
             "name": self.name,
             "target": 500.0,
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """The settings that differ between runs and sweeps; all others are as in `examples/config.json`. Times are ms."""
+    """The settings that differ between runs and sweeps; all others are as in `examples/config.json`. Times in ms."""
 
     zones: Sequence[str]
     kinds: Sequence[str]
@@ -48,7 +48,7 @@
     slow_start_min_share: float = 0.0
 
     def document(self) -> dict[str, object]:
-        """The object `settings` of a planner's configuration; the planner is number 0 of its tier."""
+        """Return the object `settings` of the configuration of a planner, which is number 0 of its peer planners."""
         return {
             "me": 0,
             "instances": self.planners,
@@ -62,11 +62,11 @@
             "bounds": {"peers": self.gossip, "probes": self.health_checks},
             "deductions": {"cross_zone": self.cross_zone_cost},
             "services": [request_class.document() for request_class in self.classes],
-            "family_info": self._family(),
+            "family_info": self._family_info(),
             "obligations": self._obligations(),
         }
 
-    def _family(self) -> dict[str, object]:
+    def _family_info(self) -> dict[str, object]:
         return {
             "agents": self.proxies,
             "backlog": 4500.0,
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -1,4 +1,4 @@
-"""The sizes at which a planner and a relay are measured: sweeps of one variable, and single points of the design."""
+"""Sizes at which a planner and a relay are measured: sweeps of one variable, and single points of the target size."""
 
 from __future__ import annotations
 
@@ -8,46 +8,64 @@
 from stackwheel.scale import target_size as design
 from stackwheel.scale.entries import Entry
 
-SERVICE_SERVERS = round(design.SERVERS / design.SERVICES)  # of a mean service
+MEAN_SERVICE_SERVERS = round(design.SERVERS / design.SERVICES)
 ZONES = design.ZONES
-MEAN_REQUESTS = round(design.REQUESTS / design.SERVICES)  # of a mean service, a second
+MEAN_SERVICE_REQUESTS_PER_S = round(design.REQUESTS / design.SERVICES)
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """The sizes at which one planner is measured."""
+    """The sizes at which one planner is measured.
+
+    Attributes:
+        servers: in the endpoint list.
+        zones: over which servers and proxies are distributed.
+        proxies: connected to the planner.
+        planners: of the cell, including the measured one.
+        changes: of the endpoint list per second.
+        zone_lost: whether all servers of the first zone are removed during the span.
+        requests: per second; at most this many servers are included in the load reports of a report interval.
+    """
 
     servers: int = 128
     zones: int = 1
     proxies: int = 32
     planners: int = 1
-    changes: float = 0.0  # of the list, a second
-    zone_lost: bool = False  # all servers of the first zone leave during the span
-    requests: int = MEAN_REQUESTS  # a second; it bounds the servers that have a report in a report interval
+    changes: float = 0.0
+    zone_lost: bool = False
+    requests: int = MEAN_SERVICE_REQUESTS_PER_S
 
-    def entries(self, probe_address: str) -> list[Entry]:
-        """The list: names as in the fleet, zones in turn; all servers at one address for health checks."""
-        return [Entry(f"svc-0001-{number:08x}", probe_address, self.zone(number)) for number in range(self.servers)]
+    def entries(self, health_check_address: str) -> list[Entry]:
+        """Return the endpoint list: zones in rotation, and one health check address for all servers."""
+        return [
+            Entry(f"svc-0001-{number:08x}", health_check_address, self.zone(number)) for number in range(self.servers)
+        ]
 
     def zone(self, number: int) -> str:
-        """The zone of a server or proxy by its number."""
+        """Return the zone of a server or proxy by its number."""
         return f"zone-{number % self.zones:02d}"
 
 
 @dataclass(frozen=True, slots=True)
 class RelayPoint:
-    """The sizes at which one relay is measured: it has all servers, its watchers are spread over the cells."""
+    """The sizes at which one relay is measured.
+
+    Attributes:
+        servers: in the full endpoint list, which the relay watches.
+        watchers: connected to the relay, distributed over the cells.
+        changes: of the endpoint list per second.
+    """
 
     servers: int = 2_000
     watchers: int = 200
-    changes: float = 0.0  # of the list, a second
+    changes: float = 0.0
 
     def cells(self) -> int:
-        """The number of cells, one for each service of mean size."""
-        return max(1, round(self.servers / SERVICE_SERVERS))
+        """Return the number of cells, one for each service of mean size."""
+        return max(1, round(self.servers / MEAN_SERVICE_SERVERS))
 
     def entries(self) -> list[Entry]:
-        """The list: services and zones in turn."""
+        """Return the endpoint list: services and zones in rotation."""
         cells = self.cells()
         return [
             Entry(f"{cell_name(number % cells)}-{number:08x}", "10.0.0.1:8081", f"zone-{number % ZONES:02d}")
@@ -56,75 +74,83 @@
 
 
 def cell_name(number: int) -> str:
-    """The name of a cell, and of the one service in it."""
+    """Return the name of a cell, which is also the name of its only service."""
     return f"svc-{number:04d}"
 
 
 @dataclass(frozen=True, slots=True)
 class SweepPlan:
-    """One sweep of a variable."""
+    """The plan of one sweep of a variable.
+
+    Attributes:
+        variable: the name of the swept variable.
+        sizes: the sizes that the fits are made from.
+        held_out_size: the size that the fits predict before it is measured.
+        base_point: the values of the sizes that are not swept.
+        jobs: the number of points that are measured concurrently; they share the machine.
+    """
 
     variable: str
-    sizes: tuple[int, ...]  # that the fits are made from
-    held_out: int  # the size that is predicted by the fits, and then measured
-    base: Point | RelayPoint  # the other sizes
-    jobs: int  # points measured concurrently: few, as they share the machine
+    sizes: tuple[int, ...]
+    held_out_size: int
+    base_point: Point | RelayPoint
+    jobs: int
 
     @property
     def role(self) -> str:
-        """The role whose process is measured."""
-        return "planner" if isinstance(self.base, Point) else "relay"
+        """The role of the measured process."""
+        return "planner" if isinstance(self.base_point, Point) else "relay"
 
     @property
     def name(self) -> str:
-        """The sweep's name on the command line."""
-        return self.variable if isinstance(self.base, Point) else f"relay-{self.variable}"
+        """The name of the sweep on the command line."""
+        return self.variable if isinstance(self.base_point, Point) else f"relay-{self.variable}"
 
     def point(self, size: int) -> Point | RelayPoint:
-        """The point at a size of the swept variable."""
+        """Return the point at a size of the swept variable."""
         changed: dict[str, Any] = {self.swept_field(): size}
-        return replace(self.base, **changed)
+        return replace(self.base_point, **changed)
 
     def fixed(self) -> dict[str, float]:
-        """The sizes that are the same at all points of the sweep."""
+        """Return the sizes that are the same at all points of the sweep."""
         swept = self.swept_field()
-        return {name: float(value) for name, value in asdict(self.base).items() if name != swept}
+        return {name: float(value) for name, value in asdict(self.base_point).items() if name != swept}
 
     def swept_field(self) -> str:
-        """The field of a point that the sweep changes."""
-        return FIELDS.get(self.variable, self.variable)
+        """Return the name of the point's field that the sweep varies."""
+        return SWEPT_FIELDS.get(self.variable, self.variable)
 
 
-FIELDS = {"list": "servers"}  # the changed field of sweeps that have another name
+SWEPT_FIELDS = {"list": "servers"}  # by variable, if the swept field has another name
 
 SWEEP_PLANS = (
-    SweepPlan("servers", sizes=(32, 64, 128, 256), held_out=512, base=Point(), jobs=3),
-    SweepPlan("list", sizes=(250, 500, 1_000, 2_000), held_out=4_000, base=Point(zones=20, proxies=5), jobs=2),
-    SweepPlan("zones", sizes=(2, 4, 8, 16), held_out=32, base=Point(servers=256, proxies=32), jobs=3),
-    SweepPlan("proxies", sizes=(8, 16, 32, 64), held_out=128, base=Point(servers=23), jobs=3),
-    SweepPlan("planners", sizes=(2, 4, 8, 16), held_out=32, base=Point(servers=23), jobs=3),
-    SweepPlan("changes", sizes=(1, 2, 4, 8), held_out=16, base=Point(servers=256), jobs=3),
-    SweepPlan("watchers", sizes=(100, 200, 400, 800), held_out=1_600, base=RelayPoint(), jobs=2),
-    SweepPlan("servers", sizes=(2_000, 4_000, 8_000, 16_000), held_out=32_000, base=RelayPoint(), jobs=2),
-    SweepPlan("changes", sizes=(5, 10, 20, 40), held_out=80, base=RelayPoint(), jobs=2),
+    SweepPlan("servers", sizes=(32, 64, 128, 256), held_out_size=512, base_point=Point(), jobs=3),
+    SweepPlan(
+        "list", sizes=(250, 500, 1_000, 2_000), held_out_size=4_000, base_point=Point(zones=20, proxies=5), jobs=2
+    ),
+    SweepPlan("zones", sizes=(2, 4, 8, 16), held_out_size=32, base_point=Point(servers=256, proxies=32), jobs=3),
+    SweepPlan("proxies", sizes=(8, 16, 32, 64), held_out_size=128, base_point=Point(servers=23), jobs=3),
+    SweepPlan("planners", sizes=(2, 4, 8, 16), held_out_size=32, base_point=Point(servers=23), jobs=3),
+    SweepPlan("changes", sizes=(1, 2, 4, 8), held_out_size=16, base_point=Point(servers=256), jobs=3),
+    SweepPlan("watchers", sizes=(100, 200, 400, 800), held_out_size=1_600, base_point=RelayPoint(), jobs=2),
+    SweepPlan("servers", sizes=(2_000, 4_000, 8_000, 16_000), held_out_size=32_000, base_point=RelayPoint(), jobs=2),
+    SweepPlan("changes", sizes=(5, 10, 20, 40), held_out_size=80, base_point=RelayPoint(), jobs=2),
 )
 MEAN_CELL = Point(servers=23, zones=2, proxies=5, planners=7)
-SERVICE_PART = Point(
-    servers=51, zones=2, proxies=5, planners=16, requests=1056
-)  # of a large service: 16 planners' cell
-LARGEST_CELL = Point(servers=512, zones=2, proxies=44, planners=16, requests=512)  # at both limits of the plan file
-FULL_LIST = Point(servers=48_000, zones=85, proxies=5)  # a planner of a mean service, without cells
+LARGEST_SERVICE_CELL = Point(servers=51, zones=2, proxies=5, planners=16, requests=1056)
+LARGEST_CELL = Point(servers=512, zones=2, proxies=44, planners=16, requests=512)  # both limits of a cell are reached
+FULL_LIST = Point(servers=48_000, zones=85, proxies=5)  # planner that watches the full list, without cells
 
-# Points that are measured as they are; result files and docs/CAPACITY.md use these names.
+# Points that are measured outside of sweeps. Result files and docs/CAPACITY.md use these names.
 SINGLE_POINTS = {
     "mean cell": MEAN_CELL,
     "mean cell, one request a proxy": replace(MEAN_CELL, proxies=66),
     "mean cell, zone lost": replace(MEAN_CELL, zone_lost=True),
-    "part of the largest service": SERVICE_PART,
-    "part of the largest service, zone lost": replace(SERVICE_PART, zone_lost=True),
+    "part of the largest service": LARGEST_SERVICE_CELL,
+    "part of the largest service, zone lost": replace(LARGEST_SERVICE_CELL, zone_lost=True),
     "largest cell": LARGEST_CELL,
     "largest cell, zone lost": replace(LARGEST_CELL, zone_lost=True),
     "whole list": FULL_LIST,
     "whole list, zone lost": replace(FULL_LIST, zone_lost=True),
 }
-SINGLE_POINT_JOBS = 2  # of `SINGLE_POINTS`, measured concurrently
+SINGLE_POINT_JOBS = 2  # number of single points that are measured concurrently
--- a/stackwheel/scale/relay_bench.py
+++ b/stackwheel/scale/relay_bench.py
@@ -1,4 +1,4 @@
-"""The bench of a relay: one real relay's process between discovery and watchers, which only count bytes."""
+"""Bench of a relay: one real relay process between a discovery stand-in and watchers that only count bytes."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from stackwheel.scale.ports import HOST
 from stackwheel.scale.proxies import wait_until
 
-NAME = "relay-0"
-OTHER_NAME = "relay-1"
-OTHER_HOST = "127.78.0.1"  # nothing listens there: a plan needs two relays for each cell, but one is measured
-FIRST_PORT = 20_001  # of the first cell
-HOST_NUMBERS = iter(range(1, 1 << 16))  # each relay of this process listens at its own loopback address
-RETRY_SECONDS = 0.3  # until a watcher calls again: the relay has no list yet, or no capacity
-LINE_END = b"\n\r\n"  # of a JSON line or an empty one, with the end of its chunk
+RELAY_NAME = "relay-0"
+UNUSED_RELAY_NAME = "relay-1"
+UNUSED_RELAY_HOST = "127.78.0.1"  # a plan needs two relays for each cell; the second one is not started
+FIRST_CELL_PORT = 20_001
+LOOPBACK_HOST_NUMBERS = iter(range(1, 1 << 16))  # gives each measured relay its own loopback address
+WATCH_RETRY_DELAY_S = 0.3  # after the relay rejected a watch because it had no list yet or no capacity
+CHUNKED_LINE_END = b"\n\r\n"  # end of a line and of the HTTP chunk that carries it
 
 
 class RelayBench(Bench):
-    """One relay's process, which serves every cell of its plan, with watchers spread over them."""
+    """One relay process that serves every cell of its plan, and watchers distributed over the cells."""
 
     def __init__(self, point: RelayPoint, seed: int) -> None:
         super().__init__(seed)
         self.point = point
-        number = next(HOST_NUMBERS)
+        number = next(LOOPBACK_HOST_NUMBERS)
         self.host = f"127.77.{number >> 8}.{number & 255}"
-        self.watchers_served: set[int] = set()  # watchers that have received the list of their cell
+        self.served_watchers: set[int] = set()  # numbers of the watchers that have received data
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[asyncio.subprocess.Process]:
-        """The relay's process once it has served every watcher; on exit it is ended together with all stand-ins."""
+        """Yield the relay process once every watcher has received data; on exit, end it and all stand-ins."""
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self.cancel_tasks)
             self.discovery = FakeDiscovery(self.point.entries(), self.counters[Channel.LIST])
@@ -48,48 +48,51 @@
             stack.callback(registry.close)
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="stackwheel-scale-")))
             save_plan(self.plan(), folder / "plan.json")
-            record = {"on": True, "name": NAME, "upstream": listen_address(registry), "plan": "plan.json"}
+            relay_settings = {"on": True, "name": RELAY_NAME, "upstream": listen_address(registry), "plan": "plan.json"}
             operators = folder / "operators.json"
-            operators.write_text(json.dumps({"relay": record}))
+            operators.write_text(json.dumps({"relay": relay_settings}))
             process = await stack.enter_async_context(stackwheel_process(("relay", "--operators", str(operators)), {}))
             for number in range(self.point.watchers):
                 self.start_task(self.watch(number, process))
             if not await wait_until(self.all_clients_served, START_TIMEOUT_S):
                 raise BenchError(
-                    f"{len(self.watchers_served)} of {self.point.watchers} watchers were told their part in time"
+                    f"{len(self.served_watchers)} of {self.point.watchers} watchers received their list "
+                    f"within {START_TIMEOUT_S:g} s"
                 )
             yield process
 
     def plan(self) -> Plan:
-        """A plan with a cell for each service, all served by this relay and one that does not run."""
+        """Return a plan with one cell for each service, all served by this relay and by one that is not started."""
         cells = range(self.point.cells())
         return Plan(
             version=1,
             limits=Limits(),
             regions={f"zone-{number:02d}": "region-00" for number in range(ZONES)},
-            relays=(Relay(NAME, self.host), Relay(OTHER_NAME, OTHER_HOST)),
-            cells=tuple(Cell(cell_name(number), cell_name(number), (), 0, 1, FIRST_PORT + number) for number in cells),
+            relays=(Relay(RELAY_NAME, self.host), Relay(UNUSED_RELAY_NAME, UNUSED_RELAY_HOST)),
+            cells=tuple(
+                Cell(cell_name(number), cell_name(number), (), 0, 1, FIRST_CELL_PORT + number) for number in cells
+            ),
         )
 
     async def watch(self, number: int, process: asyncio.subprocess.Process) -> None:
-        """Watch a cell until cancelled, calling again until the relay has a list."""
+        """Watch the cell of a watcher until cancelled, and reconnect after each failed or ended watch."""
         while process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                reader, writer = await asyncio.open_connection(self.host, self.port(number))
+                reader, writer = await asyncio.open_connection(self.host, self.cell_port(number))
                 try:
-                    await self.follow(number, reader, writer)
+                    await self.read_watch(number, reader, writer)
                 finally:
                     writer.transport.abort()
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(WATCH_RETRY_DELAY_S)
 
-    def port(self, number: int) -> int:
-        """The port at which a watcher's cell is served."""
-        return FIRST_PORT + number % self.point.cells()
+    def cell_port(self, number: int) -> int:
+        """Return the port at which the relay serves the cell of a watcher."""
+        return FIRST_CELL_PORT + number % self.point.cells()
 
-    async def follow(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send the request and count the bytes until the connection ends; return at once if there is no list yet."""
+    async def read_watch(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Request a watch and count its bytes until the connection ends; return at once if the status is not 200."""
         traffic = self.counters[Channel.WATCHES]
-        request = f"GET {LIST_PATH}?follow=1 HTTP/1.1\r\nHost: {self.host}:{self.port(number)}\r\n\r\n".encode()
+        request = f"GET {LIST_PATH}?follow=1 HTTP/1.1\r\nHost: {self.host}:{self.cell_port(number)}\r\n\r\n".encode()
         writer.write(request)
         traffic.count_received(len(request))
         head = await reader.readuntil(b"\r\n\r\n")
@@ -97,14 +100,14 @@
         if head.split(b" ", 2)[1] != b"200":
             return
         while data := await reader.read(READ_BYTES):
-            traffic.count_sent(len(data), data.count(LINE_END))
-            self.watchers_served.add(number)
+            traffic.count_sent(len(data), data.count(CHUNKED_LINE_END))
+            self.served_watchers.add(number)
 
     def all_clients_served(self) -> bool:
-        """Whether every watcher has received the list of its cell."""
-        return len(self.watchers_served) >= self.point.watchers
+        """Return whether every watcher has received data."""
+        return len(self.served_watchers) >= self.point.watchers
 
     def start_list_changes(self) -> None:
-        """Begin the changes of the list that the point asks for."""
+        """Start the changes of the endpoint list that the point specifies."""
         if self.point.changes:
             self.start_task(self.change_list(self.point.changes))
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -1,4 +1,4 @@
-"""Measures one real process between stand-ins, size by size: start, settle, count over a span, end."""
+"""Measures one real process between stand-ins at each size: start, settle, measure over a span, stop."""
 
 from __future__ import annotations
 
@@ -30,23 +30,28 @@
     predict,
 )
 
-SAMPLE_INTERVAL = 1.0  # s between two readings
-TABLES_SECONDS = 8.0  # from joining until every proxy has a table; the span begins then in any case
-SETTLE_SECONDS = 2.0  # after that: two report intervals, so that complete tables follow the first short ones
-MEASURE_SECONDS = 60.0  # beyond the span, for one repeat from start to end
+SAMPLE_INTERVAL_S = 1.0
+TABLES_TIMEOUT_S = 8.0  # wait for every proxy's first weight table; the measurement goes on when it expires
+DEFAULT_SETTLE_S = 2.0  # two report intervals, in which complete weight tables replace the first partial ones
+REPEAT_OVERHEAD_TIMEOUT_S = 60.0  # duration of a repeat in addition to its span
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """How long a point is measured."""
+    """The durations of a measurement.
 
-    span: float  # s that are counted
-    settle: float = SETTLE_SECONDS  # s before the span
+    Attributes:
+        span_s: the measured time in seconds.
+        settle_s: the time in seconds to wait before the span.
+    """
+
+    span_s: float
+    settle_s: float = DEFAULT_SETTLE_S
 
 
 @dataclass(frozen=True, slots=True)
 class SizedPoint:
-    """A point, and the size of the swept variable there."""
+    """A point and the size of the swept variable at it."""
 
     size: float
     point: Point | RelayPoint
@@ -54,41 +59,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurements:
-    """The results of all sweeps, and the repeats of the single points by name."""
+    """The results of all sweeps, and the repeats of each single point by its name."""
 
     sweeps: list[Sweep]
     direct: dict[str, list[Repeat]]
 
 
 async def measure(point: Point | RelayPoint, timing: Timing, seed: int, size: float) -> Repeat:
-    """Measure one repeat at one point; BenchError if the process ends meanwhile or the repeat takes far too long."""
+    """Measure one repeat at one point.
+
+    Raises:
+        BenchError: the process ended during the measurement, or the repeat exceeded its time limit.
+    """
     try:
-        async with asyncio.timeout(MEASURE_SECONDS + timing.span):
-            return await measure_untimed(point, timing, seed, size)
+        async with asyncio.timeout(REPEAT_OVERHEAD_TIMEOUT_S + timing.span_s):
+            return await measure_without_timeout(point, timing, seed, size)
     except TimeoutError as error:
-        raise BenchError(f"not measured within {MEASURE_SECONDS + timing.span:g} s: {point}") from error
+        raise BenchError(
+            f"measurement not finished within {REPEAT_OVERHEAD_TIMEOUT_S + timing.span_s:g} s: {point}"
+        ) from error
 
 
-def bench_of(point: Point | RelayPoint, seed: int) -> Bench:
-    """The bench on which a point is measured."""
+def create_bench(point: Point | RelayPoint, seed: int) -> Bench:
+    """Create the bench for a point."""
     return PlannerBench(point, seed) if isinstance(point, Point) else RelayBench(point, seed)
 
 
-async def measure_untimed(point: Point | RelayPoint, timing: Timing, seed: int, size: float) -> Repeat:
+async def measure_without_timeout(point: Point | RelayPoint, timing: Timing, seed: int, size: float) -> Repeat:
     """Measure one repeat at one point, without a time limit."""
-    bench = bench_of(point, seed)
+    bench = create_bench(point, seed)
     async with bench.running() as process:
-        await wait_until(bench.all_clients_served, TABLES_SECONDS)
-        await asyncio.sleep(timing.settle)
+        await wait_until(bench.all_clients_served, TABLES_TIMEOUT_S)
+        await asyncio.sleep(timing.settle_s)
         start_list_bytes = bench.counters[Channel.LIST].bytes_in
         bench.start_list_changes()
         try:
-            readings = await sample(process.pid, bench.counters, timing.span)
+            readings = await take_readings(process.pid, bench.counters, timing.span_s)
         except AccountingError as error:
-            raise BenchError(f"ended while it was measured at {point}: {error}") from error
+            raise BenchError(f"process under test ended during the measurement at {point}: {error}") from error
         first = readings[0]
         last = readings[-1]
-        span = last.at - first.at
+        span = last.monotonic_s - first.monotonic_s
         traffic = last.traffic.since(first.traffic)
         return Repeat(
             size=size,
@@ -104,25 +115,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A process and its traffic at one moment."""
+    """The usage of a process and its traffic at one moment of the monotonic clock."""
 
-    at: float  # s on the monotonic clock
-    process: ProcessUsage
+    monotonic_s: float
+    process_usage: ProcessUsage
     traffic: TrafficCounters
 
 
-async def sample(pid: int, counters: TrafficCounters, span: float) -> list[Reading]:
-    """Take a reading each second over a span in seconds, and at its start and end."""
+async def take_readings(pid: int, counters: TrafficCounters, span: float) -> list[Reading]:
+    """Take a reading every second over a span in seconds, including its start and end."""
     readings = [Reading(time.monotonic(), read_usage(pid), counters.snapshot())]
-    end = readings[0].at + span
+    end = readings[0].monotonic_s + span
     while (remaining := end - time.monotonic()) > 0:
-        await asyncio.sleep(min(SAMPLE_INTERVAL, remaining))
+        await asyncio.sleep(min(SAMPLE_INTERVAL_S, remaining))
         readings.append(Reading(time.monotonic(), read_usage(pid), counters.snapshot()))
     return readings
 
 
 def channel_rates(traffic: Traffic, span: float) -> ChannelRates:
-    """A channel's traffic per second over a span in seconds."""
+    """Return the traffic of a channel per second over a span in seconds."""
     return ChannelRates(
         bytes_in=round(traffic.bytes_in / span, 2),
         bytes_out=round(traffic.bytes_out / span, 2),
@@ -132,8 +143,8 @@
 
 
 def usage_between(before: Reading, after: Reading) -> Usage:
-    """Rates between two readings; memory is that of the later one."""
-    span = after.at - before.at
+    """Return the rates between two readings, and the memory at the later one."""
+    span = after.monotonic_s - before.monotonic_s
     traffic = after.traffic.since(before.traffic)
     control = list(traffic.control_channels())
     data = list(traffic.data_channels())
@@ -142,11 +153,11 @@
         for name, group in (("control", control), ("data", data))
         for field in ("bytes_in", "bytes_out", "messages_in", "messages_out")
     }
-    core = (after.process.cpu_seconds - before.process.cpu_seconds) / span
-    return Usage(core=round(core, 6), rss_mb=round(after.process.rss_mb, 2), **rates)
+    core = (after.process_usage.cpu_seconds - before.process_usage.cpu_seconds) / span
+    return Usage(core=round(core, 6), rss_mb=round(after.process_usage.rss_mb, 2), **rates)
 
 
-async def repeats_of(
+async def measure_repeats(
     points: Sequence[SizedPoint],
     timing: Timing,
     repeats: int,
@@ -154,50 +165,50 @@
     jobs: int,
     progress: Callable[[str], None],
 ) -> list[Repeat]:
-    """Measure all points several times.
+    """Measure each point several times.
 
     Args:
-        points: that are measured.
-        timing: of each repeat.
-        repeats: of each point.
-        seed: of the first repeat; each further one has the next number.
-        jobs: how many are measured concurrently.
-        progress: called with a line about each repeat.
+        points: the points to measure.
+        timing: the durations of each repeat.
+        repeats: the number of repeats of each point.
+        seed: the seed of the first repeat; each further repeat adds one.
+        jobs: the maximum number of concurrent measurements.
+        progress: called with one line of text after each repeat.
 
     Returns:
-        The first repeats of all points in their order, then the second ones, and so on.
+        The first repeat of each point in the order of the points, then the second repeat of each, and so on.
     """
-    limit = asyncio.Semaphore(jobs)
+    semaphore = asyncio.Semaphore(jobs)
 
-    async def measure_repeat(sized: SizedPoint, number: int) -> Repeat:
-        """Measure one repeat of one point when its turn has come."""
-        async with limit:
-            repeat = await measure(sized.point, timing, seed + number, sized.size)
+    async def measure_repeat(sized_point: SizedPoint, number: int) -> Repeat:
+        """Measure one repeat of one point once fewer than `jobs` measurements are running."""
+        async with semaphore:
+            repeat = await measure(sized_point.point, timing, seed + number, sized_point.size)
         usage = repeat.usage
-        progress(f"{sized.size:g}, repeat {number + 1}: {usage.core:.4f} core, {usage.rss_mb:.0f} MB")
+        progress(f"{sized_point.size:g}, repeat {number + 1}: {usage.core:.4f} core, {usage.rss_mb:.0f} MB")
         return repeat
 
-    work = (measure_repeat(sized, number) for number in range(repeats) for sized in points)
-    return list(await asyncio.gather(*work))
+    measurements = (measure_repeat(sized_point, number) for number in range(repeats) for sized_point in points)
+    return list(await asyncio.gather(*measurements))
 
 
 async def run_sweep(plan: SweepPlan, timing: Timing, repeats: int, seed: int, progress: Callable[[str], None]) -> Sweep:
-    """Measure the sizes, fit, predict the held-out size, and only then measure that."""
-    progress(f"{plan.role} against {plan.variable}")
+    """Measure and fit all sizes, predict the held-out size from the fits, then measure the held-out size."""
+    progress(f"sweep of {plan.role} against {plan.variable}")
     points = [SizedPoint(float(size), plan.point(size)) for size in plan.sizes]
-    measured = await repeats_of(points, timing, repeats, seed, plan.jobs, progress)
+    measured = await measure_repeats(points, timing, repeats, seed, plan.jobs, progress)
     fits = fit_all(measured)
-    predicted = predict(fits, plan.held_out)
-    progress(f"predicted at {plan.held_out}: {predicted['core']:.4f} core, {predicted['rss_mb']:.0f} MB")
-    held_out_point = SizedPoint(float(plan.held_out), plan.point(plan.held_out))
-    held_out_repeats = await repeats_of([held_out_point], timing, repeats, seed, plan.jobs, progress)
+    predicted = predict(fits, plan.held_out_size)
+    progress(f"predicted at {plan.held_out_size}: {predicted['core']:.4f} core, {predicted['rss_mb']:.0f} MB")
+    held_out_point = SizedPoint(float(plan.held_out_size), plan.point(plan.held_out_size))
+    held_out_repeats = await measure_repeats([held_out_point], timing, repeats, seed, plan.jobs, progress)
     prediction = held_out(predicted, held_out_repeats)
     progress(prediction_error_text(prediction))
     return Sweep(plan.role, plan.variable, plan.fixed(), measured, fits, prediction)
 
 
 def prediction_error_text(prediction: HeldOut) -> str:
-    """A line about what was measured, and the error of the prediction."""
+    """Return a line of text with the measured usage and the error of the prediction."""
     measured = mean_usage(prediction.repeats)
     error = prediction.error
     return (
@@ -214,16 +225,16 @@
     seed: int,
     progress: Callable[[str], None],
 ) -> Measurements:
-    """Run all sweeps, then measure the single points named by `direct`, one after another."""
+    """Run all sweeps, then measure the single points named by `direct`, one point after another."""
     sweeps = [await run_sweep(plan, timing, repeats, seed, progress) for plan in plans]
     direct_repeats: dict[str, list[Repeat]] = {}
     for name in direct:
         progress(name)
         points = [SizedPoint(float(SINGLE_POINTS[name].servers), SINGLE_POINTS[name])]
-        direct_repeats[name] = await repeats_of(points, timing, repeats, seed, SINGLE_POINT_JOBS, progress)
+        direct_repeats[name] = await measure_repeats(points, timing, repeats, seed, SINGLE_POINT_JOBS, progress)
     return Measurements(sweeps, direct_repeats)
 
 
 def this_machine() -> Machine:
-    """The machine that this process runs on."""
+    """Return the properties of the machine that this process runs on."""
     return Machine(os.cpu_count() or 1, platform.python_version(), f"{platform.system()} {platform.release()}")
