--- a/stackwheel/scale/bounds.py
+++ b/stackwheel/scale/bounds.py
@@ -36,7 +36,7 @@
     Attributes:
         servers: in the registry's endpoint list.
         planners: hollow planners.
-        real_planners: planners that run as processes of their own.
+        real_planners: planners that run as separate processes.
         relays: in the run.
         hollow_entries: entries of all hollow planners together.
         real_entries: entries of all real planners together.
--- a/stackwheel/scale/capacity.py
+++ b/stackwheel/scale/capacity.py
@@ -1,4 +1,4 @@
-"""The capacity model: what each role costs at the design size, and what that is of its budget."""
+"""The capacity model: the cost of each role at the target size, and the share of its budget."""
 
 from __future__ import annotations
 
@@ -7,113 +7,150 @@
 from statistics import fmean
 from typing import NamedTuple
 
-from stackwheel.scale import target_size as design
+from stackwheel.scale import target_size as target
 from stackwheel.scale.slopes import (
     Repeat,
     Result,
     ResultError,
     Usage,
-    mean,
+    mean_of_usages,
     mean_usage,
 )
 
 SHOWN_METRICS = ("core", "rss_mb", "control_bytes_in", "control_bytes_out", "data_bytes_in", "data_bytes_out")
-MISSING = "*missing*"  # in place of a mechanism
-COMPUTED = "computed"  # in place of a measurement
-
-# The mechanisms that carry the load of a row; a test checks that each file, class and function is there.
-WATCH = "`wire/discovery_client.py` `DiscoveryClient.watch`"
-UPDATES = "`wire/transport.py` `SocketTransport.deliver`"
-PEERS = "`policy/peer_planners.py` `PeerPlanners.announce`"
-RELAY = "`relay/watch_cache.py` `WatchCache.apply`, `wire/endpoint_list_server.py` `EndpointListServer.perform`"
-SCOPE = "`cells/assignment.py` `CellIndex.cell_of` and a relay, where they are configured"
-CHOICE = "`forwarder/state.py` `choose`"
-HEALTH_CHECK = "`wire/health_checks.py` `check_health`"
+MISSING_MECHANISM = "*missing*"  # no mechanism is implemented
+COMPUTED_SOURCE = "computed"  # the cost was not measured
+
+# Code that handles the load of a row; a test checks that each file, class and function exists.
+WATCH_MECHANISM = "`wire/discovery_client.py` `DiscoveryClient.watch`"
+UPDATE_MECHANISM = "`wire/transport.py` `SocketTransport.deliver`"
+GOSSIP_MECHANISM = "`policy/peer_planners.py` `PeerPlanners.announce`"
+RELAY_MECHANISM = (
+    "`relay/watch_cache.py` `WatchCache.apply`, `wire/endpoint_list_server.py` `EndpointListServer.perform`"
+)
+CELL_MECHANISM = "`cells/assignment.py` `CellIndex.cell_of` and a relay, where they are configured"
+CHOICE_MECHANISM = "`forwarder/state.py` `choose`"
+HEALTH_CHECK_MECHANISM = "`wire/health_checks.py` `check_health`"
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """The budget of one of a role; None where none is stated."""
+    """The budget of one instance of a role; None if the operators have stated none.
+
+    Attributes:
+        core: CPU time as a share of one core.
+        memory_mb: resident memory.
+        control_bytes: control traffic per second, received and sent together.
+        added_ms: latency added to a request.
+    """
 
     core: float | None = None
     memory_mb: float | None = None
-    control_bytes: float | None = None  # per second, in and out together
-    added_ms: float | None = None  # latency added to a request
+    control_bytes: float | None = None
+    added_ms: float | None = None
 
 
-PLANNER_BUDGET = Budget(design.CORE_BUDGET, design.MEMORY_BUDGET_MB, design.BYTES_BUDGET)
-REGISTRY_BUDGET = Budget(control_bytes=design.LINK_BYTES)
-RELAY_BUDGET = Budget(core=design.RELAY_CORE, control_bytes=design.LINK_BYTES)
-PROXY_BUDGET = Budget(added_ms=design.PROXY_ADDED_MS)
+PLANNER_BUDGET = Budget(target.CORE_BUDGET, target.MEMORY_BUDGET_MB, target.CONTROL_BYTES_PER_S_BUDGET)
+REGISTRY_BUDGET = Budget(control_bytes=target.LINK_BYTES_PER_S)
+RELAY_BUDGET = Budget(core=target.RELAY_CORE_BUDGET, control_bytes=target.LINK_BYTES_PER_S)
+PROXY_BUDGET = Budget(added_ms=target.MAX_ADDED_LATENCY_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one of a role costs; bytes and messages are per second. None: not measured here."""
+    """The cost of one instance of a role; None if it is unknown.
+
+    Attributes:
+        core: CPU time as a share of one core.
+        memory_mb: resident memory.
+        control_bytes_in: received control traffic per second.
+        control_bytes_out: sent control traffic per second.
+        data_bytes_in: received data traffic per second.
+        data_bytes_out: sent data traffic per second.
+        messages_in: received messages per second.
+        messages_out: sent messages per second.
+        added_ms: latency added to a request.
+    """
 
     core: float | None = None
     memory_mb: float | None = None
-    control_in: float | None = None  # bytes
-    control_out: float | None = None  # bytes
-    data_in: float | None = None  # bytes
-    data_out: float | None = None  # bytes
+    control_bytes_in: float | None = None
+    control_bytes_out: float | None = None
+    data_bytes_in: float | None = None
+    data_bytes_out: float | None = None
     messages_in: float | None = None
     messages_out: float | None = None
-    added_ms: float | None = None  # latency added to a request
+    added_ms: float | None = None
 
-    def control_bytes(self) -> float | None:
-        """Bytes for control, in and out together, as far as they are known."""
-        known_sizes = [size for size in (self.control_in, self.control_out) if size is not None]
-        return sum(known_sizes) if known_sizes else None
+    def total_control_bytes(self) -> float | None:
+        """Return the control bytes received and sent per second, without unknown values; None if both are unknown."""
+        known_bytes = [size for size in (self.control_bytes_in, self.control_bytes_out) if size is not None]
+        return sum(known_bytes) if known_bytes else None
 
 
-class BudgetNeed(NamedTuple):
-    """How much of a budget is needed."""
+class BudgetUse(NamedTuple):
+    """The share of a budget that is used.
 
-    budget: str  # its name on the page
-    need: float  # over the budget: 1 is all of it
+    Attributes:
+        budget: name of the budget on the page.
+        share: cost / budget.
+    """
+
+    budget: str
+    share: float
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row of the page's table: a role in one case."""
+    """One row of the table of roles on the page: the cost of a role in one case.
+
+    Attributes:
+        role: name of the role.
+        case: name of the case.
+        state: sizes and events of the case.
+        cost: of one instance of the role.
+        source: how the cost was determined.
+        mechanism: the code that handles the load.
+        budget: of one instance of the role.
+        extrapolation_factor: ratio of the size to the largest measured one, at least 1.
+    """
 
     role: str
     case: str
-    state: str  # sizes and events of that case
+    state: str
     cost: Cost
-    source: str  # where the cost is from
-    mechanism: str  # what carries it
+    source: str
+    mechanism: str
     budget: Budget = Budget()
-    factor: float = 1.0  # by which the largest measured size is exceeded
+    extrapolation_factor: float = 1.0
 
-    def needs(self) -> dict[str, float]:
-        """The cost over the budget, by the name of the budget."""
+    def budget_shares(self) -> dict[str, float]:
+        """Return cost / budget for each budget whose cost is known, by the name of the budget."""
         cost = self.cost
         budget = self.budget
         pairs = {
             "core": (cost.core, budget.core),
             "memory": (cost.memory_mb, budget.memory_mb),
-            "bytes": (cost.control_bytes(), budget.control_bytes),
+            "bytes": (cost.total_control_bytes(), budget.control_bytes),
             "added time": (cost.added_ms, budget.added_ms),
         }
-        return {name: need / limit for name, (need, limit) in pairs.items() if need is not None and limit is not None}
+        return {name: used / limit for name, (used, limit) in pairs.items() if used is not None and limit is not None}
 
-    def worst(self) -> BudgetNeed | None:
-        """The budget of which the largest part is needed, if any is stated."""
-        needs = self.needs()
-        return BudgetNeed(*max(needs.items(), key=lambda item: item[1])) if needs else None
+    def highest_budget_use(self) -> BudgetUse | None:
+        """Return the budget with the largest used share; None if there is none."""
+        shares = self.budget_shares()
+        return BudgetUse(*max(shares.items(), key=lambda item: item[1])) if shares else None
 
 
-def cost_of(usage: Usage) -> Cost:
-    """A measured usage as the cost of a row."""
+def usage_cost(usage: Usage) -> Cost:
+    """Convert a measured usage to the cost of a row."""
     return Cost(
         core=usage.core,
         memory_mb=usage.rss_mb,
-        control_in=usage.control_bytes_in,
-        control_out=usage.control_bytes_out,
-        data_in=usage.data_bytes_in,
-        data_out=usage.data_bytes_out,
+        control_bytes_in=usage.control_bytes_in,
+        control_bytes_out=usage.control_bytes_out,
+        data_bytes_in=usage.data_bytes_in,
+        data_bytes_out=usage.data_bytes_out,
         messages_in=usage.control_messages_in + usage.data_messages_in,
         messages_out=usage.control_messages_out + usage.data_messages_out,
     )
@@ -121,48 +158,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A result of slopes and the sizes of all services, from which rows are computed."""
+    """A result of `stackwheel scale slopes` and the sizes of all services, largest first."""
 
     result: Result
-    sizes: list[design.ServiceSize]  # the largest first
+    sizes: list[target.ServiceSize]
+
+    def repeats_at(self, name: str) -> list[Repeat]:
+        """Return the repeats of a single point.
 
-    def direct(self, name: str) -> list[Repeat]:
-        """The repeats of a single point; ResultError if it was not measured."""
+        Raises:
+            ResultError: the point was not measured.
+        """
         if not self.result.direct.get(name):
             raise ResultError("", f"no measured point {name!r}")
         return self.result.direct[name]
 
-    def entry_bytes(self) -> float:
-        """Bytes of one server in the list, by the largest full list that was sent."""
-        repeats = self.direct("whole list")
+    def mean_entry_bytes(self) -> float:
+        """Return the mean bytes of one entry of the endpoint list, from the largest list that was measured."""
+        repeats = self.repeats_at("whole list")
         return fmean(repeat.start_list_bytes / repeat.size for repeat in repeats)
 
     def mean_cost(self, name: str) -> Cost:
-        """The mean cost at a single point."""
-        return cost_of(mean_usage(self.direct(name)))
+        """Return the mean cost at a single point."""
+        return usage_cost(mean_usage(self.repeats_at(name)))
 
     def highest_second(self, name: str) -> Cost:
-        """The mean, over the repeats of a single point, of each metric's highest second."""
-        return cost_of(mean([repeat.peak for repeat in self.direct(name)]))
+        """Return the cost in the highest second of each metric, as the mean over the repeats of a single point."""
+        return usage_cost(mean_of_usages([repeat.peak for repeat in self.repeats_at(name)]))
 
     def start_bytes(self, name: str) -> float:
-        """Bytes of the list that a planner receives at its start, at a single point."""
-        return fmean(repeat.start_list_bytes for repeat in self.direct(name))
+        """Return the bytes of the endpoint list that a planner receives at its start, at a single point."""
+        return fmean(repeat.start_list_bytes for repeat in self.repeats_at(name))
+
 
+class ExceededBudget(NamedTuple):
+    """A row whose cost exceeds a budget.
 
-class OverBudget(NamedTuple):
-    """A row that needs more than one of its budgets."""
+    Attributes:
+        row: the row.
+        budget: name of the budget on the page.
+        share: cost / budget, greater than 1.
+    """
 
     row: Row
-    budget: str  # its name on the page
-    need: float  # over the budget
+    budget: str
+    share: float
 
 
-def over_budget(rows: Sequence[Row]) -> list[OverBudget]:
-    """The rows that need more than a budget, each with the budget that it exceeds most, the worst first."""
+def exceeded_budgets(rows: Sequence[Row]) -> list[ExceededBudget]:
+    """Return the rows that exceed a budget, each with the budget it exceeds most, in descending order of the share."""
     exceeding = [
-        OverBudget(row, worst.budget, worst.need)
+        ExceededBudget(row, use.budget, use.share)
         for row in rows
-        if (worst := row.worst()) is not None and worst.need > 1.0
+        if (use := row.highest_budget_use()) is not None and use.share > 1.0
     ]
-    return sorted(exceeding, key=lambda exceeded: -exceeded.need)
+    return sorted(exceeding, key=lambda exceeded: -exceeded.share)
--- a/stackwheel/scale/capacity_control.py
+++ b/stackwheel/scale/capacity_control.py
@@ -1,16 +1,16 @@
-"""Rows of the capacity model for discovery and the control machines, which run relays."""
+"""Rows of the capacity model for the discovery service and the control machines, which run relays."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from stackwheel.scale import target_size as design
+from stackwheel.scale import target_size as target
 from stackwheel.scale.capacity import (
-    COMPUTED,
-    MISSING,
+    COMPUTED_SOURCE,
+    MISSING_MECHANISM,
     REGISTRY_BUDGET,
-    RELAY,
     RELAY_BUDGET,
+    RELAY_MECHANISM,
     Cost,
     Model,
     Row,
@@ -18,22 +18,22 @@
 
 
 def discovery_rows(model: Model) -> Iterator[Row]:
-    """Rows of discovery: all planners watch it, or, with cells, the relays alone."""
+    """Return the rows of the discovery service: watched by all planners, or, with cells, only by the relays."""
     full_list_bytes = model.start_bytes("whole list")
-    entry = model.entry_bytes()
+    entry = model.mean_entry_bytes()
     largest = model.sizes[0]
-    heartbeats = design.PLANNERS / design.HEARTBEAT_SECONDS
+    heartbeats = target.PLANNERS / target.HEARTBEAT_INTERVAL_S
     yield registry_row(
         "all planners watch, mean",
-        f"{design.PLANNERS:,} watches, {design.LIST_CHANGES:.2f} changes a second",
-        design.PLANNERS * design.LIST_CHANGES * entry + heartbeats * design.HEARTBEAT_BYTES,
-        design.PLANNERS * design.LIST_CHANGES + heartbeats,
+        f"{target.PLANNERS:,} watches, {target.LIST_CHANGES_PER_S:.2f} changes a second",
+        target.PLANNERS * target.LIST_CHANGES_PER_S * entry + heartbeats * target.BYTES_PER_HEARTBEAT,
+        target.PLANNERS * target.LIST_CHANGES_PER_S + heartbeats,
     )
-    lost = design.PLANNERS * design.ZONE_SERVERS * entry
-    yield registry_row("all planners watch, zone lost", "in one second", lost, float(design.PLANNERS))
-    region = design.PLANNERS * design.REGION_SERVERS * entry
-    yield registry_row("all planners watch, region lost", "in one second", region, float(design.PLANNERS))
-    healed = design.PLANNERS / design.REGIONS
+    lost = target.PLANNERS * target.SERVERS_PER_ZONE * entry
+    yield registry_row("all planners watch, zone lost", "in one second", lost, float(target.PLANNERS))
+    region = target.PLANNERS * target.SERVERS_PER_REGION * entry
+    yield registry_row("all planners watch, region lost", "in one second", region, float(target.PLANNERS))
+    healed = target.PLANNERS / target.REGIONS
     yield registry_row(
         "all planners watch, region healed", f"{healed:.0f} planners ask anew", healed * full_list_bytes, healed
     )
@@ -43,110 +43,132 @@
         largest.planners * full_list_bytes,
         float(largest.planners),
     )
-    relays = design.CONTROL_MACHINES
+    relays = target.CONTROL_MACHINES
     yield registry_row(
         "17 relays watch, mean",
         f"{relays} watches",
-        relays * (design.LIST_CHANGES * entry + design.HEARTBEAT_BYTES / design.HEARTBEAT_SECONDS),
-        relays * (design.LIST_CHANGES + 1 / design.HEARTBEAT_SECONDS),
-        RELAY,
+        relays * (target.LIST_CHANGES_PER_S * entry + target.BYTES_PER_HEARTBEAT / target.HEARTBEAT_INTERVAL_S),
+        relays * (target.LIST_CHANGES_PER_S + 1 / target.HEARTBEAT_INTERVAL_S),
+        RELAY_MECHANISM,
     )
     yield registry_row(
-        "17 relays watch, zone lost", "in one second", relays * design.ZONE_SERVERS * entry, float(relays), RELAY
+        "17 relays watch, zone lost",
+        "in one second",
+        relays * target.SERVERS_PER_ZONE * entry,
+        float(relays),
+        RELAY_MECHANISM,
     )
 
 
 def registry_row(
-    case: str, state: str, size: float, messages: float, mechanism: str = f"{MISSING} without relays"
+    case: str, state: str, size: float, messages: float, mechanism: str = f"{MISSING_MECHANISM} without relays"
 ) -> Row:
-    """One row of discovery, by what it sends. `size`, `messages`: bytes and messages per second."""
-    cost = Cost(control_out=size, messages_out=messages)
-    return Row("discovery", case, state, cost, f"{COMPUTED}: entries' bytes", mechanism, REGISTRY_BUDGET)
+    """Return one row of the discovery service.
+
+    Args:
+        case: name of the case.
+        state: sizes and events of the case.
+        size: bytes that the service sends per second.
+        messages: messages that the service sends per second.
+        mechanism: the code that handles the load.
+    """
+    cost = Cost(control_bytes_out=size, messages_out=messages)
+    return Row("discovery", case, state, cost, f"{COMPUTED_SOURCE}: entries' bytes", mechanism, REGISTRY_BUDGET)
 
 
 def control_rows(model: Model) -> Iterator[Row]:
-    """Rows of a control machine: a relay that has the full list and serves its share of the cells."""
-    entry = model.entry_bytes()
+    """Return the rows of a control machine: a relay that watches the full list and serves its share of the cells."""
+    entry = model.mean_entry_bytes()
     full_list_bytes = model.start_bytes("whole list")
-    machines = design.CONTROL_MACHINES
-    watchers = design.watchers_of_a_change(model.sizes)
-    watches = design.PLANNERS / machines
+    machines = target.CONTROL_MACHINES
+    watchers = target.mean_watchers_per_change(model.sizes)
+    watches = target.PLANNERS / machines
     cells = sum(service.cells for service in model.sizes)
-    state = f"{design.SERVERS:,} entries, {2 * cells / machines:.0f} of {cells:,} cells, {watches:.0f} watches"
-    yield relay_row(model, "mean", state, watches, design.LIST_CHANGES)
-    more = design.PLANNERS / (machines - 1)
-    yield relay_row(model, "mean, one of 17 lost", f"{more:.0f} watches", more, design.LIST_CHANGES)
-    for case, servers in (("zone lost", design.ZONE_SERVERS), ("region lost", design.REGION_SERVERS)):
+    state = f"{target.SERVERS:,} entries, {2 * cells / machines:.0f} of {cells:,} cells, {watches:.0f} watches"
+    yield relay_row(model, "mean", state, watches, target.LIST_CHANGES_PER_S)
+    more = target.PLANNERS / (machines - 1)
+    yield relay_row(model, "mean, one of 17 lost", f"{more:.0f} watches", more, target.LIST_CHANGES_PER_S)
+    for case, servers in (("zone lost", target.SERVERS_PER_ZONE), ("region lost", target.SERVERS_PER_REGION)):
         yield relay_row(model, case, f"{servers:,} entries in one second", watches, float(servers))
-    regional = watches / design.REGIONS
-    cell_list_bytes = watchers / design.PLANNERS_PER_SERVER * entry
-    healed = Cost(control_in=full_list_bytes, control_out=regional * cell_list_bytes, messages_out=regional)
+    regional = watches / target.REGIONS
+    cell_list_bytes = watchers / target.PLANNERS_PER_SERVER * entry
+    healed = Cost(control_bytes_in=full_list_bytes, control_bytes_out=regional * cell_list_bytes, messages_out=regional)
     yield computed_row("region healed", f"the list read anew, {regional:.0f} planners ask anew", healed)
     largest = model.sizes[0]
     planners = largest.planners / machines
     restarted = Cost(
-        control_in=0.0, control_out=planners * largest.servers / largest.cells * entry, messages_out=planners
+        control_bytes_in=0.0,
+        control_bytes_out=planners * largest.servers / largest.cells * entry,
+        messages_out=planners,
     )
     yield computed_row("largest service restarted", f"{planners:.0f} planners ask anew in one second", restarted)
     yield configuration_row(watches)
 
 
 def computed_row(case: str, state: str, cost: Cost) -> Row:
-    """One row of a control machine in which only bytes and messages are known."""
-    return Row("control machine", case, state, cost, f"{COMPUTED}: entries' bytes", RELAY, RELAY_BUDGET)
+    """Return one row of a control machine of which only bytes and messages are known."""
+    return Row(
+        "control machine", case, state, cost, f"{COMPUTED_SOURCE}: entries' bytes", RELAY_MECHANISM, RELAY_BUDGET
+    )
 
 
 def relay_row(model: Model, case: str, state: str, watches: float, changes: float) -> Row:
-    """One row of a control machine: processor time and memory by the slopes, bytes by the size of an entry.
+    """Return one row of a control machine: CPU time and memory from the slopes, bytes from the mean entry size.
 
     Args:
-        model: that it is computed from.
-        case: of the row.
-        state: of the row.
-        watches: that the relay serves.
-        changes: of the list per second.
+        model: the capacity model.
+        case: name of the case.
+        state: sizes and events of the case.
+        watches: number of watches that the relay serves.
+        changes: changes of the endpoint list per second.
     """
-    entry = model.entry_bytes()
-    watchers = design.watchers_of_a_change(model.sizes)
-    notifications = changes * watchers / design.CONTROL_MACHINES
-    heartbeats = watches / design.HEARTBEAT_SECONDS
+    entry = model.mean_entry_bytes()
+    watchers = target.mean_watchers_per_change(model.sizes)
+    notifications = changes * watchers / target.CONTROL_MACHINES
+    heartbeats = watches / target.HEARTBEAT_INTERVAL_S
     cost = Cost(
-        core=relay_need(model, "core", watches, changes),
-        memory_mb=relay_need(model, "rss_mb", watches, 0.0),
-        control_in=changes * entry,
-        control_out=notifications * entry + heartbeats * design.HEARTBEAT_BYTES,
+        core=relay_cost(model, "core", watches, changes),
+        memory_mb=relay_cost(model, "rss_mb", watches, 0.0),
+        control_bytes_in=changes * entry,
+        control_bytes_out=notifications * entry + heartbeats * target.BYTES_PER_HEARTBEAT,
         messages_in=changes,
         messages_out=notifications + heartbeats,
     )
-    sweeps = {"watchers": watches, "servers": float(design.SERVERS), "changes": changes}
-    factor = max(model.result.sweep("relay", name).fits["core"].factor(size) for name, size in sweeps.items())
+    sweeps = {"watchers": watches, "servers": float(target.SERVERS), "changes": changes}
+    factor = max(
+        model.result.sweep("relay", name).fits["core"].extrapolation_factor(size) for name, size in sweeps.items()
+    )
     source = "relay sweeps; bytes computed"
-    return Row("control machine", case, state, cost, source, RELAY, RELAY_BUDGET, factor)
+    return Row("control machine", case, state, cost, source, RELAY_MECHANISM, RELAY_BUDGET, factor)
 
 
-def relay_need(model: Model, metric: str, watches: float, changes: float) -> float:
-    """A relay's cost in one metric: by its watches, and what the full list and the changes add to that.
+def relay_cost(model: Model, metric: str, watches: float, changes: float) -> float:
+    """Return the cost of a relay in one metric: the cost of its watches, plus that of the full list and the changes.
 
-    The sweep over watches was made with a short list and without changes.
+    The sweep over watches was measured with a short list and without changes.
     """
     sweeps = {name: model.result.sweep("relay", name) for name in ("watchers", "servers", "changes")}
     fits = {name: sweep.fits[metric] for name, sweep in sweeps.items()}
-    server_need = fits["servers"].at(design.SERVERS) - fits["servers"].at(sweeps["watchers"].fixed["servers"])
+    server_cost = fits["servers"].value_at(target.SERVERS) - fits["servers"].value_at(
+        sweeps["watchers"].fixed["servers"]
+    )
     sizes = [repeat.size for repeat in sweeps["changes"].repeats]
-    rise = (fits["changes"].at(max(sizes)) - fits["changes"].at(min(sizes))) / (max(sizes) - min(sizes))
-    return fits["watchers"].at(watches) + max(0.0, server_need) + max(0.0, rise) * changes
+    cost_per_change = (fits["changes"].value_at(max(sizes)) - fits["changes"].value_at(min(sizes))) / (
+        max(sizes) - min(sizes)
+    )
+    return fits["watchers"].value_at(watches) + max(0.0, server_cost) + max(0.0, cost_per_change) * changes
 
 
 def configuration_row(watches: float) -> Row:
-    """The row of 12,000 changes of configuration that a control machine distributes within the allowed time."""
-    rate = design.CONFIGURATION_CHANGES / design.IN_FORCE_SECONDS
-    size = rate * design.CONFIGURATION_BYTES
+    """Return the row of a control machine that distributes all configuration changes of a day within the deadline."""
+    rate = target.CONFIGURATION_CHANGES_PER_DAY / target.CONFIGURATION_DEADLINE_S
+    size = rate * target.BYTES_PER_CONFIGURATION_CHANGE
     return Row(
         "control machine",
         "12,000 changes of configuration in 5 s",
         f"{rate:,.0f} a second to {watches:.0f} planners, each its service's",
-        Cost(control_in=size, control_out=size / design.SERVICES * watches),
-        f"{COMPUTED}: {design.CONFIGURATION_BYTES} bytes a change",
-        f"{MISSING}: a file read again on SIGHUP, `service/reload.py` `Reload.run`",
+        Cost(control_bytes_in=size, control_bytes_out=size / target.SERVICES * watches),
+        f"{COMPUTED_SOURCE}: {target.BYTES_PER_CONFIGURATION_CHANGE} bytes a change",
+        f"{MISSING_MECHANISM}: a file read again on SIGHUP, `service/reload.py` `Reload.run`",
         RELAY_BUDGET,
     )
--- a/stackwheel/scale/comparison.py
+++ b/stackwheel/scale/comparison.py
@@ -1,4 +1,4 @@
-"""Compares the entries of every planner of a run, hollow or real, with what the registry lists for it."""
+"""Compares the entries of every planner of a run, hollow or real, with the endpoint list of the registry."""
 
 from __future__ import annotations
 
@@ -15,17 +15,26 @@
 
 @dataclass(slots=True)
 class ListComparison:
-    """The result of one comparison, over all planners."""
+    """The result of one comparison of all planners with the registry.
 
-    full_list: FullList  # what was compared with
-    compared_entry_count: int = 0  # entries
-    correct_planner_count: int = 0  # planners
-    wrong_entry_count: int = 0  # entries wrong or missing
-    examples: list[str] = field(default_factory=list)  # one line for each wrong planner
-    digests: dict[str, set[str]] = field(default_factory=dict)  # the different digests of each cell's planners
+    Attributes:
+        full_list: the list of the registry.
+        compared_entry_count: number of compared entries of all planners.
+        correct_planner_count: number of planners without a wrong or missing entry.
+        wrong_entry_count: number of wrong or missing entries of all planners.
+        examples: one line of text for each planner with a wrong or missing entry.
+        digests: the distinct digests of the planners of each cell.
+    """
+
+    full_list: FullList
+    compared_entry_count: int = 0
+    correct_planner_count: int = 0
+    wrong_entry_count: int = 0
+    examples: list[str] = field(default_factory=list)
+    digests: dict[str, set[str]] = field(default_factory=dict)
 
     def add_hollow_process(self, result: Compared, layout: Layout) -> None:
-        """Add the result of one hollow process."""
+        """Add the comparison result of one process of hollow planners."""
         self.compared_entry_count += result.entries
         self.correct_planner_count += result.right
         self.wrong_entry_count += sum(planner.wrong for planner in result.wrong)
@@ -36,7 +45,7 @@
             self.digests.setdefault(cell, set()).update(digests)
 
     def add_real_planner(self, planner: RealPlanner, expected: list[Entry]) -> None:
-        """Compare a real planner's tables with the entries expected of it, and add the result."""
+        """Compare the weight tables of a real planner with its expected entries and add the result."""
         difference = compare_tables(planner.lines(), expected)
         self.compared_entry_count += len(expected)
         self.wrong_entry_count += difference.count()
@@ -49,17 +58,17 @@
 async def compare_all(
     registry: Child, layout: Layout, hollow: Mapping[int, Child], real: Collection[RealPlanner]
 ) -> ListComparison:
-    """Get the registry's list of this moment, and compare every planner with it."""
+    """Fetch the current list of the registry and compare every planner with it."""
     full_list = await registry.request(GetFullList(), FullList)
     by_cell = layout.entries_by_cell(full_list.entries)
     comparison = ListComparison(full_list)
-    cells: dict[int, set[str]] = {}  # of each hollow process, by process id
+    cells_by_pid: dict[int, set[str]] = {}
     processes = {child.pid: child for child in hollow.values()}
     for number, child in hollow.items():
-        cells.setdefault(child.pid, set()).add(layout.placed[number].cell)
+        cells_by_pid.setdefault(child.pid, set()).add(layout.placed[number].cell)
     results = await asyncio.gather(
         *(
-            child.request(Compare(full_list.generation, {cell: by_cell[cell] for cell in cells[pid]}), Compared)
+            child.request(Compare(full_list.generation, {cell: by_cell[cell] for cell in cells_by_pid[pid]}), Compared)
             for pid, child in processes.items()
         )
     )
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -28,7 +28,7 @@
 from stackwheel.scale.points import Point
 from stackwheel.scale.ports import HOST, free_port
 from stackwheel.scale.proxies import REPORT_INTERVAL_MS, HollowCollector, HollowProxy, ProxySettings
-from stackwheel.scale.target_size import REQUESTS_PER_PROXY
+from stackwheel.scale.target_size import PROXY_REQUESTS_PER_S
 from stackwheel.service.config import CONFIG_VARIABLE
 from stackwheel.wire.http import split_address
 
@@ -107,7 +107,7 @@
 
     def start_proxies(self, address: str, names: Sequence[str]) -> None:
         """Start the proxies and the collectors that connect to the planner under test."""
-        settings = ProxySettings(address, REQUEST_CLASSES, frozenset(names), REQUESTS_PER_PROXY)
+        settings = ProxySettings(address, REQUEST_CLASSES, frozenset(names), PROXY_REQUESTS_PER_S)
         random = Random(self.seed)
         streams = self.counters[Channel.STREAMS]
         reports = self.counters[Channel.COLLECTORS]
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -5,12 +5,12 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-from stackwheel.scale import target_size as design
+from stackwheel.scale import target_size as target
 from stackwheel.scale.entries import Entry
 
-MEAN_SERVICE_SERVERS = round(design.SERVERS / design.SERVICES)
-ZONES = design.ZONES
-MEAN_SERVICE_REQUESTS_PER_S = round(design.REQUESTS / design.SERVICES)
+MEAN_SERVICE_SERVERS = round(target.SERVERS / target.SERVICES)
+ZONES = target.ZONES
+MEAN_SERVICE_REQUESTS_PER_S = round(target.REQUESTS_PER_S / target.SERVICES)
 
 
 @dataclass(frozen=True, slots=True)
--- a/stackwheel/scale/sampling.py
+++ b/stackwheel/scale/sampling.py
@@ -42,8 +42,8 @@
         monotonic_s: time of the reading on the monotonic clock.
         registry: counters of the registry.
         hollow_processes: counters of each process of hollow planners.
-        real_planners: bytes of all real planners in cells.
-        full_list_planners: bytes of all real planners that watch the full list.
+        real_planners: bytes of all real planners, without the full-list planners.
+        full_list_planners: bytes of all planners that watch the full list.
     """
 
     monotonic_s: float
--- a/stackwheel/scale/summary.py
+++ b/stackwheel/scale/summary.py
@@ -1,4 +1,4 @@
-"""Makes the report of a run from its readings, its records and the comparison."""
+"""Builds the report of a run from its readings, its records and the comparison of entries."""
 
 from __future__ import annotations
 
@@ -28,29 +28,43 @@
 )
 from stackwheel.scale.sampling import Sampler, TrafficReading
 
-MAX_WRONG_SHOWN = 20  # wrong planners that a report names
-MAX_DIGESTS_SHOWN = 5  # cells whose digest a report has, the largest ones
+MAX_WRONG_PLANNERS_REPORTED = 20
+MAX_CELL_DIGESTS_REPORTED = 5
 
 
 @dataclass(slots=True)
 class RunMeasurements:
-    """All that a run has collected, from which its report is made."""
+    """The data that a run collects for its report.
+
+    Attributes:
+        arguments: of the run.
+        fleet: the servers and planners of the run.
+        layout: the assignment of planners to cells and relays.
+        hollow_planners: numbers of the hollow planners.
+        expected_resources: estimate made before the run.
+        sampler: readings of processes and counters.
+        traffic_readings: readings of all counters, about one per second.
+        records: propagation records of each process of hollow planners.
+        measured_duration_s: time from the first reading to the last.
+        startup_s: time from the start of the first planner until all planners have a list.
+        settling_s: time from the end of the scenario until all planners are correct or the wait is abandoned.
+    """
 
     arguments: Arguments
     fleet: Fleet
     layout: Layout
-    hollow_planners: frozenset[int]  # the numbers of the hollow planners
+    hollow_planners: frozenset[int]
     expected_resources: ResourceEstimate
     sampler: Sampler = field(default_factory=Sampler)
-    traffic_readings: list[TrafficReading] = field(default_factory=list)  # about one a second
-    records: list[Records] = field(default_factory=list)  # of each hollow process
-    measured_duration_s: float = 0.0  # s from the first reading to the last
-    startup_s: float = 0.0  # s from the first planner's start until all have a list
-    settling_s: float = 0.0  # s from the end of the scenario until all planners are right, or the wait is given up
+    traffic_readings: list[TrafficReading] = field(default_factory=list)
+    records: list[Records] = field(default_factory=list)
+    measured_duration_s: float = 0.0
+    startup_s: float = 0.0
+    settling_s: float = 0.0
 
 
 def make_report(measurements: RunMeasurements, comparison: ListComparison) -> Report:
-    """The report; for many records this takes seconds, so it is called in a thread."""
+    """Build the report. With many records this takes seconds, so the caller runs it in a thread."""
     arguments = measurements.arguments
     sampler = measurements.sampler
     duration = measurements.measured_duration_s
@@ -79,13 +93,13 @@
         settle_s=round(measurements.settling_s, 3),
         failures=sum(process.failures for process in last_reading.hollow_processes),
         rejected=last_reading.registry.failures,
-        wrong=comparison.examples[:MAX_WRONG_SHOWN],
+        wrong=comparison.examples[:MAX_WRONG_PLANNERS_REPORTED],
         notes=notes(measurements),
     )
 
 
 def propagation_times(measurements: RunMeasurements, comparison: ListComparison) -> PropagationTimes:
-    """Times until changes were in force at hollow planners: a real one does not report when it applied a change."""
+    """Return the propagation times at hollow planners; real planners do not report when they apply a change."""
     planners_of_servers = {
         name: [number for number in numbers if number in measurements.hollow_planners]
         for name, numbers in measurements.layout.planners_of_servers(measurements.fleet).items()
@@ -96,7 +110,7 @@
 
 
 def in_force_figures(times: PropagationTimes) -> InForceFigures:
-    """The percentiles that are reported, in ms."""
+    """Return the reported percentiles of the propagation times in ms."""
     return InForceFigures(
         p50=times.percentile(50.0),
         p99=times.percentile(99.0),
@@ -107,7 +121,7 @@
 
 
 def bounds_seen(measurements: RunMeasurements) -> Bounds:
-    """The bounds, what was expected, and the highest readings."""
+    """Return the limits, the estimated resources and the highest readings."""
     return Bounds(
         memory_max_mb=bounds.MAX_MEMORY_MB,
         processes_max=bounds.MAX_PROCESSES,
@@ -119,11 +133,11 @@
 
 
 def cell_notes(measurements: RunMeasurements, comparison: ListComparison) -> CellNotes:
-    """The sizes of the cells, and the digests of the largest."""
+    """Return the sizes of the cells and the digests of the largest ones."""
     layout = measurements.layout
     servers = {cell: len(entries) for cell, entries in layout.entries_by_cell(comparison.full_list.entries).items()}
     planners = {cell: len(numbers) for cell, numbers in layout.planners_by_cell().items()}
-    largest = sorted(servers, key=lambda cell: (-servers[cell], cell))[:MAX_DIGESTS_SHOWN]
+    largest = sorted(servers, key=lambda cell: (-servers[cell], cell))[:MAX_CELL_DIGESTS_REPORTED]
     return CellNotes(
         cells=len(servers),
         largest_service=max(measurements.fleet.sizes().values()),
@@ -135,19 +149,19 @@
 
 
 def common_digest(digests: set[str]) -> str:
-    """The digest that all planners of a cell have; "" where they differ."""
+    """Return the digest that all planners of a cell have, or "" if they differ."""
     return next(iter(digests)) if len(digests) == 1 else ""
 
 
 def datagrams(measurements: RunMeasurements) -> Datagrams:
-    """Datagrams, computed and sent, between the first reading and the last."""
+    """Return the rates of computed and sent datagrams between the first reading and the last."""
     if measurements.measured_duration_s <= 0:
         return Datagrams()
     first = measurements.traffic_readings[0].hollow_processes
     last = measurements.traffic_readings[-1].hollow_processes
 
     def rate(count: Callable[[Traffic], int]) -> float:
-        """The growth of a counter, a second."""
+        """Return the increase of a counter per second, rounded."""
         return round((sum(map(count, last)) - sum(map(count, first))) / measurements.measured_duration_s, 1)
 
     bytes_by_planner = datagram_bytes(measurements)
@@ -161,7 +175,7 @@
 
 
 def datagram_bytes(measurements: RunMeasurements) -> list[int]:
-    """Bytes that each planner would read a second if all datagrams of its cell were sent."""
+    """Return the bytes per second that each planner reads if all datagrams of its cell are sent."""
     entry_counts = measurements.layout.entries_per_planner(measurements.fleet)
     planners = {cell: len(numbers) for cell, numbers in measurements.layout.planners_by_cell().items()}
     return [
@@ -170,25 +184,25 @@
 
 
 def notes(measurements: RunMeasurements) -> list[str]:
-    """What a reader of the figures has to know, as it is printed in the report."""
+    """Return the explanations of the figures that the report includes."""
     lines = [
-        "core: processor time of the processes over the run; bytes: payload of TCP and UDP, counted at the sockets",
-        "in force: of hollow planners",
-        f"datagrams: sent for real up to {MAX_DATAGRAMS_SENT} a second from each hollow process, "
-        "to each peer by itself",
+        "core: CPU time of the processes over the run; bytes: payload of TCP and UDP, counted at the sockets",
+        "in force: propagation times at hollow planners only",
+        f"datagrams: each hollow process sends up to {MAX_DATAGRAMS_SENT} a second over UDP, separately to each peer, "
+        "and only computes the others",
     ]
     if measurements.arguments.real_planners or measurements.arguments.full_list_planners:
         lines.append(
-            "real planners: lines of their tables against the ready servers of their cell; none sends datagrams; "
-            "bytes are those from and to discovery"
+            "real planners: the lines of their weight tables are compared with the ready servers of their cell; they "
+            "send no datagrams; bytes are those received from and sent to discovery"
         )
     dropped = sum(records.dropped for records in measurements.records)
     if dropped:
-        lines.append(f"{dropped} in-force records over the bound were not kept")
+        lines.append(f"{dropped} propagation records over the limit were discarded")
     return lines
 
 
 def machine() -> Machine:
-    """The machine that the run is made on."""
+    """Return the properties of the machine that the run is executed on."""
     memory_mb = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") >> 20
     return Machine(os.cpu_count() or 1, memory_mb, platform.python_version())
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -23,9 +23,9 @@
     Repeat,
     Sweep,
     Usage,
-    fit_all,
-    held_out,
-    highest,
+    compare_prediction,
+    fit_metrics,
+    max_of_usages,
     mean_usage,
     predict,
 )
@@ -105,7 +105,7 @@
             size=size,
             usage=usage_between(first, last),
             span_seconds=round(span, 3),
-            peak=highest([usage_between(before, after) for before, after in pairwise(readings)]),
+            peak=max_of_usages([usage_between(before, after) for before, after in pairwise(readings)]),
             channels={channel.value: channel_rates(counts, span) for channel, counts in traffic.channels.items()},
             load_average=round(os.getloadavg()[0], 2),
             start_list_bytes=start_list_bytes,
@@ -197,12 +197,12 @@
     progress(f"sweep of {plan.role} against {plan.variable}")
     points = [SizedPoint(float(size), plan.point(size)) for size in plan.sizes]
     measured = await measure_repeats(points, timing, repeats, seed, plan.jobs, progress)
-    fits = fit_all(measured)
+    fits = fit_metrics(measured)
     predicted = predict(fits, plan.held_out_size)
     progress(f"predicted at {plan.held_out_size}: {predicted['core']:.4f} core, {predicted['rss_mb']:.0f} MB")
     held_out_point = SizedPoint(float(plan.held_out_size), plan.point(plan.held_out_size))
     held_out_repeats = await measure_repeats([held_out_point], timing, repeats, seed, plan.jobs, progress)
-    prediction = held_out(predicted, held_out_repeats)
+    prediction = compare_prediction(predicted, held_out_repeats)
     progress(prediction_error_text(prediction))
     return Sweep(plan.role, plan.variable, plan.fixed(), measured, fits, prediction)
 
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page agrees with the committed result; invalid result files are rejected with one line."""
+"""Tests of the capacity model, of the generated page, and of the rejection of invalid result files."""
 
 from __future__ import annotations
 
@@ -10,28 +10,30 @@
 import pytest
 
 from stackwheel.cli.entry import main
-from stackwheel.scale import target_size as design
-from stackwheel.scale.capacity import Budget, Cost, Row, over_budget
-from stackwheel.scale.capacity_page import BEGIN, END, render, rows_of
+from stackwheel.scale import target_size as target
+from stackwheel.scale.capacity import Budget, Cost, Row, exceeded_budgets
+from stackwheel.scale.capacity_page import BEGIN_MARKER, END_MARKER, capacity_rows, render
 from stackwheel.scale.slopes import read_result, write_result
 
 ROOT = Path(__file__).parents[2]
 RESULT = ROOT / "docs" / "scale" / "slopes.json"
 PAGE = ROOT / "docs" / "CAPACITY.md"
-NAMED = re.compile(r"`(\w+(?:/\w+)*\.py)` `(\w+)(?:\.(\w+))?`")
+NAMED_CODE = re.compile(r"`(\w+(?:/\w+)*\.py)` `(\w+)(?:\.(\w+))?`")
 
 
-def test_the_page_has_what_is_rendered_from_the_committed_result() -> None:
+def test_the_generated_part_of_the_page_is_rendered_from_the_committed_result() -> None:
     page = PAGE.read_text()
-    generated = page[page.index(BEGIN) : page.index(END) + len(END)] + "\n"
-    assert page.count(BEGIN) == page.count(END) == 1
+    generated = page[page.index(BEGIN_MARKER) : page.index(END_MARKER) + len(END_MARKER)] + "\n"
+    assert page.count(BEGIN_MARKER) == page.count(END_MARKER) == 1
     assert generated == render(read_result(RESULT))
 
 
-def test_each_mechanism_that_a_row_names_exists() -> None:
-    named = {match.groups() for row in rows_of(read_result(RESULT)) for match in NAMED.finditer(row.mechanism)}
-    assert len(named) > 5
-    for path, first, second in named:
+def test_the_code_that_is_named_as_the_mechanism_of_a_row_exists() -> None:
+    named_code = {
+        match.groups() for row in capacity_rows(read_result(RESULT)) for match in NAMED_CODE.finditer(row.mechanism)
+    }
+    assert len(named_code) > 5
+    for path, first, second in named_code:
         definitions = {
             node.name: node
             for node in ast.parse((ROOT / "stackwheel" / path).read_text()).body
@@ -43,43 +45,49 @@
         assert second is None or second in methods, (path, first, second)
 
 
-def test_every_row_names_its_mechanism_and_the_source_of_its_figures() -> None:
-    rows = rows_of(read_result(RESULT))
+def test_every_row_has_a_source_and_a_mechanism_or_is_marked_as_missing_one() -> None:
+    rows = capacity_rows(read_result(RESULT))
     assert {row.role for row in rows} == {"planner", "proxy", "collector", "discovery", "control machine", "server"}
     for row in rows:
         assert row.source, row.case
-        assert "missing" in row.mechanism or NAMED.search(row.mechanism), row.case
+        assert "missing" in row.mechanism or NAMED_CODE.search(row.mechanism), row.case
 
 
-def test_rows_over_budget_are_sorted_by_need_over_budget() -> None:
+def test_rows_that_exceed_a_budget_are_sorted_by_the_used_share() -> None:
     def row(case: str, core: float | None) -> Row:
-        return Row("planner", case, "", Cost(core=core, control_in=1.0), "", "", Budget(0.5, control_bytes=2.0))
+        return Row("planner", case, "", Cost(core=core, control_bytes_in=1.0), "", "", Budget(0.5, control_bytes=2.0))
 
-    exceeding = over_budget([row("under", 0.4), row("twice", 1.0), row("none", None), row("thrice", 1.5)])
-    assert [(exceeded.row.case, exceeded.budget, exceeded.need) for exceeded in exceeding] == [
+    exceeding = exceeded_budgets([row("under", 0.4), row("twice", 1.0), row("none", None), row("thrice", 1.5)])
+    assert [(exceeded.row.case, exceeded.budget, exceeded.share) for exceeded in exceeding] == [
         ("thrice", "core", 3.0),
         ("twice", "core", 2.0),
     ]
 
 
-def test_bytes_count_against_the_budget_in_both_directions() -> None:
+def test_received_and_sent_control_bytes_count_against_the_budget_together() -> None:
     budget = Budget(control_bytes=100.0)
-    costs = [Cost(control_in=150.0), Cost(control_out=150.0), Cost(control_in=50.0, control_out=100.0)]
-    assert [Row("discovery", "", "", cost, "", "", budget).worst() for cost in costs] == [("bytes", 1.5)] * 3
-    assert Row("discovery", "", "", Cost(data_out=150.0), "", "", budget).worst() is None
+    costs = [
+        Cost(control_bytes_in=150.0),
+        Cost(control_bytes_out=150.0),
+        Cost(control_bytes_in=50.0, control_bytes_out=100.0),
+    ]
+    assert [Row("discovery", "", "", cost, "", "", budget).highest_budget_use() for cost in costs] == [
+        ("bytes", 1.5)
+    ] * 3
+    assert Row("discovery", "", "", Cost(data_bytes_out=150.0), "", "", budget).highest_budget_use() is None
 
 
-def test_services_add_up_and_no_cell_is_over_its_limits() -> None:
-    sizes = design.service_sizes()
-    assert len(sizes) == design.SERVICES
+def test_service_sizes_add_up_to_all_servers_and_cells_are_within_their_limits() -> None:
+    sizes = target.service_sizes()
+    assert len(sizes) == target.SERVICES
     assert sizes[0].servers == max(service.servers for service in sizes)
-    assert sum(service.servers for service in sizes) == pytest.approx(design.SERVERS, rel=0.01)
+    assert sum(service.servers for service in sizes) == pytest.approx(target.SERVERS, rel=0.01)
     for service in sizes:
-        assert service.servers <= service.cells * design.CELL_SERVERS
-        assert service.planners <= service.cells * design.CELL_PLANNERS
+        assert service.servers <= service.cells * target.MAX_CELL_SERVERS
+        assert service.planners <= service.cells * target.MAX_CELL_PLANNERS
 
 
-def test_command_and_option_print_the_same(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_capacity_command_and_option_print_the_same_page(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["scale", "capacity", str(RESULT)]) == 0
     by_command = capsys.readouterr().out
     assert main(["scale", "--capacity", str(RESULT)]) == 0
@@ -87,7 +95,7 @@
 
 
 @pytest.mark.parametrize("arguments", [["scale", "capacity"], ["scale", "--capacity"]])
-def test_an_invalid_file_gives_one_line_and_exit_code_two(
+def test_an_invalid_result_file_prints_an_error_of_one_line_and_exits_with_code_two(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], arguments: list[str]
 ) -> None:
     path = tmp_path / "slopes.json"
@@ -102,12 +110,12 @@
 
     assert "No such file" in error_line()
     path.write_bytes(RESULT.read_bytes()[:-500])
-    assert "cut" in error_line()
+    assert "truncated" in error_line()
     path.write_bytes(RESULT.read_bytes().replace(b'"version": 1', b'"version": 2'))
     assert "version 2" in error_line()
 
 
-def test_a_result_without_a_point_that_the_page_needs_is_rejected(
+def test_a_result_without_a_point_that_the_page_requires_is_rejected(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "slopes.json"
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -1,4 +1,4 @@
-"""Fits of known laws, predictions, and valid and invalid result files."""
+"""Tests of fits to known laws, of predictions, and of reading and writing result files."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     ResultError,
     Sweep,
     Usage,
+    compare_prediction,
     fit,
-    fit_all,
-    held_out,
+    fit_metrics,
     merge_results,
     predict,
     read_result,
@@ -40,75 +40,75 @@
     return Result(VERSION, {"seed": 1.0}, Machine(8, "3.11", "Linux"), [], {"mean cell": [repeat(1.0, 2.0)]}, [])
 
 
-def test_a_line_is_fitted_with_its_intercept() -> None:
+def test_values_on_a_line_are_fitted_by_that_line() -> None:
     fitted = fit(SIZES, [3.0 + 0.5 * size for size in SIZES])
     assert fitted.shape == "line"
     assert fitted.residual < 1e-9
     assert (fitted.intercept, fitted.slope) == pytest.approx((3.0, 0.5))
-    assert fitted.at(160.0) == pytest.approx(83.0)
+    assert fitted.value_at(160.0) == pytest.approx(83.0)
 
 
-def test_a_power_law_is_fitted_with_its_exponent() -> None:
+def test_values_of_a_power_law_are_fitted_by_that_power_law() -> None:
     fitted = fit(SIZES, [0.2 * size**1.7 for size in SIZES])
     assert fitted.shape == "power"
     assert fitted.residual < 1e-9
     assert (fitted.intercept, fitted.slope) == pytest.approx((0.2, 1.7))
-    assert fitted.at(160.0) == pytest.approx(0.2 * 160**1.7)
+    assert fitted.value_at(160.0) == pytest.approx(0.2 * 160**1.7)
 
 
-def test_the_residual_is_that_of_measured_over_fitted() -> None:
+def test_the_residual_is_the_relative_deviation_from_the_fit() -> None:
     fitted = fit(SIZES * 2, [value * factor for factor in (1.1, 0.9) for value in (10.0, 20.0, 40.0, 80.0)])
     assert fitted.residual == pytest.approx(0.1, abs=0.01)
 
 
-def test_zero_at_all_sizes_is_predicted_as_zero() -> None:
+def test_values_of_zero_at_all_sizes_are_predicted_as_zero() -> None:
     fitted = fit(SIZES, [0.0] * 4)
-    assert fitted.at(160.0) == 0.0
+    assert fitted.value_at(160.0) == 0.0
     assert fitted.residual == 0.0
 
 
 def test_a_falling_line_never_predicts_a_negative_value() -> None:
-    assert fit(SIZES, [8.0, 7.0, 5.0, 1.0]).at(1_000.0) == 0.0
+    assert fit(SIZES, [8.0, 7.0, 5.0, 1.0]).value_at(1_000.0) == 0.0
 
 
-def test_three_sizes_are_too_few_for_a_fit() -> None:
-    with pytest.raises(ValueError, match="3 different sizes"):
+def test_a_fit_of_three_distinct_sizes_raises_an_error() -> None:
+    with pytest.raises(ValueError, match="3 distinct sizes"):
         fit([1.0, 2.0, 3.0, 3.0], [1.0, 2.0, 3.0, 3.0])
 
 
-def test_the_factor_by_which_a_size_exceeds_the_fitted_ones() -> None:
+def test_the_extrapolation_factor_is_the_ratio_to_the_largest_fitted_size_and_at_least_one() -> None:
     fitted = fit(SIZES, SIZES)
-    assert fitted.factor(160.0) == 2.0
-    assert fitted.factor(40.0) == 1.0
+    assert fitted.extrapolation_factor(160.0) == 2.0
+    assert fitted.extrapolation_factor(40.0) == 1.0
 
 
-def test_a_held_out_size_has_the_error_of_its_prediction() -> None:
-    predicted = predict(fit_all([repeat(size, 2.0 * size) for size in SIZES]), 160.0)
-    prediction = held_out(predicted, [repeat(160.0, 380.0), repeat(160.0, 388.0)])
+def test_the_error_of_a_prediction_is_relative_to_the_predicted_value() -> None:
+    predicted = predict(fit_metrics([repeat(size, 2.0 * size) for size in SIZES]), 160.0)
+    prediction = compare_prediction(predicted, [repeat(160.0, 380.0), repeat(160.0, 388.0)])
     assert prediction.predicted["core"] == pytest.approx(320.0)
     assert prediction.error["core"] == pytest.approx(0.2)
 
 
-def test_a_result_is_read_as_written(tmp_path: Path) -> None:
+def test_a_written_result_is_read_unchanged(tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
     write_result(path, result())
     assert read_result(path) == result()
     assert [file.name for file in tmp_path.iterdir()] == ["slopes.json"]
 
 
-def test_an_absent_sweep_is_named() -> None:
+def test_the_error_about_an_absent_sweep_names_it() -> None:
     with pytest.raises(ResultError, match="no sweep of planner against zones"):
         result().sweep("planner", "zones")
 
 
-def test_a_file_that_is_absent_truncated_or_of_another_version_is_rejected(tmp_path: Path) -> None:
+def test_a_result_file_that_is_absent_or_truncated_or_has_another_version_or_format_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
     with pytest.raises(ResultError, match=r"slopes\.json: No such file"):
         read_result(path)
     write_result(path, result())
     complete = path.read_bytes()
     path.write_bytes(complete[: len(complete) // 2])
-    with pytest.raises(ResultError, match=r"slopes\.json: cut or no JSON"):
+    with pytest.raises(ResultError, match=r"slopes\.json: truncated or not JSON"):
         read_result(path)
     path.write_bytes(msgspec.json.encode({"version": VERSION + 1}))
     with pytest.raises(ResultError, match=f"version {VERSION + 1}; this program reads version {VERSION}"):
@@ -121,12 +121,12 @@
         read_result(path)
 
 
-def test_noise_is_no_slope() -> None:
+def test_a_fit_of_noise_does_not_count_as_a_slope() -> None:
     assert fit(SIZES, SIZES).is_slope()
     assert not fit(SIZES * 2, [1.0, 50.0, 2.0, 90.0, 60.0, 1.0, 70.0, 2.0]).is_slope()
 
 
-def test_merging_replaces_only_what_was_measured_again() -> None:
+def test_merging_results_replaces_only_sweeps_and_points_that_were_measured_again() -> None:
     def sweep(role: str, variable: str, value: float) -> Sweep:
         return Sweep(role, variable, {}, [repeat(1.0, value)], {})
 
--- a/tests/scale/test_sweep.py
+++ b/tests/scale/test_sweep.py
@@ -14,7 +14,7 @@
 from stackwheel.scale.choice_timing import time_choice
 from stackwheel.scale.planner_bench import PlannerBench
 from stackwheel.scale.points import SINGLE_POINTS, SWEEP_PLANS, Point, RelayPoint
-from stackwheel.scale.slopes import MIN_SIZES, Repeat
+from stackwheel.scale.slopes import MIN_DISTINCT_SIZES, Repeat
 from stackwheel.scale.sweep import SizedPoint, Timing, measure, measure_repeats
 
 TEST_TIMEOUT_S = 60.0
@@ -111,7 +111,7 @@
 
 def test_each_sweep_has_enough_sizes_for_a_fit_and_holds_out_twice_the_largest() -> None:
     for plan in SWEEP_PLANS:
-        assert len(set(plan.sizes)) >= MIN_SIZES, plan.name
+        assert len(set(plan.sizes)) >= MIN_DISTINCT_SIZES, plan.name
         assert plan.held_out_size == 2 * max(plan.sizes), plan.name
     assert len({plan.name for plan in SWEEP_PLANS}) == len(SWEEP_PLANS)
 
