--- a/tests/wire/test_discovery_protocol.py
+++ b/tests/wire/test_discovery_protocol.py
@@ -1,4 +1,4 @@
-"""The JSON of an endpoint list: what is read, and what a fault in it costs."""
+"""Parsing of endpoint lists: valid documents, invalid documents, and malformed entries."""
 
 import json
 import re
@@ -18,7 +18,7 @@
 )
 
 
-def test_endpoint_list() -> None:
+def test_endpoint_list_is_parsed() -> None:
     endpoints = parse_endpoint_list(VALID)
     assert (endpoints.generation, endpoints.complete) == (43, False)
     assert endpoints.instances == (Instance("s-1", "h:1", "a", "m2", 3, Availability.DRAINING, 1.5, 12.5),)
@@ -39,7 +39,7 @@
         (VALID, b"[" * 100_000),
     ],
 )
-def test_document_that_is_no_list_is_invalid_input(original: bytes, replacement: bytes) -> None:
+def test_invalid_document_raises_invalid_input_error(original: bytes, replacement: bytes) -> None:
     with pytest.raises(InvalidInputError):
         parse_endpoint_list(VALID.replace(original, replacement))
 
@@ -48,15 +48,15 @@
     ("original", "replacement", "reason"),
     [
         (b"43", b"-1", "generation: negative: '-1'"),
-        (b"43", b'"x"', "generation: a whole number expected, found str"),
-        (b"false", b"0", "reset: true or false expected, found int"),
+        (b"43", b'"x"', "generation: expected an integer, found str"),
+        (b"false", b"0", "reset: expected true or false, found int"),
         (b'"reset":false,', b"", "reset: missing"),
         (b'"instances"', b'"servers"', "instances: missing"),
         (VALID, b"[]", "no list of instances"),
         (VALID, b"", "not JSON: Expecting value"),
     ],
 )
-def test_invalid_document_names_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
+def test_error_of_invalid_document_names_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
     with pytest.raises(InvalidInputError, match=re.escape(reason)):
         parse_endpoint_list(VALID.replace(original, replacement))
 
@@ -78,10 +78,10 @@
         (b'{"instanceId"', b'7,{"instanceId"', ""),
     ],
 )
-def test_unreadable_entry_is_left_out_and_named(original: bytes, replacement: bytes, unreadable_name: str) -> None:
-    """Once the whole list failed for it; now its neighbours count, and the reader knows what the list lacks."""
-    neighbour = b'{"instanceId":"s-0","hostPort":"h:1","zone":"a","lifecycle":"in_service"}'
-    data = VALID.replace(original, replacement).replace(b"]}]}", b"]}," + neighbour + b"]}")
+def test_malformed_entry_is_skipped_and_reported(original: bytes, replacement: bytes, unreadable_name: str) -> None:
+    """A malformed entry must not invalidate the list, and its name must be reported in `unreadable`."""
+    valid_entry = b'{"instanceId":"s-0","hostPort":"h:1","zone":"a","lifecycle":"in_service"}'
+    data = VALID.replace(original, replacement).replace(b"]}]}", b"]}," + valid_entry + b"]}")
     endpoints = parse_endpoint_list(data)
     names = {instance.name for instance in endpoints.instances}
     assert endpoints.unreadable == {unreadable_name}
@@ -92,26 +92,30 @@
 @pytest.mark.parametrize(
     ("original", "replacement", "reason"),
     [
-        (b'"s-1"', b'"s 1"', "list 43: entry 0 ('s 1'): instanceId: a name that no update can carry: 's 1'"),
+        (
+            b'"s-1"',
+            b'"s 1"',
+            "list 43: entry 0 ('s 1'): instanceId: empty, or with a space, comma or control character: 's 1'",
+        ),
         (
             b"terminating",
             b"resting",
-            "list 43: entry 0 ('s-1'): lifecycle: none of in_service, terminating, terminated",
+            "list 43: entry 0 ('s-1'): lifecycle: not one of in_service, terminating, terminated",
         ),
-        (b"1.5", b"-1", "list 43: entry 0 ('s-1'): weight: not a number from 0 on: '-1'"),
+        (b"1.5", b"-1", "list 43: entry 0 ('s-1'): weight: not a finite, non-negative number: '-1'"),
         (b'"zone"', b'"z"', "list 43: entry 0 ('s-1'): zone: missing"),
-        (b'"h:1"', b"null", "list 43: entry 0 ('s-1'): hostPort: a string expected, found NoneType"),
-        (b'{"instanceId"', b'7,{"instanceId"', "list 43: entry 0 ('None'): an object expected, found int"),
+        (b'"h:1"', b"null", "list 43: entry 0 ('s-1'): hostPort: expected a string, found NoneType"),
+        (b'{"instanceId"', b'7,{"instanceId"', "list 43: entry 0 ('None'): expected an object, found int"),
     ],
 )
-def test_unreadable_entry_names_entry_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
+def test_error_of_malformed_entry_names_entry_field_and_value(original: bytes, replacement: bytes, reason: str) -> None:
     errors: list[InvalidInputError] = []
     read_endpoint_list(json.loads(VALID.replace(original, replacement)), errors.append)
     assert len(errors) == 1
     assert str(errors[0]).startswith(reason)
 
 
-def test_unreadable_entry_of_cached_list_is_no_configuration() -> None:
+def test_malformed_entry_in_configured_list_is_rejected() -> None:
     document = config("127.0.0.1:1", known={"generation": 1, "reset": True, "instances": [{"instanceId": "s-0"}]})
     with pytest.raises(ValueError, match="known: list 1: entry 0"):
         read_config(document)
