--- a/stackwheel/scale/capacity_edge.py
+++ b/stackwheel/scale/capacity_edge.py
@@ -44,7 +44,7 @@
     state = "48,000 servers, 85 zones, 5 proxies"
     sweep = model.result.sweep("planner", "list")
     fits = [sweep.fits[name] for name in SHOWN_METRICS]
-    extrapolated = Cost(*(fit.value_at(target.SERVERS) if fit.is_slope() else None for fit in fits))
+    extrapolated_cost = Cost(*(fit.value_at(target.SERVERS) if fit.is_slope() else None for fit in fits))
     factor = sweep.fits["core"].extrapolation_factor(target.SERVERS)
     mechanism = f"{MISSING_MECHANISM} while a planner is given the whole list; {CELL_MECHANISM}"
     yield measured_row("whole list, mean", state, model.mean_cost("whole list"), mechanism)
@@ -52,17 +52,21 @@
         "planner",
         "whole list, mean, by slope",
         state,
-        extrapolated,
+        extrapolated_cost,
         "list sweep",
         mechanism,
         extrapolation_factor=factor,
     )
-    lost = model.highest_second("whole list, zone lost")
-    yield highest_second_row("whole list, zone lost", f"{target.SERVERS_PER_ZONE} entries at once", lost, mechanism)
-    region = target.SERVERS_PER_REGION * model.mean_entry_bytes()
-    yield bytes_row("whole list, region lost", f"{target.SERVERS_PER_REGION:,} entries at once", region, mechanism)
-    start = model.start_bytes("whole list")
-    yield bytes_row("whole list, start or region healed", "the whole list anew", start, mechanism)
+    lost_zone_cost = model.highest_second("whole list, zone lost")
+    yield highest_second_row(
+        "whole list, zone lost", f"{target.SERVERS_PER_ZONE} entries at once", lost_zone_cost, mechanism
+    )
+    region_bytes = target.SERVERS_PER_REGION * model.mean_entry_bytes()
+    yield bytes_row(
+        "whole list, region lost", f"{target.SERVERS_PER_REGION:,} entries at once", region_bytes, mechanism
+    )
+    start_list_bytes = model.start_bytes("whole list")
+    yield bytes_row("whole list, start or region healed", "the whole list anew", start_list_bytes, mechanism)
 
 
 def cell_rows(model: Model, name: str, state: str) -> Iterator[Row]:
@@ -70,12 +74,14 @@
     mechanism = f"{WATCH_MECHANISM}, {GOSSIP_MECHANISM}, {UPDATE_MECHANISM}"
     yield measured_row(f"{name}, mean", state, model.mean_cost(name), mechanism)
     if name == "mean cell":
-        with_66_proxies = model.mean_cost("mean cell, one request a proxy")
-        yield measured_row(f"{name}, 66 proxies", "23 servers, 7 planners, 66 proxies", with_66_proxies, mechanism)
-    lost = model.highest_second(f"{name}, zone lost")
-    yield highest_second_row(f"{name}, zone lost", "half of its servers at once", lost, mechanism)
-    start = model.start_bytes(name)
-    yield bytes_row(f"{name}, region lost, healed, or start", "all of its entries at once", start, WATCH_MECHANISM)
+        cost_with_66_proxies = model.mean_cost("mean cell, one request a proxy")
+        yield measured_row(f"{name}, 66 proxies", "23 servers, 7 planners, 66 proxies", cost_with_66_proxies, mechanism)
+    lost_zone_cost = model.highest_second(f"{name}, zone lost")
+    yield highest_second_row(f"{name}, zone lost", "half of its servers at once", lost_zone_cost, mechanism)
+    start_list_bytes = model.start_bytes(name)
+    yield bytes_row(
+        f"{name}, region lost, healed, or start", "all of its entries at once", start_list_bytes, WATCH_MECHANISM
+    )
 
 
 def measured_row(case: str, state: str, cost: Cost, mechanism: str) -> Row:
@@ -88,9 +94,9 @@
     return Row("planner", case, state, cost, "measured, highest second", mechanism, PLANNER_BUDGET)
 
 
-def bytes_row(case: str, state: str, size: float, mechanism: str) -> Row:
-    """Return one row of a planner that receives `size` bytes of the endpoint list in one second."""
-    cost = Cost(control_bytes_in=size, control_bytes_out=0.0, messages_in=1.0)
+def bytes_row(case: str, state: str, list_bytes: float, mechanism: str) -> Row:
+    """Return one row of a planner that receives `list_bytes` bytes of the endpoint list in one second."""
+    cost = Cost(control_bytes_in=list_bytes, control_bytes_out=0.0, messages_in=1.0)
     return Row("planner", case, state, cost, f"{COMPUTED_SOURCE}: entries' bytes", mechanism, PLANNER_BUDGET)
 
 
@@ -115,11 +121,11 @@
     """Return the row of the routes of a proxy, which no mechanism distributes yet."""
     routes = target.ROUTES / target.SERVICES
     lines = routes * target.SERVERS / target.SERVICES
-    unscoped = target.ROUTES * target.SERVERS / target.SERVICES
+    fleet_lines = target.ROUTES * target.SERVERS / target.SERVICES
     return Row(
         "proxy",
         "40,000 routes",
-        f"{routes:.0f} routes, {lines:,.0f} lines of its service; {unscoped:,.0f} of all",
+        f"{routes:.0f} routes, {lines:,.0f} lines of its service; {fleet_lines:,.0f} of all",
         Cost(),
         COMPUTED_SOURCE,
         f"routes are classes read at a start, `settings.py`; tables by route: {MISSING_MECHANISM}",
@@ -178,15 +184,18 @@
 def configuration_rows() -> Iterator[Row]:
     """Return the rows of a planner that receives the configuration changes of all services, or of its own service."""
     mechanism = f"{MISSING_MECHANISM}: a file read again on SIGHUP, `service/reload.py` `Reload.run`"
-    rate = (
+    all_services_bytes_per_s = (
         target.CONFIGURATION_CHANGES_PER_DAY / target.CONFIGURATION_DEADLINE_S * target.BYTES_PER_CONFIGURATION_CHANGE
     )
-    for case, size in (("all of them", rate), ("its service's alone", rate / target.SERVICES)):
+    for case, bytes_per_s in (
+        ("all of them", all_services_bytes_per_s),
+        ("its service's alone", all_services_bytes_per_s / target.SERVICES),
+    ):
         yield Row(
             "planner",
             f"12,000 changes of configuration in 5 s, {case}",
-            f"{size / target.BYTES_PER_CONFIGURATION_CHANGE:,.1f} changes a second",
-            Cost(control_bytes_in=size, control_bytes_out=0.0),
+            f"{bytes_per_s / target.BYTES_PER_CONFIGURATION_CHANGE:,.1f} changes a second",
+            Cost(control_bytes_in=bytes_per_s, control_bytes_out=0.0),
             f"{COMPUTED_SOURCE}: {target.BYTES_PER_CONFIGURATION_CHANGE} bytes a change",
             mechanism,
             PLANNER_BUDGET,
--- a/stackwheel/scale/comparison.py
+++ b/stackwheel/scale/comparison.py
@@ -56,25 +56,27 @@
 
 
 async def compare_all(
-    registry: Child, layout: Layout, hollow: Mapping[int, Child], real: Collection[RealPlanner]
+    registry: Child, layout: Layout, hollow_planners: Mapping[int, Child], real_planners: Collection[RealPlanner]
 ) -> ListComparison:
     """Fetch the current list of the registry and compare every planner with it."""
     full_list = await registry.request(GetFullList(), FullList)
-    by_cell = layout.entries_by_cell(full_list.entries)
+    cell_entries = layout.entries_by_cell(full_list.entries)
     comparison = ListComparison(full_list)
     cells_by_pid: dict[int, set[str]] = {}
-    processes = {child.pid: child for child in hollow.values()}
-    for number, child in hollow.items():
+    processes = {child.pid: child for child in hollow_planners.values()}
+    for number, child in hollow_planners.items():
         cells_by_pid.setdefault(child.pid, set()).add(layout.placed[number].cell)
     results = await asyncio.gather(
         *(
-            child.request(Compare(full_list.generation, {cell: by_cell[cell] for cell in cells_by_pid[pid]}), Compared)
+            child.request(
+                Compare(full_list.generation, {cell: cell_entries[cell] for cell in cells_by_pid[pid]}), Compared
+            )
             for pid, child in processes.items()
         )
     )
     for result in results:
         comparison.add_hollow_process(result, layout)
-    for planner in real:
+    for planner in real_planners:
         cell = planner.placed.cell
-        comparison.add_real_planner(planner, by_cell[cell] if cell else full_list.entries)
+        comparison.add_real_planner(planner, cell_entries[cell] if cell else full_list.entries)
     return comparison
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -157,8 +157,8 @@
     Raises:
         BenchError: the planner ended or did not answer within `START_TIMEOUT_S`.
     """
-    end = time.monotonic() + START_TIMEOUT_S
-    while time.monotonic() < end and process.returncode is None:
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline and process.returncode is None:
         if await answers_ping(address, START_TIMEOUT_S):
             return
         await asyncio.sleep(START_POLL_INTERVAL_S)
--- a/stackwheel/scale/relay_bench.py
+++ b/stackwheel/scale/relay_bench.py
@@ -24,7 +24,7 @@
 UNUSED_RELAY_HOST = "127.78.0.1"  # a plan needs two relays for each cell; the second one is not started
 FIRST_CELL_PORT = 20_001
 LOOPBACK_HOST_NUMBERS = iter(range(1, 1 << 16))  # gives each measured relay its own loopback address
-WATCH_RETRY_DELAY_S = 0.3  # after the relay rejected a watch because it had no list yet or no capacity
+WATCH_RETRY_DELAY_S = 0.3  # before a watcher reconnects, for example while the relay has no list yet
 CHUNKED_LINE_END = b"\n\r\n"  # end of a line and of the HTTP chunk that carries it
 
 
@@ -44,14 +44,21 @@
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self.cancel_tasks)
             self.discovery = FakeDiscovery(self.point.entries(), self.counters[Channel.LIST])
-            registry = await asyncio.start_server(self.discovery.serve, HOST, 0)
-            stack.callback(registry.close)
+            discovery_server = await asyncio.start_server(self.discovery.serve, HOST, 0)
+            stack.callback(discovery_server.close)
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="stackwheel-scale-")))
             save_plan(self.plan(), folder / "plan.json")
-            relay_settings = {"on": True, "name": RELAY_NAME, "upstream": listen_address(registry), "plan": "plan.json"}
-            operators = folder / "operators.json"
-            operators.write_text(json.dumps({"relay": relay_settings}))
-            process = await stack.enter_async_context(stackwheel_process(("relay", "--operators", str(operators)), {}))
+            relay_settings = {
+                "on": True,
+                "name": RELAY_NAME,
+                "upstream": listen_address(discovery_server),
+                "plan": "plan.json",
+            }
+            operators_file = folder / "operators.json"
+            operators_file.write_text(json.dumps({"relay": relay_settings}))
+            process = await stack.enter_async_context(
+                stackwheel_process(("relay", "--operators", str(operators_file)), {})
+            )
             for number in range(self.point.watchers):
                 self.start_task(self.watch(number, process))
             if not await wait_until(self.all_clients_served, START_TIMEOUT_S):
--- a/stackwheel/scale/sampling.py
+++ b/stackwheel/scale/sampling.py
@@ -56,21 +56,24 @@
         """Return the bytes of each role.
 
         The bytes of the relays are computed, not counted at their sockets: relays receive what the registry sends to
-        clients other than the full-list planners, and the requests of the planners in cells; vice versa for sent bytes.
+        clients other than the full-list planners, and the requests of the planners in cells. The bytes that they send
+        are computed from the opposite directions.
         """
         registry = ByteCounts(self.registry.bytes_in, self.registry.bytes_out)
         hollow = ByteCounts(
-            sum(t.bytes_in for t in self.hollow_processes), sum(t.bytes_out for t in self.hollow_processes)
+            sum(traffic.bytes_in for traffic in self.hollow_processes),
+            sum(traffic.bytes_out for traffic in self.hollow_processes),
         )
         gossip = ByteCounts(
-            sum(t.peer_bytes_in for t in self.hollow_processes), sum(t.peer_bytes_out for t in self.hollow_processes)
+            sum(traffic.peer_bytes_in for traffic in self.hollow_processes),
+            sum(traffic.peer_bytes_out for traffic in self.hollow_processes),
         )
-        lists = hollow.minus(gossip).plus(self.real_planners)
+        list_traffic = hollow.minus(gossip).plus(self.real_planners)
         return {
             Role.REGISTRY: registry,
             Role.RELAY: ByteCounts(
-                received=registry.sent - self.full_list_planners.received + lists.sent,
-                sent=registry.received - self.full_list_planners.sent + lists.received,
+                received=registry.sent - self.full_list_planners.received + list_traffic.sent,
+                sent=registry.received - self.full_list_planners.sent + list_traffic.received,
             ),
             Role.REAL_PLANNER: self.real_planners,
             Role.FULL_LIST_PLANNER: self.full_list_planners,
--- a/stackwheel/scale/sweep.py
+++ b/stackwheel/scale/sweep.py
@@ -99,14 +99,14 @@
             raise BenchError(f"process under test ended during the measurement at {point}: {error}") from error
         first = readings[0]
         last = readings[-1]
-        span = last.monotonic_s - first.monotonic_s
+        span_s = last.monotonic_s - first.monotonic_s
         traffic = last.traffic.since(first.traffic)
         return Repeat(
             size=size,
             usage=usage_between(first, last),
-            span_seconds=round(span, 3),
+            span_seconds=round(span_s, 3),
             peak=max_of_usages([usage_between(before, after) for before, after in pairwise(readings)]),
-            channels={channel.value: channel_rates(counts, span) for channel, counts in traffic.channels.items()},
+            channels={channel.value: channel_rates(counts, span_s) for channel, counts in traffic.channels.items()},
             load_average=round(os.getloadavg()[0], 2),
             start_list_bytes=start_list_bytes,
             updates=bench.updates_received(),
@@ -122,38 +122,38 @@
     traffic: TrafficCounters
 
 
-async def take_readings(pid: int, counters: TrafficCounters, span: float) -> list[Reading]:
+async def take_readings(pid: int, counters: TrafficCounters, span_s: float) -> list[Reading]:
     """Take a reading every second over a span in seconds, including its start and end."""
     readings = [Reading(time.monotonic(), read_usage(pid), counters.snapshot())]
-    end = readings[0].monotonic_s + span
-    while (remaining := end - time.monotonic()) > 0:
-        await asyncio.sleep(min(SAMPLE_INTERVAL_S, remaining))
+    end_s = readings[0].monotonic_s + span_s
+    while (remaining_s := end_s - time.monotonic()) > 0:
+        await asyncio.sleep(min(SAMPLE_INTERVAL_S, remaining_s))
         readings.append(Reading(time.monotonic(), read_usage(pid), counters.snapshot()))
     return readings
 
 
-def channel_rates(traffic: Traffic, span: float) -> ChannelRates:
+def channel_rates(traffic: Traffic, span_s: float) -> ChannelRates:
     """Return the traffic of a channel per second over a span in seconds."""
     return ChannelRates(
-        bytes_in=round(traffic.bytes_in / span, 2),
-        bytes_out=round(traffic.bytes_out / span, 2),
-        messages_in=round(traffic.messages_in / span, 2),
-        messages_out=round(traffic.messages_out / span, 2),
+        bytes_in=round(traffic.bytes_in / span_s, 2),
+        bytes_out=round(traffic.bytes_out / span_s, 2),
+        messages_in=round(traffic.messages_in / span_s, 2),
+        messages_out=round(traffic.messages_out / span_s, 2),
     )
 
 
 def usage_between(before: Reading, after: Reading) -> Usage:
     """Return the rates between two readings, and the memory at the later one."""
-    span = after.monotonic_s - before.monotonic_s
+    span_s = after.monotonic_s - before.monotonic_s
     traffic = after.traffic.since(before.traffic)
-    control = list(traffic.control_channels())
-    data = list(traffic.data_channels())
+    control_traffic = list(traffic.control_channels())
+    data_traffic = list(traffic.data_channels())
     rates = {
-        f"{name}_{field}": round(sum(getattr(channel, field) for channel in group) / span, 2)
-        for name, group in (("control", control), ("data", data))
+        f"{name}_{field}": round(sum(getattr(channel, field) for channel in group_traffic) / span_s, 2)
+        for name, group_traffic in (("control", control_traffic), ("data", data_traffic))
         for field in ("bytes_in", "bytes_out", "messages_in", "messages_out")
     }
-    core = (after.process_usage.cpu_seconds - before.process_usage.cpu_seconds) / span
+    core = (after.process_usage.cpu_seconds - before.process_usage.cpu_seconds) / span_s
     return Usage(core=round(core, 6), rss_mb=round(after.process_usage.rss_mb, 2), **rates)
 
 
--- a/stackwheel/scale/target_size.py
+++ b/stackwheel/scale/target_size.py
@@ -22,7 +22,8 @@
 FAILURES_PER_DAY = 120  # servers that stop without draining
 CONTROL_MACHINES = 17
 SERVERS_PER_ZONE = 565
-# Budgets of one planner.
+
+# Budgets of one planner, stated by the operators.
 CORE_BUDGET = 0.028
 MEMORY_BUDGET_MB = 128.0
 CONTROL_BYTES_PER_S_BUDGET = 4_000.0
--- a/tests/scale/test_sweep.py
+++ b/tests/scale/test_sweep.py
@@ -25,12 +25,12 @@
 def test_measuring_a_planner_counts_the_traffic_of_its_channels() -> None:
     repeats: list[Repeat] = []
 
-    async def work() -> None:
+    async def run_measurement() -> None:
         repeats.append(
             await measure(Point(servers=8, zones=2, proxies=3, planners=2, changes=5.0), SHORT_TIMING, 1, 8.0)
         )
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
+    asyncio.run(asyncio.wait_for(run_measurement(), TEST_TIMEOUT_S))
     (repeat,) = repeats
     assert 0 < repeat.usage.core < 1
     assert 10 < repeat.usage.rss_mb < 200
@@ -50,10 +50,10 @@
 def test_measuring_a_relay_counts_the_traffic_of_its_watchers() -> None:
     repeats: list[Repeat] = []
 
-    async def work() -> None:
+    async def run_measurement() -> None:
         repeats.append(await measure(RelayPoint(servers=46, watchers=4, changes=10.0), SHORT_TIMING, 1, 4.0))
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
+    asyncio.run(asyncio.wait_for(run_measurement(), TEST_TIMEOUT_S))
     (repeat,) = repeats
     assert 0 < repeat.usage.core < 1
     assert repeat.usage.rss_mb > 10
@@ -70,21 +70,21 @@
 
     monkeypatch.setattr(sweep, "create_bench", KillingBench)
 
-    async def work() -> None:
+    async def run_measurement() -> None:
         with pytest.raises(BenchError, match="process under test ended during the measurement"):
             await measure(Point(servers=2, proxies=1), SHORT_TIMING, 1, 2.0)
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
+    asyncio.run(asyncio.wait_for(run_measurement(), TEST_TIMEOUT_S))
 
 
 def test_a_relay_that_does_not_serve_its_watchers_in_time_raises_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(relay_bench, "START_TIMEOUT_S", 0.0)
 
-    async def work() -> None:
+    async def run_measurement() -> None:
         with pytest.raises(BenchError, match="0 of 4 watchers received their list"):
             await measure(RelayPoint(servers=46, watchers=4), SHORT_TIMING, 1, 4.0)
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
+    asyncio.run(asyncio.wait_for(run_measurement(), TEST_TIMEOUT_S))
 
 
 def test_concurrent_measurements_do_not_exceed_the_number_of_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -100,12 +100,12 @@
 
     monkeypatch.setattr(sweep, "measure", count_running)
 
-    async def work() -> None:
+    async def run_measurement() -> None:
         points = [SizedPoint(float(size), Point(servers=size)) for size in (1, 2, 3)]
         with pytest.raises(BenchError):
             await measure_repeats(points, SHORT_TIMING, 3, 1, 2, lambda _: None)
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
+    asyncio.run(asyncio.wait_for(run_measurement(), TEST_TIMEOUT_S))
     assert max(running_counts) == 2
 
 
