--- a/stackwheel/endpoints.py
+++ b/stackwheel/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as sent by discovery, and the comparison of entries of an older generation with the known state.
+"""Endpoint lists from the discovery service, and the comparison of entries of an older generation with the known state.
 
 The module contains only value types and pure functions. It is shared by the packages that store endpoint lists
 (`state`, `relay`), parse them (`wire`) and generate them (`scale`, `trials`).
@@ -14,18 +14,18 @@
 from stackwheel.interface import Availability
 
 MAX_LIST_AGE_MS = 6000.0
-"""Maximum age of a list in transit; the protocol treats older lists as delivered."""
+"""Maximum time for which a list can be in transit, as defined by the protocol."""
 
 MIN_REMOVED_SERVER_LIMIT = 64
-"""Lower bound of the limit on remembered removed servers, which otherwise grows with the list."""
+"""Maximum number of remembered removed servers for short lists; for longer lists the maximum grows with the list."""
 
 REMOVED_SERVER_LIMIT_PER_LISTED = 2
-"""Maximum number of remembered removed servers per listed server."""
+"""Maximum number of remembered removed servers, as a multiple of the number of listed servers."""
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One server in an endpoint list of discovery.
+    """One server in an endpoint list of the discovery service.
 
     Attributes:
         name: name of the server, which stays the same when its process restarts.
@@ -34,7 +34,7 @@
         kind: name of the server's machine kind.
         cell: number of the server's cell within the zone.
         availability: ready, draining or removed.
-        weight: relative capacity according to discovery.
+        weight: relative capacity according to the discovery service.
         started_at: start time of the server's process, Unix ms; 0 if it started long ago.
     """
 
@@ -50,15 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A response of discovery: the complete list, or the changes since an earlier generation.
+    """A response of the discovery service: the complete list, or the changes since an earlier generation.
 
     Attributes:
         generation: generation of the endpoint list after this response.
-        complete: whether the response lists every server; a server that is missing has been removed.
+        complete: whether the response lists every server; a server that is missing from it has been removed.
         instances: the entries, in the order of the response.
         unreadable: names of entries that were skipped because they are malformed; "" for an entry without a name.
-        generations_restarted: whether discovery has moved or restarted its numbering, so that the generation is
-            not comparable with earlier ones.
+        generations_restarted: whether the discovery service has restarted its numbering or has been replaced, so that
+            the generation cannot be compared with earlier ones.
     """
 
     generation: int
@@ -69,13 +69,13 @@
 
 
 def merge(base: EndpointList, changes: EndpointList) -> EndpointList:
-    """Apply later changes to a complete list."""
+    """Return a complete list to which later changes have been applied."""
     by_name = {instance.name: instance for instance in (*base.instances, *changes.instances)}
     return EndpointList(changes.generation, True, tuple(by_name.values()), base.unreadable | changes.unreadable)
 
 
 def latest_by_name(instances: Iterable[Instance]) -> tuple[Instance, ...]:
-    """Keep one entry per server: that of the latest process, and the last entry if a process has several."""
+    """Return one entry per server: that of its latest process, and the last of them if the process has several."""
     latest: dict[str, Instance] = {}
     for instance in instances:
         if instance.name not in latest or instance.started_at >= latest[instance.name].started_at:
@@ -118,11 +118,11 @@
 class StaleSnapshot:
     """A deferred complete list of an older generation that contradicts the known draining and removal of servers.
 
-    Later changes are merged into it. If no newer list arrives within `MAX_LIST_AGE_MS`, discovery has restarted its
-    generations, and the snapshot is accepted.
+    Later changes are merged into it. If no newer list arrives within `MAX_LIST_AGE_MS`, the discovery service must have
+    restarted its generations, and the snapshot is accepted.
 
     Attributes:
-        first_received_at: when the first such list was received, ms.
+        first_received_at: time at which the first such list was received, ms.
         generation: generation of the list, or of the last changes merged into it.
         instances: entries by server name; their number is limited by the size of the list and of the changes that
             arrive within `MAX_LIST_AGE_MS`.
--- a/stackwheel/errors.py
+++ b/stackwheel/errors.py
@@ -10,7 +10,7 @@
 
     Attributes:
         location: the field, line or byte offset of the error, in the terms of the input format; empty if unknown.
-        problem: what is wrong with the input, with the invalid value truncated.
+        problem: description of the error, in which the invalid value is truncated.
     """
 
     def __init__(self, location: str, problem: str) -> None:
--- a/stackwheel/interface/actions.py
+++ b/stackwheel/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the policy returns for its adapter to execute."""
+"""Actions that the policy returns and that its adapter (`state` or `simulator`) executes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 class AssignTable:
     """Action: assign a table to a connected proxy for some request classes.
 
-    The proxy is sent the complete table, and after that each change of it.
+    The proxy is sent the complete table, and after that each change to it.
 
     Attributes:
         proxy: number of the proxy.
@@ -54,8 +54,8 @@
     """How many requests of a class a proxy admits, and when it may retry a failed attempt.
 
     Attributes:
-        admitted: share of the requests, or requests per second and proxy if the admission mode is "rate".
-        retry: retry mode.
+        admitted: share of the requests, or requests per second per proxy if the admission mode is "rate".
+        retry: when a failed attempt may be retried.
     """
 
     admitted: float
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Action: open or close the watch on the endpoint list."""
+    """Action: open or close the watch on the endpoint list, over which changes to the list are received."""
 
     enabled: bool = True
 
--- a/stackwheel/interface/endpoints.py
+++ b/stackwheel/interface/endpoints.py
@@ -31,7 +31,7 @@
     """The complete list; servers that are not in it have been removed."""
 
     FAILED = 3
-    """A call failed or the watch ended; the update has no entries, and the known list remains valid."""
+    """A fetch of the list failed or the watch ended; the update has no entries, and the known list remains valid."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
         kind: index of the server's machine kind.
         cell: number of the server's cell within the zone.
         availability: ready, draining or removed.
-        weight: relative capacity according to discovery.
+        weight: relative capacity according to the discovery service.
         started_at: start time of the server's process, Unix ms; 0 if it started long ago.
     """
 
--- a/stackwheel/interface/events.py
+++ b/stackwheel/interface/events.py
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """Event: a datagram of another planner was received.
+    """Event: a datagram from another planner was received.
 
     Attributes:
         sender: index of the planner that sent the datagram.
@@ -169,7 +169,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRangeWeight:
-    """Event: an existing line of a granted key range's table; weights are relative to those of the other lines."""
+    """Event: a line that the table of a granted key range already contains.
+
+    The weight is relative to the weights of the table's other lines.
+    """
 
     table: int
     server: ServerId
--- a/stackwheel/interface/settings.py
+++ b/stackwheel/interface/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the policy, with request classes and retry modes."""
+"""The settings of the policy, including the request classes and the retry modes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 """Scope within which servers deduplicate requests by idempotency key: all servers, a zone or a cell."""
 
 AdmissionMode: TypeAlias = Literal["share", "rate", "off"]
-"""Unit of admission levels: a share of requests, requests per second and proxy, or no admission control."""
+"""Unit of admission levels: a share of requests, requests per second per proxy, or no admission control."""
 
 LoadBalancingPolicy: TypeAlias = Literal["weighted", "round", "two"]
 """How a proxy chooses a server: weighted random, weighted round robin, or power of two choices by weight."""
@@ -41,7 +41,7 @@
         deadline: latency beyond which an answer has no value, ms.
         priority_weight: value of one request; classes with the lowest value are shed first.
         idempotency: whether a request may be executed more than once.
-        deduplication_scope: the servers that share their idempotency keys.
+        deduplication_scope: the set of servers that together execute a request with the same idempotency key only once.
         idempotency_key_ttl: time for which a server remembers an idempotency key, ms.
         allowed_zones: indexes of the zones whose servers may serve the class; empty for all zones.
         allowed_kinds: indexes of the machine kinds that may serve the class; empty for all kinds.
@@ -70,19 +70,20 @@
         home_zone: index of the zone that this planner runs in.
         zone_count: number of zones.
         classes: the request classes.
-        load_columns: names of the load figures that servers report, in the order of the reports.
+        load_columns: names of the load figures that servers report, in the order in which reports contain them.
 
-        endpoint_weights_enabled: whether discovery provides server weights.
-        endpoint_list_on_request: whether the planner has to fetch the endpoint list; otherwise it is pushed.
-        list_poll_deadline: maximum time between two fetches of the endpoint list without a watch, ms.
-        removal_is_advisory: whether a server that was removed from the endpoint list may still be used; only
-            draining is binding then.
+        endpoint_weights_enabled: whether the discovery service provides server weights.
+        endpoint_list_on_request: whether the planner has to request the endpoint list or a watch on it; otherwise
+            the list and its changes are sent to the planner without a request.
+        list_poll_deadline: maximum time between two fetches of the endpoint list while no watch is open, ms.
+        removal_is_advisory: whether proxies may continue to use a server that was removed from the endpoint list;
+            if so, only draining obliges them to stop.
 
         gossip_enabled: whether planners send each other gossip.
         health_checks_enabled: whether the planner may send health checks to servers.
 
         proxy_count: number of proxies in the deployment.
-        report_interval: time between two reports of a proxy, and the length of a slot, ms.
+        report_interval: time between two reports of a proxy, and the usual length of a slot, ms.
         load_balancing_policy: how proxies choose among the lines of a table.
         default_retry: retry mode if a table does not set one.
         attempt_duration_factor: duration of one attempt as a multiple of the latency objective; not used by the policy.
@@ -91,7 +92,7 @@
         key_range_count: number of key ranges, each with its own table; 0 if tables are assigned to proxies.
         exclusive_key_ranges: whether a key range is owned by one planner at a time.
 
-        message_overhead: fixed cost of a message, in lines, added to the lines that it contains.
+        message_overhead: cost of a message in addition to the lines that it contains, in lines.
         channel_rate: capacity of the channel to the proxies, lines per second.
         queue_limit: maximum number of lines queued in the channel; 0 for no limit.
         message_cap: maximum number of messages to one proxy within `message_window`; 0 for no limit.
@@ -104,7 +105,8 @@
         slow_start_duration: time until a started server has its full capacity, ms.
         overload_multiple: load, as a multiple of its present capacity, above which a warming server is overloaded.
         overload_duration: duration of such an overload after which the server fails, ms.
-        cross_zone_cost: cost of serving a request in a zone other than the proxy's, for allocation.
+        cross_zone_cost: relative cost of a server in a zone other than the proxy's, by which the allocation of demand
+            disadvantages such servers; 0 if zones do not matter.
     """
 
     planner_index: int = 0
--- a/stackwheel/settings.py
+++ b/stackwheel/settings.py
@@ -37,19 +37,21 @@
 """Paths whose absence is not reported, because they are set only if they are true."""
 
 MAX_REQUEST_CLASSES: Final = 32
-MAX_QUOTED_CHARACTERS: Final = 40  # of an invalid value, in error messages
+
+MAX_QUOTED_CHARACTERS: Final = 40
+"""Length to which invalid values are truncated in error messages."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfiguredNames:
-    """Names that the policy refers to by index, and settings that only the adapters use.
+    """Names to which the policy refers by index, and settings that only the adapters use.
 
     Attributes:
         classes: names of the request classes.
         zones: names of the zones.
         kinds: names of the machine kinds.
         columns: canonical names of the load columns.
-        batch_delay: time for which the planner actor collects a batch of events, ms.
+        batch_delay: time for which the planner actor collects messages before it processes them as a batch, ms.
         health_check_returns_load: whether the response to a health check contains load figures.
     """
 
@@ -67,7 +69,7 @@
     Attributes:
         settings: settings of the policy.
         names: names and settings of the adapters.
-        absent_paths: paths that were not set and have their defaults, sorted; they help to find misspelt paths.
+        absent_paths: paths that were not set and whose defaults are used, sorted; they help to find misspelt paths.
     """
 
     settings: Settings
@@ -156,7 +158,7 @@
         return self.pairs.get(path)
 
     def number(self, path: str, default: float) -> float:
-        """Return a finite, non-negative number."""
+        """Return a finite, non-negative number, or the default if the value is absent."""
         text = self.string(path)
         if text is None:
             return default
@@ -169,14 +171,14 @@
         return value
 
     def integer(self, path: str, default: int) -> int:
-        """Return a non-negative integer."""
+        """Return a non-negative integer, or the default if the value is absent."""
         value = self.number(path, default)
         if value != int(value):
             raise invalid_value(path, "not an integer", str(value))
         return int(value)
 
     def boolean(self, path: str, default: bool) -> bool:
-        """Return a boolean, which is set as true or false in any letter case."""
+        """Return a boolean, written as true or false in any letter case, or the default if the value is absent."""
         text = self.string(path)
         if text is None:
             return default
@@ -185,7 +187,7 @@
         return text.lower() == "true"
 
     def choice(self, path: str, default: ChoiceT, allowed: tuple[ChoiceT, ...]) -> ChoiceT:
-        """Return the value, which has to be one of those allowed."""
+        """Return the value, which has to be one of those allowed, or the default if the value is absent."""
         given = self.string(path)
         if given is None:
             return default
