--- a/stackwheel/policy/__init__.py
+++ b/stackwheel/policy/__init__.py
@@ -1,4 +1,5 @@
 """The policy: all decisions of a planner, with one module per concern; `planner.py` combines them.
 
-The types of its inputs and outputs are defined in `stackwheel/interface/`. `docs/design.md` explains the decisions.
+The types of its inputs and outputs are defined in `stackwheel/interface/`, whose docstring explains the terms table,
+line, channel and slot. `docs/design.md` explains the decisions.
 """
--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -1,4 +1,8 @@
-"""Allocation of each zone's demand, by request class, to servers according to their spare capacity and score."""
+"""Allocation of each zone's demand, by request class, to servers according to their spare capacity and score.
+
+The score of a server for a zone increases with its latency and with the cost of crossing zones; servers with a lower
+score are preferred.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +40,11 @@
 
 
 class AllocationRank(NamedTuple):
-    """Order in which classes are allocated: fewest servers, then shortest objective, then lowest priority weight."""
+    """Sort key that determines the order in which request classes are allocated.
+
+    Classes with the fewest allowed servers come first, then those with the shortest latency objective, then those with
+    the lowest priority weight.
+    """
 
     allowed_server_count: int
     latency_objective: float
@@ -48,7 +56,7 @@
 
     Attributes:
         available_capacity: capacity that the server has now, which is reduced while it warms up.
-        peer_rate: requests from proxies of peer planners.
+        peer_rate: requests from proxies of peer planners; 0 while the server is warming up.
         is_warm: whether the server has its full capacity.
     """
 
@@ -64,7 +72,7 @@
     """Allocates demand to servers.
 
     Attributes:
-        own_share: share of the load limit of warming servers that this planner may use.
+        own_share: share of the load limit of warming servers that this planner may use; the rest is left to peers.
     """
 
     def __init__(
@@ -85,7 +93,7 @@
         self.own_share = 1.0
 
     def allocate(self, zones: list[int], now: float) -> AllocatedRates:
-        """Return the requests per second that the classes of each zone should send to each server.
+        """Return the requests per second that the proxies of each zone should send to each server, by request class.
 
         All demand is allocated, even if it exceeds the capacity of the servers.
 
@@ -111,7 +119,7 @@
         return allocated
 
     def group_by_rank(self, keys: list[DemandKey]) -> list[list[DemandKey]]:
-        """Group keys by the rank of their class, in ascending order."""
+        """Group keys by the rank of their request class (`AllocationRank`), in ascending order."""
         ranks = [
             AllocationRank(
                 len(self.pool.allowed_servers(index)), requirements.latency_objective, requirements.priority_weight
@@ -213,7 +221,8 @@
     ) -> None:
         """Allocate demand that exceeds the spare capacity, in proportion to the available capacity of servers.
 
-        It goes to warm servers that are not ejected; without any, to all servers that are not ejected, or else to all.
+        The excess is divided among the warm servers that are not ejected. If there are none, it is divided among all
+        servers that are not ejected, and if all servers are ejected, among all servers.
 
         Args:
             excess: requests per second to allocate.
@@ -236,7 +245,11 @@
     spare: Rates,
     allocated: AllocatedRates,
 ) -> None:
-    """Allocate demand of equal rank to spare capacity in several rounds; `allocate_round` describes the arguments."""
+    """Allocate the demand of classes of equal rank (`AllocationRank`) to spare capacity in rounds.
+
+    The rounds end when the remaining demand is negligible, or after `MAX_ROUNDS_PER_STAGE`. The arguments are those of
+    `allocate_round`.
+    """
     for _ in range(MAX_ROUNDS_PER_STAGE):
         unallocated = [key for key in keys if remaining[key] > NEGLIGIBLE_DEMAND_PER_S]
         if not unallocated:
--- a/stackwheel/policy/capacity.py
+++ b/stackwheel/policy/capacity.py
@@ -1,4 +1,7 @@
-"""Capacity estimates: requests per second that each server can process when it is warm."""
+"""Capacity estimates: requests per second that each server can process when it is warm (after its slow start).
+
+The unit capacity is the capacity per unit of nominal size, which is the weight of a server in the endpoint list.
+"""
 
 from __future__ import annotations
 
@@ -10,22 +13,22 @@
 from stackwheel.policy.servers import ServerPool, ServerView
 
 TARGET_UTILIZATION = 0.7
-"""Utilization up to which demand is allocated first, and that is assumed for the fleet if servers report none."""
+"""Utilization up to which demand is allocated in the first stage, and maximum assumed for a fleet that reports none."""
 
 MIN_FLEET_UTILIZATION = 0.45
-"""Minimum utilization that is assumed for the fleet."""
+"""Minimum utilization that is assumed for a fleet that reports none."""
 
 CAPACITY_GAIN = 0.15
-"""Smoothing factor of capacities, per slot."""
+"""Smoothing factor of capacity estimates, per slot."""
 
 UNIT_CAPACITY_GROWTH = 0.03
-"""Relative growth of the unit capacity in a slot with low latency, which shows that servers have spare capacity."""
+"""Relative increase of the unit capacity per slot with low latency, which shows that servers have spare capacity."""
 
 MIN_CAPACITY_PER_S = 1e-3
-"""Minimum of an assumed capacity, requests per second; it differs from 0, which means unknown."""
+"""Minimum capacity that is assumed for a server, requests per second; greater than 0, which means unknown."""
 
 MIN_UTILIZATION = 0.1
-"""Utilization that replaces lower reported values, from which a capacity could not be estimated."""
+"""Utilization that replaces lower reported values, which are too low to estimate a capacity from."""
 
 MIN_LATENCY_FACTOR = 0.5
 MAX_LATENCY_FACTOR = 1.5
@@ -33,11 +36,11 @@
 
 
 class CapacityEstimates:
-    """Estimates capacities from the utilization that servers report, or else from latency and the fleet's load.
+    """Estimates capacities from the reported utilization of servers, or else from latency and the load of all servers.
 
     Attributes:
-        unit_capacity: requests per second that a warm server of nominal size 1 can process, estimated without
-            utilization.
+        unit_capacity: estimated requests per second that a warm server can process per unit of nominal size; used for
+            servers that do not report their utilization.
     """
 
     def __init__(
@@ -66,16 +69,19 @@
     def update_unit_capacity(self, median_latency_ms: float, now: float) -> None:
         """Update the unit capacity: it grows while latency is low, within bounds that depend on the load."""
         ready = self.pool.ready()
-        load = sum(  # without failed attempts
-            view.attempt_rate * (1 - view.failure_share) + self.peers.peer_rate(view, now) for view in ready
-        )
+        # The load does not include failed attempts.
+        load = sum(view.attempt_rate * (1 - view.failure_share) + self.peers.peer_rate(view, now) for view in ready)
         load /= max(1.0, sum(view.nominal_size for view in ready))
         if median_latency_ms < QUICK_LATENCY_MULTIPLE * self.estimates.lowest_latency:
             self.unit_capacity *= 1 + UNIT_CAPACITY_GROWTH
         self.unit_capacity = clamp(self.unit_capacity, load / TARGET_UTILIZATION, load / MIN_FLEET_UTILIZATION)
 
     def assume_unknown_capacities(self, now: float) -> None:
-        """Set the capacity of servers without traffic to the average of their machine kind, by nominal size."""
+        """Assume the average unit capacity of their machine kind for servers without an estimate or without traffic.
+
+        If no server of the kind has both, the unit capacity follows from the total demand and the utilization that is
+        assumed for the fleet.
+        """
         views = self.pool.views.values()
         measured: dict[int, list[float]] = {}
         unmeasured: list[ServerView] = []
@@ -93,7 +99,7 @@
             view.capacity = max(MIN_CAPACITY_PER_S, view.nominal_size * sum(unit_capacities) / len(unit_capacities))
 
     def update_server(self, view: ServerView, median_latency_ms: float, now: float) -> None:
-        """Update a server's capacity from its rate and reported utilization, or else from the unit capacity."""
+        """Update a server's capacity from its rate and utilization, or else from the unit capacity and its latency."""
         if "utilization" in view.load:
             server_rate = view.attempt_rate + self.peers.peer_rate(view, now)
             newest = server_rate / clamp(view.load["utilization"], MIN_UTILIZATION, 1.0)
--- a/stackwheel/policy/channel.py
+++ b/stackwheel/policy/channel.py
@@ -1,4 +1,8 @@
-"""Flow control of the channel to the proxies: length of its queue, and number of messages to each proxy."""
+"""Flow control of the channel to the proxies: length of its queue, and number of messages to each proxy.
+
+The channel transmits updates at a limited rate, and the lines that it has not transmitted yet form its queue. Each
+message costs its lines and a fixed overhead, which is also stated in lines.
+"""
 
 from __future__ import annotations
 
@@ -11,28 +15,37 @@
 
 # Shares of the queue limit up to which lines may be added
 CHANGE_QUEUE_SHARE = 0.25
-"""Share of the queue limit above which no lines are added, so that changes required by rules are not delayed."""
+"""Share of the queue limit above which no message is queued, so that later changes required by rules wait only briefly.
+
+A message that is queued below this share may extend the queue up to `MAX_QUEUE_SHARE`.
+"""
 
 MAX_QUEUE_SHARE = 0.8
 """Share of the queue limit that the queue may reach; the rest is a margin for estimation errors."""
 
 # Rate limit of routine changes
 CHANGE_RATE_SHARE = 0.4
-"""Share of the channel rate that routine changes of weights may use."""
+"""Share of the channel rate that routine changes to weights may use."""
 
 CHANGE_BURST_INTERVALS = 2.0
-"""Maximum unused allowance for routine changes, in report intervals; one message can then change complete tables."""
+"""Maximum allowance for routine changes that can accumulate, in report intervals, so that one message can be large."""
 
 MIN_LINES_PER_OVERHEAD = 5.0
-"""Minimum number of lines per message, as a multiple of the message overhead; it limits the size of groups."""
+"""Minimum number of lines per message for which the rate of routine changes has to suffice, in message overheads.
+
+It limits the number of proxies of a table group, to each of which a message can be sent in every report interval.
+"""
 
 # Message cap of a proxy
 CHANGE_MESSAGE_SHARE = 0.6
-"""Share of the message cap for ordinary changes; the rest is reserved for removed, draining and warming servers."""
+"""Share of the message cap for ordinary messages.
+
+The rest is reserved for changes to removed, draining and warming servers and for the first tables of a proxy.
+"""
 
 # Estimate of the queue without acknowledgements
 UNACKNOWLEDGED_DRAIN_SHARE = 0.2
-"""Share of the channel rate at which the queue is assumed to drain without acknowledgements."""
+"""Share of the channel rate at which the queue is assumed to drain while no acknowledgements arrive."""
 
 MAX_ACK_WAIT_INTERVALS = 1.0
 """Number of report intervals without any acknowledgement after which the queue is assumed to drain with time.
@@ -69,11 +82,12 @@
         queued_lines: estimated number of lines in the queue.
         ack_wait_started_at: start of the wait for the next acknowledgement, ms: time of the last acknowledgement or,
             if no acknowledgement was expected after it, of the next update.
-        overhead_lines: cost of a message in addition to its lines, including its nonce.
-        change_lines_per_ms: rate at which the allowance for routine changes grows.
-        max_change_allowance: maximum of `change_allowance`.
+        overhead_lines: cost of a message in addition to its lines, including its nonce, in lines.
+        change_lines_per_ms: rate at which the allowance for routine changes grows, lines per ms.
+        max_change_allowance: maximum of `change_allowance`, in lines.
         change_allowance: number of lines that routine changes may use now; negative after a large message.
-        max_group_size: maximum number of proxies to which a message can be sent within the rate of routine changes.
+        max_group_size: maximum number of proxies of a table group, so that the rate of routine changes suffices to send
+            each of them a message per report interval.
         message_times: times of the recent messages to each proxy, ms, on all of its streams.
         last_nonce: nonce of the last update.
         unacknowledged: updates by nonce, the oldest first.
@@ -128,7 +142,7 @@
         return False
 
     def acknowledge(self, proxy: int, nonce: int) -> None:
-        """Process an acknowledgement; all earlier updates have left the queue as well, because it is in order."""
+        """Process an acknowledgement; all earlier updates have left the queue too, because the queue is in order."""
         # The dict is in the order of sending. Reusing a nonce that is still in the dict would break this order, but
         # requires NONCE_COUNT updates without any acknowledgement: each one removes all earlier updates.
         if nonce not in self.unacknowledged:
@@ -170,7 +184,7 @@
         return self.settings.message_window / max(1.0, reserve + 1)
 
     def add_lines(self, recipients: list[int], lines: int) -> None:
-        """Add lines to the message that each of some proxies is sent by the current call."""
+        """Add lines to the message that the current call of the planner sends to each recipient."""
         for recipient in recipients:
             self.pending_lines[recipient] = self.pending_lines.get(recipient, 0) + lines
 
--- a/stackwheel/policy/demand.py
+++ b/stackwheel/policy/demand.py
@@ -1,4 +1,4 @@
-"""Demand: requests per second that the proxies receive, by zone and request class."""
+"""Demand: requests per second that the proxies of this planner receive, by zone and request class."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stackwheel.policy.proxies import ProxyView
 
 DEMAND_GAIN = 0.5
-"""Smoothing factor of request rates."""
+"""Smoothing factor of request rates, per report of a proxy and per slot."""
 
 ANNOUNCED_RATE_INTERVALS = 8.0
 """Number of report intervals for which the rate that a joining proxy announces is used until it sends reports."""
@@ -30,7 +30,7 @@
     """Counts the requests of one class that the proxies of a zone report.
 
     Attributes:
-        requests: number of requests since the last update of the rate.
+        requests: number of requests reported since the last update of the rate.
         rate: moving average of the requests per second.
     """
 
@@ -78,7 +78,7 @@
             counter.rate = max(0.0, counter.rate - (0.0 if announced_rate else rate))
 
     def record(self, report: DemandReport, now: float) -> None:
-        """Add a report to the counters; the announced rate of its class becomes part of the estimated rate."""
+        """Add a report to the counters; the proxy's announced rate for its class becomes part of the estimated rate."""
         proxy = self.proxies.get(report.proxy)
         request_class = report.request_class
         if proxy is None or not 0 < report.window < math.inf or request_class not in self.classes:
--- a/stackwheel/policy/endpoints.py
+++ b/stackwheel/policy/endpoints.py
@@ -9,13 +9,13 @@
 from stackwheel.policy.timers import ENDPOINT_LIST_TIMER
 
 MAX_BACKOFF_DEADLINE_SHARE = 0.4
-"""Maximum backoff as a share of the maximum time between two fetches of the endpoint list."""
+"""Maximum backoff as a share of `Settings.list_poll_deadline`."""
 
 MAX_BACKOFF_DOUBLINGS = 9
 """Maximum number of times that the initial backoff of one report interval is doubled."""
 
 MIN_BACKOFF_FACTOR = 0.5
-"""Minimum random factor of a backoff; the maximum is 1 more. Jitter spreads the retries of all planners."""
+"""Minimum random factor of a backoff; the maximum is greater by 1. The factors spread the retries of all planners."""
 
 MIN_INCLUSION_THRESHOLD = 0.05
 """Minimum of `ServerView.inclusion_threshold`."""
@@ -25,7 +25,7 @@
     """Updates the server pool according to the endpoint list.
 
     Attributes:
-        failed_calls: number of consecutive failed calls.
+        failed_calls: number of consecutive failed calls for the endpoint list.
     """
 
     def __init__(self, settings: Settings, random: Random, actions: list[Action], pool: ServerPool) -> None:
@@ -64,7 +64,7 @@
 
     def apply_entry(self, entry: EndpointEntry) -> bool:
         """Apply the entry of one server, and return whether its process or its availability has changed."""
-        # The number is drawn for known servers too, so that the sequence of draws depends only on the updates.
+        # The random number is drawn for known servers too, so that the sequence of draws depends only on the updates.
         threshold = self.random.uniform(MIN_INCLUSION_THRESHOLD, 1.0)
         view = self.pool.views.setdefault(entry.server, ServerView(entry, inclusion_threshold=threshold))
         previous_entry = view.entry
@@ -77,7 +77,7 @@
         return (entry.started_at, entry.availability) != (previous_entry.started_at, previous_entry.availability)
 
     def schedule_retry(self) -> None:
-        """Start the timer of the next call, with exponential backoff and jitter."""
+        """Start the timer after which the list is requested again, with exponential backoff and a random factor."""
         self.failed_calls += 1
         doubled_ms = self.settings.report_interval * 2 ** min(MAX_BACKOFF_DOUBLINGS, self.failed_calls - 1)
         backoff_ms = doubled_ms * (MIN_BACKOFF_FACTOR + self.random.random())
--- a/stackwheel/policy/estimates.py
+++ b/stackwheel/policy/estimates.py
@@ -1,4 +1,7 @@
-"""Estimates from load reports: latency, attempt rate, failures and load figures of servers, and their decay."""
+"""Estimates from load reports: latency, attempt rate, failures and load figures of servers.
+
+Estimates without a valid (recent) load report approach the median of all servers from slot to slot.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from stackwheel.policy.servers import ServerPool, ServerView, ZoneReport
 
 RATE_GAIN = 0.5
-"""Smoothing factor of attempt rates and load figures."""
+"""Smoothing factor of attempt rates and load figures, per report."""
 
 LATENCY_HALF_GAIN_ATTEMPTS = 10.0
 """Number of attempts in a report with which the smoothing factor of the latency is 0.5."""
@@ -21,37 +24,37 @@
 """Assumed latency of a failed attempt, in latency objectives, so that fast errors do not attract load."""
 
 UNCONFIRMED_LATENCY_GAIN = 0.1
-"""Share per slot by which the latency of a server without a valid report approaches the median latency."""
+"""Smoothing factor, per slot, by which the latency of a server without a valid report approaches the median latency."""
 
 UNCONFIRMED_ZONE_GAIN = 0.2
-"""Share per slot by which a zone's latency approaches the server's latency and its attempt rate decreases.
+"""Smoothing factor, per slot, of the estimates of a server for a zone whose proxies have sent no valid report.
 
-It applies to zones without a valid report.
+The latency for the zone approaches the server's latency over all zones, and the attempt rate of the zone approaches 0.
 """
 
 QUICK_LATENCY_MULTIPLE = 1.3
-"""Multiple of the lowest median latency up to which latency does not indicate load."""
+"""Multiple of the lowest median latency below which latency does not indicate load."""
 
 LOWEST_LATENCY_DRIFT = 0.01
-"""Increase per slot of the lowest latency, so that it adapts to a permanent change."""
+"""Relative increase of the lowest median latency per slot, so that it adapts to a permanent change of the latency."""
 
 REPORT_VALIDITY_WINDOWS = 2.0
 """Time for which a report is valid, as a multiple of its window."""
 
 REPORT_WINDOW_GAIN = 0.05
-"""Smoothing factor of the mean report window."""
+"""Smoothing factor of the mean report window, per report."""
 
 MAX_REPORT_WINDOW_MS = 1e6
-"""Maximum window in the mean report window; longer ones are reduced to it."""
+"""Maximum value with which a report's window enters the mean report window; longer windows are capped."""
 
 
 class LoadEstimates:
-    """Updates the moving averages of all servers; averages without recent reports approach those of all servers.
+    """Updates the moving averages of all servers; averages without recent reports approach the median of all servers.
 
     Attributes:
         mean_objective_ms: mean latency objective of the request classes.
         lowest_latency: lowest median latency so far, ms; 0 before the first slot with reports.
-        mean_report_window: average window of a load report, ms.
+        mean_report_window: moving average of the windows of load reports, ms.
     """
 
     def __init__(self, settings: Settings, pool: ServerPool) -> None:
@@ -118,7 +121,7 @@
         return median(latencies) or 0.5 * self.mean_objective_ms
 
     def decay_unconfirmed(self, median_latency_ms: float, now: float) -> None:
-        """Remove expired reports, and move averages without a valid report towards the median of all servers."""
+        """Remove expired reports, and move latencies without a valid report towards the median of all servers."""
         for view in self.pool.views.values():
             reports = {zone: report for zone, report in view.zone_reports.items() if report.valid_until > now}
             view.zone_reports = reports
--- a/stackwheel/policy/gossip.py
+++ b/stackwheel/policy/gossip.py
@@ -38,7 +38,7 @@
 
 
 class MalformedGossipError(InvalidInputError):
-    """The datagram has an invalid format."""
+    """A gossip datagram has an invalid format."""
 
 
 def encode(proxies: int, rates: Mapping[ServerId, float]) -> list[bytes]:
--- a/stackwheel/policy/health_checks.py
+++ b/stackwheel/policy/health_checks.py
@@ -16,7 +16,7 @@
 
 
 class HealthChecks:
-    """Selects servers for health checks once per slot, among the servers in the tables and within a budget."""
+    """Selects servers in the tables for health checks, once per slot; their number is limited by the request rate."""
 
     def __init__(
         self,
@@ -34,9 +34,10 @@
         self.report_interval = settings.report_interval
 
     def start(self, now: float) -> list[Action]:
-        """Return the health checks of a slot, for the servers whose last check is the longest ago.
+        """Return the actions that start the health checks of a slot.
 
-        There are none while load reports arrive soon enough.
+        The servers are those whose last health check is the longest ago. No health checks are started while load
+        reports arrive soon enough.
         """
         if (
             not self.is_enabled
--- a/stackwheel/policy/joins.py
+++ b/stackwheel/policy/joins.py
@@ -1,4 +1,8 @@
-"""Assignment of tables to proxies that join: short tables while many join at once, otherwise complete tables."""
+"""Assignment of tables to proxies that join: short tables while many join at once, otherwise complete tables.
+
+A complete table contains all servers that may serve its request classes. A short table contains some of them, so that
+it takes less time to send. Until its first assignment a proxy uses the standing tables that it started with.
+"""
 
 from __future__ import annotations
 
@@ -14,20 +18,20 @@
 FIRST_TABLE_GRACE_SHARE = 0.4
 """Share of the drain grace within which joining proxies should get their first tables.
 
-Until then they may use standing tables with removed servers.
+Until then their standing tables may contain removed servers.
 """
 
 REPLACEMENT_QUEUE_SHARE = 0.05
-"""Share of the queue limit up to which complete tables replace short ones."""
+"""Share of the queue limit up to which proxies with short tables are sent complete ones."""
 
 JOIN_HEADROOM_SHARE = 0.05
 """Share of the queue limit that has to be free below `CHANGE_QUEUE_SHARE` before tables are assigned."""
 
 JOIN_START_QUEUE_SHARE = CHANGE_QUEUE_SHARE - JOIN_HEADROOM_SHARE
-"""Share of the queue limit below which assignment starts; it stops at `CHANGE_QUEUE_SHARE`.
+"""Share of the queue limit below which a call of the planner starts to assign tables to joining proxies.
 
-The difference lets one call assign tables to many proxies, which takes less time than many calls. Overdue assignments
-do not require it.
+The call continues up to `CHANGE_QUEUE_SHARE`. The difference lets one call assign tables to many proxies, which takes
+less time than many calls. Overdue assignments also start between the two shares.
 """
 
 
@@ -58,7 +62,7 @@
         self.waiting: dict[int, None] = {}
 
     def are_overdue(self, now: float) -> bool:
-        """Return whether a proxy has waited for tables so long that assignment takes precedence over changes.
+        """Return whether a proxy has waited so long for tables that they are assigned before changes are sent.
 
         This is the case if the channel cannot transmit even the overhead of one message before the deadline, which is
         `FIRST_TABLE_GRACE_SHARE` of the drain grace after the proxy joined.
@@ -66,7 +70,7 @@
         return bool(self.waiting) and self.lines_before_deadline(1, now) < 0
 
     def assign_tables(self, now: float) -> None:
-        """Assign tables to waiting proxies; if there are none, replace short tables by complete ones."""
+        """Assign tables to waiting proxies; if there are none, replace short tables with complete ones."""
         if not self.waiting:
             if not self.updates.has_deferred_changes:
                 self.replace_short_tables(now)
@@ -82,7 +86,7 @@
                 return
 
     def may_get_message(self, number: int) -> bool:
-        """Return whether the message cap allows a message with tables; its reserve is used with a minimum spacing."""
+        """Return whether the message cap allows a message with tables, which may use its reserve at intervals."""
         return self.channel.may_send_message(number, CHANGE_MESSAGE_SHARE) or self.channel.may_send_message(
             number, 1.0, self.channel.reserve_spacing_ms()
         )
@@ -106,7 +110,8 @@
 
         Args:
             proxy: the proxy.
-            lines: maximum number of lines; if complete tables are longer, the largest size of short tables is used.
+            lines: maximum number of lines; if complete tables are longer, the largest size of short tables that fits
+                is used.
             now: current time, ms.
         """
         groups = self.groups.by_zone[proxy.zone]
@@ -128,7 +133,7 @@
         return groups
 
     def assign(self, number: int, group: TableGroup, share: float) -> bool:
-        """Assign the tables of a group to a proxy, and return whether the queue has enough capacity for them.
+        """Assign the tables of a group to a proxy unless the queue is too long; return whether they were assigned.
 
         Args:
             number: number of the proxy.
@@ -140,7 +145,7 @@
             return False
         proxy = self.proxies[number]
         self.actions += [AssignTable(number, table.number, table.classes) for table in group.tables]
-        self.channel.pending_lines[number] = lines  # replaces pending changes of its previous tables
+        self.channel.pending_lines[number] = lines  # replaces pending changes to its previous tables
         proxy.group.users.pop(number, None)
         proxy.group = group
         group.users[number] = sum(proxy.demand)
--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -28,15 +28,20 @@
 
 # Share of demand to shed
 ADMITTED_UTILIZATION = 0.92
-"""Share of the known capacity, or of the answered requests, that is admitted while servers are saturated."""
+"""Share of the available capacity up to which demand is admitted.
+
+If servers report their utilization, it always applies to their known capacity. While latency indicates overload, it
+also applies to the rate of answered requests.
+"""
 
 SHED_GAIN = 0.5
-"""Share per slot by which the shed share approaches the share of unanswered requests during overload."""
+"""Smoothing factor, per slot, by which the shed share approaches the share of unanswered requests during overload."""
 
 SHED_RECOVERY_GAIN = 0.2
-"""Share per slot by which the shed share, increased by `SHED_RECOVERY_OFFSET`, is reduced without overload."""
+"""Fraction of the shed share plus `SHED_RECOVERY_OFFSET` by which the shed share falls in a slot without overload."""
 
 SHED_RECOVERY_OFFSET = 0.1
+"""Number that is added to the shed share to compute its reduction, so that it reaches 0 in a few slots."""
 
 MAX_SHED_SHARE = 0.95
 """Maximum share of all demand that is shed; the rest is needed to detect the end of the overload."""
@@ -49,7 +54,7 @@
 """Admitted share from which a class is admitted completely."""
 
 NO_RATE_LIMIT_PER_S = 1e6
-"""Admission level without a limit in admission mode "rate", requests per second and proxy."""
+"""Admission level without a limit in admission mode "rate", requests per second per proxy."""
 
 LEVEL_CHANGE_SHARE = 0.1
 """Relative change of an admission level up to which the change is not sent."""
@@ -118,7 +123,8 @@
         """Return the median latency of the traffic, ms, from recent health checks or else from valid load reports."""
         checked_after = now - self.health_check_validity_ms
         checked = [view for view in self.pool.ready() if view.load_checked_at > checked_after]
-        if checked:  # the latency that results from the outstanding requests and the capacity
+        if checked:
+            # The latency of a server follows from its outstanding requests and its capacity.
             return median(
                 [
                     math.inf
@@ -132,9 +138,9 @@
         return median([report.latency_ms for report in reports], [report.attempts_per_s for report in reports])
 
     def known_capacity(self, now: float) -> float:
-        """Return the capacity of servers that are not ejected, less their load from peer planners.
+        """Return the capacity of servers that are not ejected, less their load from peer planners, requests per second.
 
-        It is in requests per second, and infinite if no server reports its utilization.
+        It is infinite if no server reports its utilization.
         """
         usable = [view for view in self.pool.ready() if not view.is_ejected(now)]
         if not any("utilization" in view.load for view in usable):
--- a/stackwheel/policy/outlier_ejection.py
+++ b/stackwheel/policy/outlier_ejection.py
@@ -27,7 +27,7 @@
 
 MIN_EJECTION_INTERVALS = 3.0
 MAX_EJECTION_INTERVALS = 16.0
-"""Duration of the first and of the longest ejection, in report intervals; each is twice as long as the previous."""
+"""Duration of a server's first and longest ejection, in report intervals; each is twice as long as the one before."""
 
 
 class OutlierEjection:
@@ -70,7 +70,7 @@
         view.ejected_until = now + view.ejection_intervals * self.report_interval
 
     def restore(self, view: ServerView) -> None:
-        """Reset the estimates that led to an ejection; the server's share then increases in limited steps."""
+        """End an ejection and reset the estimates that led to it; the server's share then grows in limited steps."""
         view.ejected_until = 0.0
         view.failure_share = 0.0
         view.latency = None
@@ -78,7 +78,10 @@
         view.latency_by_zone = dict.fromkeys(view.latency_by_zone, self.estimates.median_latency())
 
     def is_outlier(self, view: ServerView) -> bool:
-        """Return whether failures are due to the server itself, because its successful attempts are fast or rare."""
+        """Return whether a server's failures are attributed to the server itself and not to overload.
+
+        This is the case if most attempts fail, if no attempt has succeeded, or if the successful attempts are fast.
+        """
         if view.failure_share > UNCONDITIONAL_FAILURE_SHARE or view.success_latency is None:
             return True
         latencies = [other.success_latency for other in self.pool.views.values() if other.success_latency]
--- a/stackwheel/policy/peer_planners.py
+++ b/stackwheel/policy/peer_planners.py
@@ -1,4 +1,4 @@
-"""Peer planners: the state that they gossip, their request rate to each server, and the gossip of this planner."""
+"""Peer planners: the states that they send as gossip, their request rate to each server, and this planner's gossip."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 """Number of report intervals for which the state of a peer is valid after its last datagram."""
 
 MAX_DATAGRAMS_PER_INTERVAL = 128
-"""Maximum number of datagrams that a planner receives per report interval; if peers need more, they send none."""
+"""Maximum number of gossip datagrams per planner and report interval; a planner that needs more sends none."""
 
 
 class PeerState(NamedTuple):
@@ -33,7 +33,7 @@
     """The states of all peer planners that have sent gossip, and the gossip of this planner.
 
     Attributes:
-        gossip_recipients: number of planners that gossip is sent to.
+        gossip_recipients: number of planners that gossip is sent to; 0 if gossip is disabled.
         lifetime_ms: time for which the state of a peer is valid.
         states: states by the index of the peer planner.
     """
@@ -65,8 +65,9 @@
     def peer_rate(self, view: ServerView, now: float) -> float:
         """Return the requests per second that proxies of peer planners send to a server.
 
-        The rate comes from gossip. If the states of some peers are missing, it is at least the server's reported load
-        less the load from this planner, or without a report as much per peer as this planner's proxies send.
+        The rate comes from gossip. If the states of some peers are missing, the rate is at least the total rate of the
+        server less the rate of this planner's proxies. The total rate is estimated from the outstanding requests that
+        the server reports. Without a report, each planner is assumed to cause the same rate as this planner.
         """
         valid_states = self.valid_states(now)
         server = view.entry.server
@@ -80,7 +81,7 @@
         return max(gossiped, total_rate - own_rate)
 
     def announce(self, proxies: int) -> list[Action]:
-        """Return gossip to all peers with the request rate to each server, including servers without traffic.
+        """Return the actions that send the request rate to each server, also to those without traffic, to all peers.
 
         Args:
             proxies: number of proxies connected to this planner.
--- a/stackwheel/policy/planner.py
+++ b/stackwheel/policy/planner.py
@@ -126,7 +126,8 @@
             self.run_slot(now)
         elif self.updates.should_send(now):
             if self.updates.has_urgent_change:
-                # Once per urgent change: a step in each batch while the queue is full would bypass MAX_SHARE_STEP.
+                # Only once per urgent change: repeated updates of the shares while the queue is full would change them
+                # by more than MAX_SHARE_STEP per slot.
                 self.groups.update_all_shares(now)
             self.send_updates(now)
         self.joins.assign_tables(now)
@@ -146,7 +147,8 @@
             case EndpointUpdate():
                 self.apply_endpoints(event)
             case GossipReceived(sender, payload):
-                with contextlib.suppress(MalformedGossipError):  # not sent by a planner
+                # Malformed datagrams are ignored, because planners do not send any.
+                with contextlib.suppress(MalformedGossipError):
                     self.peers.record(sender, payload, now)
             case ProxyJoined(proxy):
                 self.proxies[proxy] = self.demand.create_proxy_view(event, now)
@@ -163,7 +165,7 @@
             self.updates.request_urgent_update()
 
     def remove_proxy(self, number: int) -> None:
-        """Remove a proxy and its share of the demand."""
+        """Remove a proxy and subtract its demand."""
         self.joins.waiting.pop(number, None)
         proxy = self.proxies.pop(number, None)
         if proxy is not None:
@@ -187,7 +189,8 @@
                 self.updates.request_urgent_update()
             self.shedding.update(now)
             self.actions += self.health_checks.start(now)
-        # Planners without proxies send gossip too; peers would otherwise leave them a share of warming servers' limits.
+        # Planners without proxies also send gossip, as peers would otherwise reserve part of the load limits of warming
+        # servers for them.
         if has_reports or not self.proxies:
             self.actions += self.peers.announce(len(self.proxies))
         self.groups.remove_unused()
--- a/stackwheel/policy/proxies.py
+++ b/stackwheel/policy/proxies.py
@@ -13,11 +13,11 @@
 
     Attributes:
         zone: index of the proxy's zone.
-        demand: requests per second by class, averaged over the reports of the class.
+        demand: moving average of the requests per second that the proxy reports, by class.
         announced_rates: requests per second by class that the proxy announced when it joined; 0 after the first
             report of the class.
         joined_at: time at which the proxy joined, ms.
-        group: group whose tables the proxy uses; an empty group until tables are assigned.
+        group: table group whose tables the proxy uses; an empty group until tables are assigned.
     """
 
     zone: int
--- a/stackwheel/policy/servers.py
+++ b/stackwheel/policy/servers.py
@@ -13,7 +13,7 @@
 """Requests per second, shares or weights by server."""
 
 MAX_ENDPOINT_WEIGHT = 1e6
-"""Maximum weight of an endpoint entry; its reciprocal is the minimum. The size of servers beyond them is 1."""
+"""Maximum usable weight of an endpoint entry; its reciprocal is the minimum. Beyond them, the nominal size is 1."""
 
 
 class ZoneReport(NamedTuple):
@@ -37,7 +37,7 @@
     """The endpoint entry of a server and the moving averages of its reports.
 
     Attributes:
-        entry: entry in the endpoint list.
+        entry: the server's entry in the endpoint list.
         capacity: estimated requests per second when the server is warm; 0 if unknown.
         inclusion_threshold: random number; a table contains the server only if its share is at least this multiple of
             the minimum share of a line.
@@ -100,7 +100,7 @@
 
 
 class ReadyServers(NamedTuple):
-    """The servers that tables may contain.
+    """The servers that tables may contain: those that are neither draining nor removed.
 
     Attributes:
         servers: ids of the servers.
@@ -116,7 +116,7 @@
 
     Attributes:
         classes: the request classes.
-        slow_start: slow start according to the settings.
+        slow_start: slow start of servers according to the settings.
         views: views of the servers by id.
     """
 
@@ -146,7 +146,7 @@
         ]
 
     def available_share(self, view: ServerView, now: float) -> float:
-        """Return the share of its capacity that a server has; it is below 1 while the server is warming up."""
+        """Return the share of its full capacity that a server has now; it is below 1 while the server is warming up."""
         return self.slow_start.available_share(view.entry, now)
 
     def is_warm(self, view: ServerView, now: float) -> bool:
--- a/stackwheel/policy/slow_start.py
+++ b/stackwheel/policy/slow_start.py
@@ -1,4 +1,7 @@
-"""Slow start: available capacity of recently started servers, and conditions under which they get no requests."""
+"""Slow start: available capacity of recently started servers, and conditions under which they get no requests.
+
+A server is warming up from the start of its process until it has its full capacity; then it is warm.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 WARMING_LOAD_SHARE = 0.22
 """Maximum load of a warming server, as a share of the load above which it is overloaded.
 
-The margin prevents several planners from overloading a server together when it returns.
+The margin prevents several planners from overloading a restarted server together.
 """
 
 MIN_REPORTED_SHARE = 0.3
@@ -23,7 +26,7 @@
 
     Attributes:
         min_share: share of its full capacity that a server has when it starts.
-        duration_ms: time until a started server has its full capacity.
+        duration_ms: time from the start of a server until it has its full capacity.
         warming_utilization: maximum load of a warming server, as a multiple of its available capacity.
         proxies_avoid_servers: whether proxies avoid servers after consecutive failures.
     """
@@ -52,8 +55,8 @@
         """Return whether warming servers get no requests of classes that also have warm servers.
 
         This is the case while load reports cover too little of the traffic for the state of the warm servers to be
-        known. It is also the case while these are slow and proxies avoid servers after consecutive failures, because
-        all traffic could then move to the warming servers.
+        known. It is also the case while the warm servers are slow and proxies avoid servers after consecutive failures,
+        because all traffic could then move to the warming servers.
 
         Args:
             reported_per_s: attempts per second according to load reports.
--- a/stackwheel/policy/table_groups.py
+++ b/stackwheel/policy/table_groups.py
@@ -15,7 +15,7 @@
 from stackwheel.policy.tables import Table, TableGroup, table_shares
 
 COMPLETE_TABLE_SIZE: Final = 0
-"""Size of complete tables in `TableGroups.by_zone`; other sizes are the number of lines of short tables.
+"""Key of complete tables in `TableGroups.by_zone`; the other keys are the sizes of short tables, in lines.
 
 A complete table contains all servers that proxies of the zone may use for its classes, except those whose share is too
 small for a line. It is unrelated to `UpdatePart.complete` and `EndpointList.complete`.
@@ -25,17 +25,17 @@
 """Minimum number of healthy servers in a short table, if there are that many."""
 
 MAX_SHORT_TABLE_GROWTH = 2
-"""Maximum total number of lines in the short tables of a zone, as a multiple of their total size."""
+"""Maximum number of lines in all short tables of one size in a zone, as a multiple of their total size."""
 
 
 class TableGroups:
     """Contains the tables, and updates their shares when demand is allocated.
 
     Attributes:
-        by_zone: groups by zone and size.
+        by_zone: groups by zone, and by the size of their tables.
         allocated_rates: result of the last allocation.
-        separate_classes: classes of the tables in a group if each class has its own table.
-        joint_classes: classes of the tables in a group if classes with the same allowed servers share a table.
+        separate_classes: classes of each table in a group if every class has its own table.
+        joint_classes: classes of each table in a group if classes with the same allowed servers share a table.
     """
 
     def __init__(
--- a/stackwheel/policy/tables.py
+++ b/stackwheel/policy/tables.py
@@ -1,4 +1,8 @@
-"""Weight tables: their shares, the weights that proxies were sent, and the limited steps of shares."""
+"""Weight tables: the desired share of each server, the weights sent to proxies, and the limit on changes of shares.
+
+A complete table contains all servers that may serve its request classes. A short table contains some of them, so that
+it takes less time to send. Tables that are assigned to proxies together form a table group.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +17,10 @@
 """Maximum change of a share in a slot, relative to the larger of the share and its target."""
 
 MIN_SHARE = 0.005
-"""Minimum share of a line in a table, which limits tables to about 200 lines."""
+"""Minimum share of a server in a table, which limits tables to about 200 lines."""
 
 EJECTED_SERVER_SHARE = 0.05
-"""Share of an ejected server relative to an even share, so that its recovery can be detected."""
+"""Share that an ejected server retains, as a multiple of an even share, so that its recovery can be detected."""
 
 
 @dataclass(slots=True)
@@ -29,8 +33,8 @@
         classes: request classes that use the table.
         members: servers of a short table; empty for complete tables.
         shares: desired shares by server, with a sum of about 1.
-        sent: weights that the proxies were sent, by server; `weight_scale` is their ratio to the shares.
-        levels: admission levels that the proxies were sent, by class.
+        sent: weights last sent to the proxies, by server; `weight_scale` is their ratio to the shares.
+        levels: admission levels last sent to the proxies, by class.
     """
 
     number: int
@@ -44,7 +48,7 @@
     def weight_scale(self) -> float:
         """Return the ratio of sent weights to shares, by which shares are multiplied to obtain the weights to send.
 
-        It is computed from the servers that have both.
+        It is computed from the servers that have both a sent weight and a share; without any, it is 1.
         """
         common = [server for server in self.sent if server in self.shares]
         total_weight = sum(self.sent[server] for server in common)
@@ -54,8 +58,9 @@
     def step_towards(self, target: Rates, ready: ReadyServers) -> None:
         """Move the shares a limited step towards their targets.
 
-        Servers that are warming up or ejected have no step limit, and neither has a table that was not sent yet. The
-        shares of removed servers and the difference from uncapped servers are divided among the other servers.
+        The step limit applies neither to servers that are warming up or ejected nor to tables that were not sent yet.
+        The shares of removed servers and the changes of servers without a step limit are divided among the other
+        servers in proportion to their shares.
 
         Args:
             target: target shares by server.
@@ -75,7 +80,7 @@
 
 @dataclass(slots=True, eq=False)
 class TableGroup:
-    """A set of tables that are assigned to proxies together; one message to a proxy contains the changes of all.
+    """A set of tables that are assigned to proxies together; one message to a proxy contains the changes to all.
 
     Attributes:
         tables: the tables, for different request classes of one zone.
@@ -88,15 +93,15 @@
     users: dict[int, float] = field(default_factory=dict)
 
     def lines(self) -> int:
-        """Return the number of lines that a proxy is sent with an assignment: weights, assignments and levels."""
+        """Return the number of lines of a message that assigns the tables: weights, assignments and levels."""
         return sum(len(table.sent) + 1 + len(table.classes) for table in self.tables)
 
 
 def table_shares(rates: Rates, pool: ServerPool, now: float) -> Rates:
     """Convert allocated rates to the target shares of a table.
 
-    Ejected servers get a small share. Of the servers with less than `MIN_SHARE`, a random selection is included, so
-    that these servers together get about their total share.
+    Ejected servers get a small share. Of the servers with less than `MIN_SHARE`, a random selection is included, the
+    healthy ones with a share of `MIN_SHARE`, so that these servers together get about their total share.
 
     Args:
         rates: allocated requests per second by server.
--- a/stackwheel/policy/timers.py
+++ b/stackwheel/policy/timers.py
@@ -12,7 +12,10 @@
 """Token of the timer after which a failed watch of the endpoint list is opened again."""
 
 DEFERRED_CHANGES_TIMER: Final = 3 << 32
-"""Token of the timer after which deferred removals are sent; any call of the planner sends them."""
+"""Token of the timer after which deferred removals are sent.
+
+Any call of the planner sends them, including the one that processes this timer.
+"""
 
 
 class Slot:
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -1,4 +1,4 @@
-"""Scheduling of table updates: removed servers are sent first, then new lines, then the largest changes."""
+"""Scheduling of table updates: removals of servers are sent first, then new lines, then the largest other changes."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 from stackwheel.policy.timers import DEFERRED_CHANGES_TIMER, Slot
 
 MIN_CHANGE_SHARE = 0.1
-"""Relative change of a weight up to which it is not sent."""
+"""Relative change of a weight up to which the new weight is not sent."""
 
 OVERWEIGHT_MULTIPLE = 1.2
-"""Ratio of a sent weight to its target above which a reduction can be urgent."""
+"""Ratio of the weight last sent to the new weight above which the reduction can be urgent."""
 
 NEW_LINE_UNSENT_SHARE = 0.1
-"""Unsent share of a table above which its new lines are sent before routine changes."""
+"""Total share of a table's new lines above which these lines are sent before routine changes."""
 
 EMPTY_TABLE_UNSENT_SHARE = 0.8
-"""Unsent share of a table above which it counts as empty, so that its new lines are urgent."""
+"""Total share of a table's new lines above which the proxies' table counts as empty, so that the lines are urgent."""
 
 RETRY_INTERVALS = 0.1
 """Delay, in report intervals, after which deferred changes are retried."""
 
 MIN_SPACING_GRACE_SHARE = 0.1
-"""Minimum time between two messages to a group within a slot, as a share of the drain grace."""
+"""Minimum time between two messages to a table group within a slot, as a share of the drain grace."""
 
 
 class Urgency(IntEnum):
@@ -56,7 +56,7 @@
     """The server is ejected and its weight is too high, or the table is nearly empty."""
 
     NEW_LINE = 3
-    """The line is new, and a considerable share of its table was not sent yet."""
+    """The line is new, and new lines make up a considerable share of its table."""
 
     ROUTINE = 4
     """Any other change."""
@@ -67,7 +67,7 @@
 
     Attributes:
         urgency: urgency of the change.
-        negated_size: negated difference of the weights.
+        negated_size: negated absolute difference between the new weight and the weight last sent.
         table_index: index of the table in its group.
         server: the server of the line.
         weight: the new weight; 0 to remove the line.
@@ -140,9 +140,9 @@
         admitted = self.shedding.admitted_shares(now)
         groups = sorted(self.groups.all_groups(), key=lambda group: group.last_sent_at)
         ready = {view.entry.server for view in self.pool.ready()}
-        for group in [group for group in groups if group.users and self.has_removals(group, ready)]:
+        for group in [group for group in groups if group.users and self.has_lines_to_remove(group, ready)]:
             self.send_group(group, admitted, True, now)
-        # Also set if only changes for warming servers, or levels, of these groups were deferred.
+        # The flag is also set if only changes for warming servers or admission levels of these groups were deferred.
         has_deferred_removals = self.has_deferred_changes
         if has_deferred_removals:
             self.actions.append(SetTimer(self.retry_ms, DEFERRED_CHANGES_TIMER))
@@ -150,12 +150,15 @@
         for group in groups:
             self.send_group(group, admitted, only_urgent, now)
 
-    def has_removals(self, group: TableGroup, ready: set[ServerId]) -> bool:
-        """Return whether the proxies of a group were sent lines of servers that are not ready."""
+    def has_lines_to_remove(self, group: TableGroup, ready: set[ServerId]) -> bool:
+        """Return whether the tables last sent to a group's proxies contain lines that have to be removed.
+
+        These are the lines of servers that are no longer ready.
+        """
         return any(server not in ready for table in group.tables for server in table.sent)
 
     def send_group(self, group: TableGroup, admitted: list[float], only_urgent: bool, now: float) -> None:
-        """Send the changes of a group in one message: urgent ones first, then the largest ones that fit.
+        """Send the changes to a group's tables in one message: urgent ones first, then the largest ones that fit.
 
         Routine changes that do not fit are not deferred, because the next slot computes them again.
 
@@ -199,7 +202,7 @@
         self.has_deferred_changes |= has_new_lines(changes) or has_waiting_levels or has_waiting_urgent
 
     def free_lines_per_proxy(self, group: TableGroup) -> float:
-        """Return the number of lines that each proxy of a group can be sent before the queue is too long.
+        """Return the number of lines that each proxy of a group can be sent before the queue reaches `MAX_QUEUE_SHARE`.
 
         This limit also applies to urgent changes.
         """
@@ -255,7 +258,7 @@
         )
 
     def group_changes(self, group: TableGroup, only_urgent: bool, now: float) -> list[WeightChange]:
-        """Return the changes of all tables of a group, in the order in which they should be sent."""
+        """Return the changes to all tables of a group, in the order in which they should be sent."""
         changes = [
             change
             for table_index, table in enumerate(group.tables)
@@ -266,7 +269,7 @@
         return changes
 
     def table_changes(self, table_index: int, table: Table, now: float) -> list[WeightChange]:
-        """Return the lines of a table that are new, have to be removed, or differ by more than `MIN_CHANGE_SHARE`."""
+        """Return the lines of a table that are new, to be removed, or have changed by more than `MIN_CHANGE_SHARE`."""
         scale = table.weight_scale()
         shares = table.shares
         sent = table.sent
@@ -282,11 +285,11 @@
         return changes
 
     def change_urgency(self, server: ServerId, old: float, new: float, now: float) -> Urgency:
-        """Return the urgency of the change of a line that proxies were sent.
+        """Return the urgency of a change to a line that was sent to the proxies.
 
         Args:
             server: the server of the line.
-            old: weight that the proxies were sent.
+            old: weight last sent to the proxies.
             new: weight to send.
             now: current time, ms.
         """
@@ -302,7 +305,7 @@
     def write_group(
         self, group: TableGroup, selected: Sequence[WeightChange], levels: list[dict[int, AdmissionLevel]], now: float
     ) -> None:
-        """Send the selected changes of the tables of a group, and all admission levels that differ."""
+        """Send the selected changes to a group's tables, and all admission levels that differ from those last sent."""
         users = list(group.users)
         for table_index, table in enumerate(group.tables):
             weights = {change.server: change.weight for change in selected if change.table_index == table_index}
