--- a/stackwheel/state/clock.py
+++ b/stackwheel/state/clock.py
@@ -11,7 +11,7 @@
 class Clock:
     """A monotonic clock that is set to the wall clock once, at its creation.
 
-    Its times can be compared with the start times of servers, which discovery states in Unix milliseconds.
+    Its times can be compared with the start times of servers, which the discovery service sends as Unix milliseconds.
 
     Attributes:
         monotonic_clock: the clock that advances this one, in seconds.
@@ -21,7 +21,7 @@
     def __init__(
         self, wall_clock: Callable[[], float] = time.time, monotonic_clock: Callable[[], float] = time.monotonic
     ) -> None:
-        """Set the clock; both arguments return seconds, and a simulation passes its own."""
+        """Set the clock; both arguments return seconds, and a simulation passes its own clocks."""
         self.monotonic_clock = monotonic_clock
         self.offset = wall_clock() * MS_PER_S - monotonic_clock() * MS_PER_S
 
--- a/stackwheel/state/endpoint_cache.py
+++ b/stackwheel/state/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The planner's cache of the endpoint list, which converts lists of discovery to updates for the policy."""
+"""The planner's cache of the endpoint list, which converts lists from the discovery service to policy events."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
         server_ids: names by id of all listed and remembered servers.
         removal_is_advisory: whether the policy may continue to use removed servers.
         generation: generation of the cached list.
-        entries: the listed servers; their number is limited by the lists of discovery.
+        entries: the listed servers; their number is limited by the size of the lists from the discovery service.
         addresses: addresses of the listed servers for connections from this planner; one for each of `entries`.
-        removed: start times of the processes of removed servers, oldest removal first. The owner forgets the servers
-            returned by `excess_removed` once nothing references them. A removed server may be listed again.
+        removed: start times of the processes of removed servers, oldest removal first. The planner actor forgets the
+            servers returned by `excess_removed` once nothing refers to them. A removed server may be listed again.
         restarted: ids of the listed servers that had an earlier process under the same id.
         stale_snapshot: a deferred complete list, if any; deferred for at most `MAX_LIST_AGE_MS`.
-        refetch_needed: whether the complete list has to be fetched because changes superseded a deferred list. If
-            discovery had restarted its generations, servers missing from that list may still be cached.
+        refetch_needed: whether the complete list has to be fetched because changes superseded a deferred list. If the
+            discovery service had restarted its generations, servers missing from the deferred list may still be cached.
     """
 
     def __init__(
@@ -64,14 +64,14 @@
     # Received lists
 
     def apply(self, endpoint_list: EndpointList, now: float = 0.0) -> EndpointUpdate:
-        """Apply a list of discovery; the cost of applying changes is proportional to the number of changed entries.
+        """Apply a list received from the discovery service; changes take time in proportion to the changed entries.
 
         Args:
             endpoint_list: the complete list or changes.
             now: time on the planner's clock, ms.
 
         Returns:
-            The event that notifies the policy.
+            The event to pass to the policy.
         """
         received = replace(endpoint_list, instances=latest_by_name(endpoint_list.instances))
         late_draining_entries = self._late_draining_entries(received) if self.removal_is_advisory else []
@@ -101,7 +101,7 @@
         Of changes, only entries that are `EntryFreshness.NEW` remain, because others would revert later changes. A
         complete list with `REVIVED` entries may be the response to a fetch that was overtaken by a watch. It is
         treated like changes, and deferred. If nothing newer arrives within the maximum age of a list in transit,
-        discovery has restarted its generations and the deferred list is valid, see `confirmed_snapshot`.
+        the discovery service has restarted its generations and the deferred list is valid, see `confirmed_snapshot`.
         """
         if received.generations_restarted or received.generation >= self.generation:
             self._drop_deferred(received)
@@ -119,13 +119,13 @@
         return EndpointList(self.generation, False, new_instances)
 
     def confirmed_snapshot(self, now: float) -> EndpointList | None:
-        """Return the deferred complete list if it is due to be applied because nothing newer can be in transit."""
+        """Return the deferred complete list if it has to be applied because nothing newer can be in transit."""
         if self.stale_snapshot is None or now < self.stale_snapshot.first_received_at + MAX_LIST_AGE_MS:
             return None
         return self.stale_snapshot.endpoint_list()
 
     def take_refetch_needed(self) -> bool:
-        """Return whether the complete list has to be fetched, and reset that state."""
+        """Return whether the complete list has to be fetched, and reset `refetch_needed`."""
         needed = self.refetch_needed
         self.refetch_needed = False
         return needed
@@ -156,7 +156,7 @@
     # Queries
 
     def cached_update(self) -> EndpointUpdate:
-        """Return the event that notifies a newly started policy of the cached list."""
+        """Return the event that passes the cached list to a newly started policy."""
         return EndpointUpdate(UpdateKind.CACHED, self.generation, tuple(self.entries.values()))
 
     def failed_update(self) -> EndpointUpdate:
@@ -169,7 +169,7 @@
         return entry is not None and server in self.restarted and since < entry.started_at
 
     def excess_removed(self) -> list[ServerId]:
-        """Return the removed servers in excess of the limit, which may be forgotten once nothing references them."""
+        """Return the removed servers in excess of the limit, which may be forgotten once nothing refers to them."""
         limit = max(MIN_REMOVED_SERVER_LIMIT, REMOVED_SERVER_LIMIT_PER_LISTED * len(self.entries))
         return list(islice(self.removed, max(0, len(self.removed) - limit)))
 
@@ -234,7 +234,8 @@
         These servers have not been removed. An unreadable entry without a name may be that of any server.
         """
         unusable = {server_id(name) for name in complete.unreadable}
-        unusable |= {server_id(instance.name) for instance in complete.instances}  # includes those of unknown zones
+        # Entries that were read but are not in `read` have an unknown zone or a colliding id.
+        unusable |= {server_id(instance.name) for instance in complete.instances}
         may_be_any_server = "" in complete.unreadable
         return {
             server: entry
--- a/stackwheel/state/messages.py
+++ b/stackwheel/state/messages.py
@@ -1,7 +1,8 @@
 """Messages that may be posted to the planner actor's mailbox.
 
 Besides the messages defined here, these are `ProxyStream`, which opens a stream, `EndpointList`, which contains a
-response of discovery, and some events of the policy.
+response of the discovery service, and some events for the policy. An incarnation is one run of the policy, from its
+start to its failure; incarnations are numbered from 0.
 """
 
 from __future__ import annotations
@@ -79,7 +80,7 @@
 
 
 Report: TypeAlias = LoadReport | DemandReport | GossipReceived
-"""Messages that may be lost because a later one contains newer figures."""
+"""Messages that may be lost, because a later message contains newer figures."""
 
 PlannerMessage: TypeAlias = (
     ProxyStream
--- a/stackwheel/state/planner_actor.py
+++ b/stackwheel/state/planner_actor.py
@@ -1,4 +1,8 @@
-"""The planner actor, which collects messages in a mailbox and passes them to the policy in batches."""
+"""The planner actor, which collects messages in a mailbox and passes them to the policy in batches.
+
+If the policy raises an exception, it is replaced by a new incarnation, whose state is built from the cached endpoints
+and the open streams.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +51,7 @@
 from stackwheel.state.table_updates import ProxyUpdate, TableUpdates
 
 MAX_MAILBOX_MESSAGES = 100_000
-"""Limit on queued messages; a full mailbox accepts only messages whose loss could not be made up for later."""
+"""Maximum number of queued messages; a full mailbox accepts only messages whose loss no later message can correct."""
 
 MIN_RESTART_INTERVAL_MS = 1000.0
 """Minimum time between two restarts of the policy."""
@@ -75,10 +79,10 @@
 
 
 class PlannerActor:
-    """Owns the policy, the streams and the tables, and is the only one to change them.
+    """Owns the policy, the streams and the tables; no other component changes them.
 
     Attributes:
-        policy: how to create each incarnation of the policy.
+        policy: options with which each incarnation of the policy is created.
         batch_delay: time from the first message of a batch until the batch is processed, ms.
         clock: the planner's clock.
         endpoints: the endpoint cache.
@@ -165,7 +169,10 @@
         self._forget_removed_servers()
 
     def run_policy(self, events: list[Event]) -> None:
-        """Call the policy and execute its actions; the policy is restarted if it raises an exception."""
+        """Call the policy and execute its actions; the policy is restarted if it raises an exception.
+
+        The count in the log line of a failure is the number of events in the call.
+        """
         if self.planner is None:
             return
         started_at = self.clock.now()
@@ -201,7 +208,7 @@
         return []
 
     def _health_check_events(self, target: HealthCheckTarget, result: HealthCheckResult) -> list[Event]:
-        """Return the result unless the policy, the server's process or its address has changed since the start."""
+        """Return the result unless the policy, the server's process or its address has changed in the meantime."""
         return [result] if target == self._health_check_target(result.server) else []
 
     def _timer_events(self, incarnation: int, token: int) -> list[Event]:
@@ -220,15 +227,15 @@
         return list(stream_events)
 
     def _acknowledgement_events(self, event: Acknowledged) -> list[Event]:
-        """Return the acknowledgement with the policy's nonce.
+        """Return the acknowledgement event with the nonce that the policy has attached.
 
-        Acknowledgements of nonces of an earlier incarnation, and of nonces that are not pending or were sent too
-        recently, are ignored.
+        Acknowledgements are ignored if the nonce belongs to an earlier incarnation, is not pending, or was sent later
+        than the duration in the acknowledgement allows.
         """
         if not self.streams.acknowledge(event.proxy, event.nonce, event.elapsed, self.clock.now()):
             logger.warning(
                 "acknowledgement ignored: proxy={} nonce={} duration_s={:g} "
-                "reason=the nonce is not pending or was sent more recently",
+                "reason=the nonce is not pending or was sent less than duration_s ago",
                 event.proxy,
                 event.nonce,
                 event.elapsed / 1000.0,
@@ -238,7 +245,11 @@
         return [] if nonce is None else [Acknowledged(event.proxy, nonce, event.elapsed)]
 
     def _is_current(self, report: Report) -> bool:
-        """Return whether a report concerns a connected proxy or only the current process of its server."""
+        """Return whether a report is usable.
+
+        A demand report has to come from a connected proxy, and a load report must not cover an earlier process of its
+        server.
+        """
         match report:
             case LoadReport(server=server, window=window):
                 return not self.endpoints.predates_current_process(server, self.clock.now() - window)
@@ -254,7 +265,7 @@
         return HealthCheckTarget(self.incarnation, started_at, self.endpoints.addresses.get(server, ""))
 
     def _forget_removed_servers(self) -> None:
-        """Forget removed servers in excess of the limit, unless a table, an ejection or a stream references them."""
+        """Forget removed servers in excess of the limit, unless a table, an ejection or a stream refers to them."""
         for server in self.endpoints.excess_removed():
             if not self.updates.references(server):
                 self.endpoints.forget(server)
@@ -291,10 +302,10 @@
             case Log(text):
                 logger.info("policy message: {}", text)
             case _:
-                pass  # changes of tables have been applied by `TableUpdates`
+                pass  # `TableUpdates` has already applied the changes to tables
 
     def set_timer(self, delay: float, token: int) -> None:
-        """Post `TimerElapsed` after `delay` ms, unless the policy has been restarted by then."""
+        """Post `TimerElapsed` after `delay` ms, unless the policy fails before."""
         incarnation = self.incarnation
 
         def fire() -> None:
@@ -325,7 +336,7 @@
     def _start_policy(self) -> None:
         """Start a new policy with the cached endpoints and the open streams.
 
-        The new policy requests the list itself, so queued failures of calls of the earlier policy are discarded.
+        The new policy requests the endpoint list itself, so queued failures of earlier calls are discarded.
         """
         self.mailbox = [message for message in self.mailbox if not isinstance(message, EndpointListFailed)]
         self.planner = self.policy.create(self.incarnation)
--- a/stackwheel/state/ports.py
+++ b/stackwheel/state/ports.py
@@ -1,4 +1,4 @@
-"""The interface that the planner actor requires of the transports."""
+"""The interface through which the planner actor uses the transports."""
 
 from __future__ import annotations
 
--- a/stackwheel/state/server_ids.py
+++ b/stackwheel/state/server_ids.py
@@ -21,7 +21,7 @@
     """Server names by id, which are required to encode updates; owned by the endpoint cache.
 
     Attributes:
-        names: names of the listed servers, and of removed servers that a table or a proxy may still reference.
+        names: names of the listed servers, and of removed servers to which a table or a proxy may still refer.
     """
 
     def __init__(self) -> None:
--- a/stackwheel/state/streams.py
+++ b/stackwheel/state/streams.py
@@ -1,4 +1,8 @@
-"""Streams of the proxies that are connected to this planner, and their pending acknowledgements."""
+"""Streams of the proxies that are connected to this planner, and their pending acknowledgements.
+
+A stream carries the updates of one proxy, and in the other direction its reports and acknowledgements. A nonce is a
+number in an update that the proxy echoes once it has applied the update.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +16,10 @@
 from stackwheel.interface import Event, ProxyJoined, ProxyLeft, ServerId
 
 MAX_PENDING_NONCES = 64
-"""Limit on the unacknowledged nonces of a stream, which times out before it has as many."""
+"""Maximum number of stored unacknowledged nonces per stream; a stream usually times out before it has as many."""
 
 CLOCK_TOLERANCE_MS = 1000.0
-"""Maximum by which the duration stated in an acknowledgement may exceed the time since the nonce was sent."""
+"""Maximum amount by which the duration stated in an acknowledgement may exceed the time since the nonce was sent."""
 
 
 class StreamConnection(Protocol):
@@ -36,14 +40,14 @@
         proxy: number of the proxy.
         zone: index of the proxy's zone.
         expected_rate: requests per second that the proxy expects.
-        newly_started: whether the proxy has only its standing tables, so that no planner has ejected servers there.
+        newly_started: whether the proxy has only its standing tables, so that no earlier ejection is in effect there.
         connection: connection of the stream.
         table_by_class: assigned table by request class; at most one entry per class.
-        ejected: whether the latest update over this stream ejected (True) or restored (False) a server; at most one
-            entry per listed or remembered server.
+        ejected: whether a server was ejected (True) or restored (False) by the latest update over this stream that
+            concerned it; at most one entry per listed or remembered server.
         ack_pending_since: time of the first nonce since the last received message, ms; None if no nonce has been
             sent since then.
-        pending_nonces: time of sending by unacknowledged nonce, oldest first, ms; at most `MAX_PENDING_NONCES`.
+        pending_nonces: time of sending of each unacknowledged nonce, oldest first, ms; at most `MAX_PENDING_NONCES`.
     """
 
     proxy: int
@@ -61,7 +65,7 @@
         return set(self.table_by_class.values())
 
     def joined_event(self) -> Event:
-        """Return the event that notifies the policy of the proxy."""
+        """Return the event that notifies the policy that the proxy has joined."""
         return ProxyJoined(self.proxy, self.zone, self.expected_rate, self.newly_started)
 
 
@@ -74,7 +78,7 @@
 class ProxyStreams:
     """The streams of the connected proxies; owned by the planner actor.
 
-    The connection of a machine that fails or is cut off may stay open. A stream therefore times out if a nonce
+    The connection to a machine that fails or loses its network may stay open. A stream therefore times out if a nonce
     remains unacknowledged and nothing else is received for `ack_timeout`, and its proxy counts as having left. The
     connection is not closed, and the next message over it makes the proxy join again.
 
@@ -154,12 +158,12 @@
         return True
 
     def forget(self, server: ServerId) -> None:
-        """Remove the ejections of a server that is no longer remembered."""
+        """Remove a server that is no longer remembered from the ejections of all streams."""
         for stream in self.by_proxy.values():
             stream.ejected.pop(server, None)
 
     def time_out(self, now: float) -> Iterator[Event]:
-        """Remove the streams whose acknowledgements are overdue from the active ones."""
+        """Move streams with overdue acknowledgements to `timed_out`, and yield the events that their proxies left."""
         earliest_valid = now - self.ack_timeout
         expired = [
             stream
@@ -175,7 +179,10 @@
             yield ProxyLeft(stream.proxy)
 
     def rejoin(self) -> Iterator[Event]:
-        """Return the joins that a restarted policy is notified of; the proxies keep their current tables."""
+        """Yield the events that notify a restarted policy of the connected proxies; reset their assigned tables.
+
+        The proxies themselves continue to use their current tables.
+        """
         for stream in self.by_proxy.values():
             stream.table_by_class = {}
             stream.newly_started = False
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -1,4 +1,4 @@
-"""The weight tables as set by the policy, and the updates that the policy's actions cause for each proxy."""
+"""The weight tables as set by the policy, and the updates to proxies that result from the policy's actions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 """Table number in `SetAdmission` that stands for all tables, including standing tables."""
 
 NONCES_PER_INCARNATION = 1 << 16
-"""Size of the range of nonces on the wire of one incarnation of the policy, whose own nonces are all smaller."""
+"""Number of nonces on the wire reserved for one incarnation of the policy, whose own nonces are all smaller."""
 
 TableLines: TypeAlias = dict[ServerId, float]
 """Positive weights by server, in the order in which the servers were added."""
@@ -49,13 +49,13 @@
     level: AdmissionLevel | None = None
 
     def cost(self) -> int:
-        """Return the number of lines that the part counts for in the channel."""
+        """Return the number of lines that the part counts as in the channel."""
         return len(self.lines) + self.complete + (self.level is not None)
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyUpdate:
-    """The update of one proxy for one list of the policy's actions, which the proxy applies as a whole.
+    """The update to one proxy that results from one list of the policy's actions; the proxy applies it as a whole.
 
     Attributes:
         proxy: number of the proxy.
@@ -72,7 +72,7 @@
     nonce: int | None = None
 
     def cost(self) -> int:
-        """Return the number of lines that the update counts for in the channel, without the overhead per message."""
+        """Return the number of lines that the update counts as in the channel, without the overhead per message."""
         parts = sum(part.cost() for part in self.parts)
         return parts + len(self.eject) + len(self.restore) + (self.nonce is not None)
 
@@ -85,9 +85,9 @@
         lines: servers whose weight was set, in order, by table.
         levels: classes whose admission level was set, by table.
         cleared: tables that were cleared.
-        assigned: classes for which a table was assigned, by proxy.
+        assigned: request classes for which a table was assigned, by proxy.
         ejections: servers that were ejected or restored, in order.
-        nonce: the action that attaches a nonce, if any.
+        nonce: the action that attaches a nonce to the updates, if any.
     """
 
     lines: dict[int, dict[ServerId, None]] = field(default_factory=dict)
@@ -133,8 +133,8 @@
         tables: lines by table; their number is limited by the tables that the policy uses.
         levels: admission levels by table and class.
         ejected: servers that are currently ejected.
-        ever_ejected: servers that have been ejected at any time and that a proxy which joins with earlier tables
-            may therefore still avoid; entries are removed when the server is forgotten.
+        ever_ejected: servers that have ever been ejected, which a proxy that joins with earlier tables may still avoid;
+            an entry is removed when the server is forgotten.
         first_nonce: value on the wire of the nonce 0 of the current incarnation of the policy.
     """
 
@@ -179,7 +179,7 @@
         changes = TableChanges()
         for action in actions:
             self._apply_action(action, changes)
-        if changes == TableChanges():  # the usual case
+        if changes == TableChanges():  # most lists of actions change no table
             return []
         cache: PartsCache = {}
         updates = [self._update(stream, changes, cache) for stream in self.streams.by_proxy.values()]
@@ -249,7 +249,7 @@
             self.ever_ejected[action.server] = None
         changes.ejections[action.server] = None
 
-    # Updates of the proxies
+    # Updates to proxies
 
     def _update(self, stream: ProxyStream, changes: TableChanges, cache: PartsCache) -> ProxyUpdate:
         parts = tuple(self._parts(stream, changes, cache))
@@ -305,7 +305,7 @@
         The candidates are the servers with changed ejections that the proxy may use, and the servers that the parts
         add to its tables.
         """
-        if not (self.ever_ejected or changes.ejections):  # avoids the computation for policies that do not eject
+        if not (self.ever_ejected or changes.ejections):  # saves time with policies that do not eject servers
             return (), ()
         added = [server for part in parts for server, weight in part.lines if weight > 0]
         changed = [server for server in changes.ejections if self._may_use(stream, server)]
@@ -319,9 +319,9 @@
         return tuple(eject), tuple(restore)
 
     def _may_use(self, stream: ProxyStream, server: ServerId) -> bool:
-        """Return whether a proxy may use or avoid a server.
+        """Return whether an ejection of a server may make a difference to a proxy.
 
-        This holds for servers in the tables of the proxy and for servers that were ejected there, and for all
+        This holds for servers in the tables of the proxy and for servers that are ejected there, and for all
         servers if some of its tables were not assigned by this planner.
         """
         return (
