--- a/stackwheel/forwarder/__init__.py
+++ b/stackwheel/forwarder/__init__.py
@@ -1,1 +1,4 @@
-"""A proxy as defined by the protocol: it parses updates, stores tables and chooses servers, without I/O or a clock."""
+"""Model of a proxy as defined by the protocol: it parses updates, stores tables and chooses servers.
+
+The package uses neither I/O nor a clock.
+"""
--- a/stackwheel/forwarder/state.py
+++ b/stackwheel/forwarder/state.py
@@ -1,4 +1,7 @@
-"""State of a proxy (tables, admission levels and ejected servers), and the choice of servers for requests."""
+"""State of a proxy (tables, admission levels and ejected servers), and the choice of a server for each attempt.
+
+The standing table is the table that a proxy uses before any planner has sent it tables.
+"""
 
 from __future__ import annotations
 
@@ -35,8 +38,9 @@
 
     Attributes:
         class_tables: tables by name of the request class.
-        known_servers: names of all servers that discovery has ever listed; updates with other servers are invalid.
-        ejected: servers that are not used regardless of their weights; ejections outlast the stream.
+        known_servers: names of all servers that the discovery service has ever listed; updates with other servers are
+            invalid.
+        ejected: servers that are not used, regardless of their weights; they remain ejected after the stream has ended.
     """
 
     def __init__(self, classes: Iterable[str], known_servers: Collection[str]) -> None:
@@ -46,7 +50,7 @@
         self.ejected: dict[str, None] = {}
 
     def install_standing_table(self, servers: Iterable[str]) -> None:
-        """Set the standing table with which a new proxy starts, which has equal weights, for all classes."""
+        """Set the standing table, which has equal weights, for all classes."""
         lines = dict.fromkeys(servers, 1.0)
         for table in self.class_tables.values():
             table.lines = dict(lines)
@@ -56,7 +60,7 @@
         """Apply an update.
 
         Raises:
-            InvalidUpdateError: the update contains an unknown class or server; no part of it has been applied.
+            InvalidUpdateError: the update contains an unknown class or server; no part of the update has been applied.
         """
         for part in update.parts:
             self._check(part)
@@ -212,7 +216,8 @@
 def next_in_round_robin(table: ClassTable, excluded: Collection[str]) -> str | None:
     """Return the next server in smooth weighted round robin; None if all are excluded.
 
-    Each server gains credit by its weight. The server with the highest credit is chosen and pays the total weight.
+    The credit of each server grows by its weight. The server with the highest credit is chosen, and its credit is
+    reduced by the total weight.
     """
     servers = [server for server in table.available if server not in excluded]
     if not servers:
--- a/stackwheel/forwarder/updates.py
+++ b/stackwheel/forwarder/updates.py
@@ -1,4 +1,4 @@
-"""Parser that converts the lines of a proxy's stream to updates of its tables."""
+"""Parser that converts the lines received on a proxy's stream to updates to its tables."""
 
 from __future__ import annotations
 
@@ -11,9 +11,13 @@
 from stackwheel.interface import AdmissionLevel, Retry
 
 KIND = "CONFIG"
+"""First word of each line of an update."""
+
 FIELDS = frozenset(("routes", "full", "endpoints", "admit", "policy", "eject", "restore", "nonce_out", "continued"))
+"""Names of the fields that a line of an update may contain."""
+
 MAX_PARTS = 64
-"""Limit of the protocol on the parts of one update."""
+"""Maximum number of parts of one update, as defined by the protocol."""
 
 MAX_QUOTED_CHARACTERS = 40
 """Length to which values are truncated in error messages."""
@@ -23,7 +27,7 @@
 
 
 class InvalidUpdateError(InvalidInputError):
-    """An update is invalid; the protocol requires that the proxy resets the stream."""
+    """An update is invalid; the protocol requires the proxy to reset the stream."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,19 +53,19 @@
     nonce: int | None = None
 
     def cost(self) -> int:
-        """Return the number of lines that the part counts for in the channel."""
+        """Return the number of lines that the part counts as in the channel."""
         servers = len(self.lines) + len(self.eject) + len(self.restore)
         return servers + self.complete + (self.level is not None) + (self.nonce is not None)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigUpdate:
-    """An update of a proxy's tables, which is applied as a whole or not at all."""
+    """An update to a proxy's tables, which is applied as a whole or not at all."""
 
     parts: tuple[ConfigUpdatePart, ...]
 
     def cost(self) -> int:
-        """Return the number of lines that the update counts for in the channel, without the overhead per message."""
+        """Return the number of lines that the update counts as in the channel, without the overhead per message."""
         return sum(part.cost() for part in self.parts)
 
     def nonces(self) -> tuple[int, ...]:
--- a/stackwheel/rules/__init__.py
+++ b/stackwheel/rules/__init__.py
@@ -1,1 +1,1 @@
-"""Rules of the protocol and invariants of the service, checked as events arrive; without I/O or a clock."""
+"""Checks of the protocol's rules and the service's invariants as the events of a run arrive; without I/O or a clock."""
--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -1,4 +1,4 @@
-"""Incremental check of the rules: each event triggers only the checks of the rules that it may violate.
+"""Incremental check of the rules: each event triggers only the checks of the rules that may be violated by it.
 
 All times are in ms. Time limits that may expire without an event are stored in a heap, so that advancing the time
 costs one comparison. Callers report the actual state of the run, not the state assumed by a planner.
@@ -18,7 +18,7 @@
 from stackwheel.rules.violations import READY_GRACE_MS, Limits, Rule, Violation
 
 MAX_VIOLATIONS = 100
-"""Limit on the violations that are reported for one run."""
+"""Maximum number of violations that are reported for one run."""
 
 WINDOW_MARGIN_MS = 1.0
 """Reduction of the message cap's window, so that messages at its very end are not counted."""
@@ -44,16 +44,20 @@
     """Check whether a proxy still has no server for a class."""
 
     SERVER_WARM = 1
-    """Update the zones and classes that are serviceable at a planner: a listed server reaches its full capacity."""
+    """Update the zones and classes for which a planner knows a warm server, because a listed server has become warm.
+
+    From then on, the proxies of this planner may not remain without a server for these classes.
+    """
 
 
 class Deadline(NamedTuple):
-    """Time of a pending check.
+    """A pending check and the time at which it is due.
 
     Attributes:
         at: time at which the check is due, ms.
         kind: the check.
-        subject: number of a proxy for `UNSERVED`, of a planner for `SERVER_WARM`.
+        subject: number of the proxy without a server for `UNSERVED`; number of the planner that lists the server for
+            `SERVER_WARM`.
         request_class: index of the request class for `UNSERVED`; otherwise 0.
     """
 
@@ -64,10 +68,10 @@
 
 
 class Execution(NamedTuple):
-    """An execution of a request that took effect.
+    """One execution of a request by a server, which took effect.
 
     Attributes:
-        scope: number of the server's deduplication scope.
+        scope: number of the server's deduplication scope, the set of servers that share received idempotency keys.
         at: time of the execution, ms.
     """
 
@@ -93,12 +97,12 @@
         zone_count: number of zones.
         planners: state of the planners that are ready, by number.
         proxies: state of all proxies, by number.
-        deadlines: heap of the times at which limits may expire.
+        deadlines: heap of the pending checks, by the time at which they are due.
         executions: executions of each request that may still have running attempts; removed by `forget_request`.
         overloaded_since: time since which each overloaded server that is warming up has been overloaded, ms.
         violations: the reported violations, one per rule and subjects; at most `MAX_VIOLATIONS`.
         events: the most recent events, from which trails are taken.
-        check_count: number of checks made so far.
+        check_count: number of checks so far.
     """
 
     def __init__(self, limits: Limits, classes: tuple[RequestClass, ...], zone_count: int) -> None:
@@ -118,7 +122,7 @@
     # Reports
 
     def record_event(self, now: float, text: str, *subjects: object) -> None:
-        """Record an event for the trails of later violations."""
+        """Record an event for the event trail shown with later violations."""
         self.events.record(now, text, *subjects)
 
     def report_violation(
@@ -142,7 +146,7 @@
     # Planners
 
     def planner_ready(self, planner: int, now: float) -> None:
-        """Record the first response of a planner process; notifications of an earlier process do not apply to it."""
+        """Record the first response of a planner process; notifications to an earlier process do not apply to it."""
         self.planners[planner] = PlannerView(now, now + READY_GRACE_MS)
         self.record_event(now, "ready", f"planner-{planner}")
 
@@ -155,20 +159,20 @@
         self.record_event(now, "gone", f"planner-{planner}")
 
     def suspend_limits(self, planner: int, until: float) -> None:
-        """Apply no limit to a planner before `until`, as after a reload or while its process is suspended."""
+        """Apply no limit to a planner before `until` (ms), as after a reload or while its process is suspended."""
         if planner in self.planners:
             view = self.planners[planner]
             view.limits_from = max(view.limits_from, until)
             self._schedule_proxies_of(planner)
 
     def suspend_proxy_limits(self, proxy: int, until: float) -> None:
-        """Apply no limit to a proxy before `until`, because it is suspended until then."""
+        """Apply no limit to a proxy before `until` (ms), because it is suspended until then."""
         state = self.proxies[proxy]
         state.limits_from = max(state.limits_from, until)
         self._schedule(proxy, state)
 
     def endpoint_notified(self, planner: int, now: float, server: str, listed: ListedEndpoint) -> None:
-        """Record that discovery has notified a planner of an entry that is not outdated."""
+        """Record that the discovery service has notified a planner of an entry that is not outdated."""
         view = self.planners.get(planner)
         if view is None:
             return
@@ -280,9 +284,10 @@
     def request_executed(
         self, request: int, request_class: int, scope: int, proxy: int, server: str, now: float
     ) -> None:
-        """Record an execution of a request that took effect, and check whether it had taken effect before.
+        """Record an execution of a request that took effect, and check whether the request had taken effect before.
 
-        Repeats within the deduplication scope with the number `scope` are not executed.
+        The deduplication scope with the number `scope` is the set of servers that share received idempotency keys.
+        Callers do not report repeats that these servers recognize by the key, since the servers do not execute them.
         """
         executions = self.executions.get(request)
         if executions is None:
@@ -300,7 +305,7 @@
         self.executions.pop(request, None)
 
     def request_answered(self, request: int, proxy: int, decided_at: float, now: float) -> None:
-        """Record a final answer that a proxy has sent and could have sent at `decided_at`, and check the delay."""
+        """Record a final answer that a proxy has sent, and check its delay since it was known at `decided_at` (ms)."""
         state = self.proxies[proxy]
         if now - max(decided_at, state.limits_from) > MAX_ANSWER_DELAY_MS:
             detail = f"request {request} was answered {now - decided_at:.0f} ms after the end of its last attempt"
@@ -328,13 +333,16 @@
             self.report_violation(now, Rule.COLD, detail, server=server)
 
     def server_warmed_up(self, server: str) -> None:
-        """Record that a server has reached its full capacity or has stopped."""
+        """Record that a server has reached its full capacity, has stopped or has failed.
+
+        In each case the limit on the load of warming servers no longer applies to it.
+        """
         self.overloaded_since.pop(server, None)
 
     # The channel
 
     def lines_queued(self, planner: int, lines: float, now: float) -> None:
-        """Check the number of a planner's lines that are queued in the channel."""
+        """Check the number of a planner's lines that are queued in the channel against the queue limit."""
         self.check_count += 1
         limit = self.limits.queue_limit
         if limit and lines > limit:
--- a/stackwheel/rules/event_log.py
+++ b/stackwheel/rules/event_log.py
@@ -1,4 +1,7 @@
-"""Log of the most recent events of a run, from which the trail of a violation is taken."""
+"""Log of the most recent events of a run, from which the trail of each violation is taken.
+
+The trail of a violation consists of the last events before it that concern the same planners, proxies or servers.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +9,10 @@
 from typing import NamedTuple
 
 MAX_LOGGED_EVENTS = 400
-"""Limit on stored events; high enough to include recent events of every proxy."""
+"""Maximum number of stored events; high enough to include recent events of every proxy."""
 
 MAX_TRAIL_EVENTS = 12
-"""Limit on the events that are reported with a violation."""
+"""Maximum number of events in the trail of a violation."""
 
 
 class LoggedEvent(NamedTuple):
@@ -26,7 +29,7 @@
     subjects: tuple[object, ...]
 
     def concerns(self, subjects: set[str | None]) -> bool:
-        """Return whether the event concerns one of the subjects; true if either side names no subject."""
+        """Return whether the event concerns one of the subjects; also true if the event or `subjects` names none."""
         return not subjects or bool(subjects & set(self.subjects)) or not self.subjects
 
     def __str__(self) -> str:
--- a/stackwheel/rules/invariants.py
+++ b/stackwheel/rules/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of the service as comparisons of values; a violated one yields a description of the difference."""
+"""Invariants of the service as comparisons of values; a violation is described by the values that differ."""
 
 from __future__ import annotations
 
--- a/stackwheel/rules/views.py
+++ b/stackwheel/rules/views.py
@@ -1,4 +1,7 @@
-"""State of the planners and proxies of a run that determines their obligations and the start of time limits."""
+"""State of the planners and proxies of a run that determines their obligations and the start of time limits.
+
+A class is serviceable in a zone, from the view of a planner, while the planner knows a warm server that may serve it.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +58,7 @@
 
     Attributes:
         ready_at: time of the planner's first response.
-        limits_from: time before which no limit applies.
+        limits_from: time before which no limit applies to the planner.
         listed: entries of the servers that are listed and not removed, by server.
         unavailable_since: time of the first notification that a server is draining, or removed unless removal is
             advisory, by server.
@@ -75,7 +78,7 @@
     message_times: dict[int, deque[float]] = field(default_factory=dict)
 
     def is_outdated(self, server: str, listed: ListedEndpoint) -> bool:
-        """Return whether later notifications supersede an entry of an older generation.
+        """Return whether an entry of an older generation is outdated by later notifications.
 
         The entry is outdated if its process has been replaced by a later one under the same name, or if it lists a
         process as ready that has since been reported as draining or removed.
@@ -86,7 +89,7 @@
         return listed.availability is Availability.READY and server in self.unavailable_since
 
     def record_notification(self, server: str, listed: ListedEndpoint, now: float, removal_is_advisory: bool) -> None:
-        """Update the state for a server with an entry that the planner was notified of."""
+        """Update the state of a server after the planner was notified of an entry."""
         self.latest_start[server] = listed.started_at
         previous = self.listed.get(server)
         if listed.availability is Availability.REMOVED:
@@ -104,7 +107,7 @@
             self.unavailable_since.pop(server, None)
 
     def update_serviceable(self, classes: tuple[RequestClass, ...], zone_count: int, now: float) -> bool:
-        """Update the zones and classes for which a warm server is listed; return whether any have been added."""
+        """Update the serviceable zones and classes, and return whether any have been added."""
         warm = [endpoint for endpoint in self.listed.values() if endpoint.is_warm(now)]
         serviceable: dict[ZoneClass, float] = {}
         for class_index, request_class in enumerate(classes):
--- a/stackwheel/rules/violations.py
+++ b/stackwheel/rules/violations.py
@@ -8,7 +8,7 @@
 from stackwheel.interface import Settings
 
 TIME_LIMIT_ALLOWANCE_MS = 300.0
-"""Extension of the protocol's time limits where proxies are connected by sockets."""
+"""Time that is added to the protocol's time limits, because the checked proxies are connected by sockets."""
 
 READY_GRACE_MS = 1000.0
 """Time after the first response of a planner during which no limit applies to it."""
@@ -17,7 +17,7 @@
 """Time after a SIGHUP during which no limit applies to the planner."""
 
 NOTIFICATION_DEADLINE_MS = 6000.0
-"""Time after which an update written by discovery counts as received, even if it was not delivered."""
+"""Time after which an update sent by the discovery service counts as received, even if it was not delivered."""
 
 
 class Rule(StrEnum):
@@ -87,13 +87,13 @@
     """A violation of a rule.
 
     Attributes:
-        at: time of detection, ms.
+        at: time at which the violation was detected, ms.
         rule: the violated rule.
         planner: number of the planner concerned, if any.
         proxy: number of the proxy concerned, if any.
         server: name of the server concerned, if any.
         detail: what was observed.
-        trail: the most recent events that concern the planner, proxy or server.
+        trail: the most recent events before the violation that concern the planner, proxy or server.
     """
 
     at: float
