--- a/stackwheel/endpoints.py
+++ b/stackwheel/endpoints.py
@@ -1,5 +1,8 @@
 """Endpoint lists from the discovery service, and the comparison of entries of an older generation with the known state.
 
+A generation is the number that the discovery service gives to a state of its list. It grows with each change, but may
+start again after a restart of the discovery service.
+
 The module contains only value types and pure functions. It is shared by the packages that store endpoint lists
 (`state`, `relay`), parse them (`wire`) and generate them (`scale`, `trials`).
 """
--- a/stackwheel/policy/allocation.py
+++ b/stackwheel/policy/allocation.py
@@ -131,7 +131,7 @@
     def share_among_planners(self, demand: float, peer_states: list[PeerState]) -> float:
         """Return this planner's share of the demand of all proxies.
 
-        Proxies that are connected to unknown planners are assumed to have the average demand of the others.
+        Proxies that are connected to unknown planners are assumed to have the average demand of the known proxies.
 
         Args:
             demand: requests per second of this planner's proxies.
--- a/stackwheel/policy/health_checks.py
+++ b/stackwheel/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""Selection of the servers that are sent a health check while load reports arrive too late."""
+"""Selection of the servers that are sent a health check while load reports are too infrequent."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from stackwheel.policy.table_groups import TableGroups
 
 LATE_REPORT_WINDOW_INTERVALS = 4.0
-"""Mean report window, in report intervals, above which health checks are sent."""
+"""Mean window of the load reports, in report intervals, above which health checks are sent."""
 
 MAX_CHECKS_PER_REQUEST = 0.06
 """Maximum number of health checks per request, which limits the load from health checks."""
@@ -36,8 +36,8 @@
     def start(self, now: float) -> list[Action]:
         """Return the actions that start the health checks of a slot.
 
-        The servers are those whose last health check is the longest ago. No health checks are started while load
-        reports arrive soon enough.
+        The servers are those whose last health check is the longest ago. No health checks are started while the mean
+        window of the load reports is at most `LATE_REPORT_WINDOW_INTERVALS`.
         """
         if (
             not self.is_enabled
--- a/stackwheel/policy/joins.py
+++ b/stackwheel/policy/joins.py
@@ -145,7 +145,7 @@
             return False
         proxy = self.proxies[number]
         self.actions += [AssignTable(number, table.number, table.classes) for table in group.tables]
-        self.channel.pending_lines[number] = lines  # replaces pending changes to its previous tables
+        self.channel.pending_lines[number] = lines  # pending changes to its previous tables are not needed
         proxy.group.users.pop(number, None)
         proxy.group = group
         group.users[number] = sum(proxy.demand)
--- a/stackwheel/policy/load_shedding.py
+++ b/stackwheel/policy/load_shedding.py
@@ -202,7 +202,7 @@
 
 
 def rate_limit_per_proxy(rates: list[float], share: float) -> float:
-    """Return the rate limit per proxy that admits a share of all requests; it affects the largest rates first.
+    """Return the rate limit per proxy that admits a share of all requests; it reduces the largest rates first.
 
     Args:
         rates: requests per second of the proxies.
--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -1,4 +1,4 @@
-"""Incremental check of the rules: each event triggers only the checks of the rules that may be violated by it.
+"""Incremental check of the rules: each event triggers only the checks of the rules that it may affect.
 
 All times are in ms. Time limits that may expire without an event are stored in a heap, so that advancing the time
 costs one comparison. Callers report the actual state of the run, not the state assumed by a planner.
@@ -34,7 +34,7 @@
     Availability.DRAINING: "DRAINING",
     Availability.REMOVED: "GONE",
 }
-"""Names of the availabilities in trails; they are part of the output of `stackwheel trial replay`."""
+"""Names of the availabilities in event trails; they are part of the output of `stackwheel trial replay`."""
 
 
 class DeadlineKind(IntEnum):
--- a/stackwheel/rules/views.py
+++ b/stackwheel/rules/views.py
@@ -89,7 +89,7 @@
         return listed.availability is Availability.READY and server in self.unavailable_since
 
     def record_notification(self, server: str, listed: ListedEndpoint, now: float, removal_is_advisory: bool) -> None:
-        """Update the state of a server after the planner was notified of an entry."""
+        """Update the state of a server after the planner was notified of its entry."""
         self.latest_start[server] = listed.started_at
         previous = self.listed.get(server)
         if listed.availability is Availability.REMOVED:
--- a/stackwheel/state/streams.py
+++ b/stackwheel/state/streams.py
@@ -94,7 +94,7 @@
         self.timed_out: dict[int, ProxyStream] = {}
 
     def join(self, stream: ProxyStream) -> Iterator[Event]:
-        """Add a proxy's stream, which replaces an earlier one; the end of the earlier one is then ignored."""
+        """Add a proxy's stream; it replaces an earlier stream of the proxy, whose end is then ignored."""
         active = self.by_proxy.pop(stream.proxy, None)
         timed_out = self.timed_out.pop(stream.proxy, None)
         for previous in (active, timed_out):
--- a/stackwheel/state/table_updates.py
+++ b/stackwheel/state/table_updates.py
@@ -305,7 +305,7 @@
         The candidates are the servers with changed ejections that the proxy may use, and the servers that the parts
         add to its tables.
         """
-        if not (self.ever_ejected or changes.ejections):  # saves time with policies that do not eject servers
+        if not (self.ever_ejected or changes.ejections):  # nothing to eject or restore
             return (), ()
         added = [server for part in parts for server, weight in part.lines if weight > 0]
         changed = [server for server in changes.ejections if self._may_use(stream, server)]
