--- a/stackwheel/trials/endpoint_faults.py
+++ b/stackwheel/trials/endpoint_faults.py
@@ -1,4 +1,4 @@
-"""Faults of servers and of the discovery service that lists them."""
+"""Effects of faults of servers and of the discovery service that lists them."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from stackwheel.trials.fault_targets import planners_of, relays_of, servers_of
 from stackwheel.trials.world import World
 
-MAX_SEIZED_SHARE = 0.95  # of a server's machine
+MAX_SEIZED_SHARE = 0.95
 
 
 def crash(fault: faults.Crash, world: World) -> None:
-    """Crash servers."""
+    """Crash servers, which restart after the time that the fault states."""
     for server in servers_of(world, fault.servers):
         world.fleet.crash(server, fault.restart_after)
 
 
 def drain(fault: faults.Drain, world: World) -> None:
-    """Drain servers."""
+    """Drain servers, and schedule their removal and restart."""
     for server in servers_of(world, fault.servers):
         world.fleet.drain(server, fault.removed_after, fault.restart_after)
 
 
 def replace(fault: faults.Replace, world: World) -> None:
-    """Replace servers one after the other."""
+    """Replace servers one after the other, evenly over the span of the fault."""
     servers = servers_of(world, fault.servers)
     for index, server in enumerate(servers):
         delay = index * fault.span / max(1, len(servers))
@@ -31,27 +31,27 @@
 
 
 def fail_requests(fault: faults.Fail, world: World) -> None:
-    """Let servers fail a share of their requests."""
+    """Let servers fail a share of their requests for the span of the fault."""
     for server in servers_of(world, fault.servers):
         server.failing_share = fault.share
         world.context.later(fault.span, setattr, server, "failing_share", 0.0)
 
 
 def slow_down(fault: faults.Slow, world: World) -> None:
-    """Take a share of servers' machines."""
+    """Take a share of the CPU of servers' machines for the span of the fault."""
     for server in servers_of(world, fault.servers):
         server.seized_share = min(MAX_SEIZED_SHARE, fault.share)
         world.context.later(fault.span, setattr, server, "seized_share", 0.0)
 
 
 def disturb_discovery(fault: faults.DiscoveryFault, world: World) -> None:
-    """Let discovery refuse, fail, fall silent or be late."""
+    """Put discovery into a fault mode for the span of the fault."""
     world.discovery.set_fault(fault.mode, fault.delay)
     world.context.later(fault.span, end_discovery_fault, world, fault.mode)
 
 
 def end_discovery_fault(world: World, mode: str) -> None:
-    """Discovery is in order again, unless another fault has begun."""
+    """End a fault mode of discovery, unless another one has replaced it."""
     if world.discovery.fault == mode:
         world.discovery.set_fault("", 0.0)
         for planner in world.planners:
@@ -59,7 +59,7 @@
 
 
 def delay_watches(fault: faults.Lag, world: World) -> None:
-    """Let discovery's watches send changes to some relays late."""
+    """Delay the changes that discovery's watches send to some relays, for the span of the fault."""
     delays = world.discovery.watch_delays
     for relay in relays_of(world, fault.machines):
         delays[relay.machine.name] = fault.delay
@@ -67,7 +67,7 @@
 
 
 def make_unreadable(fault: faults.Unreadable, world: World) -> None:
-    """Make the entries of servers unreadable for a while."""
+    """Make the entries of servers undecodable for the span of the fault."""
     names = [server.name for server in servers_of(world, fault.servers)]
     world.discovery.unreadable.update(dict.fromkeys(names))
     if world.relays is not None:
@@ -76,7 +76,7 @@
 
 
 def make_readable(world: World, names: list[str]) -> None:
-    """Make entries readable, and send them again."""
+    """Make the entries of servers decodable, and send them again."""
     for name in names:
         world.discovery.unreadable.pop(name, None)
     records = world.discovery.send_again(names)
@@ -85,7 +85,7 @@
 
 
 def send_older_state(fault: faults.OlderState, world: World) -> None:
-    """Send watches an older state of the planners' servers again."""
+    """Send watches an older state, with relays one that concerns the planners' cell, then the current one."""
     if world.relays is None:
         world.discovery.send_older_state(fault.restored_after)
     else:
@@ -93,7 +93,7 @@
 
 
 def reload(fault: faults.Reload, world: World) -> None:
-    """Move discovery, or the cells' ports; planners are sent SIGHUP."""
+    """Move discovery, or with relays the cells' ports, and send SIGHUP to planners, whose limits are suspended."""
     if world.relays is not None:
         world.relays.change_ports()
     else:
@@ -107,7 +107,7 @@
 
 
 def restart_generations(_: faults.RestartGenerations, world: World) -> None:
-    """Let discovery restart its generations."""
+    """Let discovery restart its generation numbers."""
     first = 1 if world.relays is None else world.relays.first_generation_after_restart()
     world.discovery.restart_generations(first)
     world.notifications.generations_restarted()
--- a/stackwheel/trials/fault_effects.py
+++ b/stackwheel/trials/fault_effects.py
@@ -1,4 +1,4 @@
-"""Lets the faults of a script happen to a world: one function a kind."""
+"""Applies the faults of a script to a simulated world: a table of effects by kind of fault."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def begin_fault(world: World, fault: faults.Fault) -> None:
-    """Let a fault of a script happen."""
+    """Record a fault in the trail of events and in the trace, and apply its effect."""
     context = world.context
     kind = faults.fault_kind(fault).replace("_", "")
     context.checker.record_event(context.now_ms(), f"fault {kind}")
--- a/stackwheel/trials/fault_targets.py
+++ b/stackwheel/trials/fault_targets.py
@@ -1,4 +1,4 @@
-"""The parts of a world that the names in a fault stand for."""
+"""Resolves the names in a fault to planners, proxies, servers and relays of a simulated world."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 def planners_of(world: World, names: NameList) -> list[PlannerHost]:
-    """The planners that names stand for."""
+    """Return the planners that match the names."""
     return [world.planners[number] for number in machine_numbers(names, world.shape, "planner")]
 
 
 def proxies_of(world: World, names: NameList) -> list[Proxy]:
-    """The proxies that names stand for."""
+    """Return the proxies that match the names."""
     return [world.proxies[number] for number in machine_numbers(names, world.shape, "proxy")]
 
 
 def servers_of(world: World, names: NameList) -> list[Server]:
-    """The present servers of the slots that names stand for."""
+    """Return the current servers of the slots that match the names."""
     return [world.fleet.present[slot] for slot in machine_numbers(names, world.shape, "server")]
 
 
 def relays_of(world: World, names: NameList) -> list[RelayHost]:
-    """The relays that names stand for."""
+    """Return the relays that match the names; none in a shape without relays."""
     if world.relays is None:
         return []
     return [world.relays.hosts[number] for number in machine_numbers(names, world.shape, "relay")]
--- a/stackwheel/trials/faults.py
+++ b/stackwheel/trials/faults.py
@@ -1,7 +1,7 @@
-"""The kinds of fault that a script may hold, as typed records.
+"""The kinds of fault that a script may contain, as typed records.
 
-Times are seconds of virtual time, shares run from 0 to 1. Stored scripts name kinds and fields by short words
-of their own, given here as `tag` and `rename`.
+Times and spans are seconds of virtual time; shares are between 0 and 1. `tag` and `rename` give the names of kinds and
+fields in stored scripts.
 """
 
 from __future__ import annotations
@@ -13,24 +13,32 @@
 
 from stackwheel.trials.shape import Count, NameList, Share
 
-Time = Annotated[float, Meta(ge=0, le=86400)]
+Seconds = Annotated[float, Meta(ge=0, le=86400)]
 KIND_FIELD = "kind"
 
 
 class BaseFault(Struct, frozen=True, forbid_unknown_fields=True, tag_field=KIND_FIELD, tag=str.lower):
-    """Something that happens at a time."""
+    """Base class of all faults.
 
-    at: Time
+    Attributes:
+        at: Start of the fault, in s from the start of the trial.
+    """
+
+    at: Seconds
 
 
 class Kill(BaseFault, frozen=True, rename={"restart_after": "back", "resets_connections": "sign"}):
-    """Planners or relays are killed and start again from nothing.
+    """Kills planners or relays, which restart without any state.
 
-    Without `resets_connections` their machines vanish: connections stay open and silent.
+    Attributes:
+        planners: Names of planners and relays.
+        restart_after: Seconds from the kill to the restart.
+        resets_connections: Whether peers receive a reset; if not, connections stay open and silent, as after a power
+            failure.
     """
 
     planners: NameList
-    restart_after: Time = 1.0
+    restart_after: Seconds = 1.0
     resets_connections: bool = True
 
 
@@ -38,155 +46,166 @@
 
 
 class Stall(BaseFault, frozen=True, rename=STORED_STALL_FIELDS):
-    """Processes stand still for `span`, `repetitions` times, once a `period`."""
+    """Suspends processes for `span`, `repetitions` times, once per `period`.
+
+    Attributes:
+        stops_reading: Whether proxies also stop reading from their sockets, so that their receive windows fill up.
+    """
 
     machines: NameList
-    span: Time
+    span: Seconds
     repetitions: Annotated[int, Meta(ge=1, le=1000)] = 1
-    period: Time = 2.0
-    stops_reading: bool = False  # proxies do not even read what arrives
+    period: Seconds = 2.0
+    stops_reading: bool = False
 
 
 class Cut(BaseFault, frozen=True, rename={"unidirectional": "one_way"}):
-    """Nothing passes from sources to targets; nor back, unless it is `unidirectional`."""
+    """Blocks all traffic from sources to targets, and from targets to sources unless `unidirectional` is set."""
 
     source: NameList
     target: NameList
-    span: Time
+    span: Seconds
     unidirectional: bool = False
 
 
 class Reset(BaseFault, frozen=True):
-    """The streams of proxies break; they notice at once and dial again."""
+    """Resets the streams of proxies, which detect it at once and reconnect."""
 
     proxies: NameList
 
 
 class HalfOpen(BaseFault, frozen=True, tag="half_open", rename={"noticed_after": "notice"}):
-    """The present streams of proxies go silent for good, without a sign; the proxies notice after a while."""
+    """Silences the current streams of proxies for good, without a reset; proxies detect it after `noticed_after`."""
 
     proxies: NameList
-    noticed_after: Time = 2.0
+    noticed_after: Seconds = 2.0
 
 
 class SecondStream(BaseFault, frozen=True, tag="doubled", rename={"delay": "late"}):
-    """Proxies open a second stream while the bytes of the first are still on their way, for `delay`."""
+    """Lets proxies open a second stream while the bytes of the first one still arrive, `delay` late."""
 
     proxies: NameList
-    delay: Time = 1.0
+    delay: Seconds = 1.0
 
 
 class MidMessage(BaseFault, frozen=True, tag="mid_message"):
-    """Proxies reset their stream in the middle of the next message of several parts, or of any."""
+    """Lets proxies reset their stream in the middle of the next message that they receive."""
 
     proxies: NameList
 
 
 class Restart(BaseFault, frozen=True, rename={"restart_after": "back"}):
-    """Proxies start again, with only their standing table."""
+    """Restarts proxies, which keep nothing but their standing table."""
 
     proxies: NameList
-    restart_after: Time = 0.5
+    restart_after: Seconds = 0.5
 
 
 class Crash(BaseFault, frozen=True, tag="die", rename={"restart_after": "back"}):
-    """Servers end without notice; they start cold under the same name, or never where `restart_after` is 0."""
+    """Ends servers without notice; they restart cold under the same name after `restart_after`, or never if it is 0."""
 
     servers: NameList
-    restart_after: Time = 8.0
+    restart_after: Seconds = 8.0
 
 
 class Drain(BaseFault, frozen=True, rename={"removed_after": "gone", "restart_after": "back"}):
-    """Servers drain, are removed after a while, and start again `restart_after` later unless that is 0."""
+    """Drains servers, removes them after `removed_after`, and restarts them `restart_after` later unless that is 0."""
 
     servers: NameList
-    removed_after: Time = 4.0
-    restart_after: Time = 0.0
+    removed_after: Seconds = 4.0
+    restart_after: Seconds = 0.0
 
 
 class Replace(BaseFault, frozen=True):
-    """Servers drain one after the other over `span`; a new one, cold, takes the place of each."""
+    """Drains servers one after the other over `span`, and starts a new, cold server for each."""
 
     servers: NameList
-    span: Time = 10.0
+    span: Seconds = 10.0
 
 
 class Fail(BaseFault, frozen=True):
-    """Servers quickly fail a share of their requests."""
+    """Lets servers fail a share of their requests at once, without executing them."""
 
     servers: NameList
-    span: Time
+    span: Seconds
     share: Share = 0.7
 
 
 class Slow(BaseFault, frozen=True):
-    """Something else takes a share of servers' machines."""
+    """Takes a share of the CPU of servers' machines, as another process would."""
 
     servers: NameList
-    span: Time
+    span: Seconds
     share: Share = 0.6
 
 
 class LoseZone(BaseFault, frozen=True, tag="lose_zone", rename={"restart_after": "back"}):
-    """All servers of a zone crash and start cold; with them its proxies or planners, if the flags are set."""
+    """Crashes all servers of a zone, which restart cold, and its proxies or planners if the flags are set."""
 
     zone: Count
-    restart_after: Time = 6.0
+    restart_after: Seconds = 6.0
     proxies: bool = False
     planners: bool = False
 
 
 class DiscoveryFault(BaseFault, frozen=True, tag="discovery", rename={"mode": "how", "delay": "late"}):
-    """Discovery refuses connections, answers 503, answers nothing, or sends changes late by `delay`."""
+    """Lets discovery refuse connections, answer 503, answer nothing, or send changes `delay` late."""
 
-    span: Time
+    span: Seconds
     mode: Literal["refuse", "503", "silence", "late"] = "503"
-    delay: Time = 0.0
+    delay: Seconds = 0.0
 
 
 class Lag(BaseFault, frozen=True, rename={"machines": "who", "delay": "late"}):
-    """Discovery's watches send changes to some relays later than to others; their empty lines come in time."""
+    """Delays the changes that discovery's watches send to some relays; heartbeats are not delayed.
+
+    The upper bound of `delay` is below the protocol's notification deadline of 6 s.
+    """
 
     machines: NameList
-    span: Time
-    delay: Annotated[float, Meta(ge=0, le=5)] = 2.0  # within the protocol's 6 s
+    span: Seconds
+    delay: Annotated[float, Meta(ge=0, le=5)] = 2.0
 
 
 class Unreadable(BaseFault, frozen=True):
-    """Entries of servers can't be read for a while, in lists and changes; then they are sent again.
+    """Makes the entries of servers in lists and changes undecodable for `span`; then discovery sends them again.
 
-    Only for a shape with relays.
+    Requires a shape with relays.
     """
 
     servers: NameList
-    span: Time
+    span: Seconds
 
 
 class OlderState(BaseFault, frozen=True, tag="older", rename={"restored_after": "after"}):
-    """Watches are sent an older state again, in its older generation, then the present one."""
+    """Sends watches an older state with its older generation, then the current state after `restored_after`."""
 
-    restored_after: Time = 0.3
+    restored_after: Seconds = 0.3
 
 
 class Reload(BaseFault, frozen=True, rename={"close_after": "close"}):
-    """Discovery moves to another address; planners get a new configuration and SIGHUP.
+    """Moves discovery to another address; planners receive a new configuration and SIGHUP.
 
-    With relays their plan gives the cell another port, and they get SIGHUP as well.
+    In a shape with relays, the cell plan assigns other ports to the cells instead, and relays receive SIGHUP too.
+
+    Attributes:
+        planners: Planners that reload.
+        close_after: Seconds until the connections to the old address are closed; unused with relays.
     """
 
     planners: NameList = ("planners",)
-    close_after: Time = 1.5  # until the old address ends what is still open there; with relays it stays open
+    close_after: Seconds = 1.5
 
 
 class RestartGenerations(BaseFault, frozen=True, tag="renumber"):
-    """Discovery restarts its generations."""
+    """Lets discovery restart its generation numbers."""
 
 
 class Demand(BaseFault, frozen=True):
-    """Demand of some proxies changes by a factor."""
+    """Multiplies the demand of proxies by a factor."""
 
     proxies: NameList
-    span: Time
+    span: Seconds
     factor: Annotated[float, Meta(ge=0, le=100)]
 
 
@@ -194,18 +213,18 @@
 
 
 class Reports(BaseFault, frozen=True, rename=STORED_REPORTS_FIELDS):
-    """Reports come late by `delay`, or malformed in a share of lines, or their connections break."""
+    """Delays reports by `delay`, malforms a share of their lines, and may reset the collectors' connections."""
 
-    span: Time
-    delay: Time = 0.0
+    span: Seconds
+    delay: Seconds = 0.0
     malformed: Share = 0.0
     resets_connections: bool = False
 
 
 class Datagrams(BaseFault, frozen=True, rename={"duplicated": "doubled"}):
-    """Datagrams between planners are lost, duplicated or reordered."""
+    """Loses, duplicates or reorders shares of the datagrams between planners."""
 
-    span: Time
+    span: Seconds
     lost: Share = 0.0
     duplicated: Share = 0.0
     reordered: Share = 0.0
@@ -215,22 +234,27 @@
 
 
 class PathConditions(BaseFault, frozen=True, tag="way", rename=STORED_PATH_FIELDS):
-    """Latency grows by a factor; a share of writes arrives in pieces; updates take longer to arrive."""
+    """Multiplies latency and the transit time of updates by factors, and fragments a share of writes."""
 
-    span: Time
+    span: Seconds
     latency_factor: Annotated[float, Meta(ge=0.01, le=1000)] = 1.0
     fragmented: Share = 0.0
     transit_factor: Annotated[float, Meta(ge=0.01, le=100)] = 1.0
 
 
 class Pushes(BaseFault, frozen=True, rename={"max_delay": "late", "duplicated": "doubled", "stale": "old"}):
-    """Files come up to `max_delay` later, so that they overtake each other.
-
-    They are also lost, pushed twice, copied in place, and an old file is pushed again beside some.
+    """Disturbs the pushes of files to proxies.
+
+    Attributes:
+        max_delay: Upper bound of the random delay of each file; later files may overtake earlier ones.
+        lost: Share of files that are not delivered.
+        duplicated: Share of files that are delivered twice.
+        torn: Share of files that are written in place, so that readers may see a part.
+        stale: Share of files after which an older file is delivered again.
     """
 
-    span: Time
-    max_delay: Time = 0.0
+    span: Seconds
+    max_delay: Seconds = 0.0
     lost: Share = 0.0
     duplicated: Share = 0.0
     torn: Share = 0.0
@@ -238,16 +262,16 @@
 
 
 class Disks(BaseFault, frozen=True, rename={"machines": "who", "mode": "how", "delay": "slow"}):
-    """Disks of planners or proxies are full, missing (`gone`), or take `delay` for each operation."""
+    """Makes the disks of planners or proxies full, missing (`gone`), or slow: `delay` per operation."""
 
     machines: NameList
-    span: Time
+    span: Seconds
     mode: Literal["full", "gone", "slow"] = "full"
-    delay: Time = 1.0
+    delay: Seconds = 1.0
 
 
 class UnidentifiedClients(BaseFault, frozen=True, tag="strangers", rename={"payload": "say"}):
-    """Clients that belong to nobody connect and send what is of no use."""
+    """Connects clients that are not part of the deployment and send nothing valid to a planner."""
 
     count: Annotated[int, Meta(ge=1, le=5000)]
     planner: str = "planner-0"
@@ -284,21 +308,21 @@
     | Disks
 )
 
-NAME_FIELDS = ("planners", "proxies", "servers", "machines", "source", "target")  # that may name machines
+MACHINE_NAME_FIELDS = ("planners", "proxies", "servers", "machines", "source", "target")
 
 
 def fault_kind(fault: Fault) -> str:
-    """The name of a fault's kind, as scripts store it."""
+    """Return the name of a fault's kind in stored scripts."""
     return str(msgspec.to_builtins(fault)[KIND_FIELD])
 
 
-def name_fields(fault: Fault) -> dict[str, NameList]:
-    """The fields of a fault that name machines; `proxies` of a lost zone is a flag and no such field."""
-    values = ((field, getattr(fault, field, None)) for field in NAME_FIELDS)
+def machine_name_fields(fault: Fault) -> dict[str, NameList]:
+    """Return the fields of a fault that list machine names; the boolean `proxies` of `LoseZone` is not one of them."""
+    values = ((field, getattr(fault, field, None)) for field in MACHINE_NAME_FIELDS)
     return {field: names for field, names in values if isinstance(names, tuple)}
 
 
-def stored_name(fault: Fault, field: str) -> str:
-    """The name under which scripts store a field of a fault."""
+def stored_field_name(fault: Fault, field: str) -> str:
+    """Return the name of a fault's field in stored scripts."""
     encoded = {info.name: info.encode_name for info in msgspec.structs.fields(fault)}
     return encoded[field]
--- a/stackwheel/trials/load_faults.py
+++ b/stackwheel/trials/load_faults.py
@@ -1,4 +1,4 @@
-"""Faults of demand, reports, pushed files and disks."""
+"""Effects of faults of demand, reports, pushed files and disks."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from stackwheel.trials.file_exchange import PushFault
 from stackwheel.trials.world import World
 
-RECOVERY_MS = 1000.0  # after a disk's fault during which no limit runs
+DISK_RECOVERY_MS = 1000.0
 
 
 def change_demand(fault: faults.Demand, world: World) -> None:
-    """Change the demand of proxies by a factor."""
+    """Multiply the demand of proxies by a factor for the span of the fault."""
     for proxy in proxies_of(world, fault.proxies):
         proxy.demand_factor = fault.factor
         world.context.later(fault.span, setattr, proxy, "demand_factor", 1.0)
@@ -21,7 +21,7 @@
 
 
 def disturb_reports(fault: faults.Reports, world: World) -> None:
-    """Let reports be late or malformed, and reset the collectors' connections if the flag is set."""
+    """Delay and malform reports, and reset the collectors' connections if the flag is set."""
     world.reports.delay = fault.delay
     world.reports.malformed_share = fault.malformed
     world.context.later(fault.span, setattr, world.reports, "delay", 0.0)
@@ -33,14 +33,18 @@
 
 
 def disturb_pushes(fault: faults.Pushes, world: World) -> None:
-    """Let pushes of files go wrong."""
+    """Disturb the pushes of files for the span of the fault."""
     if world.files is not None:
         push_fault = PushFault(fault.max_delay, fault.duplicated, fault.torn, fault.stale, fault.lost)
         world.files.set_fault(push_fault, fault.span)
 
 
 def disturb_disks(fault: faults.Disks, world: World) -> None:
-    """Let disks be full, missing or slow; what can't be written reaches nobody, so no limit runs meanwhile."""
+    """Make disks full, missing or slow.
+
+    The limits of the planners and proxies concerned are suspended until `DISK_RECOVERY_MS` after the fault, because no
+    file can reach a proxy before.
+    """
     if world.files is None:
         return
     planners = planners_of(world, fault.machines)
@@ -48,7 +52,7 @@
     machines = [*(planner.machine for planner in planners), *(proxy.machine for proxy in proxies)]
     for machine in machines:
         disturb_disk(fault, world, world.files.disks[machine.name])
-    until_ms = world.context.now_ms() + fault.span * 1000.0 + RECOVERY_MS
+    until_ms = world.context.now_ms() + fault.span * 1000.0 + DISK_RECOVERY_MS
     for planner in planners:
         world.checker.suspend_limits(planner.number, until_ms)
     for proxy in proxies:
@@ -56,7 +60,7 @@
 
 
 def disturb_disk(fault: faults.Disks, world: World, disk: SimulatedDisk) -> None:
-    """Let one disk be full, missing or slow for the span of the fault."""
+    """Make one disk full, missing or slow for the span of the fault."""
     if fault.mode == "slow":
         disk.delay = fault.delay
         world.context.later(fault.span, setattr, disk, "delay", DEFAULT_DELAY_S)
--- a/stackwheel/trials/network_faults.py
+++ b/stackwheel/trials/network_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the network: cuts, broken and doubled streams, slow paths, lost datagrams, useless connections."""
+"""Effects of network faults: cuts, reset and second streams, slow paths, lost datagrams, unidentified clients."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from stackwheel.trials.shape import machine_names
 from stackwheel.trials.world import World
 
-USELESS_BYTES = {
+PAYLOADS = {
     "nothing": b"",
     "half": b"SUBSCRIBE id=0 si",
     "http": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -20,7 +20,7 @@
 
 
 def cut(fault: faults.Cut, world: World) -> None:
-    """Cut the paths between two groups for the span of the fault."""
+    """Cut the network paths between two groups of machines for the span of the fault."""
     sources = machine_names(fault.source, world.shape)
     targets = machine_names(fault.target, world.shape)
     paths = [(source, target) for source in sources for target in targets if source != target]
@@ -34,15 +34,15 @@
 
 
 def heal(world: World, paths: list[tuple[str, str]]) -> None:
-    """Remove cuts; what they blocked enters the channels at once."""
+    """Remove cuts; the messages that they blocked enter the update channels at once."""
     for source, target in paths:
         world.network.heal(source, target)
-    touched = {name for path in paths for name in path}
+    reconnected = {name for path in paths for name in path}
     for planner in world.planners:
-        if planner.machine.name not in touched:
+        if planner.machine.name not in reconnected:
             continue
         world.channels.allow_burst(planner.number)
-        if "discovery" in touched:
+        if "discovery" in reconnected:
             world.notifications.reachable_now(planner.number)
 
 
@@ -54,7 +54,7 @@
 
 
 def make_half_open(fault: faults.HalfOpen, world: World) -> None:
-    """Let the streams of proxies become half open."""
+    """Make the streams of proxies half open."""
     for proxy in proxies_of(world, fault.proxies):
         proxy.make_half_open(fault.noticed_after)
 
@@ -66,49 +66,49 @@
 
 
 def reset_in_next_message(fault: faults.MidMessage, world: World) -> None:
-    """Let the streams of proxies break within their next message."""
+    """Let proxies reset their streams in the middle of the next message."""
     for proxy in proxies_of(world, fault.proxies):
         if proxy.stream is not None:
             proxy.stream.reset_in_next_message = True
 
 
 def disturb_datagrams(fault: faults.Datagrams, world: World) -> None:
-    """Lose, duplicate and reorder datagrams."""
+    """Lose, duplicate and reorder datagrams for the span of the fault."""
     change_conditions(world, fault.span, lost=fault.lost, duplicated=fault.duplicated, reordered=fault.reordered)
 
 
 def change_path_conditions(fault: faults.PathConditions, world: World) -> None:
-    """Slow the network down, fragment writes, and let updates take longer."""
+    """Change the latency, the fragmentation of writes and the transit time of updates for the span of the fault."""
     change_conditions(world, fault.span, latency_factor=fault.latency_factor, fragmented=fault.fragmented)
     world.context.transit_factor = fault.transit_factor
     world.context.later(fault.span, setattr, world.context, "transit_factor", 1.0)
 
 
-def change_conditions(world: World, span: float, **figures: float) -> None:
-    """Change some of the network's conditions; each has its default again after `span` s."""
+def change_conditions(world: World, span: float, **values: float) -> None:
+    """Change conditions of the network, and restore their defaults after `span` s."""
     defaults = Conditions()
-    for name, value in figures.items():
+    for name, value in values.items():
         setattr(world.network.conditions, name, value)
         world.context.later(span, setattr, world.network.conditions, name, getattr(defaults, name))
 
 
 class UnidentifiedClient(LineProtocol):
-    """A client that sends what is of no use, and nothing more."""
+    """A client that sends a fixed payload once it is connected, and ignores all answers."""
 
     def __init__(self, data: bytes) -> None:
         super().__init__()
         self.data = data
 
     def opened(self) -> None:
-        """The connection is open."""
+        """Send the payload."""
         assert self.transport is not None
         if self.data:
             self.transport.write(self.data)
 
 
 def connect_unidentified_clients(fault: faults.UnidentifiedClients, world: World) -> None:
-    """Connect clients to a planner that say nothing of use."""
+    """Connect clients that send an invalid payload, or nothing, to a planner."""
     address = planners_of(world, (fault.planner,))[0].address
     for _ in range(fault.count):
-        client = UnidentifiedClient(USELESS_BYTES[fault.payload])
+        client = UnidentifiedClient(PAYLOADS[fault.payload])
         world.network.dial(world.client_machine, address, client)
--- a/stackwheel/trials/process_faults.py
+++ b/stackwheel/trials/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults of processes: killed, restarted or stalled planners, proxies and relays; lost zones."""
+"""Effects of faults of processes: killed, restarted or stalled planners, proxies and relays; lost zones."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from stackwheel.trials.proxies import Proxy
 from stackwheel.trials.world import World
 
-MIN_RESTART_S = 0.01  # from a process's end to the start of the next one
-STALL_ALLOWED_S = 1.0  # that a planner may stand still within its limits
-STALL_PAUSE_S = 0.1  # at least, between two stalls of one fault
+MIN_RESTART_S = 0.01
+MAX_STALL_WITHIN_LIMITS_S = 1.0
+MIN_STALL_GAP_S = 0.1
 
 
 def kill(fault: faults.Kill, world: World) -> None:
-    """Kill planners and relays; they start again after a while."""
+    """Kill planners and relays, and schedule their restart."""
     for planner in planners_of(world, fault.planners):
         kill_planner(world, planner, fault.restart_after, fault.resets_connections)
     for relay in relays_of(world, fault.planners):
@@ -25,7 +25,7 @@
 
 
 def kill_planner(world: World, planner: PlannerHost, restart_after: float, resets_connections: bool = True) -> None:
-    """Kill a planner that runs; without resets its proxies find that out by themselves."""
+    """Kill a running planner and schedule its restart; without resets, its proxies detect the loss by timeout."""
     if not planner.machine.alive:
         return
     planner.kill(resets_connections)
@@ -36,14 +36,14 @@
 
 
 def stall(fault: faults.Stall, world: World) -> None:
-    """Stall processes, as often as the fault demands."""
-    period = max(fault.period, fault.span + STALL_PAUSE_S)
+    """Schedule all stalls of a fault."""
+    period = max(fault.period, fault.span + MIN_STALL_GAP_S)
     for repetition in range(fault.repetitions):
         world.context.later(repetition * period, stall_once, world, fault)
 
 
 def stall_once(world: World, fault: faults.Stall) -> None:
-    """Stall planners, proxies and relays for the span of the fault."""
+    """Stall running planners, proxies and relays once for the span of the fault."""
     for planner in planners_of(world, fault.machines):
         if planner.machine.alive and not planner.machine.stalled:
             stall_planner(world, planner, fault.span)
@@ -56,28 +56,31 @@
 
 
 def stall_machine(world: World, machine: Machine, span: float) -> None:
-    """Stall a machine for a span (s)."""
+    """Stall a machine for `span` s."""
     world.loop.set_stalled(machine, True)
     world.context.later(span, world.loop.set_stalled, machine, False)
 
 
 def stall_planner(world: World, planner: PlannerHost, span: float) -> None:
-    """Stall a planner; after a long stall its limits run from its waking."""
-    if span > STALL_ALLOWED_S:
+    """Stall a planner for `span` s; its limits are suspended meanwhile if that exceeds the allowed stall."""
+    if span > MAX_STALL_WITHIN_LIMITS_S:
         world.checker.suspend_limits(planner.number, world.context.now_ms() + span * 1000.0)
     stall_machine(world, planner.machine, span)
 
 
 def stall_proxy(world: World, proxy: Proxy, span: float, stops_reading: bool) -> None:
-    """Stall a proxy's process, and with `stops_reading` its kernel as well; it breaks no limit meanwhile."""
+    """Stall a proxy's process for `span` s, and with `stops_reading` its kernel's reads from sockets as well.
+
+    Its limits are suspended meanwhile.
+    """
     world.loop.set_stalled(proxy.process, True)
     world.loop.set_stalled(proxy.machine, stops_reading)
     world.checker.suspend_proxy_limits(proxy.number, world.context.now_ms() + span * 1000.0)
-    world.context.later(span, wake_proxy, world, proxy, proxy.machine, proxy.process)
+    world.context.later(span, resume_proxy, world, proxy, proxy.machine, proxy.process)
 
 
-def wake_proxy(world: World, proxy: Proxy, machine: Machine, process: Machine) -> None:
-    """Wake a proxy; what it did not read enters the channel at once."""
+def resume_proxy(world: World, proxy: Proxy, machine: Machine, process: Machine) -> None:
+    """Resume a stalled proxy; messages that it did not read meanwhile enter the update channel at once."""
     if machine.stalled and proxy.stream is not None:
         world.channels.allow_burst(proxy.stream.planner)
     world.loop.set_stalled(machine, False)
@@ -91,7 +94,7 @@
 
 
 def restart_proxy(world: World, proxy: Proxy, restart_after: float) -> None:
-    """End a proxy that runs; it starts again after a while."""
+    """Stop a running proxy and schedule its next incarnation."""
     if not proxy.machine.alive:
         return
     proxy.stop()
@@ -99,7 +102,7 @@
 
 
 def lose_zone(fault: faults.LoseZone, world: World) -> None:
-    """Crash all servers of a zone, and its proxies and planners if the flags are set."""
+    """Crash all servers of a zone; restart its proxies and kill its planners if the flags are set."""
     zone = (f"zone-{fault.zone}",)
     for server in servers_of(world, zone):
         world.fleet.crash(server, fault.restart_after)
--- a/stackwheel/trials/script.py
+++ b/stackwheel/trials/script.py
@@ -19,8 +19,8 @@
     UnidentifiedClients,
     Unreadable,
     fault_kind,
-    name_fields,
-    stored_name,
+    machine_name_fields,
+    stored_field_name,
 )
 from stackwheel.trials.shape import Shape, machine_names, machine_numbers
 
@@ -78,10 +78,10 @@
 
 def check_names(shape: Shape, place: str, fault: Fault) -> None:
     """Raise `ScriptError` where a fault names a machine that the shape does not have."""
-    for field, names in name_fields(fault).items():
+    for field, names in machine_name_fields(fault).items():
         for name in names:
             if not machine_names((name,), shape):
-                raise ScriptError(f"{place}.{stored_name(fault, field)}", f"the shape has no {name!r}")
+                raise ScriptError(f"{place}.{stored_field_name(fault, field)}", f"the shape has no {name!r}")
 
 
 def load(path: Path) -> Script:
--- a/stackwheel/trials/shrink.py
+++ b/stackwheel/trials/shrink.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from stackwheel.rules.violations import Rule
-from stackwheel.trials.faults import Fault, name_fields
+from stackwheel.trials.faults import Fault, machine_name_fields
 from stackwheel.trials.script import Script, ScriptError, check
 from stackwheel.trials.shape import machine_names
 from stackwheel.trials.simulation import run_script
@@ -114,13 +114,13 @@
     def drop_names(self) -> None:
         """Leave machines out of faults."""
         for index in range(len(self.best.faults)):
-            for field in name_fields(self.best.faults[index]):
+            for field in machine_name_fields(self.best.faults[index]):
                 self.drop_names_of(index, field)
 
     def drop_names_of(self, index: int, field: str) -> None:
         """Leave names out of one field of a fault, down to one."""
         place = 0
-        names = name_fields(self.best.faults[index])[field]
+        names = machine_name_fields(self.best.faults[index])[field]
         while place < len(names) > 1:
             fewer = names[:place] + names[place + 1 :]
             fault = msgspec.structs.replace(self.best.faults[index], **{field: fewer})
@@ -153,7 +153,7 @@
     for fault in script.faults:
         present = {
             field: tuple(name for name in names if machine_names((name,), script.shape))
-            for field, names in name_fields(fault).items()
+            for field, names in machine_name_fields(fault).items()
         }
         if all(present.values()):
             yield msgspec.structs.replace(fault, **present)
