--- a/stackwheel/trials/draw.py
+++ b/stackwheel/trials/draw.py
@@ -1,7 +1,7 @@
-"""Scripts drawn from seeds.
+"""Draws random scripts from seeds.
 
-What is likely stands in the tables here and in `draw_faults`. A seed leaves most kinds of fault out, so that others
-go deep (swarm testing), and rare overlaps are made common on purpose.
+The weights of all alternatives are in the tables of this module and of `draw_faults`. Each script uses few kinds of
+fault (swarm testing), so that one kind occurs several times and faults overlap more often than in production.
 """
 
 from __future__ import annotations
@@ -17,33 +17,34 @@
 from stackwheel.trials.script import Script
 from stackwheel.trials.shape import ScriptClass, Shape
 
-SPAN_S = (22.0, 34.0)
-MAX_FAULT_KINDS = 5  # in one script
-FAULT_COUNT = (2, 10)
-RELAY_COUNT = 2  # in a shape with relays
-QUEUE_SECONDS = (1.5, 2.0, 2.0, 2.0)  # of the channel's rate that may wait, each as likely
+SPAN_RANGE_S = (22.0, 34.0)
+MAX_FAULT_KINDS = 5
+FAULT_COUNT_RANGE = (2, 10)
+RELAY_COUNT = 2
+QUEUE_LIMITS_S = (1.5, 2.0, 2.0, 2.0)  # in seconds of the channel rate
 
 
 class WeightedValue(NamedTuple):
-    """A value and how likely it is, relative to its alternatives."""
+    """A value and its weight, relative to the alternatives of its table."""
 
     value: Any
     weight: float
 
 
 def weighted(*choices: tuple[Any, float]) -> tuple[WeightedValue, ...]:
-    """Make a table of alternatives from pairs of value and weight."""
+    """Return a table of alternatives from pairs of a value and its weight."""
     return tuple(WeightedValue(value, weight) for value, weight in choices)
 
 
-SHAPE_FIELDS: dict[str, Sequence[WeightedValue]] = {  # the order is the order of the draws
+# Fields are drawn in the order of this table; another order changes the script of every seed.
+SHAPE_FIELDS: dict[str, Sequence[WeightedValue]] = {
     "planners": weighted((1, 1), (2, 5), (3, 3), (4, 1)),
     "zones": weighted((1, 1), (2, 4), (3, 3), (4, 2)),
     "proxies": weighted((4, 1), (8, 4), (12, 2), (20, 1)),
     "servers": weighted((4, 1), (8, 4), (12, 2), (20, 1)),
     "utilization": weighted((0.3, 2), (0.5, 4), (0.7, 3), (0.95, 1)),
     "message_cap": weighted((0, 1), (12, 3), (20, 2)),
-    # small fleets, with channels as crowded as those of large ones
+    # Low rates congest the channel of a small deployment as much as that of a large one.
     "channel_rate": weighted((200.0, 1), (300.0, 2), (1000.0, 2), (3000.0, 3)),
     "transit_time": weighted((80.0, 2), (150.0, 3), (300.0, 1)),
     "max_unserved_time": weighted((5000.0, 1), (7000.0, 3)),
@@ -80,27 +81,27 @@
 
 
 def draw_value(generator: random.Random, choices: Sequence[WeightedValue]) -> Any:
-    """Draw one of the alternatives by their weights."""
+    """Draw one of the alternatives with the probability that its weight gives."""
     values = [choice.value for choice in choices]
     weights = [choice.weight for choice in choices]
     return generator.choices(values, weights)[0]
 
 
 def draw_shape(generator: random.Random) -> Shape:
-    """Draw a deployment."""
+    """Draw the shape of a deployment."""
     fields = {name: draw_value(generator, choices) for name, choices in SHAPE_FIELDS.items()}
     fields["classes"] = draw_value(generator, CLASSES)
-    fields["queue_limit"] = round(fields["channel_rate"] * generator.choice(QUEUE_SECONDS))
+    fields["queue_limit"] = round(fields["channel_rate"] * generator.choice(QUEUE_LIMITS_S))
     return Shape(**fields)
 
 
 def draw(seed: int, files: bool = False, relays: bool = False) -> Script:
-    """Draw the script of a seed: the same one everywhere, always.
+    """Draw the script of a seed, which is the same on every machine and in every version.
 
     Args:
-        seed: Decides all that is drawn.
-        files: Proxies are sent files in place of streams; other scripts are drawn.
-        relays: Two relays stand between discovery and planners; other scripts are drawn.
+        seed: Determines all random choices, together with the two flags.
+        files: Whether proxies receive their tables as files instead of streams.
+        relays: Whether two relays run between discovery and planners.
     """
     generator = random.Random(f"script {seed}{' files' if files else ''}{' relays' if relays else ''}")
     shape = draw_shape(generator)
@@ -108,11 +109,11 @@
         shape = msgspec.structs.replace(shape, files=True)
     if relays:
         shape = msgspec.structs.replace(shape, relays=RELAY_COUNT)
-    span = round(generator.uniform(*SPAN_S), 1)
+    span = round(generator.uniform(*SPAN_RANGE_S), 1)
     drawing = Drawing(generator, shape, span)
     table = COMMON_FAULTS + (FILE_FAULTS if files else ()) + (RELAY_FAULTS if relays else ())
-    makers = [entry.make for entry in table]
+    draw_functions = [entry.draw_fault for entry in table]
     weights = [entry.weight for entry in table]
-    chosen = generator.choices(makers, weights, k=generator.randint(1, MAX_FAULT_KINDS))
-    faults = [generator.choice(chosen)(drawing) for _ in range(generator.randint(*FAULT_COUNT))]
+    chosen = generator.choices(draw_functions, weights, k=generator.randint(1, MAX_FAULT_KINDS))
+    faults = [generator.choice(chosen)(drawing) for _ in range(generator.randint(*FAULT_COUNT_RANGE))]
     return Script(seed, span, shape, tuple(sorted(faults, key=lambda fault: fault.at)))
--- a/stackwheel/trials/draw_faults.py
+++ b/stackwheel/trials/draw_faults.py
@@ -1,6 +1,6 @@
-"""The faults of drawn scripts: one function a kind, and tables of how likely each is.
+"""Draws random faults: one function for each kind, and tables of their weights.
 
-The order in which arguments are evaluated is the order of the random draws: a script hangs on it.
+Arguments are evaluated in the order of the random draws; another order changes the script of every seed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def draw_kill(drawing: Drawing) -> Fault:
-    """Draw a killed planner."""
+    """Draw planners that are killed."""
     return faults.Kill(
         drawing.time_of_fault(),
         drawing.planners(),
@@ -25,7 +25,7 @@
 
 
 def draw_stall(drawing: Drawing) -> Fault:
-    """Draw planners or proxies that stand still: once for long, or several times for a moment."""
+    """Draw planners or proxies that are stalled: once for several seconds, or several times briefly."""
     machines = drawing.planners() if drawing.chance(0.5) else drawing.proxies(0.8)
     if drawing.chance(0.3):
         return faults.Stall(
@@ -44,30 +44,30 @@
 
 
 def draw_cut(drawing: Drawing) -> Fault:
-    """Draw a cut between two groups; all candidates are drawn first."""
-    proxies_from_all_planners = (drawing.proxies(0.6), ("planners",))
-    proxies_from_some_planners = (drawing.proxies(0.6), drawing.planners())
-    planners_from_discovery = (drawing.planners(), ("discovery",))
-    planners_from_each_other = (("planners",), ("planners",))
-    zone_from_planners = ((drawing.zone(),), drawing.planners())
+    """Draw a cut between two groups of machines, after drawing all candidates for the pair of groups."""
+    proxies_and_all_planners = (drawing.proxies(0.6), ("planners",))
+    proxies_and_some_planners = (drawing.proxies(0.6), drawing.planners())
+    planners_and_discovery = (drawing.planners(), ("discovery",))
+    all_pairs_of_planners = (("planners",), ("planners",))
+    zone_and_planners = ((drawing.zone(),), drawing.planners())
     zone = drawing.zone()
     other_zones = tuple(f"zone-{n}" for n in range(drawing.shape.zones) if f"zone-{n}" != zone)
-    zone_from_the_others = ((zone,), other_zones or ("planners",))
+    zone_and_other_zones = ((zone,), other_zones or ("planners",))
     source, target = drawing.random.choice(
         (
-            proxies_from_all_planners,
-            proxies_from_some_planners,
-            planners_from_discovery,
-            planners_from_each_other,
-            zone_from_planners,
-            zone_from_the_others,
+            proxies_and_all_planners,
+            proxies_and_some_planners,
+            planners_and_discovery,
+            all_pairs_of_planners,
+            zone_and_planners,
+            zone_and_other_zones,
         )
     )
     return finish_cut(drawing, source, target)
 
 
 def finish_cut(drawing: Drawing, source: NameList, target: NameList) -> Fault:
-    """Draw the direction, the time and the span of a cut."""
+    """Draw the direction, time and span of a cut between two groups."""
     is_reversed = drawing.chance(0.5)
     return faults.Cut(
         drawing.time_of_fault(),
@@ -94,7 +94,7 @@
 
 
 def draw_mid_message(drawing: Drawing) -> Fault:
-    """Draw proxies that reset their stream within a message."""
+    """Draw proxies that reset their stream in the middle of a message."""
     return faults.MidMessage(drawing.time_of_fault(), drawing.proxies(0.5))
 
 
@@ -104,7 +104,7 @@
 
 
 def draw_crash(drawing: Drawing) -> Fault:
-    """Draw servers that crash; some never return."""
+    """Draw servers that crash; some never restart."""
     return faults.Crash(
         drawing.time_of_fault(),
         drawing.servers(0.3),
@@ -113,7 +113,7 @@
 
 
 def draw_drain(drawing: Drawing) -> Fault:
-    """Draw servers that drain; half of them return."""
+    """Draw servers that drain; in half of the draws they restart."""
     return faults.Drain(
         drawing.time_of_fault(),
         drawing.servers(0.4),
@@ -128,21 +128,21 @@
 
 
 def draw_fail(drawing: Drawing) -> Fault:
-    """Draw servers that fail requests."""
+    """Draw servers that fail a share of their requests."""
     return faults.Fail(
         drawing.time_of_fault(), drawing.servers(0.3), drawing.number(4.0, 12.0), share=drawing.number(0.3, 0.9)
     )
 
 
 def draw_slow(drawing: Drawing) -> Fault:
-    """Draw servers that become slow."""
+    """Draw servers that lose a share of their CPU."""
     return faults.Slow(
         drawing.time_of_fault(), drawing.servers(0.4), drawing.number(4.0, 12.0), share=drawing.number(0.3, 0.75)
     )
 
 
 def draw_lose_zone(drawing: Drawing) -> Fault:
-    """Draw a zone that is lost."""
+    """Draw a zone whose servers crash, at times with its proxies or planners."""
     return faults.LoseZone(
         drawing.time_of_fault(),
         drawing.random.randrange(drawing.shape.zones),
@@ -153,45 +153,45 @@
 
 
 def draw_discovery_fault(drawing: Drawing) -> Fault:
-    """Draw a fault of discovery."""
+    """Draw a fault mode of discovery."""
     mode = drawing.random.choice(("refuse", "503", "silence", "late"))
     return faults.DiscoveryFault(
         drawing.time_of_fault(),
         drawing.number(2.0, 12.0),
-        mode=mode,  # type: ignore[arg-type]  # the choice is made of the literals
+        mode=mode,  # type: ignore[arg-type]  # mypy infers str, not the literals
         delay=drawing.number(0.5, 6.0),
     )
 
 
 def draw_older_state(drawing: Drawing) -> Fault:
-    """Draw an older state that watches are sent again."""
+    """Draw an older state that discovery sends to its watches."""
     return faults.OlderState(drawing.time_of_fault(), restored_after=drawing.number(0.05, 8.0))
 
 
 def draw_reload(drawing: Drawing) -> Fault:
-    """Draw a move of discovery that all planners are notified of."""
+    """Draw a move of discovery to another address, with a reload of all planners."""
     return faults.Reload(drawing.time_of_fault(), ("planners",), close_after=drawing.number(0.5, 2.0))
 
 
 def draw_relay_reload(drawing: Drawing) -> Fault:
-    """Draw a plan with other ports."""
+    """Draw a cell plan with other ports, with a reload of all planners."""
     return faults.Reload(drawing.time_of_fault(), ("planners",))
 
 
 def draw_restart_generations(drawing: Drawing) -> Fault:
-    """Draw a restart of the generations."""
+    """Draw a restart of discovery's generation numbers."""
     return faults.RestartGenerations(drawing.time_of_fault())
 
 
 def draw_demand(drawing: Drawing) -> Fault:
-    """Draw proxies whose demand changes."""
+    """Draw proxies whose demand is multiplied by a factor."""
     return faults.Demand(
         drawing.time_of_fault(), drawing.proxies(0.4), drawing.number(4.0, 12.0), factor=drawing.number(0.2, 3.0)
     )
 
 
 def draw_reports(drawing: Drawing) -> Fault:
-    """Draw reports that come late or malformed."""
+    """Draw reports that are delayed or malformed."""
     return faults.Reports(
         drawing.time_of_fault(),
         drawing.number(3.0, 10.0),
@@ -213,7 +213,7 @@
 
 
 def draw_path_conditions(drawing: Drawing) -> Fault:
-    """Draw a network that becomes slow and fragments writes."""
+    """Draw slow network paths that fragment writes."""
     return faults.PathConditions(
         drawing.time_of_fault(),
         drawing.number(2.0, 10.0),
@@ -224,7 +224,7 @@
 
 
 def draw_unidentified_clients(drawing: Drawing) -> Fault:
-    """Draw clients that send a planner what is of no use."""
+    """Draw clients that send an invalid payload to a planner."""
     return faults.UnidentifiedClients(
         drawing.time_of_fault(),
         drawing.random.randint(1, 20),
@@ -234,7 +234,7 @@
 
 
 def draw_pushes(drawing: Drawing) -> Fault:
-    """Draw pushes of files that go wrong."""
+    """Draw disturbances of the pushes of files."""
     return faults.Pushes(
         drawing.time_of_fault(),
         drawing.number(2.0, 8.0),
@@ -247,7 +247,7 @@
 
 
 def draw_disks(drawing: Drawing) -> Fault:
-    """Draw disks that are full, missing or slow."""
+    """Draw planners or proxies whose disks are full, missing or slow."""
     return faults.Disks(
         drawing.time_of_fault(),
         drawing.planners() if drawing.chance(0.6) else drawing.proxies(0.5),
@@ -258,7 +258,7 @@
 
 
 def draw_relay_kill(drawing: Drawing) -> Fault:
-    """Draw a killed relay."""
+    """Draw relays that are killed."""
     return faults.Kill(
         drawing.time_of_fault(),
         drawing.relays(),
@@ -268,7 +268,7 @@
 
 
 def draw_relay_cut(drawing: Drawing) -> Fault:
-    """Draw relays that lose the registry, planners, or both."""
+    """Draw a cut between relays and discovery, planners, or both."""
     others: tuple[NameList, ...] = (("discovery",), drawing.planners(), ("discovery", "planners"))
     source = drawing.relays()
     target = drawing.random.choice(others)
@@ -276,7 +276,7 @@
 
 
 def draw_relay_stall(drawing: Drawing) -> Fault:
-    """Draw relays that stand still: once for long, or several times for a moment."""
+    """Draw relays that are stalled: once for several seconds, or several times briefly."""
     if drawing.chance(0.4):
         return faults.Stall(drawing.time_of_fault(), drawing.relays(), drawing.number(2.0, 10.0))
     return faults.Stall(
@@ -289,21 +289,21 @@
 
 
 def draw_lag(drawing: Drawing) -> Fault:
-    """Draw relays whose watches lag behind."""
+    """Draw relays to which discovery sends changes late."""
     return faults.Lag(
         drawing.time_of_fault(), drawing.relays(), drawing.number(2.0, 12.0), delay=drawing.number(0.2, 5.0)
     )
 
 
 def draw_unreadable(drawing: Drawing) -> Fault:
-    """Draw servers whose entries can't be read."""
+    """Draw servers whose entries are undecodable."""
     return faults.Unreadable(drawing.time_of_fault(), drawing.servers(0.5), drawing.number(1.0, 9.0))
 
 
 class FaultWeight(NamedTuple):
-    """How to draw a kind of fault, and how likely it is, relative to the others of its table."""
+    """A function that draws a kind of fault, and its weight relative to the others of its table."""
 
-    make: Callable[[Drawing], Fault]
+    draw_fault: Callable[[Drawing], Fault]
     weight: float
 
 
--- a/stackwheel/trials/script.py
+++ b/stackwheel/trials/script.py
@@ -1,7 +1,7 @@
-"""Scripts of trials: a deployment and what happens when, to whom. Typed, readable, stored as JSON.
+"""Scripts of trials: the shape of a deployment and a list of timed faults, stored as JSON.
 
-Machines are named `planner-0`, `proxy-3`, `server-5`, `relay-1`, `discovery`, `collector-1` (of a zone);
-`zone-1` names all in it, `planners`, `proxies`, `servers` and `relays` all of a kind.
+Machines are named `planner-0`, `proxy-3`, `server-5`, `relay-1`, `discovery`, or `collector-1` for the collector of
+zone 1. `zone-1` means all machines in that zone; `planners`, `proxies`, `servers` and `relays` mean all of their kind.
 """
 
 from __future__ import annotations
@@ -24,15 +24,23 @@
 )
 from stackwheel.trials.shape import Shape, machine_names, machine_numbers
 
-SHARES_TOLERANCE = 0.01  # by which the classes' shares may miss 1
+MAX_SHARES_ERROR = 0.01
 
 
 class ScriptError(InvalidInputError):
-    """A script that can't be used; one line that names the place."""
+    """An invalid script, or one that does not meet a requirement of the caller."""
 
 
 class Script(Struct, frozen=True, forbid_unknown_fields=True):
-    """One trial: its seed decides what the script leaves to chance; `span` is s."""
+    """A trial.
+
+    Attributes:
+        seed: Seed of the random choices that the script does not determine.
+        span: Duration, in s of virtual time.
+        shape: The simulated deployment.
+        faults: Faults to apply, in any order.
+        note: Comment for readers; not evaluated.
+    """
 
     seed: Annotated[int, Meta(ge=0)] = 0
     span: Annotated[float, Meta(gt=0, le=86400)] = 24.0
@@ -42,10 +50,10 @@
 
 
 def check(script: Script) -> Script:
-    """Return the script itself.
+    """Validate a script and return it unchanged.
 
     Raises:
-        ScriptError: A fault names a machine that the shape does not have, or lies beyond the end.
+        ScriptError: The request classes are inconsistent, or a fault does not match the shape or the span.
     """
     check_classes(script.shape)
     for index, fault in enumerate(script.faults):
@@ -54,41 +62,41 @@
 
 
 def check_classes(shape: Shape) -> None:
-    """Raise `ScriptError` where the request classes do not fit together."""
-    if abs(sum(request_class.share for request_class in shape.classes) - 1.0) > SHARES_TOLERANCE:
+    """Raise `ScriptError` if the shares of the request classes do not add up to 1 or a name is not unique."""
+    if abs(sum(request_class.share for request_class in shape.classes) - 1.0) > MAX_SHARES_ERROR:
         raise ScriptError("shape.classes", "shares do not add up to 1")
     if len({request_class.name for request_class in shape.classes}) < len(shape.classes):
-        raise ScriptError("shape.classes", "a name stands twice")
+        raise ScriptError("shape.classes", "duplicate class name")
 
 
 def check_fault(script: Script, index: int, fault: Fault) -> None:
-    """Raise `ScriptError` where a fault does not fit the script's span or shape."""
+    """Raise `ScriptError` if a fault does not match the script's span or shape."""
     shape = script.shape
-    place = f"faults[{index}]"
+    location = f"faults[{index}]"
     if fault.at > script.span:
-        raise ScriptError(f"{place}.at", f"{fault.at:g} s is beyond the end at {script.span:g} s")
-    check_names(shape, place, fault)
+        raise ScriptError(f"{location}.at", f"{fault.at:g} s is after the end of the script at {script.span:g} s")
+    check_names(shape, location, fault)
     if isinstance(fault, Unreadable) and not shape.relays:
-        raise ScriptError(place, "unreadable entries are for a shape with relays")
+        raise ScriptError(location, "unreadable entries require a shape with relays")
     if isinstance(fault, LoseZone) and fault.zone >= shape.zones:
-        raise ScriptError(f"{place}.zone", f"the shape has no zone {fault.zone}")
+        raise ScriptError(f"{location}.zone", f"the shape has no zone {fault.zone}")
     if isinstance(fault, UnidentifiedClients) and not machine_numbers((fault.planner,), shape, "planner"):
-        raise ScriptError(f"{place}.planner", f"the shape has no {fault.planner!r}")
+        raise ScriptError(f"{location}.planner", f"the shape has no {fault.planner!r}")
 
 
-def check_names(shape: Shape, place: str, fault: Fault) -> None:
-    """Raise `ScriptError` where a fault names a machine that the shape does not have."""
+def check_names(shape: Shape, location: str, fault: Fault) -> None:
+    """Raise `ScriptError` if a name in a fault matches no machine of the shape."""
     for field, names in machine_name_fields(fault).items():
         for name in names:
             if not machine_names((name,), shape):
-                raise ScriptError(f"{place}.{stored_field_name(fault, field)}", f"the shape has no {name!r}")
+                raise ScriptError(f"{location}.{stored_field_name(fault, field)}", f"the shape has no {name!r}")
 
 
 def load(path: Path) -> Script:
     """Read a script from a file.
 
     Raises:
-        ScriptError: In one line the file, the place in it, and what was expected.
+        ScriptError: The file can't be read, or its script is invalid; the message begins with the path.
     """
     try:
         data = path.read_bytes()
@@ -101,17 +109,21 @@
 
 
 def decode(data: bytes) -> Script:
-    """Decode a script from JSON; msgspec's errors are passed on."""
+    """Decode a script from JSON without checking its faults against its shape.
+
+    Raises:
+        msgspec.DecodeError: The data is not JSON, or not a script.
+    """
     return msgspec.json.decode(data, type=Script)
 
 
 def encode(script: Script) -> bytes:
-    """Encode a script as indented JSON that ends with a line feed."""
+    """Encode a script as indented JSON with a trailing line feed."""
     return msgspec.json.format(msgspec.json.encode(script), indent=2) + b"\n"
 
 
 def describe(script: Script) -> list[str]:
-    """Describe the script for a reader: one line for the shape, then one a fault in order of time."""
+    """Return a description of a script: one line for the shape, then one line per fault in order of time."""
     shape = script.shape
     relays = f"{shape.relays} relays, " if shape.relays else ""
     lines = [
@@ -123,7 +135,7 @@
 
 
 def describe_fault(fault: Fault) -> str:
-    """Describe one fault in a line: its time, kind and fields as they are stored."""
+    """Return one line with the time, kind and fields of a fault, by their stored names."""
     kind = fault_kind(fault).replace("_", " ")
     fields = [
         f"{info.encode_name.replace('_', ' ')} {format_value(getattr(fault, info.name))}"
@@ -135,7 +147,7 @@
 
 
 def format_value(value: object) -> str:
-    """Format a field's value for a reader."""
+    """Format the value of a field for `describe_fault`."""
     if isinstance(value, tuple):
         return ", ".join(map(str, value))
     return f"{value:g}" if isinstance(value, float) else str(value)
--- a/stackwheel/trials/shape.py
+++ b/stackwheel/trials/shape.py
@@ -1,6 +1,6 @@
-"""The shape of a simulated deployment: how many machines of each kind, their zones, and the settings that vary.
+"""The shape of a simulated deployment: the number of machines of each kind, their zones, and the settings that vary.
 
-Stored scripts name the fields by the words of the operators' pages; `rename` maps them.
+`rename` gives the names of fields in stored scripts.
 """
 
 from __future__ import annotations
@@ -57,11 +57,16 @@
 
 
 class ScriptClass(Struct, frozen=True, forbid_unknown_fields=True, rename=STORED_CLASS_FIELDS):
-    """A request class; times are ms."""
+    """A request class. Fields without a description here are those of `RequestClass`; times are in ms.
+
+    Attributes:
+        share: Share of all requests.
+        work: CPU time of one request on a core of speed 1.
+    """
 
     name: str
-    share: Share  # of all requests
-    work: Positive  # ms of a core at speed 1
+    share: Share
+    work: Positive
     latency_objective: Positive = 500.0
     deadline: Positive = 1200.0
     priority_weight: Positive = 1.0
@@ -72,7 +77,23 @@
 
 
 class Shape(Struct, frozen=True, forbid_unknown_fields=True, rename=STORED_SHAPE_FIELDS):
-    """A deployment: who there is, and the settings that differ from case to case; times are ms."""
+    """A deployment: the number of its machines, and the settings that vary between trials.
+
+    Fields without a description here are those of `Settings`. Times are in ms; sizes and rates of the channel are in
+    lines and lines per second.
+
+    Attributes:
+        cores: Cores of each server.
+        utilization: Demand as a share of the capacity of all servers.
+        standing_table_size: Number of servers in the table that a proxy starts with.
+        load_columns_enabled: Whether servers report how many requests are in flight.
+        files: Whether proxies receive files instead of streams.
+        relays: Number of relays between discovery and planners; with 0, planners call discovery themselves.
+        receive_window: Maximum number of unread bytes of a connection before its sender has to wait.
+        client_retries: Number of times that a client repeats a failed request.
+        zone_latency: One-way network latency within a zone.
+        cross_zone_latency: One-way network latency between zones.
+    """
 
     planners: Annotated[int, Meta(ge=1, le=16)] = 2
     zones: Annotated[int, Meta(ge=1, le=16)] = 2
@@ -83,13 +104,13 @@
         ScriptClass("write", 0.3, 240.0, 1000.0, 3000.0, 5.0, "once"),
     )
     cores: Annotated[int, Meta(ge=1, le=64)] = 1
-    utilization: Annotated[float, Meta(gt=0, le=5)] = 0.5  # of all capacity, by demand
-    standing_table_size: Annotated[int, Meta(ge=1, le=64)] = 6  # servers in the table that a proxy starts with
+    utilization: Annotated[float, Meta(gt=0, le=5)] = 0.5
+    standing_table_size: Annotated[int, Meta(ge=1, le=64)] = 6
     report_interval: Positive = 1000.0
-    channel_rate: Positive = 3000.0  # lines a second
-    queue_limit: float = 6000.0  # lines
+    channel_rate: Positive = 3000.0
+    queue_limit: float = 6000.0
     message_cap: Count = 0
-    message_overhead: float = 4.0  # lines
+    message_overhead: float = 4.0
     transit_time: Positive = 150.0
     max_unserved_time: Positive = 7000.0
     drain_grace: Positive = 3000.0
@@ -106,33 +127,33 @@
     endpoint_list_on_request: bool = True
     gossip_enabled: bool = True
     health_checks_enabled: bool = True
-    load_columns_enabled: bool = True  # whether servers report how many requests are in flight
-    files: bool = False  # proxies are sent files instead of streams
-    relays: Annotated[int, Meta(ge=0, le=2)] = 0  # between discovery and planners; 0: planners call discovery itself
-    receive_window: Annotated[int, Meta(ge=1024, le=1 << 20)] = 128 * 1024  # bytes a connection takes from its writer
+    load_columns_enabled: bool = True
+    files: bool = False
+    relays: Annotated[int, Meta(ge=0, le=2)] = 0
+    receive_window: Annotated[int, Meta(ge=1024, le=1 << 20)] = 128 * 1024
     client_retries: Annotated[int, Meta(ge=0, le=5)] = 2
-    zone_latency: Positive = 0.5  # one way within a zone
-    cross_zone_latency: Positive = 2.0  # one way between zones
+    zone_latency: Positive = 0.5
+    cross_zone_latency: Positive = 2.0
 
 
 def machine_count(shape: Shape, kind: str) -> int:
-    """How many machines of a kind (one of `MACHINE_KINDS`) a shape has."""
+    """Return the number of machines of a kind, one of `MACHINE_KINDS`, in a shape."""
     counts = {"planner": shape.planners, "proxy": shape.proxies, "server": shape.servers, "relay": shape.relays}
     return counts[kind]
 
 
 def zone_of(number: int, shape: Shape) -> int:
-    """The zone of a machine: machines of each kind are dealt out to zones in turn."""
+    """Return the zone of a machine; the machines of each kind are assigned to zones in rotation."""
     return number % shape.zones
 
 
 def machine_numbers(names: NameList, shape: Shape, kind: str) -> list[int]:
-    """Return the numbers of the machines of a kind that names stand for, in the order of the names.
+    """Return the numbers of the machines of a kind that match the names, in the order of the names.
 
     Args:
-        names: `KIND-N` for one machine, `zone-N` for all in a zone, or a group such as `proxies`.
+        names: `KIND-N` for one machine, `zone-N` for all machines in a zone, or a group such as `proxies`.
         shape: The deployment.
-        kind: One of `MACHINE_KINDS`; names of other kinds stand for none.
+        kind: One of `MACHINE_KINDS`; names of other kinds match no machine.
     """
     count = machine_count(shape, kind)
     numbers: dict[int, None] = {}
@@ -150,7 +171,7 @@
 
 
 def machine_names(names: NameList, shape: Shape) -> list[str]:
-    """Return the own names of all machines that names stand for, discovery and collectors included."""
+    """Return the names of all machines that match the names, including discovery and collectors."""
     machines = {f"{kind}-{number}": None for kind in MACHINE_KINDS for number in machine_numbers(names, shape, kind)}
     for name in names:
         prefix, _, suffix = name.partition("-")
