--- a/stackwheel/trials/draw.py
+++ b/stackwheel/trials/draw.py
@@ -21,7 +21,7 @@
 MAX_FAULT_KINDS = 5
 FAULT_COUNT_RANGE = (2, 10)
 RELAY_COUNT = 2
-QUEUE_LIMITS_S = (1.5, 2.0, 2.0, 2.0)  # in seconds of the channel rate
+QUEUE_LIMITS_S = (1.5, 2.0, 2.0, 2.0)
 
 
 class WeightedValue(NamedTuple):
--- a/stackwheel/trials/drawing.py
+++ b/stackwheel/trials/drawing.py
@@ -7,7 +7,7 @@
 from stackwheel.trials.shape import NameList, Shape, machine_numbers
 
 FAULT_FREE_START_S = 3.0
-FAULT_FREE_END_S = 6.0  # before the end no fault begins, but earlier ones may still last
+NO_NEW_FAULT_END_S = 6.0
 ZONE_PROBABILITY = 0.2
 ALL_PLANNERS_PROBABILITY = 0.15
 BOTH_RELAYS_PROBABILITY = 0.2
@@ -26,7 +26,7 @@
 
     def time_of_fault(self) -> float:
         """Draw the start of a fault, in s."""
-        latest = max(FAULT_FREE_START_S, self.span - FAULT_FREE_END_S)
+        latest = max(FAULT_FREE_START_S, self.span - NO_NEW_FAULT_END_S)
         return round(self.random.uniform(FAULT_FREE_START_S, latest), 2)
 
     def number(self, low: float, high: float) -> float:
--- a/stackwheel/trials/endpoint_faults.py
+++ b/stackwheel/trials/endpoint_faults.py
@@ -71,7 +71,7 @@
     names = [server.name for server in servers_of(world, fault.servers)]
     world.discovery.unreadable.update(dict.fromkeys(names))
     if world.relays is not None:
-        world.relays.checks.discard_unnotified(names)
+        world.relays.checks.discard_pending_changes(names)
     world.context.later(fault.span, make_readable, world, names)
 
 
--- a/stackwheel/trials/measure.py
+++ b/stackwheel/trials/measure.py
@@ -1,4 +1,4 @@
-"""What a virtual second costs as a deployment grows, and what the rules' checks take of it."""
+"""Measures the CPU time of a virtual second by size of the deployment, and the share of the rules' checks."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 SEED = 1
 MAX_ZONES = 4
-DRAINED_DIVISOR = 6  # one in so many servers drains
-DRAIN_AT = 0.4  # of the span
-KILL_AT = 0.6  # of the span
+SERVERS_PER_DRAINED_SERVER = 6
+DRAIN_AT_SHARE = 0.4
+KILL_AT_SHARE = 0.6
 CHECKER_METHODS = (
     "advance",
     "attempt_sent",
@@ -38,7 +38,7 @@
 
 
 class Size(NamedTuple):
-    """The size of a deployment."""
+    """Number of machines in a deployment."""
 
     planners: int
     proxies: int
@@ -50,12 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One size, measured.
+    """Measured cost of one size of deployment.
 
     Attributes:
-        cpu_per_second: Seconds of a core for a virtual second.
-        checks_share: Of that time; taking the time itself makes it look larger.
-        memory_mb: The process at its largest so far.
+        cpu_per_second: CPU seconds per virtual second.
+        callbacks_per_second: Callbacks of the loop per virtual second.
+        requests_per_second: Requests per virtual second.
+        checks_share: Share of the CPU time spent in the rules' checks; timer calls are included, so it is too high.
+        verdicts: Number of violations of rules.
+        memory_mb: Peak memory of the process so far, including smaller sizes.
     """
 
     planners: int
@@ -69,7 +72,7 @@
     memory_mb: float
 
     def document(self) -> dict[str, float]:
-        """The row as `--json` prints it."""
+        """Return the measurement in the form that `--json` prints."""
         return {
             "planners": self.planners,
             "proxies": self.proxies,
@@ -83,8 +86,8 @@
         }
 
 
-def script_of(size: Size, span: float) -> Script:
-    """A script in which a part of the servers drains and a planner is killed."""
+def make_script(size: Size, span: float) -> Script:
+    """Return a script in which some servers drain and a planner is killed."""
     shape = Shape(
         planners=size.planners,
         proxies=size.proxies,
@@ -94,41 +97,45 @@
         channel_rate=3000.0,
         queue_limit=9000.0,
     )
-    drained = tuple(f"server-{number}" for number in range(size.servers // DRAINED_DIVISOR))
-    drain = Drain(span * DRAIN_AT, drained, 3.0)
-    kill = Kill(span * KILL_AT, ("planner-0",), 0.5)
+    drained = tuple(f"server-{number}" for number in range(size.servers // SERVERS_PER_DRAINED_SERVER))
+    drain = Drain(span * DRAIN_AT_SHARE, drained, 3.0)
+    kill = Kill(span * KILL_AT_SHARE, ("planner-0",), 0.5)
     return Script(SEED, span, shape, (drain, kill))
 
 
-class Stopwatch:
-    """Adds up the time spent in the checker's methods of one world."""
+class MethodTimer:
+    """Measures the total time spent in the methods of a checker, which it wraps.
+
+    Attributes:
+        total_s: Total time so far, in s.
+    """
 
     def __init__(self, checker: Checker) -> None:
-        self.spent = 0.0
+        self.total_s = 0.0
         for name in CHECKER_METHODS:
             setattr(checker, name, self.timed(getattr(checker, name)))
 
     def timed(self, method: Callable[..., Any]) -> Callable[..., Any]:
-        """The same method, timed."""
+        """Return a wrapper of a method that adds its duration to the total."""
         clock = time.perf_counter
 
         def call(*args: Any, **keywords: Any) -> Any:
-            """Call the method and count its time."""
-            began = clock()
+            """Call the method and add its duration."""
+            started_at = clock()
             try:
                 return method(*args, **keywords)
             finally:
-                self.spent += clock() - began
+                self.total_s += clock() - started_at
 
         return call
 
 
 def measure(span: float) -> Iterator[Measurement]:
-    """Measure each size over a span of virtual seconds."""
+    """Measure each size over `span` virtual seconds."""
     for size in SIZES:
-        began = time.process_time()
-        result = run_world(World(script_of(size, span)))
-        cpu_seconds = time.process_time() - began
+        started_at = time.process_time()
+        result = run_world(World(make_script(size, span)))
+        cpu_seconds = time.process_time() - started_at
         yield Measurement(
             size.planners,
             size.proxies,
@@ -143,9 +150,9 @@
 
 
 def checks_share(size: Size, span: float) -> float:
-    """Run a size again and return what the checks take of the time."""
-    world = World(script_of(size, span))
-    stopwatch = Stopwatch(world.checker)
-    began = time.process_time()
+    """Run a size again with timed checks, and return their share of the CPU time."""
+    world = World(make_script(size, span))
+    timer = MethodTimer(world.checker)
+    started_at = time.process_time()
     run_world(world)
-    return stopwatch.spent / max(1e-9, time.process_time() - began)
+    return timer.total_s / max(1e-9, time.process_time() - started_at)
--- a/stackwheel/trials/relay_checks.py
+++ b/stackwheel/trials/relay_checks.py
@@ -1,4 +1,8 @@
-"""What planners have been notified of through relays, as the network shows it, and whether they hold it."""
+"""Checks of the endpoint lists that relays send to planners, and of the lists that planners and relays cache.
+
+The checks decode the bytes that planners receive from relays. They notify the rule checker of every change that a
+planner has received or should have received, and report violations of `Rule.PART`.
+"""
 
 from __future__ import annotations
 
@@ -19,28 +23,38 @@
 from stackwheel.trials.transport import Transport
 
 LIFECYCLE_ORDER = {Availability.READY: 0, Availability.DRAINING: 1, Availability.REMOVED: 2}
-CACHED_WITHIN_S = 1.0  # from being notified until a planner has applied it: several of its batches
-DOCUMENT_START = b'{"generation"'
-MAX_STREAM_STATES = 256  # before those of closed connections are forgotten
-ENTRY_WEIGHT = 1.0  # of every server
+MAX_DEVIATION_S = 1.0
+DOCUMENT_PREFIX = b'{"generation"'
+MAX_STREAM_STATES = 256
+ENTRY_WEIGHT = 1.0
 
 
 class LifecycleStep(NamedTuple):
-    """How far a server has come: when its process started (Unix ms), and its place in a process's life."""
+    """Progress of a server through its lifecycle; later steps compare greater.
+
+    Attributes:
+        started_at: Start of the server's process, in Unix ms.
+        order: Position of its availability in `LIFECYCLE_ORDER`.
+    """
 
     started_at: float
     order: int
 
 
-class UnnotifiedChange(NamedTuple):
-    """A change that planners may not have been notified of: when it was written (s), and what it says."""
+class PendingChange(NamedTuple):
+    """A change of the registry that a planner may not have been notified of yet.
+
+    Attributes:
+        written_at: Time at which the registry wrote the change, in s of virtual time.
+        records: The changed records whose entries are decodable.
+    """
 
     written_at: float
     records: tuple[ServerRecord, ...]
 
 
 class CachedEntry(Protocol):
-    """What a relay keeps of a server, as far as it is compared."""
+    """The fields of a relay's cached entry that are compared with the registry."""
 
     @property
     def name(self) -> str:
@@ -48,52 +62,72 @@
 
     @property
     def availability(self) -> Availability:
-        """Whether it is ready, draining or removed."""
+        """Whether the server is ready, draining or removed."""
 
     @property
     def started_at(self) -> float:
-        """When its process started, Unix ms."""
+        """Start of the server's process, in Unix ms."""
 
 
 def step_of(record: ServerRecord) -> LifecycleStep:
-    """How far a listed server has come."""
+    """Return the lifecycle step of a record."""
     return LifecycleStep(record.started_at, LIFECYCLE_ORDER[record.availability])
 
 
-def find_deviation(listed: ListedEndpoint, present: ServerRecord, entry: EndpointEntry | None) -> str | None:
-    """In what a planner's entry differs from what it was notified of and the registry still says, if it does."""
+def find_deviation(listed: ListedEndpoint, current: ServerRecord, entry: EndpointEntry | None) -> str | None:
+    """Return how a planner's entry deviates from the state that it was notified of and that is still current.
+
+    Args:
+        listed: The state that the planner was notified of.
+        current: The registry's record.
+        entry: The planner's entry, or None if it has none.
+
+    Returns:
+        A predicate for a violation's detail, or None if the entry does not deviate.
+    """
     if entry is None:
-        return "was told and is not held"
-    if entry.started_at != present.started_at:
-        return "was told as another process than is held"
-    draining = listed.availability is present.availability is Availability.DRAINING
+        return "has been missing from the planner's list"
+    if entry.started_at != current.started_at:
+        return "has been listed as another process"
+    draining = listed.availability is current.availability is Availability.DRAINING
     if draining and entry.availability is not Availability.DRAINING:
-        return "was told to drain and is held as ready"
+        return "has been listed as ready instead of draining"
     return None
 
 
 class StreamState:
-    """What has been received on one connection from a relay to a planner."""
+    """Progress of one connection from a relay to a planner.
+
+    Attributes:
+        partial_line: Received bytes of a line that is not complete yet.
+        generation: Generation of the last document; -1 before the first one.
+        steps: Last received lifecycle step, by server.
+    """
 
     def __init__(self) -> None:
         self.partial_line = b""
         self.generation = -1
-        self.known: dict[str, LifecycleStep] = {}
+        self.steps: dict[str, LifecycleStep] = {}
 
-    def take_documents(self, data: bytes) -> list[dict[str, Any]]:
-        """Decode the lists that have come in full."""
+    def decode_documents(self, data: bytes) -> list[dict[str, Any]]:
+        """Append received bytes and decode the documents that are now complete."""
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
-        return [json.loads(line) for line in lines if line.startswith(DOCUMENT_START)]
+        return [json.loads(line) for line in lines if line.startswith(DOCUMENT_PREFIX)]
 
 
 class RelayChecks:
-    """Feeds the checker with what relays sent planners, and reports what relays may not send.
+    """Notifies the rule checker of changes that relays sent to planners, and reports invalid lists.
 
     Attributes:
-        unnotified: By planner: changes that it may not have been notified of.
-        deviations: By planner and incarnation: by server, since when the planner's list deviates (s).
-        history: By server: all that the registry has said of it.
-        last_notified: By planner and server: the last position in the history that it was notified of.
+        context: The simulation.
+        discovery: The registry.
+        planners: All planners.
+        cell: Name of the planners' cell.
+        stream_states: Progress of the connections from relays to planners, by the planner's end.
+        pending_changes: Changes that a planner may not have been notified of yet, by planner.
+        deviations: Start of the deviation of each deviating server (s), by planner and incarnation.
+        history: All records of a server that the registry has written, by server.
+        last_notified: Index in the history of the last record that a planner was notified of, by planner and server.
     """
 
     def __init__(
@@ -104,154 +138,160 @@
         self.planners = planners
         self.cell = cell
         self.stream_states: dict[Transport, StreamState] = {}
-        self.unnotified: dict[int, deque[UnnotifiedChange]] = {}
+        self.pending_changes: dict[int, deque[PendingChange]] = {}
         self.deviations: dict[tuple[int, int], dict[str, float]] = {}
         self.history: dict[str, list[ServerRecord]] = {}
         self.last_notified: dict[int, dict[str, int]] = {}
         self.add_to_history(tuple(discovery.records.values()))
 
-    def report(self, detail: str, planner: int | None, server: str | None = None) -> None:
-        """Report that a planner does not hold its part of the registry's list."""
+    def report_violation(self, detail: str, planner: int | None, server: str | None = None) -> None:
+        """Report a violation of `Rule.PART`."""
         self.context.checker.report_violation(self.context.now_ms(), Rule.PART, detail, planner, None, server)
 
-    # What counts as notified, whether it came or not.
+    # Changes of which planners count as notified
 
     def planner_started(self, planner: int) -> None:
-        """A planner begins with the list as it is now."""
+        """Count a planner that has started as notified of the registry's current list."""
         self.last_notified[planner] = {name: len(records) - 1 for name, records in self.history.items()}
-        self.unnotified[planner] = deque()
+        self.pending_changes[planner] = deque()
 
     def add_to_history(self, records: Sequence[ServerRecord]) -> None:
-        """Add to the history."""
+        """Append records that the registry has written to the history."""
         for record in records:
             self.history.setdefault(record.name, []).append(record)
 
-    def position_of(self, name: str, step: LifecycleStep) -> int:
-        """The last position at which the registry has said this of a server; -1 if it never has."""
+    def last_index_of(self, name: str, step: LifecycleStep) -> int:
+        """Return the last index in a server's history with this step; -1 if there is none."""
         records = self.history.get(name, [])
-        matching = (position for position in reversed(range(len(records))) if step_of(records[position]) == step)
+        matching = (index for index in reversed(range(len(records))) if step_of(records[index]) == step)
         return next(matching, -1)
 
     def records_changed(self, records: Sequence[ServerRecord]) -> None:
-        """The registry has written a change."""
+        """Append a change of the registry to the history and to each planner's pending changes."""
         self.add_to_history(records)
         readable = tuple(record for record in records if record.name not in self.discovery.unreadable)
-        for changes in self.unnotified.values():
-            changes.append(UnnotifiedChange(self.context.loop.now, readable))
-
-    def discard_unnotified(self, names: Sequence[str]) -> None:
-        """Entries of servers can't be read from here on: nothing of them counts until they are sent again."""
-        for planner, changes in self.unnotified.items():
-            self.unnotified[planner] = deque(
-                UnnotifiedChange(
-                    change.written_at, tuple(record for record in change.records if record.name not in names)
-                )
+        for changes in self.pending_changes.values():
+            changes.append(PendingChange(self.context.loop.now, readable))
+
+    def discard_pending_changes(self, names: Sequence[str]) -> None:
+        """Discard pending changes of servers whose entries have become undecodable; they will be sent again."""
+        for planner, changes in self.pending_changes.items():
+            self.pending_changes[planner] = deque(
+                PendingChange(change.written_at, tuple(record for record in change.records if record.name not in names))
                 for change in changes
             )
 
     def assume_notified(self, planner: int, open_since: float | None) -> None:
-        """Count changes as notified after a while, where a path has been open long enough.
+        """Count a planner as notified of pending changes whose notification deadline has passed.
+
+        A change is skipped until a path has been open for the poll interval plus the notification deadline.
 
-        That is for as long as a planner may take until it polls, and the time until what was written counts.
+        Args:
+            planner: Number of the planner.
+            open_since: Start of the open path from the registry to the planner, in s; None if there is none.
         """
-        changes = self.unnotified.get(planner)
+        changes = self.pending_changes.get(planner)
         if not changes or open_since is None or planner not in self.context.checker.planners:
             return
         now = self.context.loop.now
-        allowance = NOTIFICATION_DEADLINE_MS / 1000.0
+        deadline_s = NOTIFICATION_DEADLINE_MS / 1000.0
         settled_at = open_since + (self.context.shape.list_poll_deadline + NOTIFICATION_DEADLINE_MS) / 1000.0
-        while changes and now >= max(changes[0].written_at + allowance, settled_at):
+        while changes and now >= max(changes[0].written_at + deadline_s, settled_at):
             for record in changes.popleft().records:
-                self.notify(planner, record)
+                self.notify_checker(planner, record)
 
-    def notify(self, planner: int, record: ServerRecord) -> None:
-        """A planner is notified of a statement of the registry; an older one than it has obliges it to nothing."""
-        positions = self.last_notified.setdefault(planner, {})
+    def notify_checker(self, planner: int, record: ServerRecord) -> None:
+        """Notify the checker that a planner has received a record, unless it has already received a later one."""
+        notified_indexes = self.last_notified.setdefault(planner, {})
         records = self.history[record.name]
-        position = next(at for at in reversed(range(len(records))) if records[at] is record)
-        if planner in self.context.checker.planners and position > positions.get(record.name, -1):
-            positions[record.name] = position
+        index = next(index for index in reversed(range(len(records))) if records[index] is record)
+        if planner in self.context.checker.planners and index > notified_indexes.get(record.name, -1):
+            notified_indexes[record.name] = index
             self.context.checker.endpoint_notified(planner, self.context.now_ms(), record.name, listed_endpoint(record))
 
-    # What was received.
+    # Documents that planners received
 
     def bytes_received(self, planner: int, end: Transport, data: bytes) -> None:
-        """A planner has taken bytes of a relay's answer."""
+        """Process bytes of a relay's answer that a planner has received."""
         if len(self.stream_states) > MAX_STREAM_STATES:
             self.stream_states = {
                 transport: state for transport, state in self.stream_states.items() if not transport.lost
             }
         state = self.stream_states.setdefault(end, StreamState())
-        for document in state.take_documents(data):
+        for document in state.decode_documents(data):
             self.read_document(planner, state, document)
 
     def read_document(self, planner: int, state: StreamState, document: dict[str, Any]) -> None:
-        """Check a list or a change that a relay sent, and note what it notifies the planner of."""
+        """Check a list or a change that a relay sent, and notify the checker of its records."""
         generation = document["generation"]
         complete = document["reset"]
         if not complete and generation < state.generation:
-            self.report(f"told changes of {generation} after {state.generation}", planner)
+            self.report_violation(
+                f"relay sent a change of generation {generation} after generation {state.generation}", planner
+            )
         state.generation = generation
-        named = self.read_entries(planner, state, document["instances"])
+        listed_names = self.read_entries(planner, state, document["instances"])
         view = self.context.checker.planners.get(planner)
-        if complete and "" not in named and view is not None:
-            for name in [name for name in view.listed if name not in named]:
+        if complete and "" not in listed_names and view is not None:
+            for name in [name for name in view.listed if name not in listed_names]:
                 self.notify_removed(planner, name)
 
     def read_entries(self, planner: int, state: StreamState, entries: Sequence[dict[str, Any]]) -> dict[str, None]:
-        """Check the entries of a list or a change; return the servers named, "" for one that can't be read."""
-        named: dict[str, None] = {}
+        """Check the entries of a list or a change; return the names of its servers, "" for an undecodable entry."""
+        listed_names: dict[str, None] = {}
         for entry in entries:
             name = entry.get("instanceId", "")
-            if name and name in named:
-                self.report(f"{name} stands twice in list {state.generation}", planner, name)
-            named[name] = None
+            if name and name in listed_names:
+                self.report_violation(f"{name} is listed twice in generation {state.generation}", planner, name)
+            listed_names[name] = None
             if "lifecycle" in entry:
                 self.read_entry(planner, state, entry)
-        return named
+        return listed_names
 
     def read_entry(self, planner: int, state: StreamState, entry: dict[str, Any]) -> None:
-        """Check one entry of a list, and note what it notifies the planner of."""
+        """Check one decodable entry, and notify the checker of its record."""
         name = entry["instanceId"]
         if service_of(name) != self.cell:
-            self.report(f"told of {name} of another cell", planner, name)
+            self.report_violation(f"relay sent {name}, which belongs to another cell", planner, name)
             return
         order = LIFECYCLE_ORDER[AVAILABILITY_BY_LIFECYCLE[entry["lifecycle"]]]
         step = LifecycleStep(float(entry["startedAtMs"]), order)
-        former = state.known.get(name, step)
-        if step < former and self.position_of(name, step) < self.position_of(name, former):
-            self.report(f"{name} goes back from {tuple(former)} to {tuple(step)}", planner, name)
-        state.known[name] = step
-        position = self.position_of(name, step)
-        if position >= 0:
-            self.notify(planner, self.history[name][position])
+        previous_step = state.steps.get(name, step)
+        if step < previous_step and self.last_index_of(name, step) < self.last_index_of(name, previous_step):
+            self.report_violation(
+                f"{name} reverted from lifecycle step {tuple(previous_step)} to {tuple(step)}", planner, name
+            )
+        state.steps[name] = step
+        index = self.last_index_of(name, step)
+        if index >= 0:
+            self.notify_checker(planner, self.history[name][index])
 
     def notify_removed(self, planner: int, name: str) -> None:
-        """A complete list lacks a server."""
+        """Notify the checker of the removal of a server that a complete list does not contain."""
         removals = [record for record in self.history.get(name, []) if record.availability is Availability.REMOVED]
         if removals:
-            self.notify(planner, removals[-1])
+            self.notify_checker(planner, removals[-1])
 
-    # What planners hold.
+    # Lists that planners and relays cache
 
     def check_planner(self, planner: PlannerHost) -> None:
-        """What a planner was notified of, and the registry still says, it holds: nothing is lost or taken back."""
+        """Report servers whose entry in a running planner's list has deviated for longer than `MAX_DEVIATION_S`."""
         key = planner.number, planner.incarnation
         now = self.context.loop.now
         if not planner.running or planner.machine.stalled or planner.number not in self.context.checker.planners:
             self.deviations.pop(key, None)
             return
-        before = self.deviations.get(key, {})
-        present: dict[str, float] = {}
+        previous = self.deviations.get(key, {})
+        current: dict[str, float] = {}
         for name, reason in self.find_deviations(planner).items():
-            since = before.get(name, now)
-            present[name] = since
-            if now - since >= CACHED_WITHIN_S:
-                self.report(f"{name} {reason} for {now - since:.1f} s", planner.number, name)
-        self.deviations[key] = present
+            since = previous.get(name, now)
+            current[name] = since
+            if now - since >= MAX_DEVIATION_S:
+                self.report_violation(f"{name} {reason} for {now - since:.1f} s", planner.number, name)
+        self.deviations[key] = current
 
     def find_deviations(self, planner: PlannerHost) -> dict[str, str]:
-        """By server, what is wrong with it in a planner's list."""
+        """Return the deviations of a planner's list, by server, as predicates for a violation's detail."""
         assert planner.service is not None
         endpoints = planner.service.endpoints
         registry = self.discovery.records
@@ -259,19 +299,19 @@
         notified = self.context.checker.planners[planner.number].listed
         deviations: dict[str, str] = {}
         for name, listed in notified.items():
-            present = registry.get(name)
-            if present is None or present.warm_at * 1000.0 != listed.warm_at:
-                continue  # the planner has not been notified of what the registry says of it now
-            reason = find_deviation(listed, present, cached.get(name))
+            current = registry.get(name)
+            if current is None or current.warm_at * 1000.0 != listed.warm_at:
+                continue  # The planner has not been notified of the current record.
+            reason = find_deviation(listed, current, cached.get(name))
             if reason is not None:
                 deviations[name] = reason
         for name in cached:
             if name not in notified and name not in registry:
-                deviations[name] = "was told to have left and is held"
+                deviations[name] = "has been listed after its removal"
         return deviations
 
     def compare_planners(self, cell_records: Mapping[str, ServerRecord]) -> None:
-        """Compare each planner's list with its part of the registry's, entry by entry."""
+        """Report all differences between each planner's list and the registry's records of its cell."""
         expected: dict[str, object] = {
             record.name: (
                 record.availability,
@@ -287,7 +327,7 @@
             self.compare(str(planner.machine), planner.number, self.endpoints_of(planner), expected)
 
     def compare_relay(self, relay: str, entries: Iterable[CachedEntry]) -> None:
-        """Compare a relay's list with all of the registry's."""
+        """Report all differences between a relay's cached list and the registry's records."""
         cached: dict[str, object] = {entry.name: (entry.availability, entry.started_at) for entry in entries}
         expected: dict[str, object] = {
             record.name: (record.availability, record.started_at) for record in self.discovery.records.values()
@@ -295,17 +335,17 @@
         self.compare(relay, None, cached, expected)
 
     def compare(
-        self, holder: str, planner: int | None, cached: Mapping[str, object], expected: Mapping[str, object]
+        self, cache_owner: str, planner: int | None, cached: Mapping[str, object], expected: Mapping[str, object]
     ) -> None:
-        """Report each server that is held otherwise than the registry lists it."""
+        """Report each server whose cached fields differ from the registry's."""
         differing = (name for name in {*cached, *expected} if cached.get(name) != expected.get(name))
         for name in sorted(differing):
-            detail = f"{holder} holds {cached.get(name)}, the registry {expected.get(name)}"
-            self.report(detail, planner, name if planner is not None else None)
+            detail = f"{cache_owner} has cached {cached.get(name)}; expected {expected.get(name)} from the registry"
+            self.report_violation(detail, planner, name if planner is not None else None)
 
     @staticmethod
     def endpoints_of(planner: PlannerHost) -> dict[str, object]:
-        """By server, what a planner holds of it."""
+        """Return the fields that a planner has cached, by server."""
         if planner.service is None:
             return {}
         endpoints = planner.service.endpoints
--- a/stackwheel/trials/runner.py
+++ b/stackwheel/trials/runner.py
@@ -1,4 +1,4 @@
-"""Many seeds over the cores: results in the order of the seeds, whatever order they come in."""
+"""Runs many seeds in parallel processes and yields their results in the order of the seeds."""
 
 from __future__ import annotations
 
@@ -16,20 +16,26 @@
 from stackwheel.trials.script import Script
 from stackwheel.trials.simulation import run_script
 
-CHUNK_SEEDS = 8  # that a process takes at once
-CHUNKS_AHEAD = 4  # handed out for each process: what Ctrl-C has to wait for at most
+CHUNK_SEEDS = 8
+# Ctrl-C waits for submitted chunks that can no longer be cancelled.
+MAX_SUBMITTED_CHUNKS_PER_PROCESS = 4
 DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """One seed's verdicts, short enough to pass between processes.
+    """Result of one seed, small enough to pass between processes.
 
     Attributes:
-        virtual_seconds: How long the run was, on its own clock.
-        cpu_seconds: What it took.
-        service: Value answered over value requested.
-        error: The traceback where the trial itself failed.
+        seed: The seed.
+        digest: Hash of all events of the run; empty if the trial itself failed.
+        verdicts: Violations of rules.
+        virtual_seconds: Duration of the run in virtual time.
+        cpu_seconds: CPU time of the run.
+        service: Value of the answered requests as a share of the value of all requests.
+        requests: Number of requests, including clients' retries.
+        callbacks_run: Callbacks that the virtual loop has run.
+        error: Traceback if the trial itself failed, otherwise empty.
     """
 
     seed: int
@@ -45,7 +51,15 @@
 
 @dataclass(slots=True)
 class Summary:
-    """All that came of a run so far; `service` is a mean."""
+    """Totals of the results so far.
+
+    Attributes:
+        seeds: Number of results.
+        wall_seconds: Duration of the whole run, set by the caller.
+        service: Mean of the results' `service`.
+        broken: Results with a violation or an error.
+        hasher: Hash of all seeds and their digests.
+    """
 
     seeds: int = 0
     virtual_seconds: float = 0.0
@@ -58,7 +72,7 @@
     hasher: hashlib.blake2b = field(default_factory=lambda: hashlib.blake2b(digest_size=DIGEST_BYTES))
 
     def add(self, result: SeedResult) -> None:
-        """Add the result of the next seed."""
+        """Add the result of the next seed; the digest depends on the order."""
         self.seeds += 1
         self.virtual_seconds += result.virtual_seconds
         self.cpu_seconds += result.cpu_seconds
@@ -70,7 +84,7 @@
             self.broken.append(result)
 
     def document(self) -> dict[str, object]:
-        """The object that `--json` ends with."""
+        """Return the summary in the form that `--json` prints."""
         broken: list[dict[str, object]] = [
             {"seed": result.seed, "rule": verdict.rule.value, "at": round(verdict.at / 1000.0, 3)}
             for result in self.broken
@@ -91,24 +105,24 @@
 
 
 def run_seed(seed: int, files: bool = False, relays: bool = False) -> SeedResult:
-    """Run the script that is drawn from a seed."""
+    """Draw the script of a seed and run it."""
     return run_one(draw(seed, files, relays))
 
 
 def run_one(script: Script) -> SeedResult:
-    """Run a script; an exception of the trial itself is part of the result."""
-    began = time.process_time()
+    """Run a script; an exception of the trial itself becomes the `error` of the result."""
+    started_at = time.process_time()
     try:
         result = run_script(script)
     except Exception:
-        took = time.process_time() - began
-        return SeedResult(script.seed, "", (), 0.0, took, 0.0, 0, 0, traceback.format_exc())
+        elapsed_cpu_s = time.process_time() - started_at
+        return SeedResult(script.seed, "", (), 0.0, elapsed_cpu_s, 0.0, 0, 0, traceback.format_exc())
     return SeedResult(
         script.seed,
         result.digest,
         tuple(result.verdicts),
         result.virtual_seconds,
-        time.process_time() - began,
+        time.process_time() - started_at,
         result.service,
         result.requests,
         result.callbacks_run,
@@ -116,22 +130,22 @@
 
 
 def run_chunk(seeds: Sequence[int]) -> list[SeedResult]:
-    """Run seeds with the usual scripts."""
+    """Run seeds with scripts that use streams and no relays."""
     return [run_seed(seed) for seed in seeds]
 
 
 def run_file_chunk(seeds: Sequence[int]) -> list[SeedResult]:
-    """Run seeds with the scripts for files."""
+    """Run seeds with scripts in which proxies receive files."""
     return [run_seed(seed, files=True) for seed in seeds]
 
 
 def run_relay_chunk(seeds: Sequence[int]) -> list[SeedResult]:
-    """Run seeds with the scripts for relays."""
+    """Run seeds with scripts that use relays."""
     return [run_seed(seed, relays=True) for seed in seeds]
 
 
 def ignore_interrupts() -> None:
-    """Ctrl-C goes to every process of the terminal; the first one decides."""
+    """Ignore SIGINT in a worker process; Ctrl-C reaches all processes of the terminal, and the main one handles it."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
@@ -140,38 +154,46 @@
     jobs: int,
     chunk: Callable[[Sequence[int]], list[SeedResult]] = run_chunk,
 ) -> Iterator[SeedResult]:
-    """Yield results as they come, in order; closing it early leaves no process behind."""
+    """Yield the results of seeds in the order of the seeds, as soon as they are available.
+
+    Closing the generator early cancels pending chunks and waits until all worker processes have ended.
+
+    Args:
+        seeds: The seeds to run.
+        jobs: Number of processes; with 1, seeds run in the calling process.
+        chunk: Function that runs several seeds in a worker process.
+    """
     if jobs <= 1 or len(seeds) <= 1:
         for seed in seeds:
             yield from chunk([seed])
         return
-    chunks = [seeds[at : at + CHUNK_SEEDS] for at in range(0, len(seeds), CHUNK_SEEDS)]
+    chunks = [seeds[start : start + CHUNK_SEEDS] for start in range(0, len(seeds), CHUNK_SEEDS)]
     pool = ProcessPoolExecutor(jobs, initializer=ignore_interrupts)
     running: dict[Future[list[SeedResult]], int] = {}
-    done: dict[int, list[SeedResult]] = {}
+    completed: dict[int, list[SeedResult]] = {}
     submitted = 0
     yielded = 0
     try:
         while yielded < len(chunks):
-            while submitted < len(chunks) and len(running) < CHUNKS_AHEAD * jobs:
+            while submitted < len(chunks) and len(running) < MAX_SUBMITTED_CHUNKS_PER_PROCESS * jobs:
                 running[pool.submit(chunk, chunks[submitted])] = submitted
                 submitted += 1
             for future in wait(running, return_when=FIRST_COMPLETED).done:
-                done[running.pop(future)] = future.result()
-            while yielded in done:
-                yield from done.pop(yielded)
+                completed[running.pop(future)] = future.result()
+            while yielded in completed:
+                yield from completed.pop(yielded)
                 yielded += 1
     finally:
         pool.shutdown(wait=True, cancel_futures=True)
 
 
 def default_jobs() -> int:
-    """As many processes as cores."""
+    """Return the number of CPU cores."""
     return os.cpu_count() or 1
 
 
 def group_by_rule(results: Sequence[SeedResult]) -> dict[Rule, list[SeedResult]]:
-    """The results that broke each rule, in the order in which rules come up."""
+    """Return the results that broke each rule, with rules in the order of their first violation."""
     groups: dict[Rule, list[SeedResult]] = {}
     for result in results:
         for rule in dict.fromkeys(verdict.rule for verdict in result.verdicts):
--- a/stackwheel/trials/shrink.py
+++ b/stackwheel/trials/shrink.py
@@ -1,4 +1,4 @@
-"""The smallest script that still breaks the same rule: leaves out what is not needed, and tries again."""
+"""Shrinks a script that breaks a rule: removes faults, names and machines while the rule is still broken."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from stackwheel.trials.shape import machine_names
 from stackwheel.trials.simulation import run_script
 
-MAX_RUNS = 400  # trials that one shrinking may take
-KEPT_AFTER_BREAK_S = 0.5
-SMALLER_SIZES: dict[str, tuple[int, ...]] = {  # by field of the shape: what is tried, the smallest first
+MAX_RUNS = 400
+SPAN_AFTER_BREAK_S = 0.5
+SMALLER_SIZES: dict[str, tuple[int, ...]] = {
     "zones": (1, 2),
     "planners": (1, 2),
     "proxies": (1, 2, 4, 8),
@@ -27,7 +27,14 @@
 
 @dataclass(slots=True)
 class ShrinkResult:
-    """The smallest script found, the rule that it breaks, when (s), and how many trials that took."""
+    """Result of shrinking a script.
+
+    Attributes:
+        script: The smallest script found.
+        rule: The rule that it breaks.
+        broken_at: Time of the first violation, in s of virtual time.
+        runs: Number of trials run.
+    """
 
     script: Script
     rule: Rule
@@ -36,12 +43,15 @@
 
 
 class Shrinker:
-    """Makes a script smaller as long as it breaks a rule.
+    """Searches for a smaller script that still breaks a rule.
 
     Attributes:
         best: The smallest script so far.
-        broken_at: When it breaks the rule, in s.
-        runs: Trials so far.
+        rule: The rule to break.
+        runs_left: Number of trials that may still be run.
+        find_break: Returns the time at which a script first breaks a rule, in s, or None if it does not.
+        broken_at: Time of the first violation in `best`, in s of virtual time.
+        runs: Number of trials run so far.
     """
 
     def __init__(
@@ -54,12 +64,12 @@
         self.best = script
         self.rule = rule
         self.runs_left = max_runs
-        self.find_break = find_break or first_break
+        self.find_break = find_break or first_violation_time
         self.broken_at = 0.0
         self.runs = 0
 
     def still_breaks(self, script: Script) -> bool:
-        """Whether a smaller script still breaks the rule; it is the best from then on."""
+        """Return whether a candidate is valid and breaks the rule; if so, it becomes `best`."""
         if self.runs_left <= 0:
             return False
         try:
@@ -76,10 +86,10 @@
         return True
 
     def run(self) -> ShrinkResult:
-        """Shrink the script; the result is the script itself where nothing smaller breaks the rule.
+        """Shrink the script; the result is the script itself if no smaller one breaks the rule.
 
         Raises:
-            ScriptError: The script does not break the rule.
+            ScriptError: The script does not break the rule, or no trial may be run.
         """
         if not self.still_breaks(self.best):
             raise ScriptError("", f"seed {self.best.seed} does not break the rule: {self.rule.value}")
@@ -94,14 +104,14 @@
         return ShrinkResult(self.best, self.rule, self.broken_at, self.runs)
 
     def shorten(self) -> None:
-        """End the script soon after the break."""
-        span = round(min(self.best.span, self.broken_at + KEPT_AFTER_BREAK_S), 1)
+        """End the script shortly after the first violation."""
+        span = round(min(self.best.span, self.broken_at + SPAN_AFTER_BREAK_S), 1)
         if span < self.best.span:
             faults = tuple(fault for fault in self.best.faults if fault.at <= span)
             self.still_breaks(msgspec.structs.replace(self.best, span=span, faults=faults))
 
     def drop_faults(self) -> None:
-        """Leave faults out: halves first, then smaller pieces, down to single faults."""
+        """Remove faults: first half of them at a time, then smaller groups, then single faults."""
         size = max(1, len(self.best.faults) // 2)
         while size >= 1 and self.best.faults:
             start = 0
@@ -112,44 +122,44 @@
             size //= 2
 
     def drop_names(self) -> None:
-        """Leave machines out of faults."""
+        """Remove machine names from faults."""
         for index in range(len(self.best.faults)):
             for field in machine_name_fields(self.best.faults[index]):
-                self.drop_names_of(index, field)
+                self.drop_names_of_field(index, field)
 
-    def drop_names_of(self, index: int, field: str) -> None:
-        """Leave names out of one field of a fault, down to one."""
-        place = 0
+    def drop_names_of_field(self, index: int, field: str) -> None:
+        """Remove names from one field of a fault, except the last one."""
+        name_index = 0
         names = machine_name_fields(self.best.faults[index])[field]
-        while place < len(names) > 1:
-            fewer = names[:place] + names[place + 1 :]
+        while name_index < len(names) > 1:
+            fewer = names[:name_index] + names[name_index + 1 :]
             fault = msgspec.structs.replace(self.best.faults[index], **{field: fewer})
             if self.still_breaks(self.with_fault(index, fault)):
                 names = fewer
             else:
-                place += 1
+                name_index += 1
 
     def with_fault(self, index: int, fault: Fault) -> Script:
-        """The best script with another fault in one place."""
+        """Return `best` with the fault at an index replaced."""
         faults = (*self.best.faults[:index], fault, *self.best.faults[index + 1 :])
         return msgspec.structs.replace(self.best, faults=faults)
 
     def reduce_shape(self) -> None:
-        """Make the deployment smaller, one figure after the other."""
+        """Reduce the number of zones, planners, proxies and servers, one after the other, smallest size first."""
         for name, sizes in SMALLER_SIZES.items():
             for size in sizes:
                 if size < getattr(self.best.shape, name) and self.still_breaks(self.with_size(name, size)):
                     break
 
     def with_size(self, name: str, size: int) -> Script:
-        """The best script with a smaller deployment, and the faults that fit it."""
+        """Return `best` with one field of the shape reduced, without the faults that no longer match the shape."""
         shape = msgspec.structs.replace(self.best.shape, **{name: size})
         smaller = msgspec.structs.replace(self.best, shape=shape)
         return msgspec.structs.replace(smaller, faults=tuple(fitting_faults(smaller)))
 
 
 def fitting_faults(script: Script) -> Iterator[Fault]:
-    """The faults of a script, without the machines that its shape does not have."""
+    """Yield the faults of a script without the names that match no machine; faults left without names are omitted."""
     for fault in script.faults:
         present = {
             field: tuple(name for name in names if machine_names((name,), script.shape))
@@ -159,17 +169,17 @@
             yield msgspec.structs.replace(fault, **present)
 
 
-def first_break(script: Script, rule: Rule) -> float | None:
-    """When a script breaks a rule first, in s; None where it keeps it."""
+def first_violation_time(script: Script, rule: Rule) -> float | None:
+    """Run a script and return the time of its first violation of a rule, in s; None if there is none."""
     times = [verdict.at for verdict in run_script(script).verdicts if verdict.rule is rule]
     return min(times) / 1000.0 if times else None
 
 
 def shrink(script: Script, rule: Rule | None = None, max_runs: int = MAX_RUNS) -> ShrinkResult:
-    """Shrink a script; where no rule is named, by the one that breaks first.
+    """Shrink a script that breaks `rule`, by default the rule that it breaks first.
 
     Raises:
-        ScriptError: The script breaks no rule, or not this one.
+        ScriptError: The script breaks no rule, or not `rule`.
     """
     if rule is None:
         verdicts = run_script(script).verdicts
--- a/tests/trials/test_relay_checks.py
+++ b/tests/trials/test_relay_checks.py
@@ -1,4 +1,4 @@
-"""What relays may not tell planners, and what planners must hold of what they were told."""
+"""Checks of the lists that relays send to planners, and of the lists that planners cache."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def world() -> World:
-    """A world whose planners know the list, and that has not begun."""
+    """A world whose planners count as notified of the list, before its start."""
     world = make_world()
     for planner in world.planners:
         world.planner_started(planner)
@@ -39,7 +39,7 @@
 
 
 def change_in_registry(world: World, name: str, availability: Availability) -> ServerRecord:
-    """Let the registry say something else of a server."""
+    """Change the availability of a server in the registry, and return the new record."""
     record = replace(world.discovery.records[name], availability=availability)
     world.discovery.change([record])
     return record
@@ -48,16 +48,16 @@
 @pytest.mark.parametrize(
     ("documents", "reason"),
     [
-        ([list_document(5, ("t-1", "in_service"))], "t-1 of another cell"),
-        ([list_document(5, ("s-1", "in_service"), ("s-1", "in_service"))], "s-1 stands twice"),
+        ([list_document(5, ("t-1", "in_service"))], "t-1, which belongs to another cell"),
+        ([list_document(5, ("s-1", "in_service"), ("s-1", "in_service"))], "s-1 is listed twice"),
         (
             [list_document(5, ("s-1", "in_service")), list_document(4, ("s-2", "in_service"))],
-            "told changes of 4 after 5",
+            "a change of generation 4 after generation 5",
         ),
-        ([list_document(5, ("s-1", "terminating")), list_document(6, ("s-1", "in_service"))], "s-1 goes back"),
+        ([list_document(5, ("s-1", "terminating")), list_document(6, ("s-1", "in_service"))], "s-1 reverted"),
     ],
 )
-def test_relay_may_not_send(world: World, documents: list[dict[str, Any]], reason: str) -> None:
+def test_invalid_list_of_a_relay_breaks_the_rule(world: World, documents: list[dict[str, Any]], reason: str) -> None:
     assert world.relays is not None
     draining = change_in_registry(world, "s-1", Availability.DRAINING)
     world.relays.records_changed([draining])
@@ -69,7 +69,7 @@
     assert reason in verdict.detail
 
 
-def test_relay_may_send_what_the_registry_itself_takes_back() -> None:
+def test_relay_may_revert_a_server_that_the_registry_reverted() -> None:
     world = make_world()
     assert world.relays is not None
     checks = world.relays.checks
@@ -81,7 +81,7 @@
     assert world.checker.violations == []
 
 
-def test_older_state_obliges_a_planner_to_nothing(world: World) -> None:
+def test_older_state_does_not_notify_the_planner_of_a_return(world: World) -> None:
     assert world.relays is not None
     checks = world.relays.checks
     world.relays.records_changed([change_in_registry(world, "s-1", Availability.DRAINING)])
@@ -91,49 +91,49 @@
     assert "s-1" in world.checker.planners[0].unavailable_since
 
 
-@pytest.mark.parametrize("deviation", ["lost", "kept", "restored", "another process"])
-def test_planner_that_does_not_hold_its_part_breaks_the_rule(deviation: str) -> None:
+@pytest.mark.parametrize("deviation", ["missing", "not removed", "ready again", "another process"])
+def test_planner_whose_cached_list_deviates_breaks_the_rule(deviation: str) -> None:
     drain = faults.Drain(1.0, ("server-1",), 60.0)
     crash = faults.Crash(1.0, ("server-2",), 0.0)
     world = World(Script(7, 5.0, SHAPE, (drain, crash)))
 
-    def spoil() -> None:
+    def corrupt_list() -> None:
         service = world.planners[0].service
         assert service is not None
         entries: dict[Any, Any] = service.endpoints.entries
         by_name = {service.endpoints.server_ids.name(server): server for server in entries}
         ready = by_name["s-0"]
         draining = by_name["s-1"]
-        if deviation == "lost":
+        if deviation == "missing":
             del entries[ready]
-        elif deviation == "restored":
+        elif deviation == "ready again":
             entries[draining] = replace(entries[draining], availability=Availability.READY)
         elif deviation == "another process":
             entries[ready] = replace(entries[ready], started_at=1.0)
         else:
             entries[99] = entries[ready]
 
-    world.loop.schedule_at(4.0, None, spoil)
-    found = run_world(world).verdicts
-    assert found
-    assert {verdict.rule for verdict in found} <= {Rule.PART, Rule.UPRIGHT}
-    assert any(verdict.rule is Rule.PART and verdict.planner == 0 for verdict in found)
+    world.loop.schedule_at(4.0, None, corrupt_list)
+    verdicts = run_world(world).verdicts
+    assert verdicts
+    assert {verdict.rule for verdict in verdicts} <= {Rule.PART, Rule.UPRIGHT}
+    assert any(verdict.rule is Rule.PART and verdict.planner == 0 for verdict in verdicts)
 
 
-def test_change_counts_as_notified_after_six_seconds_where_a_path_was_open_for_long(world: World) -> None:
+def test_change_counts_as_notified_after_the_deadline_if_a_path_was_open_for_the_poll_interval(world: World) -> None:
     assert world.relays is not None
     checks = world.relays.checks
     world.loop.now = 100.0
     world.relays.records_changed([change_in_registry(world, "s-1", Availability.DRAINING)])
-    away = world.checker.planners[0].unavailable_since
+    unavailable_since = world.checker.planners[0].unavailable_since
     for now, open_since, notified in (
-        (105.9, 0.0, False),  # not yet
-        (106.1, None, False),  # no path
-        (106.1, 95.0, False),  # open for 11.1 s: a planner may have had no reason to poll
+        (105.9, 0.0, False),  # the deadline of 6 s has not passed
+        (106.1, None, False),  # no path is open
+        (106.1, 95.0, False),  # the path has not been open for the poll interval plus the deadline
         (111.1, 95.0, True),
     ):
         world.loop.now = now
         checks.assume_notified(0, open_since)
-        assert ("s-1" in away) is notified
+        assert ("s-1" in unavailable_since) is notified
     checks.assume_notified(1, 0.0)
     assert "s-1" in world.checker.planners[1].unavailable_since
--- a/tests/trials/test_runner.py
+++ b/tests/trials/test_runner.py
@@ -1,4 +1,4 @@
-"""Many seeds: results do not hang on the number of processes."""
+"""Runs of many seeds in parallel processes."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     return summary
 
 
-def test_results_are_the_same_over_any_number_of_processes() -> None:
-    one = summary_of(jobs=1)
-    three = summary_of(jobs=3)
-    assert one.hasher.hexdigest() == three.hasher.hexdigest()
-    assert one.seeds == three.seeds == 12
+def test_results_do_not_depend_on_the_number_of_processes() -> None:
+    one_process = summary_of(jobs=1)
+    three_processes = summary_of(jobs=3)
+    assert one_process.hasher.hexdigest() == three_processes.hasher.hexdigest()
+    assert one_process.seeds == three_processes.seeds == 12
--- a/tests/trials/test_shrink.py
+++ b/tests/trials/test_shrink.py
@@ -1,4 +1,4 @@
-"""Broken scripts are shrunk to what the break needs."""
+"""Shrinking of scripts that break a rule."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from stackwheel.trials.simulation import run_script
 
 
-def test_shrinking_leaves_only_what_the_break_needs() -> None:
+def test_shrinking_removes_faults_and_machines_that_the_violation_does_not_need() -> None:
     needed = faults.Drain(8.0, ("server-0",), 15.0)
     script = Script(
         3,
@@ -39,11 +39,11 @@
     assert shrunk.runs < 60
     with planted(defect):
         again = run_script(decode(encode(shrunk.script)))
-        assert shrink(shrunk.script, Rule.DRAINS).script.shape == shape  # nothing smaller breaks it
+        assert shrink(shrunk.script, Rule.DRAINS).script.shape == shape
     assert any(verdict.rule is Rule.DRAINS for verdict in again.verdicts)
 
 
-def test_shrinking_stops_at_its_bound_and_rejects_what_breaks_nothing() -> None:
+def test_shrinking_stops_at_the_run_limit_and_rejects_a_script_that_breaks_no_rule() -> None:
     candidates: list[Script] = []
 
     def always_breaks(script: Script, _rule: Rule) -> float:
@@ -55,8 +55,8 @@
         Shrinker(draw(1), Rule.DRAINS, 7, lambda _script, _rule: None).run()
 
 
-def test_shrinking_does_not_take_a_flag_for_a_list_of_names() -> None:
-    """`proxies` of a lost zone says whether they are lost too; of a reset, which they are."""
+def test_shrinking_does_not_treat_a_boolean_field_as_a_list_of_names() -> None:
+    """`proxies` is a boolean in `LoseZone` and a list of names in `Reset`."""
     lose_zone = faults.LoseZone(5.0, 0, 4.0, True)
     script = Script(1, 20.0, Shape(), (lose_zone, faults.Reset(6.0, ("proxy-0", "proxy-1"))))
 
@@ -67,7 +67,7 @@
     assert shrunk.faults == (lose_zone, faults.Reset(6.0, ("proxy-1",)))
 
 
-def test_faults_lose_machines_that_a_smaller_shape_does_not_have() -> None:
+def test_names_that_match_no_machine_of_a_smaller_shape_are_removed_from_faults() -> None:
     script = Script(
         1,
         20.0,
