--- a/stackwheel/trials/__init__.py
+++ b/stackwheel/trials/__init__.py
@@ -1,1 +1,1 @@
-"""The shipped service on a virtual clock and network, against faults drawn from seeds."""
+"""Deterministic simulation of the production service on a virtual clock and network, with faults drawn from seeds."""
--- a/stackwheel/trials/defects/__init__.py
+++ b/stackwheel/trials/defects/__init__.py
@@ -1,1 +1,1 @@
-"""Deliberate defects, one module for each layer that they are planted in: they prove that the checks can fail."""
+"""Deliberate defects of the program, one module for each layer; they verify that the checks can fail."""
--- a/stackwheel/trials/defects/catalogue.py
+++ b/stackwheel/trials/defects/catalogue.py
@@ -1,4 +1,4 @@
-"""All deliberate defects, in the order in which they are listed."""
+"""The catalogue of all deliberate defects."""
 
 from __future__ import annotations
 
@@ -21,5 +21,5 @@
 
 
 def find_defect(name: str | None) -> Defect | None:
-    """Return the defect of that name; None where there is none, or no name."""
+    """Return the defect with a name; None if there is none, or if the name is None."""
     return next((defect for defect in ALL_DEFECTS if defect.name == name), None)
--- a/stackwheel/trials/defects/files.py
+++ b/stackwheel/trials/defects/files.py
@@ -1,4 +1,4 @@
-"""Deliberate defects of the exchange by files: writing, checking and applying them."""
+"""Deliberate defects of the exchange of files: writing, validating and applying them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from stackwheel.rules.violations import Rule
 from stackwheel.trials.defects.planting import Defect, Patch, returns
 
-WRITE_BYTES = 200  # written at a time, so that a reader may see part of a file
+MAX_WRITE_BYTES = 200
 
 
 def written_in_place() -> Sequence[Patch]:
-    """A file is written piece by piece under its final name."""
+    """Write a file in several pieces under its final name, so that readers may see an incomplete file."""
 
     def replace_file(disk: Any, folder: str, name: str, data: bytes) -> None:
-        """In place of `publisher.replace_file`."""
+        """Replacement for `publisher.replace_file`."""
         try:
             handle = disk.create(f"{folder}/{name}")
-            for start in range(0, len(data), WRITE_BYTES):
-                disk.write(handle, data[start : start + WRITE_BYTES])
+            for start in range(0, len(data), MAX_WRITE_BYTES):
+                disk.write(handle, data[start : start + MAX_WRITE_BYTES])
             disk.close(handle)
         except OSError as error:
             raise ReplaceError(ReplaceStep.WRITE, str(error)) from error
@@ -32,11 +32,11 @@
 
 
 def sequence_unchecked() -> Sequence[Patch]:
-    """A file is accepted whatever was applied before it."""
+    """Accept a file even if a newer one has been applied."""
     original = Acceptor.validate
 
     def validate(self: Acceptor, update: Any, now: float) -> Any:
-        """In place of `Acceptor.validate`."""
+        """Replacement for `Acceptor.validate`."""
         applied = self.memory.applied
         self.memory.applied = {}
         try:
@@ -48,11 +48,11 @@
 
 
 def reservations_forgotten() -> Sequence[Patch]:
-    """No id of a reservation is remembered."""
+    """Record no ids of reservations."""
     original = Acceptor.record_applied
 
     def record_applied(self: Acceptor, acceptance: Any, now: float) -> Any:
-        """In place of `Acceptor.record_applied`."""
+        """Replacement for `Acceptor.record_applied`."""
         memory = original(self, acceptance, now)
         memory.reservations = {}
         return memory
@@ -61,10 +61,10 @@
 
 
 def trailer_unchecked() -> Sequence[Patch]:
-    """The body of a file is used without a look at its digest and signature."""
+    """Use the body of a file without checking its digest and signature."""
 
     def unseal(data: bytes, _keys: Any = None) -> Any:
-        """In place of `codec.unseal`."""
+        """Replacement for `codec.unseal`."""
         body = data.partition(b"\n")[2].partition(b"\nend ")[0]
         if not body:
             raise FileRejectedError(Stage.TRAILER, "empty")
@@ -74,7 +74,7 @@
 
 
 def age_unchecked() -> Sequence[Patch]:
-    """A file is accepted as if it had just been made, and never expires."""
+    """Accept a file as if it had just been created, and never let it expire."""
     original = Acceptor.validate
     return [
         Patch(Acceptor, "validate", lambda self, update, now: original(self, update, min(now, update.created_at))),
--- a/stackwheel/trials/defects/forwarder.py
+++ b/stackwheel/trials/defects/forwarder.py
@@ -1,4 +1,4 @@
-"""Deliberate defects of the forwarder, as the simulation models it."""
+"""Deliberate defects of the simulated forwarder."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 from stackwheel.trials.defects.planting import Defect, Patch
 from stackwheel.trials.requests import Clients, Request, RequestReceiver
 
-DELAYED_UNTIL_BEFORE_DEADLINE_S = 0.04  # how long before its client's deadline a failure is answered
-TOO_LATE_TO_DELAY_S = 0.05  # within this of the deadline a failure is answered at once
+DELAYED_ANSWER_BEFORE_DEADLINE_S = 0.04
+MIN_TIME_TO_DEADLINE_S = 0.05
 
 
 def final_failure_delayed() -> Sequence[Patch]:
-    """A failure that is final is answered only shortly before the client's deadline."""
+    """Delay the answer of a final failure until shortly before the client's deadline.
+
+    A failure within `MIN_TIME_TO_DEADLINE_S` of the deadline is answered at once.
+    """
     original = Clients.finish
 
     def finish(self: Clients, request: Request, proxy: RequestReceiver, good: bool, decided_at: float) -> None:
-        """In place of `Clients.finish`."""
+        """Replacement for `Clients.finish`."""
         loop = self.context.loop
-        if good or loop.now >= request.deadline - TOO_LATE_TO_DELAY_S:
+        if good or loop.now >= request.deadline - MIN_TIME_TO_DEADLINE_S:
             original(self, request, proxy, good, decided_at)
         else:
-            delayed_until = request.deadline - DELAYED_UNTIL_BEFORE_DEADLINE_S
+            delayed_until = request.deadline - DELAYED_ANSWER_BEFORE_DEADLINE_S
             loop.schedule_at(delayed_until, proxy.machine, original, self, request, proxy, good, decided_at)
 
     return [Patch(Clients, "finish", finish)]
--- a/stackwheel/trials/defects/planting.py
+++ b/stackwheel/trials/defects/planting.py
@@ -1,4 +1,4 @@
-"""What a deliberate defect is, and how it is planted in the running program."""
+"""The record of a deliberate defect, and the context manager that plants it in the running program."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Patch(NamedTuple):
-    """One attribute of a class or module that is replaced while a defect is planted."""
+    """An attribute of a class or module that is replaced while a defect is planted."""
 
     owner: Any
     attribute: str
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Defect:
-    """A fault that is put into the program on purpose.
+    """A defect that is planted in the program on purpose.
 
     Attributes:
-        name: How the command line names it.
-        layer: The part of the program that it is planted in.
-        expected_rules: The rules that it may break.
-        patches: Makes the patches; called anew at each planting.
-        description: What the program does wrong, in a few words.
+        name: Name on the command line.
+        layer: Layer of the program in which it is planted.
+        expected_rules: Rules whose violation counts as detection of the defect.
+        patches: Returns new patches; called each time the defect is planted.
+        description: Short description of the incorrect behaviour.
     """
 
     name: str
@@ -38,13 +38,13 @@
 
 
 def returns(value: object) -> Callable[..., Any]:
-    """Make a replacement for a function that returns the same value whatever it is called with."""
+    """Return a function that accepts any arguments and always returns `value`."""
     return lambda *_args, **_keywords: value
 
 
 @contextmanager
 def planted(defect: Defect | None) -> Iterator[None]:
-    """Plant a defect, if any, for the length of a block; the program is as before afterwards."""
+    """Plant a defect, if any, for the duration of a `with` block, and restore the program at its end."""
     originals: list[Patch] = []
     try:
         for patch in defect.patches() if defect is not None else ():
--- a/stackwheel/trials/defects/policy.py
+++ b/stackwheel/trials/defects/policy.py
@@ -1,4 +1,4 @@
-"""Deliberate defects of the policy: what it decides, and how much it lets out."""
+"""Deliberate defects of the policy: its decisions, and its limits on what is sent."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
 from stackwheel.wire.connection_limits import RateLimiter
 from stackwheel.wire.transport import SocketTransport
 
-UNLIMITED_STEP = 1e9  # share of a server's load that may move in one slot
-OVERLOAD_FACTOR = 10.0  # by which the share of a server that warms up is too large
-FIRST_EMPTIED_SLOT = 9  # the slots before fill the tables
-EMPTIED_EVERY_SLOTS = 3
+UNLIMITED_SHARE_STEP = 1e9
+WARMING_SHARE_FACTOR = 10.0
+FIRST_EMPTIED_SLOT = 9  # earlier slots fill the tables
+EMPTIED_SLOT_INTERVAL = 3
 
 
 def draining_taken_as_ready() -> Sequence[Patch]:
-    """Each endpoint entry is believed to be ready."""
+    """Treat each endpoint entry as ready."""
     original = EndpointTracker.apply_entry
 
     def apply_entry(self: EndpointTracker, entry: face.EndpointEntry) -> bool:
-        """In place of `EndpointTracker.apply_entry`."""
+        """Replacement for `EndpointTracker.apply_entry`."""
         return original(self, replace(entry, availability=Availability.READY))
 
     return [Patch(EndpointTracker, "apply_entry", apply_entry)]
 
 
 def removed_servers_kept() -> Sequence[Patch]:
-    """An endpoint update is extended by the servers that it lacks or removes."""
+    """Keep servers that an endpoint update does not contain, or that it removes."""
     original = EndpointTracker.apply
 
     def apply(self: EndpointTracker, update: face.EndpointUpdate) -> bool:
-        """In place of `EndpointTracker.apply`."""
+        """Replacement for `EndpointTracker.apply`."""
         listed = tuple(entry for entry in update.entries if entry.availability is not Availability.REMOVED)
         listed_servers = {entry.server for entry in listed}
         missing = tuple(view.entry for server, view in self.pool.views.items() if server not in listed_servers)
@@ -53,11 +53,11 @@
 
 
 def removals_never_sent() -> Sequence[Patch]:
-    """Changes to weight 0 are left out, and the others are never urgent."""
+    """Omit changes to weight 0, and send the others without urgency."""
     original = UpdateScheduler.table_changes
 
     def table_changes(self: UpdateScheduler, table_index: int, table: Table, now: float) -> list[WeightChange]:
-        """In place of `UpdateScheduler.table_changes`."""
+        """Replacement for `UpdateScheduler.table_changes`."""
         changes = original(self, table_index, table, now)
         return [change._replace(urgency=Urgency.NEW_LINE) for change in changes if change.weight > 0]
 
@@ -65,39 +65,41 @@
 
 
 def no_slow_start() -> Sequence[Patch]:
-    """A server that has just started counts as warm, and any load may move to it at once."""
-    return [Patch(SlowStart, "available_share", returns(1.0)), Patch(tables, "MAX_SHARE_STEP", UNLIMITED_STEP)]
+    """Treat a server that has just started as warm, and let any load move to it in one slot."""
+    return [Patch(SlowStart, "available_share", returns(1.0)), Patch(tables, "MAX_SHARE_STEP", UNLIMITED_SHARE_STEP)]
 
 
 def slow_start_share_exceeded() -> Sequence[Patch]:
-    """Servers that warm up get a multiple of the share that was worked out for them."""
+    """Give warming servers a multiple of their computed share."""
     original = tables.table_shares
 
     def table_shares(rates: Rates, pool: ServerPool, now: float) -> Rates:
-        """In place of `tables.table_shares`."""
+        """Replacement for `tables.table_shares`."""
         warming_up = {server for server in rates if pool.available_share(pool.views[server], now) < 1.0}
-        exceeded = {server: rate * (OVERLOAD_FACTOR if server in warming_up else 1.0) for server, rate in rates.items()}
+        exceeded = {
+            server: rate * (WARMING_SHARE_FACTOR if server in warming_up else 1.0) for server, rate in rates.items()
+        }
         return original(exceeded, pool, now)
 
     return [Patch(table_groups, "table_shares", table_shares)]
 
 
 def retries_without_condition() -> Sequence[Patch]:
-    """Proxies are told to retry whatever failed."""
+    """Let proxies retry after any failure, even if the request was executed."""
     return [Patch(load_shedding, "RETRY_MODE", Retry.TWICE)]
 
 
 def joined_proxies_ignored() -> Sequence[Patch]:
-    """Proxies that joined are assigned no table."""
+    """Assign no tables to proxies that have joined."""
     return [Patch(JoinScheduler, "assign_tables", returns(None))]
 
 
 def one_class_assigned() -> Sequence[Patch]:
-    """Tables of all classes but the first are never assigned."""
+    """Assign only the tables of the first request class."""
     original = JoinScheduler.assign_tables
 
     def assign_tables(self: JoinScheduler, now: float) -> None:
-        """In place of `JoinScheduler.assign_tables`."""
+        """Replacement for `JoinScheduler.assign_tables`."""
         original(self, now)
         self.actions[:] = [
             action
@@ -109,15 +111,15 @@
 
 
 def tables_emptied() -> Sequence[Patch]:
-    """In every third slot all weights of a table that is written become 0."""
+    """Set all weights of the tables written in every third slot to 0."""
     original = UpdateScheduler.write_table
 
     def write_table(
         self: UpdateScheduler, table: Table, users: list[int], weights: Rates, levels: dict[int, face.AdmissionLevel]
     ) -> None:
-        """In place of `UpdateScheduler.write_table`."""
+        """Replacement for `UpdateScheduler.write_table`."""
         slot = self.slot.number
-        if slot >= FIRST_EMPTIED_SLOT and slot % EMPTIED_EVERY_SLOTS == 0:
+        if slot >= FIRST_EMPTIED_SLOT and slot % EMPTIED_SLOT_INTERVAL == 0:
             weights = dict.fromkeys((*weights, *table.sent), 0.0)
         original(self, table, users, weights, levels)
 
@@ -125,12 +127,12 @@
 
 
 def queue_unbounded() -> Sequence[Patch]:
-    """The channel always has capacity left."""
+    """Let the channel always have free capacity."""
     return [Patch(ChannelBudget, "free_lines", returns(math.inf))]
 
 
 def message_cap_ignored() -> Sequence[Patch]:
-    """Neither the policy nor the connections limit the messages to one proxy."""
+    """Remove the limit on messages to one proxy from the policy and from the connections."""
     return [
         Patch(ChannelBudget, "may_send_message", returns(True)),
         Patch(RateLimiter, "delay", returns(0.0)),
@@ -138,10 +140,10 @@
 
 
 def message_cap_by_stream() -> Sequence[Patch]:
-    """Each stream has a limiter of its own, so that a new stream begins a new count."""
+    """Limit messages per stream instead of per proxy, so that a new stream starts a new count."""
 
     def limiter(self: SocketTransport, _proxy: int) -> RateLimiter:
-        """In place of `SocketTransport.limiter`."""
+        """Replacement for `SocketTransport.limiter`."""
         return RateLimiter(self.settings.message_cap, self.settings.message_window)
 
     return [
--- a/stackwheel/trials/defects/relay.py
+++ b/stackwheel/trials/defects/relay.py
@@ -1,4 +1,4 @@
-"""Deliberate defects of the relay: the lists that it serves, its watches and its upstream liveness."""
+"""Deliberate defects of the relay: its endpoint lists, its watches and its upstream liveness."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from stackwheel.wire.endpoint_list_server import EndpointListServer
 from stackwheel.wire.endpoint_watch import MAX_PENDING_BYTES, EndpointWatch
 
-WATCH_GAP_S = 1.0  # between a watch's first answer and its place among the watches
+WATCH_REGISTRATION_DELAY_S = 1.0
 
 
 def old_generation_served() -> Sequence[Patch]:
-    """The list that was encoded once is served under every later generation."""
+    """Serve the first encoding of a list under all later generations."""
     return [Patch(CellView, "_invalidate_encodings", returns(None))]
 
 
-def behind_served() -> Sequence[Patch]:
-    """A relay that is behind what its caller knows answers at once."""
+def clients_ahead_served() -> Sequence[Patch]:
+    """Answer a client that has a newer generation at once, instead of waiting to catch up."""
     return [Patch(CellView, "may_catch_up", returns(False))]
 
 
 def gap_before_watch() -> Sequence[Patch]:
-    """The first answer of a watch is made a while before the watch is notified of changes."""
+    """Encode the first answer of a watch some time before the watch is registered for changes."""
     original = EndpointListServer._watch
 
     async def watch(self: EndpointListServer, cell: str, delta: bytes | None, reader: Any, writer: Any) -> None:
-        """In place of `EndpointListServer._watch`."""
+        """Replacement for `EndpointListServer._watch`."""
         first_answer = delta or self.cache.snapshot(cell)
-        await asyncio.sleep(WATCH_GAP_S)
+        await asyncio.sleep(WATCH_REGISTRATION_DELAY_S)
         await original(self, cell, first_answer, reader, writer)
 
     return [Patch(EndpointListServer, "_watch", watch)]
 
 
-def lost_registry_vouched_for() -> Sequence[Patch]:
-    """A relay that was ever connected to the discovery service serves its list for good."""
+def lost_discovery_treated_as_alive() -> Sequence[Patch]:
+    """Treat the discovery service as alive for ever once it has been connected."""
     return [
         Patch(UpstreamLiveness, "is_alive", lambda self, _now: self.last_seen_at is not None),
         Patch(UpstreamLiveness, "detect_loss", returns(False)),
@@ -49,7 +49,7 @@
 
 
 def unreadable_taken_as_removed() -> Sequence[Patch]:
-    """An entry that can't be read counts as one that is not listed."""
+    """Treat a server whose entry is undecodable as removed."""
     return [
         Patch(watch_cache, "may_be_unreadable", returns(False)),
         Patch(watch_cache.WatchCache, "_remember_unreadable", returns(None)),
@@ -57,11 +57,11 @@
 
 
 def removals_not_resumed() -> Sequence[Patch]:
-    """A watch that is resumed is not sent which servers were removed meanwhile."""
+    """Omit removed servers from the changes that a resumed watch receives."""
     original = CellView._changed_after
 
     def changed_after(self: CellView, since: int) -> list[bytes]:
-        """In place of `CellView._changed_after`."""
+        """Replacement for `CellView._changed_after`."""
         removed = self.removed
         self.removed = {}
         try:
@@ -73,21 +73,21 @@
 
 
 def resumed_below_log() -> Sequence[Patch]:
-    """A watch is resumed from any generation, also from one before the log of changes begins."""
+    """Resume a watch from any generation, even one before the start of the log of changes."""
     return [Patch(CellView, "can_resume", lambda _self, since: since > 0)]
 
 
 def older_state_passed_on() -> Sequence[Patch]:
-    """Generations of single entries are not compared."""
+    """Accept an entry even if a newer generation of it is cached."""
     return [Patch(watch_cache.WatchCache, "_is_new", returns(True))]
 
 
 def dropped_for_slow_reader() -> Sequence[Patch]:
-    """What a watcher leaves unread beyond the bound is dropped, and no snapshot is sent in its place."""
+    """Drop changes that exceed the limit of pending bytes of a watch, without sending a snapshot instead."""
     original = EndpointWatch.enqueue
 
     def enqueue(self: EndpointWatch, data: bytes) -> None:
-        """In place of `EndpointWatch.enqueue`."""
+        """Replacement for `EndpointWatch.enqueue`."""
         if not self.is_writing or self.pending_bytes + len(data) <= MAX_PENDING_BYTES:
             original(self, data)
 
@@ -106,7 +106,7 @@
         "behind-served",
         "relay",
         (Rule.PART, Rule.DRAINS),
-        behind_served,
+        clients_ahead_served,
         "a relay answers callers that know more than it does",
     ),
     Defect(
@@ -120,7 +120,7 @@
         "lost-registry-vouched-for",
         "relay",
         (Rule.VOUCHED,),
-        lost_registry_vouched_for,
+        lost_discovery_treated_as_alive,
         "a relay goes on with empty lines and answers after it lost the registry",
     ),
     Defect(
--- a/stackwheel/trials/defects/search.py
+++ b/stackwheel/trials/defects/search.py
@@ -1,4 +1,4 @@
-"""How many seeds it takes until one shows a deliberate defect."""
+"""Searches for the first seed on which a deliberate defect is detected."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """How many seeds it took to find a defect.
+    """Result of the search for a defect.
 
     Attributes:
-        defect: The defect's name.
-        seeds_run: Seeds run with the defect, the one that showed it included.
-        seed: The seed that showed it, or `NO_SEED`.
-        rule: The rule that broke, or None where no seed showed the defect.
+        defect: Name of the defect.
+        seeds_run: Number of seeds run with the defect, including the one that detected it.
+        seed: The seed that detected it, or `NO_SEED`.
+        rule: The broken rule, or None if no seed detected the defect.
     """
 
     defect: str
@@ -34,29 +34,29 @@
 
 
 def detecting_rules(defect: Defect, result: SeedResult) -> set[Rule]:
-    """Return the broken rules of a run that show the defect."""
+    """Return the expected rules of a defect that a run broke."""
     return {verdict.rule for verdict in result.verdicts if verdict.rule in defect.expected_rules}
 
 
 def search(name: str, seeds: Sequence[int]) -> SearchResult:
-    """Try seeds until one breaks a rule with the defect that it keeps without it."""
+    """Run seeds until one breaks an expected rule with the defect, but not without it."""
     defect = find_defect(name)
     assert defect is not None, name
     files = defect in FILE_DEFECTS
     relays = defect in RELAY_DEFECTS
     for count, seed in enumerate(seeds, 1):
         with planted(defect):
-            showing = detecting_rules(defect, run_seed(seed, files, relays))
-        if not showing:
+            broken_with_defect = detecting_rules(defect, run_seed(seed, files, relays))
+        if not broken_with_defect:
             continue
-        broken_anyway = {verdict.rule for verdict in run_seed(seed, files, relays).verdicts}
-        broken_by_defect = showing - broken_anyway
-        if broken_by_defect:
-            return SearchResult(name, count, seed, min(broken_by_defect))
+        broken_without_defect = {verdict.rule for verdict in run_seed(seed, files, relays).verdicts}
+        broken_only_with_defect = broken_with_defect - broken_without_defect
+        if broken_only_with_defect:
+            return SearchResult(name, count, seed, min(broken_only_with_defect))
     return SearchResult(name, len(seeds), NO_SEED, None)
 
 
 def search_all(names: Sequence[str], seeds: Sequence[int], jobs: int) -> Iterator[SearchResult]:
-    """Search for each defect in a process of its own; results come in the order of the names."""
+    """Search for each defect in worker processes, and yield the results in the order of the names."""
     with ProcessPoolExecutor(jobs, initializer=ignore_interrupts) as pool:
         yield from pool.map(search, names, [seeds] * len(names))
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -14,14 +14,14 @@
 from stackwheel.state.streams import ProxyStreams, find_stream
 from stackwheel.trials.defects.planting import Defect, Patch
 
-EVENTS_PROCESSED = 3  # of each batch
+MAX_EVENTS_PER_BATCH = 3
 
 
 def superseded_stream_ends_new_one() -> Sequence[Patch]:
-    """The end of any stream of a proxy counts as the end of its present one."""
+    """Treat the end of any stream of a proxy as the end of its current stream."""
 
-    def leave(self: ProxyStreams, proxy: int, _line: Any) -> Iterable[face.Event]:
-        """In place of `ProxyStreams.leave`."""
+    def leave(self: ProxyStreams, proxy: int, _connection: Any) -> Iterable[face.Event]:
+        """Replacement for `ProxyStreams.leave`."""
         self.timed_out.pop(proxy, None)
         if self.by_proxy.pop(proxy, None) is not None:
             yield face.ProxyLeft(proxy)
@@ -30,46 +30,46 @@
 
 
 def superseded_stream_takes_over() -> Sequence[Patch]:
-    """The older stream of a proxy takes it over again with its late lines."""
+    """Make a superseded stream current again when a message arrives on it."""
 
-    def message_received(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
-        """In place of `ProxyStreams.message_received`."""
+    def message_received(self: ProxyStreams, proxy: int, connection: Any) -> Iterable[face.Event] | None:
+        """Replacement for `ProxyStreams.message_received`."""
         stream = self.by_proxy.get(proxy)
-        if stream is not None and not find_stream(self.by_proxy, proxy, line):
-            stream.connection = line
+        if stream is not None and not find_stream(self.by_proxy, proxy, connection):
+            stream.connection = connection
         return ()
 
     return [Patch(ProxyStreams, "message_received", message_received)]
 
 
 def complete_list_taken_as_delta() -> Sequence[Patch]:
-    """What a complete endpoint list lacks stays listed."""
+    """Keep servers that a complete endpoint list does not contain."""
     original = EndpointCache.apply
 
     def apply(self: EndpointCache, endpoint_list: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
-        """In place of `EndpointCache.apply`."""
+        """Replacement for `EndpointCache.apply`."""
         return original(self, replace(endpoint_list, complete=False), now)
 
     return [Patch(EndpointCache, "apply", apply)]
 
 
-def older_generation_believed() -> Sequence[Patch]:
-    """Generations are not compared: an older state brings back what drains."""
+def older_generation_applied() -> Sequence[Patch]:
+    """Apply older generations of the endpoint list, which may revert a drain."""
 
     def discard_stale(_self: EndpointCache, endpoint_list: EndpointList, _now: float) -> EndpointList:
-        """In place of `EndpointCache.discard_stale`."""
+        """Replacement for `EndpointCache.discard_stale`."""
         return endpoint_list
 
     return [Patch(EndpointCache, "discard_stale", discard_stale)]
 
 
 def batch_truncated() -> Sequence[Patch]:
-    """Only the last events of a batch are processed."""
+    """Process only the last events of a batch."""
     original = PlannerActor.process_batch
 
     def process_batch(self: PlannerActor) -> None:
-        """In place of `PlannerActor.process_batch`."""
-        self.mailbox = self.mailbox[-EVENTS_PROCESSED:]
+        """Replacement for `PlannerActor.process_batch`."""
+        self.mailbox = self.mailbox[-MAX_EVENTS_PER_BATCH:]
         original(self)
 
     return [Patch(PlannerActor, "process_batch", process_batch)]
@@ -101,7 +101,7 @@
         "older-believed",
         "state",
         (Rule.DRAINS,),
-        older_generation_believed,
+        older_generation_applied,
         "an older generation undoes a drain",
     ),
     Defect(
--- a/stackwheel/trials/defects/wire.py
+++ b/stackwheel/trials/defects/wire.py
@@ -1,4 +1,4 @@
-"""Deliberate defects of the wire: the codec, the connections and the discovery client."""
+"""Deliberate defects of the wire layer: the codec, the connections and the discovery client."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 from stackwheel.wire.messages import MalformedMessageError
 from stackwheel.wire.transport import SocketTransport
 
-LOST_LENGTH = 17  # bytes: messages whose length is a multiple of it are lost
+LOST_LENGTH_DIVISOR_BYTES = 17
 
 
 def watch_never_resumed() -> Sequence[Patch]:
-    """A discovery call that failed is not repeated."""
+    """Do not repeat a discovery call that failed."""
     return [Patch(DiscoveryClient, "report_failure", returns(None))]
 
 
 def complete_flag_omitted() -> Sequence[Patch]:
-    """A part that replaces a table is encoded as one that changes it."""
+    """Encode a message that replaces a table as one that changes it."""
     original = Encoder.encode_part
 
     def encode_part(self: Encoder, part: UpdatePart) -> Any:
-        """In place of `Encoder.encode_part`."""
+        """Replacement for `Encoder.encode_part`."""
         return original(self, replace(part, complete=False))
 
     return [Patch(Encoder, "encode_part", encode_part)]
 
 
 def zero_weights_omitted() -> Sequence[Patch]:
-    """Lines with weight 0 are left out of what is encoded."""
+    """Omit lines with weight 0 from encoded messages."""
     original = Encoder.encode_part
 
     def encode_part(self: Encoder, part: UpdatePart) -> Any:
-        """In place of `Encoder.encode_part`."""
+        """Replacement for `Encoder.encode_part`."""
         positive = tuple((server, weight) for server, weight in part.lines if weight > 0)
         return original(self, replace(part, lines=positive))
 
@@ -49,59 +49,59 @@
 
 
 def messages_lost() -> Sequence[Patch]:
-    """Updates of some lengths are not written."""
+    """Do not write table updates whose length is a multiple of `LOST_LENGTH_DIVISOR_BYTES`."""
     original = Connection.send
 
     def send(self: Connection, data: bytes) -> None:
-        """In place of `Connection.send`."""
-        if not (data.startswith(b"CONFIG") and len(data) % LOST_LENGTH == 0):
+        """Replacement for `Connection.send`."""
+        if not (data.startswith(b"CONFIG") and len(data) % LOST_LENGTH_DIVISOR_BYTES == 0):
             original(self, data)
 
     return [Patch(Connection, "send", send)]
 
 
 def weights_with_exponent() -> Sequence[Patch]:
-    """Weights are written in a form that the protocol does not have."""
+    """Encode weights with an exponent, which the protocol does not allow."""
     return [Patch(line_codec, "format_number", lambda value: f"{value:.5e}")]
 
 
 def buffered_bytes_never_released() -> Sequence[Patch]:
-    """The total of buffered bytes grows by each count, and forgets no connection."""
+    """Add each count of buffered bytes to the total without subtracting the previous one."""
 
-    def account(self: BufferBudget, peer: Connection, count: int) -> None:
-        """In place of `BufferBudget.account`."""
-        self.total_bytes += count
-        self.bytes_by_connection[peer] = count
+    def account(self: BufferBudget, owner: Connection, byte_count: int) -> None:
+        """Replacement for `BufferBudget.account`."""
+        self.total_bytes += byte_count
+        self.bytes_by_connection[owner] = byte_count
 
     return [Patch(BufferBudget, "account", account)]
 
 
 def unidentified_connections_kept() -> Sequence[Patch]:
-    """Nothing is ever taken from the unidentified connections."""
+    """Never remove connections from the unidentified ones."""
 
     class GrowingDict(dict[Any, None]):
-        """A dict that keeps what is taken from it."""
+        """A dict whose `pop` does not remove items."""
 
         def pop(self, *_: Any) -> Any:
-            """Take nothing."""
+            """Return None without removing an item."""
             return None
 
     original = SocketTransport.__init__
 
-    def initialise(self: SocketTransport, *args: Any, **keywords: Any) -> None:
-        """In place of `SocketTransport.__init__`."""
+    def initialize(self: SocketTransport, *args: Any, **keywords: Any) -> None:
+        """Replacement for `SocketTransport.__init__`."""
         original(self, *args, **keywords)
         self.connection_table.unidentified = GrowingDict()
 
-    return [Patch(SocketTransport, "__init__", initialise)]
+    return [Patch(SocketTransport, "__init__", initialize)]
 
 
 def malformed_report_raises() -> Sequence[Patch]:
-    """A malformed line raises an exception that nobody expects."""
+    """Raise an exception that no caller handles for a malformed line."""
     original = line_codec.decode
 
     def decode(line: bytes, names: Any) -> Any:
-        """In place of `line_codec.decode`."""
+        """Replacement for `line_codec.decode`."""
         try:
             return original(line, names)
         except MalformedMessageError as error:
--- a/tests/trials/test_defects.py
+++ b/tests/trials/test_defects.py
@@ -1,4 +1,4 @@
-"""The checks can fail: each deliberate defect shows on its seed, which is sound without it."""
+"""Detection of deliberate defects by the checks of the trials."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from stackwheel.trials.defects.search import detecting_rules
 from stackwheel.trials.runner import run_seed
 
-FIRST_SEEDS: dict[str, int] = {  # the first that shows each
+# The first seed on which each defect is detected.
+FIRST_SEEDS: dict[str, int] = {
     "drain-ignored": 4,
     "gone-kept": 6,
     "removals-late": 4,
@@ -44,19 +45,19 @@
 }
 
 
-SEARCHED = [defect for defect in ALL_DEFECTS if defect.name in FIRST_SEEDS]
+DEFECTS_WITH_SEED = [defect for defect in ALL_DEFECTS if defect.name in FIRST_SEEDS]
 
 
-@pytest.mark.parametrize("defect", SEARCHED, ids=lambda defect: defect.name)
-def test_each_defect_is_found(defect: Defect) -> None:
+@pytest.mark.parametrize("defect", DEFECTS_WITH_SEED, ids=lambda defect: defect.name)
+def test_defect_breaks_an_expected_rule_that_its_seed_keeps_without_it(defect: Defect) -> None:
     seed = FIRST_SEEDS[defect.name]
     with planted(defect):
-        showing = detecting_rules(defect, run_seed(seed, defect in FILE_DEFECTS))
-    assert showing, f"{defect.description}: not found on seed {seed}"
-    assert not showing <= {verdict.rule for verdict in run_seed(seed, defect in FILE_DEFECTS).verdicts}
+        broken_with_defect = detecting_rules(defect, run_seed(seed, defect in FILE_DEFECTS))
+    assert broken_with_defect, f"{defect.description}: not detected on seed {seed}"
+    assert not broken_with_defect <= {verdict.rule for verdict in run_seed(seed, defect in FILE_DEFECTS).verdicts}
 
 
-def test_planted_defects_are_removed_again() -> None:
+def test_program_is_restored_after_each_planted_defect() -> None:
     before = run_seed(1).digest
     for defect in ALL_DEFECTS:
         with planted(defect):
--- a/tests/trials/test_fault_effects.py
+++ b/tests/trials/test_fault_effects.py
@@ -1,4 +1,4 @@
-"""Each kind of fault does something."""
+"""The table of effects of faults."""
 
 from __future__ import annotations
 
