--- a/stackwheel/trials/measure.py
+++ b/stackwheel/trials/measure.py
@@ -21,7 +21,7 @@
 DRAIN_AT_SHARE = 0.4
 KILL_AT_SHARE = 0.6
 CHECKER_METHODS = (
-    "advance",
+    "check_deadlines",
     "attempt_sent",
     "request_executed",
     "request_answered",
@@ -33,7 +33,7 @@
     "proxy_joined",
     "proxy_left",
     "warming_server_load",
-    "note",
+    "record_event",
 )
 
 
