--- a/stackwheel/trials/defects/files.py
+++ b/stackwheel/trials/defects/files.py
@@ -47,7 +47,7 @@
     return [Patch(Acceptor, "validate", validate)]
 
 
-def reservations_forgotten() -> Sequence[Patch]:
+def reservations_not_recorded() -> Sequence[Patch]:
     """Record no ids of reservations."""
     original = Acceptor.record_applied
 
@@ -101,7 +101,7 @@
         "booking-forgotten",
         "files",
         (Rule.ONCE,),
-        reservations_forgotten,
+        reservations_not_recorded,
         "ids of booking orders are not remembered",
     ),
     Defect(
--- a/stackwheel/trials/process_faults.py
+++ b/stackwheel/trials/process_faults.py
@@ -62,7 +62,7 @@
 
 
 def stall_planner(world: World, planner: PlannerHost, span: float) -> None:
-    """Stall a planner for `span` s; its limits are suspended meanwhile if that exceeds the allowed stall."""
+    """Stall a planner for `span` s; its limits are suspended if that exceeds `MAX_STALL_WITHIN_LIMITS_S`."""
     if span > MAX_STALL_WITHIN_LIMITS_S:
         world.checker.suspend_limits(planner.number, world.context.now_ms() + span * 1000.0)
     stall_machine(world, planner.machine, span)
--- a/stackwheel/trials/runner.py
+++ b/stackwheel/trials/runner.py
@@ -152,7 +152,7 @@
 def run_seeds(
     seeds: Sequence[int],
     jobs: int,
-    chunk: Callable[[Sequence[int]], list[SeedResult]] = run_chunk,
+    chunk_runner: Callable[[Sequence[int]], list[SeedResult]] = run_chunk,
 ) -> Iterator[SeedResult]:
     """Yield the results of seeds in the order of the seeds, as soon as they are available.
 
@@ -161,25 +161,25 @@
     Args:
         seeds: The seeds to run.
         jobs: Number of processes; with 1, seeds run in the calling process.
-        chunk: Function that runs several seeds in a worker process.
+        chunk_runner: Function that runs several seeds in a worker process.
     """
     if jobs <= 1 or len(seeds) <= 1:
         for seed in seeds:
-            yield from chunk([seed])
+            yield from chunk_runner([seed])
         return
     chunks = [seeds[start : start + CHUNK_SEEDS] for start in range(0, len(seeds), CHUNK_SEEDS)]
     pool = ProcessPoolExecutor(jobs, initializer=ignore_interrupts)
-    running: dict[Future[list[SeedResult]], int] = {}
+    pending: dict[Future[list[SeedResult]], int] = {}
     completed: dict[int, list[SeedResult]] = {}
     submitted = 0
     yielded = 0
     try:
         while yielded < len(chunks):
-            while submitted < len(chunks) and len(running) < MAX_SUBMITTED_CHUNKS_PER_PROCESS * jobs:
-                running[pool.submit(chunk, chunks[submitted])] = submitted
+            while submitted < len(chunks) and len(pending) < MAX_SUBMITTED_CHUNKS_PER_PROCESS * jobs:
+                pending[pool.submit(chunk_runner, chunks[submitted])] = submitted
                 submitted += 1
-            for future in wait(running, return_when=FIRST_COMPLETED).done:
-                completed[running.pop(future)] = future.result()
+            for future in wait(pending, return_when=FIRST_COMPLETED).done:
+                completed[pending.pop(future)] = future.result()
             while yielded in completed:
                 yield from completed.pop(yielded)
                 yielded += 1
--- a/stackwheel/trials/shrink.py
+++ b/stackwheel/trials/shrink.py
@@ -14,15 +14,15 @@
 from stackwheel.trials.simulation import run_script
 
 MAX_RUNS = 400
-SPAN_AFTER_BREAK_S = 0.5
-SMALLER_SIZES: dict[str, tuple[int, ...]] = {
+SPAN_AFTER_VIOLATION_S = 0.5
+CANDIDATE_SIZES: dict[str, tuple[int, ...]] = {
     "zones": (1, 2),
     "planners": (1, 2),
     "proxies": (1, 2, 4, 8),
     "servers": (2, 4, 6, 8),
 }
 
-BreakFinder = Callable[[Script, Rule], float | None]
+ViolationFinder = Callable[[Script, Rule], float | None]
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
         best: The smallest script so far.
         rule: The rule to break.
         runs_left: Number of trials that may still be run.
-        find_break: Returns the time at which a script first breaks a rule, in s, or None if it does not.
+        find_violation_time: Returns the time at which a script first breaks a rule, in s, or None if it does not.
         broken_at: Time of the first violation in `best`, in s of virtual time.
         runs: Number of trials run so far.
     """
@@ -59,16 +59,16 @@
         script: Script,
         rule: Rule,
         max_runs: int = MAX_RUNS,
-        find_break: BreakFinder | None = None,
+        find_violation_time: ViolationFinder | None = None,
     ) -> None:
         self.best = script
         self.rule = rule
         self.runs_left = max_runs
-        self.find_break = find_break or first_violation_time
+        self.find_violation_time = find_violation_time or first_violation_time
         self.broken_at = 0.0
         self.runs = 0
 
-    def still_breaks(self, script: Script) -> bool:
+    def try_candidate(self, script: Script) -> bool:
         """Return whether a candidate is valid and breaks the rule; if so, it becomes `best`."""
         if self.runs_left <= 0:
             return False
@@ -78,7 +78,7 @@
             return False
         self.runs_left -= 1
         self.runs += 1
-        broken_at = self.find_break(script, self.rule)
+        broken_at = self.find_violation_time(script, self.rule)
         if broken_at is None:
             return False
         self.best = script
@@ -91,12 +91,12 @@
         Raises:
             ScriptError: The script does not break the rule, or no trial may be run.
         """
-        if not self.still_breaks(self.best):
+        if not self.try_candidate(self.best):
             raise ScriptError("", f"seed {self.best.seed} does not break the rule: {self.rule.value}")
         self.shorten()
-        before = None
-        while before != self.best and self.runs_left > 0:
-            before = self.best
+        previous_best = None
+        while previous_best != self.best and self.runs_left > 0:
+            previous_best = self.best
             self.drop_faults()
             self.drop_names()
             self.reduce_shape()
@@ -105,10 +105,10 @@
 
     def shorten(self) -> None:
         """End the script shortly after the first violation."""
-        span = round(min(self.best.span, self.broken_at + SPAN_AFTER_BREAK_S), 1)
+        span = round(min(self.best.span, self.broken_at + SPAN_AFTER_VIOLATION_S), 1)
         if span < self.best.span:
             faults = tuple(fault for fault in self.best.faults if fault.at <= span)
-            self.still_breaks(msgspec.structs.replace(self.best, span=span, faults=faults))
+            self.try_candidate(msgspec.structs.replace(self.best, span=span, faults=faults))
 
     def drop_faults(self) -> None:
         """Remove faults: first half of them at a time, then smaller groups, then single faults."""
@@ -117,7 +117,7 @@
             start = 0
             while start < len(self.best.faults):
                 faults = self.best.faults[:start] + self.best.faults[start + size :]
-                if not self.still_breaks(msgspec.structs.replace(self.best, faults=faults)):
+                if not self.try_candidate(msgspec.structs.replace(self.best, faults=faults)):
                     start += size
             size //= 2
 
@@ -132,10 +132,10 @@
         name_index = 0
         names = machine_name_fields(self.best.faults[index])[field]
         while name_index < len(names) > 1:
-            fewer = names[:name_index] + names[name_index + 1 :]
-            fault = msgspec.structs.replace(self.best.faults[index], **{field: fewer})
-            if self.still_breaks(self.with_fault(index, fault)):
-                names = fewer
+            remaining = names[:name_index] + names[name_index + 1 :]
+            fault = msgspec.structs.replace(self.best.faults[index], **{field: remaining})
+            if self.try_candidate(self.with_fault(index, fault)):
+                names = remaining
             else:
                 name_index += 1
 
@@ -146,9 +146,9 @@
 
     def reduce_shape(self) -> None:
         """Reduce the number of zones, planners, proxies and servers, one after the other, smallest size first."""
-        for name, sizes in SMALLER_SIZES.items():
+        for name, sizes in CANDIDATE_SIZES.items():
             for size in sizes:
-                if size < getattr(self.best.shape, name) and self.still_breaks(self.with_size(name, size)):
+                if size < getattr(self.best.shape, name) and self.try_candidate(self.with_size(name, size)):
                     break
 
     def with_size(self, name: str, size: int) -> Script:
@@ -161,12 +161,12 @@
 def fitting_faults(script: Script) -> Iterator[Fault]:
     """Yield the faults of a script without the names that match no machine; faults left without names are omitted."""
     for fault in script.faults:
-        present = {
+        matching = {
             field: tuple(name for name in names if machine_names((name,), script.shape))
             for field, names in machine_name_fields(fault).items()
         }
-        if all(present.values()):
-            yield msgspec.structs.replace(fault, **present)
+        if all(matching.values()):
+            yield msgspec.structs.replace(fault, **matching)
 
 
 def first_violation_time(script: Script, rule: Rule) -> float | None:
--- a/tests/trials/test_shrink.py
+++ b/tests/trials/test_shrink.py
@@ -60,10 +60,10 @@
     lose_zone = faults.LoseZone(5.0, 0, 4.0, True)
     script = Script(1, 20.0, Shape(), (lose_zone, faults.Reset(6.0, ("proxy-0", "proxy-1"))))
 
-    def find_break(candidate: Script, _rule: Rule) -> float | None:
+    def find_violation_time(candidate: Script, _rule: Rule) -> float | None:
         return 8.0 if lose_zone in candidate.faults and len(candidate.faults) == 2 else None
 
-    shrunk = Shrinker(script, Rule.DRAINS, 100, find_break).run().script
+    shrunk = Shrinker(script, Rule.DRAINS, 100, find_violation_time).run().script
     assert shrunk.faults == (lose_zone, faults.Reset(6.0, ("proxy-1",)))
 
 
