--- a/stackwheel/trials/__init__.py
+++ b/stackwheel/trials/__init__.py
@@ -1,1 +1,1 @@
-"""Deterministic simulation of the production service on a virtual clock and network, with faults drawn from seeds."""
+"""Deterministic simulation of the service on a virtual clock and network, with faults drawn from seeds."""
