--- a/stackwheel/wire/byte_budget.py
+++ b/stackwheel/wire/byte_budget.py
@@ -1,4 +1,4 @@
-"""A limit on the total size of the responses that are being sent, with reservations in the order of the requests."""
+"""A limit on the total size of the responses that are being sent; reservations are admitted in order of request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Waiter:
-    """A pending reservation of `size` bytes; `admitted` is resolved when they have been reserved."""
+    """A pending reservation of `size` bytes; `admitted` is resolved when these bytes have been reserved."""
 
     size: int
     admitted: asyncio.Future[None]
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -46,11 +46,11 @@
         names: configured names of the zones, request classes and load columns.
         proxy_count: number of proxies; proxies are numbered from 0.
         post: puts an item into the planner actor's mailbox; never blocks.
-        on_identified: called with True when a connection has identified itself as a stream or a collector, and with
-            False when its proxy has opened another stream.
+        on_identified: called with a connection and True when the connection has identified itself as a stream or a
+            collector, and with False when the proxy of the connection has opened another stream.
         limiter: returns the rate limiter of a proxy, which is shared by its successive connections.
         buffer_budget: limit on the bytes that all connections buffer.
-        is_listed: returns whether a server is in the endpoint list.
+        is_listed: returns whether any endpoint list so far contained a server.
     """
 
     names: ConfiguredNames
@@ -68,14 +68,14 @@
     Attributes:
         proxy: number of the proxy whose stream the connection is or was; None for other connections.
         zone: index of the zone whose collector the connection is; None for other connections.
-        unidentified_since: when the connection was accepted or its proxy opened another stream, in s of the event
-            loop's clock.
-        last_received_at: when data was last received, in s of the event loop's clock.
+        unidentified_since: when the connection was accepted or its proxy opened another stream, in seconds on the
+            event loop's clock.
+        last_received_at: when data was last received, in seconds on the event loop's clock.
         messages_received: number of lines received, including skipped ones.
         messages_skipped: number of lines skipped because they were malformed.
-        unsent_bytes: size of the messages in the mailbox.
+        unsent_bytes: total size of the messages in this connection's outgoing mailbox.
         is_closing: whether this side has closed the connection.
-        is_superseded: whether the proxy has opened another stream.
+        is_superseded: whether the proxy of this connection has opened another stream.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, context: ConnectionContext) -> None:
@@ -130,7 +130,10 @@
                 self.context.post(StreamEnded(self.proxy, self))
 
     async def read(self) -> None:
-        """Read and handle lines until the connection ends or has to be closed."""
+        """Read and handle lines until the connection ends or has to be closed.
+
+        An incomplete line at the end is logged with its size and the number of complete lines before it.
+        """
         while data := await self.reader.read(timing.READ_BYTES):
             self.last_received_at = asyncio.get_running_loop().time()
             try:
@@ -151,10 +154,11 @@
             )
 
     def handle_data(self, data: bytes) -> None:
-        """Handle the lines that are complete after adding `data`.
+        """Add received data to the incomplete line, and handle the lines that are complete then.
 
         Raises:
-            ProtocolViolationError: a line, or the incomplete line at the end, is not a message of the protocol.
+            ProtocolViolationError: a line is not a message of the protocol, or the incomplete line is not the beginning
+                of one.
         """
         for line in self.splitter.feed(data):
             self.messages_received += 1
@@ -188,7 +192,10 @@
             raise ProtocolViolationError("", f"not identified within the first {MAX_UNIDENTIFIED_BYTES} bytes")
 
     def skip_message(self, error: MalformedMessageError) -> None:
-        """Count and log a malformed message; one from a proxy still shows the planner that the proxy is alive."""
+        """Log a malformed message with the number of messages skipped so far on this connection.
+
+        A malformed message from a proxy still shows the planner that the proxy is alive.
+        """
         self.messages_skipped += 1
         logger.warning(
             "message skipped: connection={} count={} reason=message {}: {}",
@@ -228,7 +235,7 @@
                 raise unexpected_message_error(message)
 
     def dispatch_from_collector(self, message: Message) -> None:
-        """Handle a message of a collector, which sends reports of any zone and any proxy."""
+        """Handle a message from a collector, which may report on any zone and any proxy."""
         match message:
             case LoadMessage():
                 self.post_load_report(message)
@@ -242,7 +249,7 @@
                 raise unexpected_message_error(message)
 
     def dispatch_from_proxy(self, message: Message) -> None:
-        """Handle a message of a joined proxy, which sends its own reports and acknowledgements and may join again."""
+        """Handle a message from a joined proxy, which may send its own reports and acknowledgements, and join again."""
         match message:
             case DemandMessage() if message.proxy == self.proxy:
                 self.context.post(StreamMessage(message.proxy, demand_report(message), self))
@@ -256,7 +263,7 @@
                 raise unexpected_message_error(message)
 
     def join(self, message: JoinMessage) -> None:
-        """Make the connection the stream of a proxy; raises MalformedMessageError if the proxy's number is too high."""
+        """Make the connection the stream of a proxy; raises MalformedMessageError if its number is out of range."""
         proxy_count = self.context.proxy_count
         if message.proxy >= proxy_count:
             raise MalformedMessageError(f"{message.KIND} id", f"not below {proxy_count}: {message.proxy}")
@@ -266,7 +273,7 @@
         self.context.post(stream)
 
     def post_load_report(self, message: LoadMessage) -> None:
-        """Post a load report; raises MalformedMessageError if its server is not in the endpoint list."""
+        """Post a load report; raises MalformedMessageError if no endpoint list so far contained its server."""
         server = server_id(message.server_name)
         if not self.context.is_listed(server):
             quoted_name = message.server_name[:MAX_QUOTED_CHARACTERS]
@@ -283,7 +290,7 @@
         self.context.post(report)
 
     def mark_identified(self) -> None:
-        """Raise the line limit to that of identified connections, and report the identification."""
+        """Raise the maximum line length to that of identified connections, and call `on_identified`."""
         self.splitter.max_line_bytes = MAX_MESSAGE_BYTES
         self.context.on_identified(self, True)
 
@@ -307,7 +314,7 @@
             self.mark_identified()
 
     def account_buffers(self) -> None:
-        """Report the bytes that this connection buffers to the common budget."""
+        """Report the number of bytes that this connection buffers to the budget that all connections share."""
         if not self.is_closing:
             self.context.buffer_budget.account(self, len(self.splitter.pending) + self.unsent_bytes)
 
@@ -349,7 +356,7 @@
                 self.account_buffers()
         except OSError:
             return  # the reader receives the same error and logs it
-        except Exception as error:  # close the connection, as it would otherwise stay open without being written to
+        except Exception as error:  # the connection would otherwise stay open without being written to
             logger.exception("connection failed unexpectedly: connection={} reason={!r}", self, error)
             self.close("write failed")
 
@@ -378,5 +385,5 @@
 
 
 def wrong_proxy_error(message: DemandMessage | AckMessage) -> MalformedMessageError:
-    """Create the error for a message that refers to another proxy than that of the connection."""
+    """Create the error for a message that refers to a proxy other than the proxy of the connection."""
     return MalformedMessageError(f"{message.KIND} id", f"not the proxy of this connection: {message.proxy}")
--- a/stackwheel/wire/connection_table.py
+++ b/stackwheel/wire/connection_table.py
@@ -1,4 +1,7 @@
-"""The table of accepted connections, which keeps them within the limit on descriptors by evicting and waiting."""
+"""The table of accepted connections.
+
+It limits the number of open file descriptors: if none is free, it closes idle connections and delays new ones.
+"""
 
 from __future__ import annotations
 
@@ -12,20 +15,20 @@
 
 
 class ConnectionTable:
-    """All accepted connections, and the number of descriptors in use by them and by health checks.
+    """All accepted connections, and the number of file descriptors in use by them and by health checks.
 
     A descriptor is in use until its socket is closed, which takes several iterations of the event loop after the end
     of the connection.
 
     Attributes:
-        max_descriptors: maximum number of descriptors of the process.
+        max_descriptors: maximum number of file descriptors of the process.
         arriving: number of accepted connections that are being set up.
         connections: connections that have been set up and whose sockets are open, the oldest first.
         closing: those of `connections` that have ended or are being closed.
         unidentified: those of `connections` that are neither streams nor collectors, the oldest first.
-        collectors: collectors by zone index; reports of all of them are accepted.
+        collectors: collectors by zone index; reports from all of them are accepted.
         health_checks_in_flight: number of health checks that hold a descriptor.
-        released: set when a descriptor has been released.
+        released: event that is set when a descriptor has been released.
     """
 
     def __init__(self, max_descriptors: int) -> None:
@@ -74,7 +77,7 @@
     def on_identified(self, connection: Connection, identified: bool) -> None:
         """Update the unidentified connections and the collectors after a change of a connection's identification.
 
-        If a zone then has more than MAX_COLLECTORS_PER_ZONE collectors, the longest idle one of the others is closed.
+        If a new collector exceeds MAX_COLLECTORS_PER_ZONE, the longest idle of the zone's other collectors is closed.
         """
         self.unidentified.pop(connection, None)
         if not identified:
@@ -87,7 +90,7 @@
                 longest_idle.close("replaced by a newer collector of its zone")
 
     async def wait_for_capacity(self) -> None:
-        """Wait until a descriptor is free for another connection; evicts one if necessary and waits for its close."""
+        """Wait until a descriptor is free for another connection; closes an open connection if necessary."""
         while self.at_capacity():
             self.released.clear()
             if self.closing or self.evict_one():
@@ -96,7 +99,7 @@
                 await asyncio.sleep(timing.FIRST_READ_GRACE_MS / 5000.0)  # a fifth of the grace period, in s
 
     def reserve_capacity(self) -> None:
-        """Close the oldest unidentified connections until `accept_reserve` descriptors are free for a burst.
+        """Close the oldest unidentified connections until `accept_reserve` descriptors are free for new ones.
 
         Connections whose first bytes may still be unread are not closed.
         """
@@ -136,12 +139,12 @@
         connection.close(reason)
 
     async def sweep(self) -> None:
-        """Close connections that remain unidentified for IDENTIFY_TIMEOUT_MS, whatever they send."""
+        """Close connections that remain unidentified for IDENTIFY_TIMEOUT_MS, even if they send data."""
         loop = asyncio.get_running_loop()
         while True:
             sweep_due = loop.time() + timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0
             await asyncio.sleep(timing.UNIDENTIFIED_SWEEP_INTERVAL_MS / 1000.0)
-            # If this process was suspended, read the data that arrived in the meantime first.
+            # If this process was suspended, first allow time to read the data that arrived in the meantime.
             if loop.time() > sweep_due + timing.STALL_GRACE_MS / 1000.0:
                 await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
             accepted_before = loop.time() - timing.IDENTIFY_TIMEOUT_MS / 1000.0
--- a/stackwheel/wire/datagrams.py
+++ b/stackwheel/wire/datagrams.py
@@ -1,4 +1,4 @@
-"""Exchange of gossip datagrams between planners; the sender of a datagram is identified by its address."""
+"""Exchange of gossip datagrams between planners; the sender of a datagram is identified by its source address."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     """The gossip socket of a planner.
 
     Attributes:
-        peers: addresses of all planners by planner index, including this planner.
-        index_by_address: planner indexes by address.
+        peers: gossip addresses of all planners by planner index, including this planner.
+        index_by_address: planner indexes by gossip address.
         group_address: address that delivers a datagram to all planners.
     """
 
@@ -33,14 +33,14 @@
         planner_index: int,
         post: Callable[[face.GossipReceived], None],
     ) -> None:
-        """Create the protocol of the planner with index `planner_index`; `post` receives the datagrams of its peers."""
+        """Create the protocol of the planner with index `planner_index`; `post` is called with datagrams from peers."""
         self.planner_index = planner_index
         self.post = post
         self.update_peers(peers, group_address)
         self.transport: asyncio.DatagramTransport | None = None
 
     def update_peers(self, peers: Sequence[str], group_address: str) -> None:
-        """Replace the addresses of the planners; an empty `group_address` means that there is none."""
+        """Replace the gossip addresses; an empty `group_address` means that no group address is configured."""
         self.peers = [split_address(peer) for peer in peers]
         self.index_by_address = {peer: index for index, peer in enumerate(self.peers)}
         self.group_address = split_address(group_address or UNSET_ADDRESS)
@@ -50,7 +50,7 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        """Post a datagram of another planner; drops datagrams from unknown addresses and oversized ones."""
+        """Post a datagram from another planner; drops oversized datagrams and those from unknown addresses."""
         sender = self.index_by_address.get(address[:2])
         if len(data) > MAX_DATAGRAM_BYTES:
             self._log_dropped(data, address, f"larger than {MAX_DATAGRAM_BYTES} bytes")
--- a/stackwheel/wire/discovery_calls.py
+++ b/stackwheel/wire/discovery_calls.py
@@ -1,4 +1,9 @@
-"""The two calls to the discovery service: fetching the complete endpoint list, and watching its changes."""
+"""The two calls to the discovery service: fetching the complete endpoint list, and watching its changes.
+
+A watch is a response without an end. Each of its lines is the complete list, a delta (the changes since an earlier
+list) or empty (a heartbeat). Each list and delta has a generation, a number that grows with the changes of the list,
+and a watch can resume after a generation. The replicas of a discovery service have the same lists and generations.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +18,14 @@
 
 
 class Heartbeat:
-    """An empty line of a watch, which shows that the service is alive while the endpoint list does not change."""
+    """An empty line received on a watch, which shows that the discovery service is alive while no list changes."""
 
 
 WatchEvent = EndpointList | Heartbeat
 
 
 async def fetch_endpoint_list(address: str) -> EndpointList:
-    """Fetch the complete endpoint list from one replica.
+    """Fetch the complete endpoint list from one replica of the discovery service.
 
     Raises:
         CallError: the call failed, or the body of its response is not an endpoint list.
@@ -30,10 +35,10 @@
 
 
 def watch_call(replica: str, since: int | None) -> Call:
-    """Create the call of a watch, without opening it.
+    """Create the call for a watch, without opening it.
 
     Args:
-        replica: address of the replica.
+        replica: address "host:port" of the replica.
         since: generation after which the watch resumes; None to start with the complete list.
     """
     resume_query = "" if since is None else f"&since={since}"
@@ -41,7 +46,7 @@
 
 
 async def watch_events(call: Call) -> AsyncIterator[WatchEvent]:
-    """Yield the events of an open watch, one for each line.
+    """Yield an event for each line received on an open watch.
 
     Raises:
         CallError: the watch ended or failed; the iterator never ends normally.
@@ -53,7 +58,7 @@
         line_timeout_ms = max(0.0, lines.deadline_ms - loop.time() * 1000.0)
         chunk = await call.read_chunk(min(silence_timeout_ms, line_timeout_ms))
         if chunk is None:
-            raise CallError(Stage.BODY, "watch ended by the server", call.address)
+            raise CallError(Stage.BODY, "watch ended by the discovery service", call.address)
         lines.append(chunk)
         silence_timeout_ms = timing.WATCH_SILENCE_TIMEOUT_MS
         while (line := lines.next_line(loop.time() * 1000.0)) is not None:
@@ -72,13 +77,14 @@
     """Yield the events of a watch at a new address, beginning with a complete list.
 
     The old address may have delivered a later generation in the meantime. A list with an earlier generation is
-    therefore held back, and changes that follow are merged into it, until it has reached the current generation. It is
-    yielded at the next heartbeat in any case, because the generations of the two addresses may be unrelated.
+    therefore held back, and later deltas are merged into it, until the merged list has reached the current generation.
+    The merged list is yielded at the next heartbeat in any case, because the generations of the two addresses may be
+    unrelated.
 
     Args:
         call: the open watch.
         is_source: returns whether the new address is the source of the current list.
-        current_generation: returns the generation of the current list.
+        current_generation: returns the generation of the current list, which the old address may still update.
 
     Raises:
         CallError: the watch ended or failed, or the complete list could not be fetched.
@@ -95,7 +101,7 @@
 
 
 async def _apply_update(pending: EndpointList | None, update: EndpointList, replica: str) -> EndpointList:
-    """Return the complete list after an update; fetches it if there is no list to merge the update into."""
+    """Return the complete list after an update; fetches the list if there is none to merge the update into."""
     if update.complete:
         return update
     if pending is None:
@@ -111,11 +117,11 @@
 
 
 class LineSplitter:
-    """Splits the data of a watch into lines, and determines the deadline of the next line.
+    """Splits the data received on a watch into lines, and determines the deadline for the next line.
 
     Attributes:
         partial: incomplete line at the end of the data received so far.
-        deadline_ms: time by which this line has to be complete, in ms of the event loop's clock.
+        deadline_ms: time by which this line has to be complete, in ms on the event loop's clock.
     """
 
     def __init__(self, now_ms: float) -> None:
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -1,4 +1,7 @@
-"""The actor that fetches and watches the endpoint list of the discovery service, and posts lists and failures."""
+"""The actor that fetches and watches the endpoint list of the discovery service, and posts lists and failures.
+
+Watches, heartbeats, generations and replicas are described in `discovery_calls.py`.
+"""
 
 from __future__ import annotations
 
@@ -41,10 +44,10 @@
     """Fetch the complete list once."""
 
     RENEW = auto()
-    """Open a second watch, which replaces the first one when it has delivered a list."""
+    """Open a second watch of the same address, which replaces the first watch when it has delivered a list."""
 
     HAND_OVER = auto()
-    """Open a second watch at the new address, which replaces the watch at the old address in the same way."""
+    """Open a watch of the new address, which replaces the watch of the old address when it has delivered a list."""
 
 
 class ChangeAddress(NamedTuple):
@@ -73,9 +76,10 @@
     """Options of a discovery client.
 
     Attributes:
-        always_watch: whether the client starts to watch without a command, and repeats failed watches instead of
-            posting the failures.
-        poll_deadline_ms: deadline for polling the list again, ms; the maximum retry delay is a share of it.
+        always_watch: whether the client starts to watch without a command, and starts a new watch after a failure
+            instead of posting the failure.
+        poll_deadline_ms: maximum time between two fetches of the list without a watch, ms; the maximum retry delay is a
+            share of it.
         renewal_interval_ms: time without a change after which a watch is renewed, ms.
         on_heartbeat: called for each heartbeat of a watch that has delivered a list.
     """
@@ -91,13 +95,16 @@
 
 
 class DiscoveryClient:
-    """An actor that executes the commands in its mailbox. Each fetch, and each failed watch, posts one item.
+    """An actor that executes the commands in its mailbox.
+
+    It posts each endpoint list that a fetch or a watch has delivered, and each failure unless `always_watch` is set.
 
-    After a change of address, the client watches the old address until the new one has delivered a complete list,
-    because the generations of the two addresses are unrelated. A watch that has not delivered a change for the
-    renewal interval is replaced in the same way, because a faulty watch may send heartbeats without any updates.
+    After a change of address, the client watches the old address until the new one has delivered a complete list
+    (handover), because the generations of the two addresses are unrelated. A watch that has not delivered a change for
+    the renewal interval is replaced in the same way (renewal), because a faulty watch may send heartbeats without any
+    updates.
 
-    If a service has several replicas, a failed call is repeated at the next replica.
+    If the discovery service has several replicas, a failed call is repeated at the next replica.
 
     Attributes:
         address: address of the discovery service, or comma-separated addresses of its replicas.
@@ -124,7 +131,7 @@
         Args:
             address: "host:port" of the discovery service, or the comma-separated addresses of its replicas.
             generation: generation of a list that is already known; 0 if there is none.
-            post: receives each endpoint list, and each failure to obtain one.
+            post: called with each endpoint list, and with each failure to obtain one.
             random: source of the jitter of delays.
             options: options of the client.
         """
@@ -205,7 +212,7 @@
         return self.source if self.watch_task is not None else self.address
 
     async def fetch(self) -> None:
-        """Fetch the complete list; repeated if the address to fetch from changes in the meantime."""
+        """Fetch the complete list; starts over if the address to fetch from changes in the meantime."""
         while not await self._fetch_from(self.fetch_address()):
             pass
 
@@ -262,8 +269,9 @@
     async def watch(self, address: str) -> None:
         """Watch the replicas of an address in turn until the watch has failed.
 
-        The watch continues at the next replica without delay, and has failed when each replica has been called once
-        without a watch that delivered a list and lasted for at least one heartbeat interval.
+        When a call ends, the next replica is called without delay. A call is stable if it delivered a list and lasted
+        for at least one heartbeat interval. The watch has failed when each replica has been called once without a
+        stable call, or when all other replicas have been called once after the last stable call.
         """
         replicas = replica_addresses(address)
         loop = asyncio.get_running_loop()
@@ -280,7 +288,7 @@
             if attempts_left <= 0:
                 break
             logger.warning(
-                "discovery call failed, next replica follows: source={} address={} stage={} reason={}",
+                "discovery call failed, trying the next replica: source={} address={} stage={} reason={}",
                 address,
                 watch_end.error.address,
                 watch_end.error.stage,
@@ -289,7 +297,7 @@
         self._on_watch_failed(watch_end.error, address)
 
     async def watch_replica(self, address: str, replica: str) -> WatchEnd:
-        """Watch one replica until the watch ends, and return the reason."""
+        """Watch one replica until the watch ends, and return why it ended."""
         received_list = False
         call = watch_call(replica, self.generation if address == self.source else None)
         renewal = RenewalTimer(self.options.renewal_interval_ms, self.random)
@@ -320,7 +328,7 @@
         return handover_events(call, lambda: address == self.source, lambda: self.generation)
 
     def _on_watch_failed(self, error: CallError, address: str) -> None:
-        """Report the failure of a watch, unless another watch is open."""
+        """Report the failure of a watch, or only log it if another watch is open."""
         if self.successor_task is asyncio.current_task():
             self.successor_task = None
         elif self.watch_task is asyncio.current_task():
--- a/stackwheel/wire/discovery_protocol.py
+++ b/stackwheel/wire/discovery_protocol.py
@@ -14,17 +14,17 @@
 from stackwheel.interface import Availability
 
 INSTANCES_PATH = "/registry/instances"
-"""Path of the complete list and, with the query `?follow=1`, of a watch."""
+"""Path for the complete list and, with the query `?follow=1`, for a watch (see `discovery_calls.py`)."""
 
 INVALID_NAME = re.compile(r"[\s,\x00-\x1f\x7f]")
-"""Characters that a server's name must not contain, because they would end the name in a line of an update."""
+"""Characters that a server's name must not contain, because they would end the name in update lines to proxies."""
 
 AVAILABILITY_BY_LIFECYCLE = {
     "in_service": Availability.READY,
     "terminating": Availability.DRAINING,
     "terminated": Availability.REMOVED,
 }
-"""Availability of a server by the lifecycle of its entry."""
+"""Availability of a server by the `lifecycle` field of its entry."""
 
 MAX_QUOTED_CHARACTERS = 40
 """Maximum length of an invalid value in an error message."""
@@ -62,7 +62,7 @@
 def read_endpoint_list(document: object, on_unreadable: Callable[[InvalidInputError], None]) -> EndpointList:
     """Convert a JSON document to an endpoint list.
 
-    Malformed entries are skipped, and their names are added to `unreadable` of the list.
+    Malformed entries are skipped, and their names are added to the list's attribute `unreadable`.
 
     Args:
         document: the result of `json.loads`.
@@ -72,7 +72,7 @@
         InvalidInputError: the document is not an endpoint list.
     """
     if not isinstance(document, dict):
-        raise InvalidInputError("", "no list of instances")
+        raise InvalidInputError("", f"expected an object, found {type(document).__name__}")
     generation, complete, items = _read_header(document)
     instances: list[Instance] = []
     unreadable: set[str] = set()
@@ -89,7 +89,7 @@
 
 
 def _read_header(document: dict[str, object]) -> tuple[int, bool, list[object]]:
-    """Return the generation, whether the list is complete, and the JSON of the entries."""
+    """Return the generation, whether the list is complete, and the decoded but unchecked entries."""
     items = _required(document, "instances")
     if not isinstance(items, list):
         raise InvalidInputError("instances", "not a list")
--- a/stackwheel/wire/endpoint_list_server.py
+++ b/stackwheel/wire/endpoint_list_server.py
@@ -1,4 +1,9 @@
-"""The relay's HTTP server for endpoint lists and watches, with one listener for each cell that it serves."""
+"""The relay's HTTP server for endpoint lists and watches, with one listener for each cell that it serves.
+
+A watch is a response without an end. It begins with a snapshot (the cell's complete list) or, if the client has a list
+of an earlier generation, with a delta (the changes since that generation). A delta for each change and heartbeats
+(empty lines) follow.
+"""
 
 from __future__ import annotations
 
@@ -30,10 +35,10 @@
 from stackwheel.wire.endpoint_watch import EndpointWatch, encode_chunk
 from stackwheel.wire.http import split_address, wait_for_result
 
-MAX_SNAPSHOT_BYTES = 64 << 20  # total size of the snapshots being sent: 512 snapshots of a cell with 512 servers
+MAX_SNAPSHOT_BYTES = 64 << 20  # total size of the snapshots being sent; 512 of them for cells with 512 servers
 SEND_BUFFER_BYTES = 64 << 10  # size of the kernel's send buffer of a connection
 HEARTBEAT_SLICES = 8  # groups of watches whose heartbeats are sent at different times within an interval
-LISTEN_BACKLOG = 1024  # connections to one cell that wait to be accepted: those of all its planners and their retries
+LISTEN_BACKLOG = 1024  # connections to one cell's listener that wait to be accepted, from all its planners
 MAX_REASON_CHARACTERS = 200  # length of the body of a rejection
 TOO_MANY_CONNECTIONS = "too many connections"  # body of a 503 response
 TOO_MANY_SNAPSHOTS = "too many whole answers under way"  # body of a 503 response
@@ -55,7 +60,7 @@
         OSError: the address cannot be bound.
     """
     listener = socket.create_server(split_address(address), backlog=LISTEN_BACKLOG)
-    listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)  # accepted connections inherit it
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)  # accepted connections inherit the size
     return listener
 
 
@@ -71,13 +76,13 @@
     """An HTTP server for the endpoint lists in a watch cache.
 
     Attributes:
-        cache: cache of the endpoint lists; its times are in ms of the event loop's clock, see `now`.
+        cache: cache of the endpoint lists; its times are in ms on the event loop's clock, see `now`.
         open_listener: opens a listening socket at an address.
         budget: limit on the total size of the snapshots that are being sent.
         max_connections: maximum number of open connections.
         connections: number of open connections.
         listeners: open listeners by address.
-        watches: heartbeat slices of the open watches, by cell and watch.
+        watches: heartbeat slice of each open watch, by cell and watch.
         watches_opened: number of watches opened so far.
     """
 
@@ -99,7 +104,7 @@
 
     @staticmethod
     def now() -> float:
-        """Return the time of the event loop's clock, in ms."""
+        """Return the current time on the event loop's clock, in ms."""
         return asyncio.get_running_loop().time() * 1000.0
 
     # Listeners
@@ -142,7 +147,7 @@
     # Actions of the watch cache
 
     def perform(self, actions: Iterable[Action]) -> None:
-        """Perform actions of the watch cache, without answering a request in between."""
+        """Perform the actions that the watch cache has returned; no request is answered between two of them."""
         for action in actions:
             match action:
                 case SendDelta(cell, line):
@@ -161,13 +166,13 @@
                 watch.end(reason)
 
     async def run_timers(self) -> None:
-        """Send heartbeats, and advance the time of the watch cache, until cancelled."""
+        """Send heartbeats, and notify the watch cache of the passage of time, until cancelled."""
         slice_interval_ms = timing.HEARTBEAT_INTERVAL_MS / HEARTBEAT_SLICES
         heartbeat_slice = 0
         while True:
             due_at = self.now() + slice_interval_ms
             await asyncio.sleep(slice_interval_ms / 1000.0)
-            # If this process was suspended, read the data that arrived in the meantime first.
+            # If this process was suspended, first allow time to read the data that arrived in the meantime.
             if self.now() > due_at + timing.STALL_GRACE_MS:
                 await asyncio.sleep(timing.STALL_GRACE_MS / 1000.0)
             self.perform(self.cache.tick(self.now()))
@@ -175,7 +180,7 @@
             self.send_heartbeats(heartbeat_slice)
 
     def send_heartbeats(self, heartbeat_slice: int) -> None:
-        """Send a heartbeat on the watches of a slice, if the cached lists are current."""
+        """Send a heartbeat to the watchers of a slice, if the cached lists are current."""
         if not self.cache.is_current(self.now()):
             return
         for watches in self.watches.values():
--- a/stackwheel/wire/endpoint_requests.py
+++ b/stackwheel/wire/endpoint_requests.py
@@ -15,7 +15,7 @@
 from stackwheel.wire.http import wait_for_result
 
 MAX_REQUEST_HEAD_BYTES = 8 << 10
-REQUEST_TIMEOUT_MS = timing.RESPONSE_TIMEOUT_MS  # for the complete request; clients do not wait longer for a response
+REQUEST_TIMEOUT_MS = timing.RESPONSE_TIMEOUT_MS  # for the complete request; clients wait no longer for a response
 MAX_GENERATION_DIGITS = 18  # 18 digits fit into 64 bits
 MAX_QUERY_FIELDS = 16
 
--- a/stackwheel/wire/endpoint_watch.py
+++ b/stackwheel/wire/endpoint_watch.py
@@ -1,4 +1,7 @@
-"""One open watch of the relay's server: writes snapshots, deltas and heartbeats, and limits unread data."""
+"""One open watch at the relay's HTTP server: writes snapshots, deltas and heartbeats, and limits unread data.
+
+These kinds of lines are described in `endpoint_list_server.py`. A watcher is the client of a watch.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
     queued deltas are dropped, and the watcher receives a snapshot of the current list when it reads again.
 
     Attributes:
-        snapshot: returns the cell's complete list as one line; None if the cell is not served any more.
+        snapshot: returns the cell's complete list as one line; None if the relay no longer serves the cell.
         budget: limit on the total size of the snapshots that are being sent.
         pending: chunks to be written.
         pending_bytes: total size of `pending`.
@@ -55,7 +58,7 @@
         self.wakeup = asyncio.Event()
 
     def enqueue(self, data: bytes) -> None:
-        """Queue a chunk; it is dropped if a snapshot is due, because that will contain the changes of the chunk."""
+        """Queue a chunk; it is dropped if a snapshot is due, because the snapshot will contain its changes."""
         if self.is_snapshot_due:
             return
         if self.is_writing and self.pending_bytes + len(data) > MAX_PENDING_BYTES:
@@ -72,7 +75,7 @@
         self.wakeup.set()
 
     def send_heartbeat(self) -> None:
-        """Queue a heartbeat, unless other data is waiting to be written or read."""
+        """Queue a heartbeat, unless other data is waiting to be written or is being written."""
         if not self.is_writing and not self.pending and not self.is_snapshot_due:
             self.enqueue(HEARTBEAT_CHUNK)
 
--- a/stackwheel/wire/health_check_runner.py
+++ b/stackwheel/wire/health_check_runner.py
@@ -1,4 +1,4 @@
-"""Runs the health checks that the policy requests, within the limit on descriptors."""
+"""Runs the health checks that the policy requests, within the limit on file descriptors."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self.post = post
 
     def start(self, server: ServerId, target: HealthCheckTarget) -> None:
-        """Start a health check of a server; skipped if no descriptor is free, as connections have priority."""
+        """Start a health check of a server; skipped if no descriptor is free, because connections have priority."""
         if self.connections.at_capacity():
             return
         if target.address:
--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -17,7 +17,7 @@
 
 
 def health_check_call(address: str, names: ConfiguredNames) -> Call:
-    """Create the call of a health check, without opening it."""
+    """Create the call for a health check, without opening it."""
     return Call(address, LOAD_REPORT_PATH if names.health_check_returns_load else LIVENESS_PATH)
 
 
--- a/stackwheel/wire/http.py
+++ b/stackwheel/wire/http.py
@@ -43,7 +43,7 @@
     Attributes:
         stage: stage at which the call failed.
         reason: description of the failure.
-        address: "host:port" of the server.
+        address: "host:port" that was called.
         timed_out: whether a timeout expired; False if the connection ended or the response was invalid.
         status: status of the response if `stage` is STATUS, otherwise 0.
     """
@@ -91,10 +91,10 @@
     """A GET request on a new connection.
 
     Attributes:
-        address: "host:port" of the server.
+        address: "host:port" to connect to.
         target: path and query of the request.
         protocol: h11's state of the connection.
-        connect_task: task that opens the connection, whose result owns the socket; None before `open`.
+        connect_task: task that opens the connection and whose result owns the socket; None before `open`.
         reader: stream of received data; None before the connection is established.
         writer: stream of sent data; None before the connection is established.
     """
@@ -124,7 +124,7 @@
             raise CallError(Stage.STATUS, f"status {status} instead of {OK_STATUS}", self.address, status=status)
 
     async def read_chunk(self, timeout_ms: float) -> bytes | None:
-        """Return the next part of the body, in arbitrary portions; None at the end of the body.
+        """Return the next part of the body, which may be of any size; None at the end of the body.
 
         Raises:
             CallError: the connection failed, no data arrived within the timeout, or the data is not valid HTTP.
@@ -163,8 +163,8 @@
     async def wait_closed(self) -> None:
         """Wait until the call has released its descriptor.
 
-        After `close`, and after a cancellation while connect_task, the socket is only closed in a later iteration of
-        the event loop.
+        After `close`, and after a cancellation during the connection setup, the socket is only closed in a later
+        iteration of the event loop.
         """
         if self.connect_task is None:
             return
@@ -218,7 +218,7 @@
 
 async def socket_closed(writer: asyncio.StreamWriter) -> None:
     """Wait until a transport that is closing has closed its socket."""
-    with contextlib.suppress(Exception):  # the error that ended the connection, which the reader has received too
+    with contextlib.suppress(Exception):  # the reader receives the error that ended the connection, too
         await writer.wait_closed()
 
 
--- a/stackwheel/wire/line_codec.py
+++ b/stackwheel/wire/line_codec.py
@@ -33,12 +33,12 @@
 PONG = b"PONG" + LINE_END  # response to PING
 NACK = b"NACK" + LINE_END  # sent to an unidentified connection before it is closed
 
-MAX_UNIDENTIFIED_BYTES: Final = 4096  # total size of what a connection may send before it identifies itself
-MAX_MESSAGE_BYTES: Final = 1 << 20  # size of one message of an identified connection
-MAX_COUNT: Final = (1 << 32) - 1  # counts of requests, and values of load columns
+MAX_UNIDENTIFIED_BYTES: Final = 4096  # data that a connection may send before it identifies itself
+MAX_MESSAGE_BYTES: Final = 1 << 20  # size of one message from an identified connection
+MAX_COUNT: Final = (1 << 32) - 1  # maximum of request counts and of values of load columns
 MAX_DURATION_MS: Final = 86_400_000.0  # one day
 SIGNIFICANT_DIGITS: Final = 6  # precision of encoded weights and admission levels
-MAX_QUOTED_CHARACTERS: Final = 40  # of an invalid value, in error messages
+MAX_QUOTED_CHARACTERS: Final = 40  # length of an invalid value that is quoted in an error message
 
 DECIMAL_PATTERN = re.compile(r"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,3})?|\.[0-9]+")
 INTEGER_PATTERN = re.compile(r"[0-9]{1,18}")
@@ -93,8 +93,8 @@
         """Split the fields of a line into names and values.
 
         Raises:
-            ProtocolViolationError: a field is not of the form `name=value` or its name is repeated, as in two messages
-                whose line end between them was lost.
+            ProtocolViolationError: a field is not of the form `name=value` or its name is repeated, for example because
+                the line end between two messages was lost.
         """
         self.names = names
         self.values: dict[str, str] = {}
@@ -115,7 +115,7 @@
         return parse_number(name, self.text(name), MAX_DURATION_MS)
 
     def window(self, name: str) -> float:
-        """Return the duration of a report's period, which is greater than 0, in ms."""
+        """Return the duration of the period that a report covers, which is greater than 0, in ms."""
         value = self.duration(name)
         if value <= 0:
             raise FieldError(name, f"not greater than 0: {value:g}")
@@ -136,7 +136,7 @@
         return text == "1"
 
     def index(self, name: str, configured_names: tuple[str, ...]) -> int:
-        """Return the index of a name in the configured names."""
+        """Return the index of the field's value in the configured names."""
         text = self.text(name)
         if text not in configured_names:
             raise FieldError(name, f"not a configured name: {quote(text)}")
@@ -229,7 +229,7 @@
     AckMessage.KIND: parse_acknowledgement,
 }
 ENCODED_KINDS = tuple(kind.encode() for kind in PARSERS)
-MAX_KIND_BYTES: Final = 64  # part of an incomplete line that is searched for the end of its kind
+MAX_KIND_BYTES: Final = 64  # length of the part of an incomplete line that is searched for the end of its kind
 
 
 def decode(line: bytes, names: ConfiguredNames) -> Message:
@@ -278,7 +278,7 @@
 
 
 class Encoder:
-    """Encodes updates as lines. A part that several updates of a batch share is encoded only once."""
+    """Encodes updates to proxies as lines. A part that several updates of a batch share is encoded only once."""
 
     def __init__(self, names: ConfiguredNames, server_ids: ServerIds) -> None:
         """Create an encoder with the names of request classes in `names` and those of servers in `server_ids`."""
@@ -305,7 +305,7 @@
         return (" continued=1\r\n".join(lines) + nonce + "\r\n").encode()
 
     def encode_part(self, part: UpdatePart) -> str:
-        """Encode a part, a weight table or changes of it for some request classes, as a line without its line end."""
+        """Encode a part (a weight table for some request classes, or changes to one) as a line without line end."""
         fields = ["CONFIG", "routes=" + "+".join(self.names.classes[index] for index in part.classes)]
         if part.complete:
             fields.append("full=1")
--- a/stackwheel/wire/timing.py
+++ b/stackwheel/wire/timing.py
@@ -7,15 +7,15 @@
 # The discovery protocol requires an empty line on a watch at this interval while the endpoint list does not change.
 HEARTBEAT_INTERVAL_MS = 2000.0
 
-# A watch that delivers no bytes for this time is abandoned, well before the protocol assumes that a list has been
-# delivered (LINE_TIMEOUT_MS).
+# A watch that delivers no bytes for this time is abandoned, well before the discovery protocol assumes that a list
+# has been delivered (LINE_TIMEOUT_MS).
 WATCH_SILENCE_TIMEOUT_MS = 1.5 * HEARTBEAT_INTERVAL_MS
 
-# Maximum time from the end of one line of a watch to the end of the next. After this time the protocol assumes that
-# an endpoint list has been delivered.
+# Maximum time from the end of one line of a watch to the end of the next. After this time the discovery protocol
+# assumes that an endpoint list has been delivered.
 LINE_TIMEOUT_MS = 3 * HEARTBEAT_INTERVAL_MS
 
-# Maximum time until the response to a call. The discovery service rejects calls that it cannot answer within it.
+# Maximum time until the response to a call. The discovery service rejects calls that it cannot answer in time.
 RESPONSE_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS
 
 # Maximum time to establish a TCP connection. A host without network connectivity does not refuse connections.
@@ -39,8 +39,8 @@
 
 # --- Accepted connections ---
 
-# Maximum time from accepting a connection to its identification. The protocol allows 3 s from the start of connect_task
-# and requires at least 1 s.
+# Maximum time from accepting a connection to its identification. The line protocol allows 3 s from the client's start
+# of connecting and requires at least 1 s.
 IDENTIFY_TIMEOUT_MS = 1500.0
 
 # Interval at which connections that exceed IDENTIFY_TIMEOUT_MS are closed.
@@ -50,15 +50,15 @@
 # send a message in each report interval.
 MIN_IDLE_BEFORE_EVICTION_MS = 10_000.0
 
-# Time within which the bytes that a client sends while it connects have been read.
+# Maximum time from accepting a connection until the bytes that the client sent immediately have been read.
 FIRST_READ_GRACE_MS = 50.0
 
 # Same as FIRST_READ_GRACE_MS while many connections arrive at once and one iteration of the event loop takes longer.
-# It applies only while descriptors are still available, so that no connection has to wait for it.
+# It applies only while descriptors are still available, so that no new connection is delayed by it.
 BURST_FIRST_READ_GRACE_MS = 4 * FIRST_READ_GRACE_MS
 
-# Maximum size of the messages queued for a client that does not read. The protocol's limit for data that the planner
-# does not read is half of it.
+# Maximum size of the messages queued for a client that does not read. The line protocol's limit on data that the
+# planner does not read is half of this size.
 MAX_UNSENT_BYTES = 256 * 1024
 
 # Maximum size of one read from a connection.
@@ -110,7 +110,7 @@
 
 
 def accept_reserve(capacity: int) -> int:
-    """Return how many of `capacity` connections unidentified ones have to leave free: at most a quarter."""
+    """Return how many of `capacity` descriptors unidentified connections leave free for new ones: at most a quarter."""
     return min(MAX_ARRIVALS_PER_LOOP_ITERATION, capacity // 4)
 
 
@@ -135,5 +135,5 @@
 
 
 def buffer_limit_bytes(memory_mb: float) -> int:
-    """Return the maximum total size of the partial lines and mailboxes of all connections, in bytes."""
+    """Return the maximum total size of the partial lines and outgoing mailboxes of all connections, in bytes."""
     return int(memory_mb * (1 << 20)) // BUFFER_MEMORY_DIVISOR
--- a/stackwheel/wire/transport.py
+++ b/stackwheel/wire/transport.py
@@ -39,7 +39,7 @@
         peer_listen: local address for gossip; empty if this planner does not receive gossip.
         peers: gossip addresses of all planners by planner index, including this planner.
         peers_all: gossip address that reaches all planners; empty if there is none.
-        sockets: maximum number of descriptors of the process.
+        sockets: maximum number of file descriptors of the process.
         memory_mb: maximum memory of the process, in MB.
     """
 
@@ -68,7 +68,7 @@
         limiters: rate limiters by proxy number, each shared by the successive connections of a proxy.
         buffer_budget: limit on the bytes that all connections buffer.
         supervisor: all background tasks.
-        post: puts an item into the planner actor's mailbox.
+        post: puts a message into the planner actor's mailbox.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
         """Open the sockets and start the background tasks.
 
         Args:
-            post: receives everything that arrives for the planner actor.
+            post: called with each message for the planner actor; never blocks.
 
         Raises:
             OSError: an address cannot be bound.
@@ -232,4 +232,4 @@
 
 
 def discard(_item: PlannerMessage) -> None:
-    """Ignore an item; used as `post` until the transport is opened."""
+    """Ignore a message; used as `post` until the transport is opened."""
--- a/stackwheel/wire/watch_renewal.py
+++ b/stackwheel/wire/watch_renewal.py
@@ -1,4 +1,4 @@
-"""Timer for the renewal of a watch that does not deliver changes."""
+"""Timer for the renewal of a watch: a watch that delivers no changes is replaced, because it may be faulty."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RenewalTimer:
-    """Decides when to renew a watch that has not delivered a change for an interval.
+    """Decides when to renew a watch that has delivered no change for a given interval.
 
     The interval grows with each renewal that does not deliver a list, and has jitter, which prevents planners from
     renewing their watches simultaneously.
@@ -27,7 +27,7 @@
         self.interval_ms = interval_ms
         self.random = random
         self._delay_ms = interval_ms
-        self._due_at = math.inf  # s, clock of the event loop
+        self._due_at = math.inf  # in seconds on the event loop's clock
 
     def restart(self, now: float) -> None:
         """Restart the timer with the first interval, because a list has been received; `now` is in s."""
--- a/tests/cli/test_cells_command.py
+++ b/tests/cli/test_cells_command.py
@@ -124,7 +124,7 @@
     [
         (b"", "no list of servers: Expecting value"),
         (generated_fleet.encode_endpoint_list(generated_fleet.servers(1, 20, 2))[:-30], "no list of servers: "),
-        (b"[]", "no list of servers: no list of instances"),
+        (b"[]", "no list of servers: expected an object, found list"),
         (b"\xff", "no list of servers: "),
         (b'{"instances":[]}', "no list of servers: generation: missing"),
         (generated_fleet.encode_endpoint_list([]), "the list contains no server"),
--- a/tests/service/test_relay_service.py
+++ b/tests/service/test_relay_service.py
@@ -147,7 +147,7 @@
     failures = [line for line in log.splitlines() if "discovery call failed" in line]
     assert code == 0, log
     assert len(failures) == 2, log
-    assert all("next replica follows" in line for line in failures), log
+    assert all("trying the next replica" in line for line in failures), log
 
 
 def test_a_relay_is_available_only_while_its_upstream_is_alive(tmp_path: Path) -> None:
--- a/tests/wire/test_discovery_protocol.py
+++ b/tests/wire/test_discovery_protocol.py
@@ -52,7 +52,7 @@
         (b"false", b"0", "reset: expected true or false, found int"),
         (b'"reset":false,', b"", "reset: missing"),
         (b'"instances"', b'"servers"', "instances: missing"),
-        (VALID, b"[]", "no list of instances"),
+        (VALID, b"[]", "expected an object, found list"),
         (VALID, b"", "not JSON: Expecting value"),
     ],
 )
