--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -31,7 +31,7 @@
 
 
 def stream_timeout(settings: Settings) -> float:
-    """Return how long, in ms, a stream may be silent before its proxy is considered to have left."""
+    """Return how long a stream may be silent before its proxy is considered to have left, in ms."""
     queue_drain_time = MS_PER_S * settings.queue_limit / settings.channel_rate
     return stream_silence_timeout(settings.report_interval, queue_drain_time, settings.transit_time)
 
@@ -46,7 +46,7 @@
 
 
 def no_transports(_context: PlannerContext) -> list[ProxyTransport]:
-    """Return no additional transports."""
+    """Return no transports in addition to the sockets."""
     return []
 
 
@@ -121,7 +121,7 @@
         self.send_gossip = sockets.send_gossip
 
     def deliver(self, messages: Sequence[tuple[StreamConnection, ProxyUpdate]]) -> None:
-        """Pass all updates to each transport, which sends those of its own streams."""
+        """Pass all updates to each transport, which sends those for its own streams."""
         self.sockets.deliver(messages)
         for transport in self.transports:
             transport.deliver(messages)
--- a/stackwheel/service/config.py
+++ b/stackwheel/service/config.py
@@ -25,8 +25,8 @@
 
 DEFAULT_LIMITS = {"sockets": 1024.0, "memory_mb": 192.0}
 MAX_PORT: Final = 65535
-MAX_QUOTED_CHARACTERS: Final = 40  # of an invalid value, in error messages
-MAX_QUOTED_ADDRESS_CHARACTERS: Final = 60  # of an invalid address, in error messages
+MAX_QUOTED_CHARACTERS: Final = 40  # length of an invalid value that is quoted in an error message
+MAX_QUOTED_ADDRESS_CHARACTERS: Final = 60  # length of an invalid address that is quoted in an error message
 
 
 class ConfigError(InvalidInputError):
@@ -42,7 +42,7 @@
         addresses: addresses to listen on and to connect to, and the limits of the process.
         seed: seed of all random number generators.
         settings: settings of the policy.
-        names: names that the settings define, and settings of the adapters.
+        names: names that the settings define, and settings that the policy does not use.
         cached_endpoints: endpoint list to start from; it may be out of date.
         defaulted_settings: paths of settings that are not set and have their defaults.
     """
@@ -57,7 +57,7 @@
 
 
 def load_config(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration file that the environment names.
+    """Read the configuration file whose path is set in an environment variable.
 
     Raises:
         ConfigError: the file cannot be read or is invalid; the message begins with its path.
@@ -76,7 +76,7 @@
 
 
 def read_document(path: str) -> dict[str, object]:
-    """Read the JSON object in a file; raises ConfigError if there is none."""
+    """Read the JSON object in a file; raises ConfigError if the file is unreadable or contains something else."""
     try:
         document = json.loads(Path(path).read_bytes())
     except OSError as error:
--- a/stackwheel/service/logging_setup.py
+++ b/stackwheel/service/logging_setup.py
@@ -34,7 +34,7 @@
 class RepeatFilter:
     """Loguru filter that limits how many lines each log statement may write per window.
 
-    The first line that the statement writes after the window reports how many lines were suppressed.
+    The first line that a statement writes after a window reports how many lines were suppressed in that window.
     """
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
--- a/stackwheel/service/ports.py
+++ b/stackwheel/service/ports.py
@@ -1,4 +1,4 @@
-"""Interfaces between the planner and its additional transports; this module contains only types."""
+"""Interfaces between the planner and its transports other than sockets; this module contains only types."""
 
 from __future__ import annotations
 
--- a/stackwheel/service/process.py
+++ b/stackwheel/service/process.py
@@ -1,4 +1,4 @@
-"""Entry point of the planner process: signal handlers, logging and the run until SIGTERM."""
+"""Entry point of the planner process: installs signal handlers, starts logging and runs the planner until SIGTERM."""
 
 from __future__ import annotations
 
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -1,4 +1,4 @@
-"""The relay process: watches the discovery service, serves its cells, and reloads the cell plan on SIGHUP."""
+"""The relay process: watches the discovery service, serves endpoint lists of cells, and reloads the plan on SIGHUP."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
     Attributes:
         open_listener: opens a listening socket at an address "host:port".
-        load_assignment: reads what the plan in a file assigns to the named relay.
+        load_assignment: reads which cells the cell plan in a file assigns to the named relay.
         unblock_reload_signal: called after the handler of SIGHUP has been installed.
     """
 
@@ -92,7 +92,7 @@
             Random(config.name),
             DiscoveryOptions(
                 always_watch=True,
-                # limits the retry delay to a share of the maximum age of a list
+                # the maximum retry delay is a share of the maximum age of a list
                 poll_deadline_ms=MAX_LIST_AGE_MS,
                 renewal_interval_ms=timing.watch_renewal_interval(len(assignment.plan.relays)),
                 on_heartbeat=self.mark_upstream_alive,
@@ -101,12 +101,12 @@
         self.reload_requested = asyncio.Event()
 
     def apply_endpoint_list(self, item: EndpointList | EndpointListFailed) -> None:
-        """Apply an endpoint list or delta of the discovery service; a failed call is ignored."""
+        """Apply an endpoint list or delta from the discovery service; a failed call is ignored."""
         if isinstance(item, EndpointList):
             self.server.perform(self.cache.apply(item, self.server.now()))
 
     def mark_upstream_alive(self) -> None:
-        """Record a heartbeat of the discovery service."""
+        """Record a heartbeat from the discovery service."""
         self.cache.mark_upstream_alive(self.server.now())
 
     async def run(self) -> None:
@@ -145,7 +145,7 @@
 
 
 def connection_limit(listeners: int) -> int:
-    """Return how many connections may be open at once, given the file descriptors that the process needs otherwise."""
+    """Return how many connections may be open at once, without the descriptors of listeners and of other uses."""
     descriptors = min(resource.getrlimit(resource.RLIMIT_NOFILE)[0], MAX_DESCRIPTORS)
     return max(1, descriptors - listeners - timing.RESERVED_DESCRIPTORS)
 
@@ -157,7 +157,7 @@
 
 
 def exit_immediately(_signal: int, _frame: object) -> None:
-    """End the process with exit code 0; there is no state to save, and planners resume at the other replica."""
+    """End the process with exit code 0; there is no state to save, and planners resume at the cell's other relay."""
     os._exit(0)
 
 
--- a/stackwheel/service/relay_config.py
+++ b/stackwheel/service/relay_config.py
@@ -55,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayAssignment:
-    """What a plan assigns to one relay.
+    """The cells that a cell plan assigns to one relay.
 
     Attributes:
-        plan: the plan.
-        locate: returns the name of a server's cell, given the names of the server and its zone; None if no cell has it.
+        plan: the complete cell plan.
+        locate: returns the name of a server's cell, given the names of the server and its zone; None without a cell.
         cell_by_address: name of the cell that the relay serves, by listening address "host:port".
     """
 
@@ -69,12 +69,12 @@
 
     @property
     def cells(self) -> list[str]:
-        """Return the names of the cells that the relay serves."""
+        """Names of the cells that the relay serves."""
         return list(self.cell_by_address.values())
 
 
 def load_assignment(name: str, path: Path) -> RelayAssignment:
-    """Return what the plan in a file assigns to a relay.
+    """Return the cells that the cell plan in a file assigns to a relay.
 
     Raises:
         RelayConfigError: the file cannot be read, or the plan is invalid or does not contain the relay.
@@ -87,7 +87,7 @@
 
 
 def assignment_for_relay(name: str, plan: Plan, source: str) -> RelayAssignment:
-    """Return what a plan assigns to a relay.
+    """Return the cells that a cell plan assigns to a relay.
 
     Raises:
         RelayConfigError: the plan does not contain the relay; the message begins with `source`.
@@ -98,7 +98,7 @@
     index = CellIndex(plan)
 
     def locate(instance_name: str, zone: str) -> str | None:
-        """Return the name of an instance's cell; None if no cell has it."""
+        """Return the name of an instance's cell; None if the plan has no cell for it."""
         cell = index.cell_of(instance_name, zone)
         return None if cell is None else cell.name
 
--- a/stackwheel/service/reload.py
+++ b/stackwheel/service/reload.py
@@ -12,17 +12,17 @@
 from stackwheel.service.config import Config, ConfigError, load_config
 from stackwheel.wire.transport import Addresses
 
-MAX_RETRIES: Final = 4  # of an invalid file, which may have been read before it was completely written
+MAX_RETRIES: Final = 4  # further reads of an invalid file, which may not have been completely written
 RETRY_INTERVAL_S: Final = 0.5
 FIXED_ADDRESSES = ("listen", "peer_listen")  # a change requires a restart, because their sockets stay open
 
 
 class Reload:
-    """Actor that reloads the configuration on request; requests that arrive before it runs are merged into one.
+    """Actor that reloads the configuration on request; requests that are pending at the same time are merged into one.
 
     Attributes:
         config: the configuration in force.
-        apply: applies changed addresses and limits to the transport.
+        apply: applies the addresses and limits of a configuration to the transport.
         load: reads the configuration; raises ConfigError if it is invalid.
         requested: set while a request is pending.
         last_logged_problem: the last error logged for the current request; None if there was none.
