--- a/stackwheel/relay/__init__.py
+++ b/stackwheel/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relay: serves each cell its endpoint list as a resumable watch, with I/O and the clock left to the caller."""
+"""Relay: the logic of serving each cell its endpoint list as a resumable watch, without I/O and without a clock."""
--- a/stackwheel/relay/cell_view.py
+++ b/stackwheel/relay/cell_view.py
@@ -1,8 +1,8 @@
 """The endpoint list of one cell and a compacted log of its changes.
 
-The log contains only the last change of each server, because a watcher that resumes after a generation needs the
-current state and not the history. The last change of a listed server is its entry. The changes of removed servers
-are limited in number.
+The log contains only the last change to the entry of each server, because a watcher that resumes after a generation
+needs the current state and not the history. For a listed server, this change is the current entry. For removed
+servers, a limited number of removals is remembered.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from stackwheel.relay.encoding import encode_instance, encode_line, encode_unreadable
 
 MAX_NEWER_GENERATIONS = 64
-"""Maximum number of remembered generations that clients know and this relay does not."""
+"""Maximum number of remembered generations that clients already have and this relay has not received yet."""
 
 MAX_CACHED_DELTAS = 16
-"""Maximum number of cached encoded deltas, each of which starts at another generation."""
+"""Maximum number of cached encoded deltas, each of which starts after a different generation."""
 
 NO_GENERATION = -1
-"""A value below every generation."""
+"""A value below every generation, for an attribute that has no generation."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryChange:
-    """The last change of a server.
+    """The last change to a server's entry.
 
     Attributes:
         instance: the entry after the change.
         encoded: the encoded entry.
         generation: the generation of the endpoint list that contains the change.
         generation_already_sent: whether watchers had received this generation before the change was recorded, so that
-            they need the change although they know the generation.
+            they need the change although they already have the generation.
     """
 
     instance: Instance
@@ -43,19 +43,19 @@
 
 
 class CellView:
-    """The entries and the change log of one cell, with the generations of the discovery service.
+    """The entries and the change log of one cell, with the generations that the discovery service assigns.
 
     Attributes:
-        listed: the last change of each listed server, by server name.
-        removed: the last change of each remembered removed server, by server name, oldest first.
+        listed: the last change to the entry of each listed server, by server name.
+        removed: the removal of each remembered removed server, by server name, oldest first.
         log_start: the generation after which the log contains all changes.
         retired_generation: the highest generation that the discovery service reached before a restart of its
             numbering; `NO_GENERATION` without a restart.
-        newer_generations: the generations that clients know and this relay does not, each with the time of its first
-            request, ms.
+        newer_generations: the generations that clients already have and this relay has not received yet, each with
+            the time of the first request that stated it, ms.
         encoded_entries: the cached encoding of all listed entries; None if it is outdated.
         cached_deltas: the cached encoded deltas, by the generation after which they start.
-        cached_deltas_generation: the generation up to which the cached deltas lead.
+        cached_deltas_generation: the generation at which the cached deltas end.
     """
 
     def __init__(self, generation: int) -> None:
@@ -69,7 +69,7 @@
         self.cached_deltas_generation = generation
 
     def record(self, instance: Instance, generation: int, generation_already_sent: bool) -> bytes:
-        """Record a new state of a server, which may be its removal, and return the encoded entry."""
+        """Record a change to a server's entry, which may be its removal, and return the encoded entry."""
         name = instance.name
         change = EntryChange(instance, encode_instance(instance), generation, generation_already_sent)
         self.listed.pop(name, None)
@@ -125,10 +125,10 @@
         return encode_line(generation, True, entries + [encode_unreadable(name) for name in unreadable])
 
     def may_catch_up(self, since: int, now: float) -> bool:
-        """Return whether this relay may still reach a newer generation, which a client got from the other replica.
+        """Return whether this relay may still receive a newer generation, which a client got from another relay.
 
-        If the relay does not reach it within the maximum age of a list, the discovery service has restarted its
-        generations.
+        If the relay does not receive the generation within the maximum age of a list, the discovery service has
+        restarted its generations.
         """
         first_requested_at = self.newer_generations.get(since)
         if first_requested_at is None:
@@ -151,7 +151,7 @@
         while len(self.removed) > limit:
             name = next(iter(self.removed))
             evicted = self.removed.pop(name)
-            # A watcher that knows this generation may not have received a change that was recorded after the
+            # A watcher that has this generation may not have received a change that was recorded after the
             # generation was sent.
             complete_after = evicted.generation + evicted.generation_already_sent
             self.log_start = max(self.log_start, complete_after)
--- a/stackwheel/relay/encoding.py
+++ b/stackwheel/relay/encoding.py
@@ -1,4 +1,4 @@
-"""Encodes endpoint lists in the published format of the discovery service."""
+"""Encodes endpoint lists in the JSON format of the discovery service, one list per line."""
 
 from __future__ import annotations
 
--- a/stackwheel/relay/messages.py
+++ b/stackwheel/relay/messages.py
@@ -1,4 +1,7 @@
-"""Responses of a relay to requests for the list of a cell, and the actions that its server has to perform."""
+"""Replies of a relay to requests for a cell's list, and the actions that the relay's HTTP server has to perform.
+
+A snapshot is the complete list of a cell, and a delta contains the changes since a generation.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class UnavailableError(StackwheelError):
-    """The relay cannot answer a request at present (503); the client retries later or at another replica.
+    """The relay cannot answer a request at present (status 503); the client retries later or at another relay.
 
     `str()` returns the body of the response.
     """
@@ -16,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequired:
-    """The client needs the snapshot of the cell; it is read from `WatchCache.snapshot` when it is written."""
+    """The client needs the snapshot of the cell, which the server gets from `WatchCache.snapshot` when it writes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """The changes after the generation that the client knows, as one encoded line."""
+    """The changes since the generation that the client has, as one encoded line."""
 
     line: bytes
 
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndWatches:
-    """End all watches of some cells, so that their clients connect to another replica."""
+    """End all watches of some cells, so that their clients connect to another relay."""
 
     cells: tuple[str, ...]
     reason: str
--- a/stackwheel/relay/upstream_liveness.py
+++ b/stackwheel/relay/upstream_liveness.py
@@ -4,7 +4,7 @@
 
 
 class UpstreamLiveness:
-    """Detects the loss of the discovery service; all times are ms of the same clock.
+    """Detects the loss of the discovery service; all times are in ms on the same clock.
 
     Attributes:
         timeout: time without a line or heartbeat after which the discovery service counts as lost, ms.
--- a/stackwheel/relay/watch_cache.py
+++ b/stackwheel/relay/watch_cache.py
@@ -1,7 +1,8 @@
 """The state machine of a relay: turns the endpoint lists of the discovery service into lines for watchers of cells.
 
 `WatchCache` does no I/O. Its methods take events with the time of a monotonic clock in ms, and return the actions to
-perform. Generations are those of the discovery service.
+perform. A watcher is a client that receives a cell's list and its changes. A generation is the number that the
+discovery service assigns to a version of its list, and that a watcher states to resume after it.
 """
 
 from __future__ import annotations
@@ -92,11 +93,11 @@
     """All servers listed by the discovery service, and a view of each cell that this relay serves.
 
     Attributes:
-        locate: maps a server to its cell in the current cell plan.
+        locate: maps the name and zone of a server to its cell in the current cell plan.
         heartbeat_interval: time between two heartbeats of a watch, ms.
         upstream: liveness of the discovery service.
         generation: generation of the list; None before the first list.
-        instances: the listed servers of all cells by name, from which the views are filled after a change of plan.
+        instances: the listed servers of all cells by name, from which the views are filled when the cell plan changes.
         cell_by_server: the cell of each listed server in a served cell, by server name.
         views: the view of each served cell, by cell name.
         unreadable: names of unknown servers that have unreadable entries in the list; "" for an unknown name.
@@ -104,9 +105,9 @@
         retired_generation: the highest generation that the discovery service reached before a restart of its
             numbering; `NO_GENERATION` without a restart.
         last_gap: the last gap in the received generations.
-        min_resumable_generation: the end of the gap before the last one; watches of earlier generations are not
-            resumed.
-        plan_propagated_at: time until which the other replica may serve cells by the previous plan, ms.
+        min_resumable_generation: the end of the gap before the last one; watches are not resumed after earlier
+            generations.
+        plan_propagated_at: time until which other relays may serve cells by the previous plan, ms.
     """
 
     def __init__(
@@ -129,7 +130,7 @@
     # Events
 
     def apply(self, endpoint_list: EndpointList, now: float) -> tuple[Action, ...]:
-        """Apply a complete list or changes received from the discovery service, and mark it as alive."""
+        """Apply a list or delta received from the discovery service, and mark the discovery service as alive."""
         self.upstream.mark_alive(now)
         endpoint_list = replace(endpoint_list, instances=latest_by_name(endpoint_list.instances))
         if self.generation is None:
@@ -142,7 +143,7 @@
         return self._apply_newer(endpoint_list, self.generation)
 
     def mark_upstream_alive(self, now: float) -> None:
-        """Process a heartbeat of the discovery service, which confirms that the list is current."""
+        """Process a heartbeat from the discovery service, which confirms that the list is current."""
         self.upstream.mark_alive(now)
 
     def tick(self, now: float) -> tuple[Action, ...]:
@@ -187,7 +188,7 @@
 
         Args:
             cell: name of the cell.
-            since: the generation that the client knows; None if it has no list.
+            since: the generation of the client's list; None if the client has no list.
             now: current time, ms.
 
         Raises:
@@ -226,7 +227,7 @@
         return ()
 
     def _restart_generations(self, endpoint_list: EndpointList) -> tuple[Action, ...]:
-        """Replace the list and send a snapshot to all watchers, because the known generations are not comparable."""
+        """Replace the list and send snapshots to all watchers, because old and new generations are not comparable."""
         self.pending_restart = None
         self.retired_generation = max(self.retired_generation, self.generation or 0)
         names = {instance.name for instance in endpoint_list.instances}
@@ -278,11 +279,11 @@
         ]
 
     def _apply_older(self, endpoint_list: EndpointList, now: float) -> tuple[Action, ...]:
-        """Apply the new information in a list of an older generation, and defer the list itself if it is complete.
+        """Apply the entries of an older generation that are new, and defer the whole list if it is complete.
 
         A complete list may come from a discovery service that has restarted its generations, and is accepted if no
-        newer list follows. The waiting time is one heartbeat interval, within which lists of two watches may arrive
-        out of order. It is the maximum age of a list if the list would revive draining or removed processes.
+        newer list follows within a waiting time. This is one heartbeat interval, within which the lists of two watches
+        may arrive out of order, or the maximum age of a list if the list revives draining or removed processes.
         """
         pending = self.pending_restart
         if endpoint_list.complete:
@@ -296,7 +297,7 @@
         return self._record_changes(new_instances, generation_already_sent=True)
 
     def _is_new(self, instance: Instance) -> bool:
-        """Return whether an entry of an older generation has information that differs from the known state."""
+        """Return whether an entry of an older generation is newer than the known state of its server."""
         known = self._known_process(instance)
         if entry_freshness(instance, known) is not EntryFreshness.NEW:
             return False
@@ -321,7 +322,7 @@
     # Changes
 
     def _record_changes(self, changed: Iterable[Instance], generation_already_sent: bool) -> tuple[Action, ...]:
-        """Record changes of servers in the views of their cells, and return one delta per affected cell."""
+        """Record changes to servers in the views of their cells, and return one delta per affected cell."""
         entries_by_cell: dict[str, list[bytes]] = {}
         for instance in changed:
             for entry in self._record_change(instance, generation_already_sent):
@@ -332,7 +333,7 @@
         )
 
     def _record_change(self, instance: Instance, generation_already_sent: bool) -> list[CellEntry]:
-        """Record a change of a server, and return an entry for each affected cell."""
+        """Record a change to a server, and return an entry for each affected cell."""
         generation = self.generation or 0
         name = instance.name
         is_listed = instance.availability is not Availability.REMOVED
@@ -356,8 +357,8 @@
     def _must_send_removal(self, cell: str, previous_cell: str | None, instance: Instance) -> bool:
         """Return whether the watchers of a cell need a removal.
 
-        They need it if the server was listed in the cell, or if it was listed in no cell and the same removal is not
-        recorded yet.
+        They need the removal if the server was listed in the cell, or if it was listed in no cell and the cell's view
+        does not contain the same removal yet.
         """
         if previous_cell is not None:
             return previous_cell == cell
