--- a/stackwheel/cells/assignment.py
+++ b/stackwheel/cells/assignment.py
@@ -1,4 +1,4 @@
-"""Assigns servers and planners to cells, and cells to relays, by stateless rendezvous hashing.
+"""Assigns servers and planners to the cells of a service, and cells to relays, by stateless rendezvous hashing.
 
 All hashes are 64-bit XXH3, which is the same on every machine and in every process. In rendezvous hashing, each
 candidate gets a score from a hash of the key and the candidate, and the candidate with the highest score is chosen.
@@ -31,7 +31,7 @@
 
 
 def part_of(instance_name: str, parts: int) -> int:
-    """Return the part of a server, from 0 to `parts` - 1, in O(parts).
+    """Return the part of its service that a server belongs to, from 0 to `parts` - 1, in O(parts).
 
     Raises:
         ValueError: `parts` is not between 1 and MAX_PARTS.
@@ -45,11 +45,12 @@
 
 
 def assign_planners(planner_names: Iterable[str], parts: int) -> dict[str, int]:
-    """Return the part of each planner of a service; the numbers of planners per part differ by one at most.
+    """Return the part that each planner of a service belongs to; the sizes of the parts differ by one planner at most.
 
-    The planners are assigned in the order of their hashes, each to the part with the highest score among those with
-    spare capacity (rendezvous hashing with bounded loads). In contrast to `part_of`, this requires the names of all
-    planners: independent hashing of a few planners would leave some parts without any. Duplicate names are ignored.
+    The planners are assigned in the order of their hashes, each to the part with the highest score among those that
+    are not full (rendezvous hashing with bounded loads). In contrast to `part_of`, this requires the names of all
+    planners: independent hashing of a few planners would leave some parts without a planner. Duplicate names are
+    ignored.
 
     Raises:
         ValueError: `parts` is not between 1 and MAX_PARTS.
@@ -80,7 +81,7 @@
 
 
 def relays_for_cell(cell_name: str, relays: Iterable[Relay], count: int = REPLICAS) -> tuple[Relay, ...]:
-    """Return the `count` relays that serve a cell, by descending score, for any order of `relays`."""
+    """Return the `count` relays that serve a cell, by descending score; the order of `relays` has no effect."""
     key = _hash_key(cell_name)
 
     def score(relay: Relay) -> tuple[int, str]:
@@ -91,7 +92,7 @@
 
 
 def discovery_addresses(plan: Plan, cell: Cell, planner_name: str = "") -> str:
-    """Return the discovery setting of a planner of a cell, in the format "host:port,host:port".
+    """Return the relay addresses that a planner of a cell uses for discovery, in the format "host:port,host:port".
 
     The hash of the planner's name determines which relay is tried first, so that the planners of a cell are
     distributed over its relays.
@@ -120,12 +121,12 @@
             self.groups[key] = tuple(sorted(group, key=lambda cell: cell.part))
 
     def cell_of(self, instance_name: str, zone: str) -> Cell | None:
-        """Return the cell of a server, or None if the plan has no cell for it, in O(parts)."""
+        """Return the cell that a server belongs to, or None if the plan has no cell for it, in O(parts)."""
         group = self._cells_of(service_of(instance_name), zone)
         return group[part_of(instance_name, len(group))] if group else None
 
     def cells_of_planners(self, planner_names: Iterable[str], service: str, region: str | None) -> dict[str, Cell]:
-        """Return the cell of each planner, by planner name; empty if the plan has no cell for the planners.
+        """Return the cell that each planner belongs to, by planner name; empty if the plan has no cell for them.
 
         Args:
             planner_names: names of all planners of the service, or of those in the region if the service is divided
@@ -139,5 +140,5 @@
         return {name: group[part] for name, part in assign_planners(planner_names, len(group)).items()}
 
     def _cells_of(self, service: str, zone: str) -> Sequence[Cell]:
-        all_regions = self.groups.get((service, None))  # covers zones that are not in the plan, too
+        all_regions = self.groups.get((service, None))  # also covers zones that are not in the plan
         return all_regions or self.groups.get((service, self.regions.get(zone)), ())
--- a/stackwheel/cells/check.py
+++ b/stackwheel/cells/check.py
@@ -1,4 +1,4 @@
-"""Checks a valid plan against a fleet: servers and planners without a cell, and empty or oversized cells."""
+"""Checks whether a valid plan fits a fleet: finds servers and planners without a cell, and empty or oversized cells."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
     Attributes:
         document: the input document to which `location` refers.
-        location: the record in the document.
+        location: the record to which the finding refers, for example `cells[3]`.
         reason: description of the mismatch.
     """
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _DocumentCheck:
-    """The findings in one document, and the number of members of each cell by cell name."""
+    """The findings in one document, and the number of servers or planners that it lists for each cell, by cell name."""
 
     findings: list[Finding]
     cell_sizes: Counter[str]
@@ -62,7 +62,7 @@
 def check_plan_against_fleet(
     plan: Plan, servers: Sequence[ListedServer], planners: Sequence[NamedPlanner] | None = None
 ) -> tuple[Finding, ...]:
-    """Return all mismatches between a valid plan and the servers, and the planners unless they are None."""
+    """Return all mismatches between a valid plan and a fleet; planners are not checked if `planners` is None."""
     index = CellIndex(plan)
     server_check = _check_servers(plan, index, servers)
     findings = server_check.findings
--- a/stackwheel/cells/demand.py
+++ b/stackwheel/cells/demand.py
@@ -23,8 +23,8 @@
         region: name of the region.
         servers: number of servers.
         planners: number of planners.
-        server_names: names of the servers, with which the sizes of parts are exact instead of estimated; empty if
-            unknown.
+        server_names: names of the servers, from which the exact sizes of parts are computed; empty if unknown, in which
+            case the sizes are estimated.
     """
 
     service: str
@@ -37,7 +37,7 @@
 def demand_from_servers(
     servers: Iterable[ListedServer], regions: Mapping[str, str], planners: int, source: str = "servers"
 ) -> tuple[Demand, ...]:
-    """Compute the demand of listed servers, with planners distributed in proportion to the servers.
+    """Compute the demand from listed servers, with a number of planners distributed in proportion to the servers.
 
     Each service gets at least one planner.
 
@@ -45,7 +45,7 @@
         servers: the servers of the endpoint list.
         regions: the region of each zone.
         planners: total number of planners.
-        source: name of the endpoint list, the start of the location in errors.
+        source: name of the endpoint list, with which the location in errors begins.
 
     Raises:
         CellPlanError: the list is empty, contains a duplicate server or an unknown zone, or there are fewer planners
--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -1,4 +1,4 @@
-"""Designs a cell plan for the sizes of services, with minimal changes to a previous plan.
+"""Designs a cell plan for services of given sizes, with minimal changes to a previous plan.
 
 A service that fits both limits becomes one cell. A larger service is divided by region if every region has enough
 planners, and a region that is still too large is divided into parts. Otherwise the service is divided into parts that
@@ -35,7 +35,7 @@
 SHRINK_FACTOR = 2
 """The number of parts is reduced only if fewer parts suffice for the demand multiplied by this factor.
 
-This hysteresis avoids moves of servers at daily or temporary changes, such as doubled servers during a release.
+This hysteresis avoids that servers move when the demand changes temporarily, such as doubled servers during a release.
 """
 
 DEFAULT_FIRST_PORT = 20_001
@@ -75,7 +75,7 @@
         limits: the maximum numbers of servers and planners in a cell.
         regions: the region of each zone.
         relays: all relays of the fleet.
-        previous_plan: the plan in use; None if there is none.
+        previous_plan: the plan in use; None if no plan is in use.
         first_port: the lowest port for new cells.
 
     Raises:
@@ -136,8 +136,8 @@
     if overall_parts > min(MAX_PARTS, overall.planners):
         raise CellPlanError(
             f"service {service!r}",
-            f"{overall.servers} servers need {overall_parts} parts, {overall.planners} planners allow one part each, "
-            f"and the limit is {MAX_PARTS} parts",
+            f"{overall.servers} servers need {overall_parts} parts, but {overall.planners} planners can serve at most "
+            f"one part each, and a service can have at most {MAX_PARTS} parts",
         )
     return {(): overall_parts}
 
@@ -151,8 +151,9 @@
 ) -> bool:
     """Return whether to divide a service by region: it does not fit one cell, and each part gets enough planners.
 
-    `SHRINK_FACTOR` provides hysteresis. A service that is divided over all regions needs that many times the minimum
-    number of planners, and a service divided by region becomes one cell only if that many times its demand fits.
+    `SHRINK_FACTOR` provides hysteresis. If the previous plan divides the service into parts that cover all regions, the
+    service needs `SHRINK_FACTOR` times the minimum number of planners. If the previous plan divides the service by
+    region, it becomes one cell only if `SHRINK_FACTOR` times its demand fits.
     """
     was_regional = any(scope for scope in previous_parts)
     if _min_parts(overall.scaled(SHRINK_FACTOR) if was_regional else overall, limits) == 1:
@@ -165,10 +166,10 @@
 
 
 def _choose_parts(demand: _GroupDemand, limits: Limits, previous_parts: int) -> int:
-    """Return the number of parts of a group, which is the previous number within suitable bounds.
+    """Return the number of parts of a group: the previous number, raised or lowered to the bounds below.
 
-    The lower bound is the number required by the demand. The upper bound is the number required by `SHRINK_FACTOR`
-    times the demand, or fewer if a part would otherwise get too few planners or no server.
+    The lower bound is the number of parts that the demand requires. The upper bound is the number that `SHRINK_FACTOR`
+    times the demand requires, or fewer if a part would otherwise get too few planners or no server.
     """
     min_parts = _min_parts(demand, limits)
     retained_parts = min(
@@ -201,8 +202,8 @@
 ) -> tuple[Cell, ...]:
     """Create the cells of all groups, with the names and ports of the previous plan.
 
-    New ports are above the highest previous port. Lower free ports are used only if no higher ports are left, because
-    planners may still poll a port that was released and must not receive the list of another cell.
+    New ports are above the highest port of the previous plan. Lower free ports are used only if no higher ports are
+    left, because planners may still poll the port of a removed cell and must not receive the list of another cell.
     """
     previous_cells = _cells_by_part(previous_plan)
     used_ports = {cell.port for cell in previous_cells.values()}
--- a/stackwheel/cells/movement.py
+++ b/stackwheel/cells/movement.py
@@ -1,4 +1,7 @@
-"""Measures what moves between two plans for the same servers, and how evenly a plan distributes load."""
+"""Counts the servers and cells that move between two plans, and measures how evenly a plan distributes load.
+
+A replica of a cell is the cell's endpoint list as served by one relay.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
     """The numbers of servers, cells and replicas that move from one plan to another.
 
     Attributes:
-        servers_moved: number of servers whose cell has another name.
+        servers_moved: number of servers whose cells in the two plans have different names.
         servers: number of servers with a cell in both plans.
         cells_added: number of cells that are only in the new plan.
         cells_removed: number of cells that are only in the previous plan.
-        replicas_moved: number of replicas of common cells at relays that did not serve the cell before.
+        replicas_moved: number of those replicas in the new plan whose relays did not serve the cell before.
         replicas: number of replicas of the cells that are in both plans.
     """
 
@@ -50,7 +53,7 @@
         servers_by_divided_cell: number of servers per cell that is one of several parts of a service; None if no
             service has several parts.
         cells_by_relay: number of cells per relay.
-        servers_by_relay: number of servers in the cells of each relay.
+        servers_by_relay: number of servers in the cells that a relay serves.
     """
 
     servers_by_cell: LoadRange
@@ -60,7 +63,7 @@
 
 
 def compare_plans(previous_plan: Plan, plan: Plan, servers: Sequence[ListedServer]) -> Movement:
-    """Count what moves from a valid plan to another valid plan."""
+    """Count the servers, cells and replicas that move from a valid plan to another valid plan."""
     previous_index = CellIndex(previous_plan)
     index = CellIndex(plan)
     servers_moved = 0
@@ -89,7 +92,7 @@
 
 
 def measure_spread(plan: Plan, servers: Sequence[ListedServer]) -> Spread:
-    """Measure how a valid plan with at least one cell distributes servers and cells."""
+    """Measure how evenly a valid plan with at least one cell distributes servers and cells."""
     cell_sizes = _cell_sizes(plan, servers)
     cells_by_relay: Counter[str] = Counter()
     servers_by_relay: Counter[str] = Counter()
--- a/stackwheel/cells/part_count.py
+++ b/stackwheel/cells/part_count.py
@@ -7,7 +7,7 @@
 from stackwheel.cells.plan import MAX_PARTS
 
 OVERFLOW_RISK = 0.001
-"""Maximum probability that any part of a service, in one region or in all, exceeds the server limit."""
+"""Maximum probability that any part of a divided service exceeds the server limit of a cell."""
 
 
 def parts_needed(servers: int, limit: int) -> int:
--- a/stackwheel/cells/plan.py
+++ b/stackwheel/cells/plan.py
@@ -72,7 +72,7 @@
         limits: limits on the size of each cell.
         regions: the region of each zone.
         relays: all relays of the fleet.
-        cells: all cells.
+        cells: all cells of the fleet.
     """
 
     version: int
--- a/stackwheel/cells/plan_file.py
+++ b/stackwheel/cells/plan_file.py
@@ -1,4 +1,4 @@
-"""Reads plan files, with the location of each error, and replaces them atomically."""
+"""Reads plan files, reporting the location of each error, and replaces them atomically."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
     Args:
         data: contents of the file.
-        source: name of the file or plan, the start of the location in errors.
+        source: name of the file or plan, with which the location in errors begins.
 
     Raises:
         CellPlanError: the contents are not a valid plan.
@@ -92,7 +92,7 @@
 
 
 class _RepeatedKeyError(ValueError):
-    """A JSON object contains a key more than once, of which decoders would silently use the last."""
+    """A JSON object contains a key more than once; decoders would silently use the last value."""
 
 
 def _reject_repeated_keys(pairs: list[tuple[str, object]]) -> None:
@@ -104,7 +104,7 @@
 
 
 def encode_plan(plan: Plan) -> bytes:
-    """Encode a plan as the contents of a plan file, which are identical for equal plans."""
+    """Encode a plan as the contents of a plan file; equal plans have identical contents."""
     return msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n"
 
 
@@ -115,7 +115,7 @@
 
     Args:
         plan: the plan.
-        source: name of the file or plan, the start of the location in errors.
+        source: name of the file or plan, with which the location in errors begins.
 
     Raises:
         CellPlanError: the plan is invalid.
--- a/stackwheel/cells/plan_validation.py
+++ b/stackwheel/cells/plan_validation.py
@@ -1,4 +1,4 @@
-"""Validation of cell plans: unique names, hosts and ports, known regions, and at most one cell for each server."""
+"""Validates cell plans: unique names, hosts and ports, known regions, and at most one cell for each server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     Args:
         plan: the plan.
-        source: name of the file or plan, the start of the location in errors.
+        source: name of the file or plan, with which the location in errors begins.
 
     Raises:
         CellPlanError: the plan is invalid.
--- a/tests/cells/test_cell_design.py
+++ b/tests/cells/test_cell_design.py
@@ -54,7 +54,9 @@
 def test_a_service_with_too_few_planners_for_its_parts_is_rejected() -> None:
     with pytest.raises(CellPlanError, match="service 'a': no planner for 5 servers"):
         plan_for(Demand("a", "east", 5, 0))
-    with pytest.raises(CellPlanError, match="service 'a': 1000 servers need 16 parts, 3 planners allow one part each"):
+    with pytest.raises(
+        CellPlanError, match="service 'a': 1000 servers need 16 parts, but 3 planners can serve at most one part each"
+    ):
         plan_for(Demand("a", "east", 1000, 3))
 
 
