--- a/stackwheel/simulator/__init__.py
+++ b/stackwheel/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter between the policy and the simulator, which exchanges binary frames over standard input and output."""
+"""Adapter between the policy and the simulator, which exchange binary frames over standard input and output."""
--- a/stackwheel/simulator/__main__.py
+++ b/stackwheel/simulator/__main__.py
@@ -19,7 +19,7 @@
 
 
 def main() -> int:
-    """Serve the simulator on standard input and output; return the exit status, 1 if the input is malformed."""
+    """Serve the simulator on standard input and output; returns the exit status, 1 if the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/stackwheel/simulator/decoder.py
+++ b/stackwheel/simulator/decoder.py
@@ -32,12 +32,12 @@
 from stackwheel.simulator.wire import MAX_ENDPOINT_PAGE, MAX_HEALTH_CHECK_OUTCOME, UPDATE_KINDS, EventCode
 
 ENDPOINT_ENTRY = struct.Struct(">6sHHHBfd")
-"""An entry of an endpoint list: server, zone, machine kind, cell, availability, weight, start time."""
+"""Layout of an entry of an endpoint list: server id, zone, machine kind, cell, availability, weight, start time."""
 
 
 @dataclass(frozen=True, slots=True)
 class CreatePlanner:
-    """A planner instance starts or restarts.
+    """A request to start or restart a planner instance.
 
     Attributes:
         seed: seed of the planner's random numbers.
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopPlanner:
-    """A planner instance is stopped without notice."""
+    """A request to stop a planner instance, without notice to the instance."""
 
 
 Item: TypeAlias = CreatePlanner | StopPlanner | Event
@@ -68,9 +68,9 @@
     """The events at one point in simulated time.
 
     Attributes:
-        clock: time of the planners' clock, ms.
+        clock: time on the planners' clock, ms.
         number: number of the batch.
-        items: the decoded records in the order of the frame.
+        items: the decoded records in the order of the encoded batch.
     """
 
     clock: float
@@ -79,7 +79,7 @@
 
 
 class Decoder:
-    """Decodes frames into batches, and stores the numbered endpoint lists to which endpoint updates refer."""
+    """Decodes frames into batches, and stores endpoint lists by the number with which updates refer to them."""
 
     def __init__(self) -> None:
         self._endpoint_pages: dict[int, tuple[EndpointEntry, ...]] = {}
@@ -101,7 +101,7 @@
         }
 
     def decode_batch(self, frame: Frame) -> Batch:
-        """Decode a frame and store its endpoint lists, which apply to the records that follow them.
+        """Decode a frame and store its endpoint lists, to which the records after them may refer.
 
         Raises:
             WireError: the frame or one of its records is malformed.
@@ -153,19 +153,19 @@
 
 
 def read_create_planner(reader: FieldReader) -> CreatePlanner:
-    """Read the seed and the settings of a new planner."""
+    """Read the request to start a planner, with its seed and its encoded settings."""
     seed = reader.read_uint64()
     length = reader.read_uint32()
     return CreatePlanner(seed, reader.read_bytes(length))
 
 
 def read_stop_planner(_reader: FieldReader) -> StopPlanner:
-    """Read the stop of a planner, a record with no fields after the instance."""
+    """Read the request to stop a planner, a record without fields after the instance number."""
     return StopPlanner()
 
 
 def read_timer_fired(reader: FieldReader) -> TimerFired:
-    """Read the token of an expired timer."""
+    """Read the event that a timer has expired, with the timer's token."""
     return TimerFired(reader.read_uint64())
 
 
@@ -180,14 +180,14 @@
 
 
 def read_gossip_received(reader: FieldReader) -> GossipReceived:
-    """Read a gossip datagram of a peer planner."""
+    """Read a gossip datagram from a peer planner."""
     sender = reader.read_uint32()
     length = reader.read_uint16()
     return GossipReceived(sender, reader.read_bytes(length))
 
 
 def read_proxy_joined(reader: FieldReader) -> ProxyJoined:
-    """Read the connection of a proxy."""
+    """Read the event that a proxy has connected."""
     proxy = reader.read_uint16()
     zone = reader.read_uint16()
     expected_rate = reader.read_float32()
@@ -195,7 +195,7 @@
 
 
 def read_proxy_left(reader: FieldReader) -> ProxyLeft:
-    """Read the end of the connection of a proxy."""
+    """Read the event that a proxy's connection has ended."""
     return ProxyLeft(reader.read_uint16())
 
 
@@ -207,7 +207,7 @@
 
 
 def read_load_report(reader: FieldReader) -> LoadReport:
-    """Read the load of one server as measured by the proxies of one zone."""
+    """Read a load report: measurements of one server by the proxies of one zone."""
     zone = reader.read_uint16()
     server = reader.read_server()
     attempts = reader.read_uint32()
@@ -218,7 +218,7 @@
 
 
 def read_demand_report(reader: FieldReader) -> DemandReport:
-    """Read the requests of one class that one proxy received."""
+    """Read a demand report: the numbers of requests of one class that arrived at one proxy."""
     unanswered = reader.read_uint32()
     proxy = reader.read_uint16()
     requests = reader.read_uint32()
@@ -228,7 +228,7 @@
 
 
 def read_key_range_demand(reader: FieldReader) -> KeyRangeDemand:
-    """Read the requests of one class in the key range of one table."""
+    """Read a demand report of a key range: the numbers of requests of one class for the table of the key range."""
     unanswered = reader.read_uint32()
     request_class = reader.read_uint16()
     window = reader.read_float64()
@@ -238,13 +238,13 @@
 
 
 def read_key_range_granted(reader: FieldReader) -> KeyRangeGranted:
-    """Read the grant or revocation of the right to write the table of a key range."""
+    """Read the event that the right to write the table of a key range has been granted to the planner or revoked."""
     table = reader.read_uint16()
     return KeyRangeGranted(table, reader.read_flag())
 
 
 def read_key_range_weight(reader: FieldReader) -> KeyRangeWeight:
-    """Read the current weight of a server in the table of a key range."""
+    """Read the event that states the current weight of a server in the table of a key range."""
     weight = reader.read_float32()
     table = reader.read_uint16()
     return KeyRangeWeight(table, reader.read_server(), weight)
--- a/stackwheel/simulator/encoder.py
+++ b/stackwheel/simulator/encoder.py
@@ -35,12 +35,12 @@
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """Encode the failure of a planner instance with an exception as a record."""
+    """Encode a record which states that a planner instance has raised an exception; `text` describes the exception."""
     return _encode_text(ActionCode.FAULT, instance, text)
 
 
 def _encode_proxy_action(instance: int, action: ProxyAction) -> bytes:
-    """Encode an action for proxies, which concerns tables, admission, ejection or nonces."""
+    """Encode an action that affects proxies: their tables, admission levels, ejections or nonces."""
     match action:
         case SetWeight(table, server, weight):
             return _pack(ActionCode.SET_WEIGHT, ">HH6sf", instance, table, server, weight)
@@ -57,7 +57,7 @@
 
 
 def _encode_planner_action(instance: int, action: PlannerAction) -> bytes:
-    """Encode an action of the planner itself, such as a timer, a health check or a gossip datagram."""
+    """Encode an action that does not affect proxies, such as a timer, a health check or a gossip datagram."""
     match action:
         case SetTimer(delay, token):
             return _pack(ActionCode.SET_TIMER, ">HdQ", instance, delay, token)
@@ -81,7 +81,7 @@
 
 
 def _class_mask(classes: tuple[int, ...]) -> int:
-    """Return a bit mask of request classes, with the first class as the lowest bit."""
+    """Return a bit mask of request classes, with class 0 as the lowest bit."""
     return sum(1 << request_class for request_class in classes)
 
 
--- a/stackwheel/simulator/errors.py
+++ b/stackwheel/simulator/errors.py
@@ -1,4 +1,4 @@
-"""Exception of the simulator adapter."""
+"""The exception that the simulator adapter raises for malformed input."""
 
 from __future__ import annotations
 
--- a/stackwheel/simulator/field_reader.py
+++ b/stackwheel/simulator/field_reader.py
@@ -18,10 +18,10 @@
 
 
 class FieldReader:
-    """Reads the fields of a record one after another.
+    """Reads the fields of a record in their order.
 
     Attributes:
-        location: the record, for error messages.
+        location: batch, index and event name of the record, for error messages.
     """
 
     def __init__(self, record: Record) -> None:
@@ -35,7 +35,7 @@
         return len(self._body) - self._offset
 
     def read_bytes(self, length: int) -> bytes:
-        """Read a number of bytes; raises WireError if fewer are left."""
+        """Read `length` bytes; raises WireError if the record has fewer unread bytes."""
         end = self._offset + length
         if end > len(self._body):
             offset_in_record = self._offset + RECORD_HEADER.size
--- a/stackwheel/simulator/framing.py
+++ b/stackwheel/simulator/framing.py
@@ -1,4 +1,8 @@
-"""Framing of the simulator protocol: reads batches, splits them into records, and builds replies from records."""
+"""Framing of the simulator protocol: reads batches, splits them into records, and builds replies from records.
+
+The simulator sends a batch, whose records are events and requests for planner instances, and receives one reply to
+each batch, whose records are the actions of these instances.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 """Header of a record: code, length of the body in bytes."""
 
 MAX_BODY_BYTES = 1 << 28
-"""Maximum length of the body of a batch; a greater length in a header is treated as corruption."""
+"""Maximum length of the body of a batch; a greater length in a header means that the input is malformed."""
 
 
 class Frame(NamedTuple):
@@ -34,7 +38,7 @@
     """The fields of the header of a batch.
 
     Attributes:
-        clock: time of the planners' clock, ms.
+        clock: time on the planners' clock, ms.
         body_length: length of the body, bytes.
         record_count: number of records in the body.
         number: number of the batch.
--- a/stackwheel/simulator/host.py
+++ b/stackwheel/simulator/host.py
@@ -1,4 +1,4 @@
-"""Runs several independent planner instances in one process."""
+"""Runs several independent planner instances of a simulation in one process."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         return encode_reply(batch.number, records)
 
     def _sort_events(self, batch: Batch) -> dict[int, list[Event]]:
-        """Start and stop planners, and return the events of each planner that runs at the end of the batch."""
+        """Start and stop planners, and return the events for each planner that runs at the end of the batch."""
         events_by_instance: dict[int, list[Event]] = {}
         for instance, item in batch.items:
             if isinstance(item, StopPlanner):
@@ -57,7 +57,7 @@
 
 
 def create_planner(batch_number: int, instance: int, request: CreatePlanner) -> Planner:
-    """Create a planner with the settings and seed of a request; raises WireError if the settings are invalid."""
+    """Create a planner with the requested settings and seed; raises WireError if the settings are invalid."""
     try:
         return Planner(parse_settings(request.settings), request.seed)
     except SettingsError as error:
--- a/stackwheel/simulator/wire.py
+++ b/stackwheel/simulator/wire.py
@@ -66,7 +66,7 @@
     EventCode.KEY_RANGE_WEIGHT: "held",
     EventCode.ENDPOINT_PAGE: "ledger",
 }
-"""The simulator's name of each event, by code, as used in its documentation and in error messages."""
+"""The simulator's name for each event, by code, as used in the simulator's documentation and in error messages."""
 
 UPDATE_KINDS: dict[int, UpdateKind] = {
     0: UpdateKind.CACHED,
@@ -77,13 +77,13 @@
 """The kind of an endpoint update, by the number in the `scope` field of its record."""
 
 MAX_ENDPOINT_PAGE = 15
-"""Maximum number of an endpoint list; the numbers start at 0."""
+"""Highest number under which an endpoint list can be stored; the numbers start at 0."""
 
 MAX_HEALTH_CHECK_OUTCOME = 7
-"""Maximum outcome of a health check; greater values are reserved."""
+"""Highest number of a health check's outcome; greater numbers are reserved."""
 
 ALL_PEERS = 0xFFFF
-"""Receiver of a gossip datagram that is sent to all peer planners."""
+"""Value of a gossip datagram's receiver field that stands for all peer planners."""
 
 MAX_TEXT_BYTES = 2000
 """Maximum length of the text of a log line or a fault; longer texts are truncated."""
