--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -35,7 +35,8 @@
 SHRINK_FACTOR = 2
 """The number of parts is reduced only if fewer parts suffice for the demand multiplied by this factor.
 
-This hysteresis avoids that servers move when the demand changes temporarily, such as doubled servers during a release.
+This hysteresis prevents moves of servers when the demand changes temporarily, for example because a service has twice
+as many servers during a release.
 """
 
 DEFAULT_FIRST_PORT = 20_001
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -59,8 +59,8 @@
     """The parts of the process and operating system that a planner uses; a simulation replaces them.
 
     Attributes:
-        wall_clock: returns the Unix time in s.
-        monotonic_clock: returns the monotonic time in s.
+        wall_clock: returns the Unix time in seconds.
+        monotonic_clock: returns the monotonic time in seconds.
         open_listener: opens a listening socket at an address "host:port"; raises OSError if it cannot be opened.
         load_config: reads the configuration for a reload; raises ConfigError if it is invalid.
         transports: builds the transports that are used in addition to the sockets.
@@ -161,7 +161,11 @@
         self.reload = Reload(config, self.transport.update_addresses, environment.load_config)
 
     async def run(self) -> None:
-        """Serve until cancelled; raises OSError if an address cannot be bound."""
+        """Serve until cancelled; logs the number of cached endpoint entries when the planner is ready.
+
+        Raises:
+            OSError: an address cannot be bound.
+        """
         if defaulted := self.config.defaulted_settings:
             logger.warning("settings not set, using defaults: kind={} count={}", ",".join(defaulted), len(defaulted))
         # The policy starts before the listener opens, so that the first client finds a planner that is ready.
--- a/stackwheel/service/logging_setup.py
+++ b/stackwheel/service/logging_setup.py
@@ -23,7 +23,7 @@
     """Count of the lines that a log statement has produced in the current window.
 
     Attributes:
-        started_at: monotonic time of the first line, in s.
+        started_at: monotonic time of the first line, in seconds.
         line_count: number of lines, including suppressed ones.
     """
 
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
-        """Create a filter without counted lines; `now` returns the monotonic time in s."""
+        """Create a filter without counted lines; `now` returns the monotonic time in seconds."""
         self.now = now
         self.windows: dict[tuple[str | None, int], LineWindow] = {}
 
--- a/stackwheel/service/relay.py
+++ b/stackwheel/service/relay.py
@@ -110,7 +110,7 @@
         self.cache.mark_upstream_alive(self.server.now())
 
     async def run(self) -> None:
-        """Serve until cancelled.
+        """Serve until cancelled; logs the number of served cells when the relay is ready.
 
         Raises:
             OSError: a listening socket cannot be opened.
@@ -132,7 +132,7 @@
             await self.reload()
 
     async def reload(self) -> None:
-        """Read and apply the cell plan; if it is invalid, the current plan remains in force."""
+        """Read and apply the cell plan, and log the number of served cells; an invalid plan is not applied."""
         try:
             assignment = self.environment.load_assignment(self.config.name, self.config.plan)
             await self.server.listen(assignment.cell_by_address)
--- a/stackwheel/service/relay_config.py
+++ b/stackwheel/service/relay_config.py
@@ -59,7 +59,8 @@
 
     Attributes:
         plan: the complete cell plan.
-        locate: returns the name of a server's cell, given the names of the server and its zone; None without a cell.
+        locate: returns the name of a server's cell, given the names of the server and its zone; None if the
+            plan has no cell for the server.
         cell_by_address: name of the cell that the relay serves, by listening address "host:port".
     """
 
--- a/stackwheel/simulator/decoder.py
+++ b/stackwheel/simulator/decoder.py
@@ -228,7 +228,7 @@
 
 
 def read_key_range_demand(reader: FieldReader) -> KeyRangeDemand:
-    """Read a demand report of a key range: the numbers of requests of one class for the table of the key range."""
+    """Read a demand report for a key range: the numbers of requests of one class in the key range of one table."""
     unanswered = reader.read_uint32()
     request_class = reader.read_uint16()
     window = reader.read_float64()
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -1,4 +1,4 @@
-"""An accepted connection: decodes and dispatches the messages it receives, and writes the messages queued for it."""
+"""An accepted connection: decodes and dispatches the messages received on it, and writes the messages queued for it."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     Attributes:
         names: configured names of the zones, request classes and load columns.
         proxy_count: number of proxies; proxies are numbered from 0.
-        post: puts an item into the planner actor's mailbox; never blocks.
+        post: puts a message into the planner actor's mailbox; never blocks.
         on_identified: called with a connection and True when the connection has identified itself as a stream or a
             collector, and with False when the proxy of the connection has opened another stream.
         limiter: returns the rate limiter of a proxy, which is shared by its successive connections.
@@ -176,7 +176,7 @@
                 raise ProtocolViolationError(location, str(error)) from error
 
     def handle_line(self, line: bytes) -> None:
-        """Decode and dispatch one line; a malformed message of an identified connection is skipped.
+        """Decode and dispatch one line; a malformed message from an identified connection is skipped.
 
         Raises:
             ProtocolViolationError: the line is not a message, or an unidentified connection has sent a malformed
--- a/stackwheel/wire/connection_limits.py
+++ b/stackwheel/wire/connection_limits.py
@@ -15,13 +15,13 @@
         self.written_at: deque[float] | None = deque(maxlen=cap) if cap else None
 
     def delay(self, now: float) -> float:
-        """Return the time until another message may be written, in s; `now` is in s."""
+        """Return the time from `now` until another message may be written, both in seconds."""
         if self.written_at is None or len(self.written_at) < (self.written_at.maxlen or 0):
             return 0.0
         return max(0.0, self.written_at[0] + self.window_s - now)
 
     def record_write(self, now: float) -> None:
-        """Count a message that is written at `now`, in s."""
+        """Count a message that is written at the time `now`, in seconds."""
         if self.written_at is not None:
             self.written_at.append(now)
 
--- a/stackwheel/wire/connection_table.py
+++ b/stackwheel/wire/connection_table.py
@@ -75,7 +75,7 @@
         self.released.set()
 
     def on_identified(self, connection: Connection, identified: bool) -> None:
-        """Update the unidentified connections and the collectors after a change of a connection's identification.
+        """Update the table when a connection has identified itself, or has to identify itself again.
 
         If a new collector exceeds MAX_COLLECTORS_PER_ZONE, the longest idle of the zone's other collectors is closed.
         """
@@ -96,7 +96,7 @@
             if self.closing or self.evict_one():
                 await self.released.wait()
             else:
-                await asyncio.sleep(timing.FIRST_READ_GRACE_MS / 5000.0)  # a fifth of the grace period, in s
+                await asyncio.sleep(timing.FIRST_READ_GRACE_MS / 5000.0)  # a fifth of the grace period, in seconds
 
     def reserve_capacity(self) -> None:
         """Close the oldest unidentified connections until `accept_reserve` descriptors are free for new ones.
--- a/stackwheel/wire/discovery_calls.py
+++ b/stackwheel/wire/discovery_calls.py
@@ -1,7 +1,7 @@
 """The two calls to the discovery service: fetching the complete endpoint list, and watching its changes.
 
 A watch is a response without an end. Each of its lines is the complete list, a delta (the changes since an earlier
-list) or empty (a heartbeat). Each list and delta has a generation, a number that grows with the changes of the list,
+list) or empty (a heartbeat). Each list and delta has a generation, a number that increases when the list changes,
 and a watch can resume after a generation. The replicas of a discovery service have the same lists and generations.
 """
 
--- a/stackwheel/wire/discovery_client.py
+++ b/stackwheel/wire/discovery_client.py
@@ -99,7 +99,7 @@
 
     It posts each endpoint list that a fetch or a watch has delivered, and each failure unless `always_watch` is set.
 
-    After a change of address, the client watches the old address until the new one has delivered a complete list
+    When the address changes, the client watches the old address until the new one has delivered a complete list
     (handover), because the generations of the two addresses are unrelated. A watch that has not delivered a change for
     the renewal interval is replaced in the same way (renewal), because a faulty watch may send heartbeats without any
     updates.
@@ -130,7 +130,7 @@
 
         Args:
             address: "host:port" of the discovery service, or the comma-separated addresses of its replicas.
-            generation: generation of a list that is already known; 0 if there is none.
+            generation: generation of the cached list to start from; 0 if there is none.
             post: called with each endpoint list, and with each failure to obtain one.
             random: source of the jitter of delays.
             options: options of the client.
@@ -350,7 +350,10 @@
     # --- Results of calls ---
 
     def accept(self, endpoints: EndpointList, address: str) -> None:
-        """Post an endpoint list, and complete a handover or renewal if the list is from the second watch."""
+        """Log an endpoint list with the number of its entries, and post it.
+
+        If the list is from the second watch, the handover or renewal is complete.
+        """
         self.backoff.reset()
         if address != self.source:
             logger.info("discovery source replaced: source={} address={}", self.source, address)
--- a/stackwheel/wire/watch_renewal.py
+++ b/stackwheel/wire/watch_renewal.py
@@ -30,16 +30,16 @@
         self._due_at = math.inf  # in seconds on the event loop's clock
 
     def restart(self, now: float) -> None:
-        """Restart the timer with the first interval, because a list has been received; `now` is in s."""
+        """Restart the timer with the first interval, because a list has been received; `now` is in seconds."""
         self._delay_ms = self.interval_ms
         self._schedule(now)
 
     def is_due(self, now: float) -> bool:
-        """Return whether the watch has to be renewed; `now` is in s."""
+        """Return whether the watch has to be renewed; `now` is in seconds."""
         return now >= self._due_at
 
     def back_off(self, now: float) -> None:
-        """Restart the timer with a longer interval, because a renewal has been started; `now` is in s."""
+        """Restart the timer with a longer interval, because a renewal has been started; `now` is in seconds."""
         self._delay_ms *= RENEWAL_BACKOFF
         self._schedule(now)
 
