--- a/stackwheel/wire/watch_renewal.py
+++ b/stackwheel/wire/watch_renewal.py
@@ -1,4 +1,4 @@
-"""Timer for the renewal of a watch that does not deliver changes."""
+"""Timer for the renewal of a watch: a watch that delivers no changes is replaced, because it may be faulty."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RenewalTimer:
-    """Decides when to renew a watch that has not delivered a change for an interval.
+    """Decides when to renew a watch that has delivered no change for a given interval.
 
     The interval grows with each renewal that does not deliver a list, and has jitter, which prevents planners from
     renewing their watches simultaneously.
@@ -27,19 +27,19 @@
         self.interval_ms = interval_ms
         self.random = random
         self._delay_ms = interval_ms
-        self._due_at = math.inf  # s, clock of the event loop
+        self._due_at = math.inf  # in seconds on the event loop's clock
 
     def restart(self, now: float) -> None:
-        """Restart the timer with the first interval, because a list has been received; `now` is in s."""
+        """Restart the timer with the first interval, because a list has been received; `now` is in seconds."""
         self._delay_ms = self.interval_ms
         self._schedule(now)
 
     def is_due(self, now: float) -> bool:
-        """Return whether the watch has to be renewed; `now` is in s."""
+        """Return whether the watch has to be renewed; `now` is in seconds."""
         return now >= self._due_at
 
     def back_off(self, now: float) -> None:
-        """Restart the timer with a longer interval, because a renewal has been started; `now` is in s."""
+        """Restart the timer with a longer interval, because a renewal has been started; `now` is in seconds."""
         self._delay_ms *= RENEWAL_BACKOFF
         self._schedule(now)
 
