--- a/stackwheel/scale/children.py
+++ b/stackwheel/scale/children.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import TypeVar
 
-from stackwheel.scale.control import MAX_LINE_BYTES, Answer, ControlError, Lines, Message, Stop
+from stackwheel.scale.control import MAX_MESSAGE_BYTES, Answer, ControlConnection, ControlError, Message, Stop
 
-END_TIMEOUT = 3.0  # s from the request to end until SIGKILL
+END_TIMEOUT_S = 3.0  # s from the request to end until SIGKILL
 
 Answered = TypeVar("Answered", bound=Message)
 
@@ -37,9 +37,9 @@
     role: Role
     name: str
     process: asyncio.subprocess.Process
-    lines: Lines[Answer] | None = None  # its control connection; real programs have none
-    lock: asyncio.Lock = field(default_factory=asyncio.Lock)  # one request at a time
-    ending: bool = False  # the run itself has ended it
+    connection: ControlConnection[Answer] | None = None  # its control connection; real programs have none
+    request_lock: asyncio.Lock = field(default_factory=asyncio.Lock)  # one request at a time
+    is_ending: bool = False  # the run itself has ended it
 
     @property
     def pid(self) -> int:
@@ -48,28 +48,28 @@
 
     async def notify_process(self, message: Message) -> None:
         """Send a message that has no answer."""
-        assert self.lines is not None
-        async with self.lock:
-            await self.lines.send(message)
+        assert self.connection is not None
+        async with self.request_lock:
+            await self.connection.send(message)
 
     async def request(self, message: Message, kind: type[Answered]) -> Answered:
         """Send a message and receive its answer; ControlError if the process has ended or answers otherwise.
 
         If the caller is cancelled, the answer is read all the same: it must not be taken for that of the next request.
         """
-        return await asyncio.shield(self.request_in_turn(message, kind))
+        return await asyncio.shield(self.send_and_receive(message, kind))
 
-    async def request_in_turn(self, message: Message, kind: type[Answered]) -> Answered:
+    async def send_and_receive(self, message: Message, kind: type[Answered]) -> Answered:
         """Wait for earlier requests to be answered, then send this one and receive its answer."""
-        assert self.lines is not None
-        async with self.lock:
-            await self.lines.send(message)
+        assert self.connection is not None
+        async with self.request_lock:
+            await self.connection.send(message)
             return await self.receive_answer(kind)
 
     async def receive_answer(self, kind: type[Answered]) -> Answered:
         """The next answer; ControlError if it is of another kind, or the process has ended."""
-        assert self.lines is not None
-        answer = await self.lines.receive()
+        assert self.connection is not None
+        answer = await self.connection.receive()
         if not isinstance(answer, kind):
             raise ControlError(f"{self.name} said {type(answer).__name__}, not {kind.__name__}; see its log")
         return answer
@@ -78,8 +78,8 @@
 class Children:
     """Owns all processes of a run."""
 
-    def __init__(self, logs: Path, max_processes: int) -> None:
-        self.logs = logs  # the folder that has a log file for each process
+    def __init__(self, log_folder: Path, max_processes: int) -> None:
+        self.log_folder = log_folder  # the folder that has a log file for each process
         self.max_processes = max_processes  # at a time
         self.running: list[Child] = []
 
@@ -88,7 +88,7 @@
         child = await self.spawn(role, name, (sys.executable, "-m", module), {}, asyncio.subprocess.PIPE)
         assert child.process.stdout is not None
         assert child.process.stdin is not None
-        child.lines = Lines(child.process.stdout, child.process.stdin, Answer)
+        child.connection = ControlConnection(child.process.stdout, child.process.stdin, Answer)
         return child
 
     async def start_program(
@@ -115,7 +115,7 @@
         """
         if len(self.running) >= self.max_processes:
             raise ControlError(f"over {self.max_processes} processes")
-        with (self.logs / f"{name}.log").open("ab") as log:
+        with (self.log_folder / f"{name}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -126,32 +126,32 @@
                 stdout=standard_streams,
                 stderr=log,
                 env={**os.environ, **environment},
-                limit=MAX_LINE_BYTES,
+                limit=MAX_MESSAGE_BYTES,
                 start_new_session=True,
             )
         child = Child(role, name, process)
         self.running.append(child)
         return child
 
-    def of(self, role: Role) -> list[Child]:
+    def with_role(self, role: Role) -> list[Child]:
         """The running processes of a role."""
         return [child for child in self.running if child.role is role]
 
-    def ended(self) -> list[Child]:
+    def unexpectedly_ended(self) -> list[Child]:
         """Processes that have ended, but not by the run."""
-        return [child for child in self.running if child.process.returncode is not None and not child.ending]
+        return [child for child in self.running if child.process.returncode is not None and not child.is_ending]
 
     async def end(self, child: Child) -> None:
         """End one process: request it, and kill the process if it takes too long."""
-        child.ending = True
+        child.is_ending = True
         if child.process.returncode is None:
-            if child.lines is not None:
+            if child.connection is not None:
                 with contextlib.suppress(ControlError, RuntimeError):
-                    await child.lines.send(Stop())
+                    await child.connection.send(Stop())
             else:
                 send_signal(child, signal.SIGTERM)
             try:
-                await asyncio.wait_for(child.process.wait(), END_TIMEOUT)
+                await asyncio.wait_for(child.process.wait(), END_TIMEOUT_S)
             except TimeoutError:
                 send_signal(child, signal.SIGKILL)
                 await child.process.wait()
@@ -160,7 +160,7 @@
 
     async def kill(self, child: Child) -> None:
         """End one process without warning, as a crash does."""
-        child.ending = True
+        child.is_ending = True
         send_signal(child, signal.SIGKILL)
         await child.process.wait()
         self.running.remove(child)
--- a/stackwheel/scale/control.py
+++ b/stackwheel/scale/control.py
@@ -12,7 +12,7 @@
 from stackwheel.errors import StackwheelError
 from stackwheel.scale.entries import Entry
 
-MAX_LINE_BYTES = 512 << 20  # of one message: a list of 48,000 entries has 8 MB, propagation records 10 times that
+MAX_MESSAGE_BYTES = 512 << 20  # of one message: a list of 48,000 entries has 8 MB, propagation records 10 times that
 
 
 class ControlError(StackwheelError):
@@ -202,7 +202,7 @@
 Received = TypeVar("Received")
 
 
-class Lines(Generic[Received]):
+class ControlConnection(Generic[Received]):
     """One end of a control connection; `Received` is the union of the messages that come in."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, kind: object) -> None:
@@ -233,12 +233,12 @@
             raise ControlError(f"control connection: {error}") from error
 
 
-async def standard_lines() -> Lines[Request]:
+async def connect_standard_streams() -> ControlConnection[Request]:
     """A child process's end of its control connection, on standard input and output."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
+    reader = asyncio.StreamReader(limit=MAX_MESSAGE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin.buffer)
     transport, protocol = await loop.connect_write_pipe(
         lambda: asyncio.streams.FlowControlMixin(loop=loop), os.fdopen(os.dup(1), "wb")
     )
-    return Lines(reader, asyncio.StreamWriter(transport, protocol, None, loop), Request)
+    return ControlConnection(reader, asyncio.StreamWriter(transport, protocol, None, loop), Request)
--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -21,7 +21,7 @@
 from stackwheel.wire.datagrams import MAX_DATAGRAM_BYTES
 
 READ_BYTES = 64 * 1024
-PEER_RATE = 1.0  # requests a second that a peer reports for each server: any figure costs the same
+PEER_REQUESTS_PER_SECOND = 1.0  # requests a second that a peer reports for each server: any figure costs the same
 PEER_PROXIES = 4  # proxies that a peer reports: any number costs the same
 
 
@@ -37,23 +37,23 @@
         self.traffic = traffic
         self.list = RegistryList(entries)
         self.watches: dict[asyncio.StreamWriter, h11.Connection] = {}
-        self.restarting = 0  # index of the server that is being restarted
+        self.restarting_index = 0  # index of the server that is being restarted
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection: a fetch, or a watch until the connection ends."""
         http = h11.Connection(h11.SERVER)
         with contextlib.suppress(OSError, h11.ProtocolError), contextlib.closing(writer):
-            request = await read_request(http, reader, READ_BYTES, self.count_in)
+            request = await read_request(http, reader, READ_BYTES, self.count_received_bytes)
             self.traffic.count_sent(0)
             target = request.target.decode()
             if "follow=1" in target:
                 await self.watch(http, reader, writer, known_generation(target))
             else:
-                self.write(http, writer, self.list.full_list())
+                self.write(http, writer, self.list.encode_full_list())
                 writer.write(http.send(h11.EndOfMessage()))
                 await writer.drain()
 
-    def count_in(self, size: int) -> None:
+    def count_received_bytes(self, size: int) -> None:
         """Count bytes that the process under test has sent; its request counts as one message once it is complete."""
         self.traffic.count_sent(size, 0)
 
@@ -61,7 +61,7 @@
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, known: int | None
     ) -> None:
         """Serve a watch: first the changes after generation `known`, then every change, and heartbeats in between."""
-        self.write(http, writer, self.list.since(known))
+        self.write(http, writer, self.list.encode_since(known))
         self.watches[writer] = http
         last_generation = self.list.generation
         try:
@@ -94,15 +94,15 @@
 
     def next_step(self) -> Entry:
         """The next change: the present server drains, is removed, or is in service as a new process."""
-        entry = self.entries[self.restarting]
+        entry = self.entries[self.restarting_index]
         if entry.lifecycle == TERMINATED:
             changed = msgspec.structs.replace(entry, lifecycle=IN_SERVICE, started_at_ms=self.list.generation + 1)
         else:
             next_lifecycle = TERMINATING if entry.lifecycle == IN_SERVICE else TERMINATED
             changed = msgspec.structs.replace(entry, lifecycle=next_lifecycle)
-        self.entries[self.restarting] = changed
+        self.entries[self.restarting_index] = changed
         if changed.lifecycle == IN_SERVICE:
-            self.restarting = (self.restarting + 1) % len(self.entries)
+            self.restarting_index = (self.restarting_index + 1) % len(self.entries)
         return changed
 
     def write(self, http: h11.Connection, writer: asyncio.StreamWriter, body: bytes) -> None:
@@ -172,7 +172,7 @@
     """The other planners of a tier: each sends its load once a report interval, within the policy's limit."""
 
     def __init__(self, servers: Sequence[str], max_datagrams: int, traffic: Traffic) -> None:
-        self.payloads = gossip.encode(PEER_PROXIES, {server_id(name): PEER_RATE for name in servers})
+        self.payloads = gossip.encode(PEER_PROXIES, {server_id(name): PEER_REQUESTS_PER_SECOND for name in servers})
         self.max_datagrams = max_datagrams  # that a planner reads in a report interval
         self.traffic = traffic
         self.broadcast_socket = FakePeerSocket(traffic)
--- a/stackwheel/scale/fleet.py
+++ b/stackwheel/scale/fleet.py
@@ -13,13 +13,15 @@
 SERVERS_PER_ZONE = 48_000 / 85
 ZONES_PER_REGION = 85 / 36
 
-SIZE_SIGMA = 1.6  # of the log-normal sizes: of 2,100 services the median has 7 servers, the largest 600 to 5,000
+SERVICE_SIZE_LOG_SIGMA = (
+    1.6  # of the log-normal sizes: of 2,100 services the median has 7 servers, the largest 600 to 5,000
+)
 MAX_ZONES = 1_000
 SERVER_PORT = 8081
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class FleetShape:
     """What a fleet is drawn from: its numbers and the seed."""
 
     servers: int
@@ -72,7 +74,7 @@
     return max(1, round(servers / SERVERS_PER_ZONE))
 
 
-def draw_fleet(shape: Shape) -> Fleet:
+def draw_fleet(shape: FleetShape) -> Fleet:
     """Draw a fleet; the same shape and seed always give the same one."""
     random = Random(shape.seed)
     sizes = draw_sizes(shape.servers, random)
@@ -94,7 +96,7 @@
 def draw_sizes(servers: int, random: Random) -> dict[str, int]:
     """The number of servers of each service: one each, and log-normal shares of the rest (largest remainder)."""
     count = min(servers, max(1, round(servers / SERVERS_PER_SERVICE)))
-    shares = sorted((random.lognormvariate(0.0, SIZE_SIGMA) for _ in range(count)), reverse=True)
+    shares = sorted((random.lognormvariate(0.0, SERVICE_SIZE_LOG_SIGMA) for _ in range(count)), reverse=True)
     scale = (servers - count) / sum(shares)
     exact = [share * scale for share in shares]
     sizes = [1 + math.floor(size) for size in exact]
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -35,10 +35,10 @@
     Stop,
     Traffic,
     WrongPlanner,
-    standard_lines,
+    connect_standard_streams,
 )
 from stackwheel.scale.entries import MACHINE_TYPE, Entry
-from stackwheel.scale.hollow_endpoints import HollowEndpointCache, ListedEntry, SharedEntries, compare, digest_of
+from stackwheel.scale.hollow_endpoints import HollowEndpointCache, ListedEntry, SharedEntries, compare, entries_digest
 from stackwheel.scale.peers import PeerTraffic
 from stackwheel.scale.propagation_records import PropagationRecords
 from stackwheel.state.messages import EndpointListFailed
@@ -47,9 +47,11 @@
 from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
 LIST_POLL_DEADLINE_MS = 10_000.0  # `obligations.ask_within` of the example configuration; it bounds the backoff
-START_INTERVAL = 0.002  # s between the starts of two planners of a process, so that they don't all call at once
-MIN_SWEEP_ENTRIES = 10_000  # shared entries below which no sweep is worth its time
-STALE_SNAPSHOT_INTERVAL = 0.5  # s between two checks for stale snapshots, see `EndpointCache.confirmed_snapshot`
+START_INTERVAL_S = 0.002  # s between the starts of two planners of a process, so that they don't all call at once
+MIN_CLEANUP_ENTRIES = 10_000  # shared entries below which no sweep is worth its time
+STALE_SNAPSHOT_CHECK_INTERVAL_S = (
+    0.5  # s between two checks for stale snapshots, see `EndpointCache.confirmed_snapshot`
+)
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
@@ -65,13 +67,13 @@
 
         def counting_protocol() -> Any:
             """The protocol, which counts what it receives."""
-            return self.count_received(protocol_factory())
+            return self.count_received_bytes(protocol_factory())
 
         transport, protocol = await super().create_connection(counting_protocol, *args, **options)
-        self.count_written(transport)
+        self.count_written_bytes(transport)
         return transport, protocol
 
-    def count_received(self, protocol: Any) -> Any:
+    def count_received_bytes(self, protocol: Any) -> Any:
         """Have a protocol count the bytes that it receives."""
         data_received = protocol.data_received
 
@@ -83,7 +85,7 @@
         protocol.data_received = counting_data_received
         return protocol
 
-    def count_written(self, transport: Any) -> None:
+    def count_written_bytes(self, transport: Any) -> None:
         """Have a transport count the bytes that are written to it."""
         write = transport.write
 
@@ -95,7 +97,7 @@
         transport.write = counting_write
 
 
-class CountedDiscovery(DiscoveryClient):
+class CountingDiscoveryClient(DiscoveryClient):
     """The planner's own client, which counts watches that ended: in a run each of them is a failure."""
 
     failures = 0
@@ -116,7 +118,7 @@
         self.records = records
         self.earlier_failures = 0  # of earlier incarnations
         self.incarnation = 0
-        self.ended = 0.0  # s on the monotonic clock: when the last incarnation ended
+        self.ended_at = 0.0  # s on the monotonic clock: when the last incarnation ended
         self.task: asyncio.Task[None] | None = None
         self.begin()
 
@@ -125,7 +127,7 @@
         self.incarnation += 1
         self.endpoints = HollowEndpointCache(self.shared)
         self.has_list = False
-        self.discovery = CountedDiscovery(
+        self.discovery = CountingDiscoveryClient(
             address=self.planner.discovery,
             generation=0,
             post=self.on_endpoint_list,
@@ -143,7 +145,7 @@
 
     def restart(self) -> None:
         """End, and start a new incarnation at once."""
-        self.ended = time.monotonic()
+        self.ended_at = time.monotonic()
         self.earlier_failures = self.failures()
         self.end()
         self.begin()
@@ -160,7 +162,7 @@
         now = time.monotonic()
         self.records.add(self.planner.number, changed, now)
         if not self.has_list and self.incarnation > 1:
-            self.records.restarted(self.planner.number, self.ended, now)
+            self.records.add_restart(self.planner.number, self.ended_at, now)
         self.has_list = True
 
     def accept_stale_snapshot(self, now: float) -> None:
@@ -183,14 +185,14 @@
         self.records = PropagationRecords()
         self.peers = PeerTraffic()
         self.shared = SharedEntries((), (MACHINE_TYPE,))
-        self.sweep_at = MIN_SWEEP_ENTRIES
+        self.cleanup_threshold = MIN_CLEANUP_ENTRIES
 
     async def follow(self, message: Follow) -> None:
         """Start the planners, spread over a short time."""
         self.shared = SharedEntries(tuple(message.zones), (MACHINE_TYPE,))
         for planner in message.planners:
             self.followers[planner.number] = Follower(planner, self.shared, self.records)
-            await asyncio.sleep(START_INTERVAL)
+            await asyncio.sleep(START_INTERVAL_S)
         await self.peers.start(message.planners, self.endpoints_of)
 
     def endpoints_of(self, planner: int) -> HollowEndpointCache:
@@ -200,13 +202,13 @@
     async def accept_stale_snapshots(self) -> None:
         """Periodically accept stale snapshots that nothing newer has followed, and drop unused shared entries."""
         while True:
-            await asyncio.sleep(STALE_SNAPSHOT_INTERVAL)
+            await asyncio.sleep(STALE_SNAPSHOT_CHECK_INTERVAL_S)
             for follower in self.followers.values():
                 if follower.endpoints.stale_snapshot is not None:
                     follower.accept_stale_snapshot(time.monotonic())
-            if len(self.shared.entries) > self.sweep_at:
-                self.shared.sweep(follower.endpoints for follower in self.followers.values())
-                self.sweep_at = max(MIN_SWEEP_ENTRIES, 2 * len(self.shared.entries))
+            if len(self.shared.entries) > self.cleanup_threshold:
+                self.shared.remove_unused(follower.endpoints for follower in self.followers.values())
+                self.cleanup_threshold = max(MIN_CLEANUP_ENTRIES, 2 * len(self.shared.entries))
 
     def traffic(self) -> Traffic:
         """Bytes, datagrams and failures so far, of all planners of the process."""
@@ -233,7 +235,7 @@
         wrong = []
         digests = {cell: set[str]() for cell in listed}
         for number, follower in self.followers.items():
-            actual = follower.endpoints.listed()
+            actual = follower.endpoints.listed_entries()
             expected = listed[follower.planner.cell]
             difference = compare(actual, expected)
             compared += len(expected)
@@ -241,7 +243,7 @@
                 wrong.append(WrongPlanner(number, max(1, difference.count()), difference.example() or "holds no list"))
             else:
                 right += 1
-            digests[follower.planner.cell].add(digest_of(actual))
+            digests[follower.planner.cell].add(entries_digest(actual))
             await asyncio.sleep(0)  # so that watches are read meanwhile
         return Compared(compared, right, wrong, {cell: sorted(of_cell) for cell, of_cell in digests.items()})
 
@@ -264,9 +266,9 @@
             case Compare():
                 return await self.compare(message)
             case _:
-                return self.handle_at_once(message)
+                return self.handle_immediately(message)
 
-    def handle_at_once(self, message: Request) -> Message | None:
+    def handle_immediately(self, message: Request) -> Message | None:
         """Carry out a request that needs no waiting; the answer, if the request has one."""
         match message:
             case CountPlannersWithList():
@@ -274,7 +276,7 @@
             case GetTraffic():
                 return self.traffic()
             case GetRecords():
-                return self.records.message(self.shared.ids.name)
+                return self.records.to_message(self.shared.ids.name)
             case Record():
                 self.records.begin()
             case Restart(planners):
@@ -303,16 +305,16 @@
 async def main(loop: CountingLoop) -> None:
     """Carry out the run's requests until it sends `Stop` or closes the control connection."""
     logger.remove()  # the counters say all that the logs of a thousand planners would
-    lines = await standard_lines()
+    connection = await connect_standard_streams()
     process = HollowProcess(loop)
-    accepting = asyncio.create_task(process.accept_stale_snapshots())
-    await lines.send(Ready())
+    stale_snapshot_task = asyncio.create_task(process.accept_stale_snapshots())
+    await connection.send(Ready())
     gc.freeze()
-    while (message := await lines.receive()) is not None and not isinstance(message, Stop):
+    while (message := await connection.receive()) is not None and not isinstance(message, Stop):
         answer = await process.handle(message)
         if answer is not None:
-            await lines.send(answer)
-    accepting.cancel()
+            await connection.send(answer)
+    stale_snapshot_task.cancel()
     process.peers.close()
     for follower in process.followers.values():
         follower.end()
--- a/stackwheel/scale/hollow_endpoints.py
+++ b/stackwheel/scale/hollow_endpoints.py
@@ -27,15 +27,15 @@
         self.entries: dict[EndpointEntry, EndpointEntry] = {}
         self.addresses: dict[str, str] = {}
 
-    def entry(self, entry: EndpointEntry) -> EndpointEntry:
+    def intern_entry(self, entry: EndpointEntry) -> EndpointEntry:
         """The one object for all entries equal to this one."""
         return self.entries.setdefault(entry, entry)
 
-    def address(self, address: str) -> str:
+    def intern_address(self, address: str) -> str:
         """The one object for all addresses equal to this one."""
         return self.addresses.setdefault(address, address)
 
-    def sweep(self, caches: Iterable[HollowEndpointCache]) -> None:
+    def remove_unused(self, caches: Iterable[HollowEndpointCache]) -> None:
         """Drop entries and addresses that are in none of the process's caches."""
         used = list(caches)
         self.entries = {entry: entry for cache in used for entry in cache.entries.values()}
@@ -54,8 +54,8 @@
         entry = super().entry(instance)
         if entry is None:
             return None
-        self.addresses[entry.server] = self.shared.address(instance.address)
-        return self.shared.entry(entry)
+        self.addresses[entry.server] = self.shared.intern_address(instance.address)
+        return self.shared.intern_entry(entry)
 
     def forget(self, server: ServerId) -> None:
         """Drop a removed server from this cache; its id may still be used by another planner."""
@@ -87,7 +87,7 @@
         named = [server_id(instance.name) for instance in endpoint_list.instances]
         return {server: self.entries[server] for server in named if server in self.entries}
 
-    def listed(self) -> dict[str, ListedEntry]:
+    def listed_entries(self) -> dict[str, ListedEntry]:
         """All entries, by the servers' names."""
         return {
             self.server_ids.names[server]: ListedEntry(entry, self.addresses.get(server, ""))
@@ -137,7 +137,7 @@
     )
 
 
-def digest_of(entries: Mapping[str, ListedEntry]) -> str:
+def entries_digest(entries: Mapping[str, ListedEntry]) -> str:
     """A digest of all entries in the order of their names; it is reported, but does not replace the comparison."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for name in sorted(entries):
--- a/stackwheel/scale/layout.py
+++ b/stackwheel/scale/layout.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class PlacedPlanner:
     """A planner in its cell."""
 
     number: int
@@ -31,7 +31,7 @@
 class Layout:
     """All planners in their cells."""
 
-    placed: tuple[Placed, ...]  # a planner's number is its index
+    placed: tuple[PlacedPlanner, ...]  # a planner's number is its index
     cell_of_server: CellOfServer
 
     def planners_by_cell(self) -> dict[str, list[int]]:
@@ -68,7 +68,9 @@
 
 def full_list_layout(fleet: Fleet, registry: str) -> Layout:
     """The layout of a run without relays: every planner follows the registry at this address."""
-    placed = tuple(Placed(number, planner, FULL_LIST_CELL, registry) for number, planner in enumerate(fleet.planners))
+    placed = tuple(
+        PlacedPlanner(number, planner, FULL_LIST_CELL, registry) for number, planner in enumerate(fleet.planners)
+    )
     return Layout(placed, lambda _name, _zone: FULL_LIST_CELL)
 
 
@@ -77,7 +79,7 @@
     return f"{PEER_NETWORK}.{number >> 8}.{number & 255}:{port}"
 
 
-def choose_real(planners: int, count: int, restarted: Sequence[int]) -> frozenset[int]:
+def choose_real_planners(planners: int, count: int, restarted: Sequence[int]) -> frozenset[int]:
     """The numbers of the real planners: evenly spaced, and at least one of those that a restart concerns."""
     chosen = [index * planners // count for index in range(count)]
     if chosen and restarted and not set(chosen) & set(restarted):
@@ -85,7 +87,7 @@
     return frozenset(chosen)
 
 
-def deal(placed: Iterable[Placed], processes: int) -> list[list[int]]:
+def assign_to_processes(placed: Iterable[PlacedPlanner], processes: int) -> list[list[int]]:
     """Assign hollow planners to processes, the same number to each but for a group.
 
     Planners of a cell share a process, as they share entries. A service's cells are spread over the processes, so
--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -11,11 +11,11 @@
 from stackwheel.scale.hollow_endpoints import HollowEndpointCache
 from stackwheel.wire.http import split_address
 
-REPORT_INTERVAL = 1.0  # s: `family_info.cycle` of the example configuration
+REPORT_INTERVAL_S = 1.0  # s: `family_info.cycle` of the example configuration
 MAX_DATAGRAMS_PER_INTERVAL = 128  # that a planner reads; if more were needed none are sent, see docs/fleet.md
 MAX_DATAGRAMS_SENT = 1_000  # a second from one process, some 0.03 of its core; those over it are computed, not sent
-PROXIES = 66  # of a planner: 990,000 requests a second over 15,000 planners, at 1 a second of each proxy
-RATE = 1.0  # requests a second to each server: the size of a datagram does not depend on it
+PROXIES_PER_PLANNER = 66  # of a planner: 990,000 requests a second over 15,000 planners, at 1 a second of each proxy
+REQUESTS_PER_SECOND_PER_SERVER = 1.0  # requests a second to each server: the size of a datagram does not depend on it
 
 
 def datagrams_per_interval(planners: int, servers: int) -> int:
@@ -32,7 +32,7 @@
     return (planners - 1) * (payloads * gossip.HEADER.size + servers * gossip.LINE.size)
 
 
-class Receiver(asyncio.DatagramProtocol):
+class CountingDatagramReceiver(asyncio.DatagramProtocol):
     """Counts the datagrams that a hollow planner receives."""
 
     def __init__(self, traffic: PeerTraffic) -> None:
@@ -57,7 +57,7 @@
         self.datagrams_computed = 0  # that the planners would send by their formula, sent or not
         self.bytes_in = 0
         self.bytes_out = 0
-        self.granted = 0  # datagrams an interval of the planners that send
+        self.reserved_datagrams = 0  # datagrams an interval of the planners that send
         self.tasks: list[asyncio.Task[None]] = []
         self.transports: list[asyncio.DatagramTransport] = []
 
@@ -75,7 +75,7 @@
             if not planner.peers:
                 continue
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: Receiver(self), local_addr=split_address(planner.listen)
+                lambda: CountingDatagramReceiver(self), local_addr=split_address(planner.listen)
             )
             self.transports.append(transport)
             self.tasks.append(asyncio.create_task(self.send_periodically(transport, planner, endpoints_of)))
@@ -96,24 +96,28 @@
         """Once a report interval, send one planner's load to its peers, or only count the datagrams."""
         others = [split_address(peer) for peer in planner.peers]
         await asyncio.sleep(
-            REPORT_INTERVAL * (planner.number % 100) / 100.0
+            REPORT_INTERVAL_S * (planner.number % 100) / 100.0
         )  # real planners' intervals are not in phase either
-        granted: bool | None = None
+        may_send: bool | None = None
         while True:
             servers = list(endpoints_of(planner.number).entries)
             count = datagrams_per_interval(len(others) + 1, len(servers))
             self.datagrams_computed += count
-            if count and granted is None:
-                granted = self.grant(count)
-            if count and granted:
-                self.send(transport, gossip.encode(PROXIES, dict.fromkeys(servers, RATE)), others)
-            await asyncio.sleep(REPORT_INTERVAL)
-
-    def grant(self, count: int) -> bool:
+            if count and may_send is None:
+                may_send = self.reserve_datagrams(count)
+            if count and may_send:
+                self.send(
+                    transport,
+                    gossip.encode(PROXIES_PER_PLANNER, dict.fromkeys(servers, REQUESTS_PER_SECOND_PER_SERVER)),
+                    others,
+                )
+            await asyncio.sleep(REPORT_INTERVAL_S)
+
+    def reserve_datagrams(self, count: int) -> bool:
         """Whether a planner may send `count` datagrams in each interval; the process's planners share the bound."""
-        if self.granted + count > MAX_DATAGRAMS_SENT:
+        if self.reserved_datagrams + count > MAX_DATAGRAMS_SENT:
             return False
-        self.granted += count
+        self.reserved_datagrams += count
         return True
 
     def send(self, transport: asyncio.DatagramTransport, payloads: list[bytes], others: list[tuple[str, int]]) -> None:
--- a/stackwheel/scale/processes.py
+++ b/stackwheel/scale/processes.py
@@ -25,19 +25,26 @@
     Ready,
 )
 from stackwheel.scale.entries import Entry
-from stackwheel.scale.fleet import Shape, draw_fleet
-from stackwheel.scale.layout import FULL_LIST_CELL, Placed, choose_real, deal, full_list_layout, peer_address
+from stackwheel.scale.fleet import FleetShape, draw_fleet
+from stackwheel.scale.layout import (
+    FULL_LIST_CELL,
+    PlacedPlanner,
+    assign_to_processes,
+    choose_real_planners,
+    full_list_layout,
+    peer_address,
+)
 from stackwheel.scale.ports import HOST, free_port, reserve_port
 from stackwheel.scale.real import RealPlanner
-from stackwheel.scale.relays import Network, design_plan, relay_layout, start_relays
+from stackwheel.scale.relays import LoopbackNetwork, design_plan, relay_layout, start_relays
 from stackwheel.scale.report import Arguments, Progress
 from stackwheel.scale.sampling import ByteCounts
 from stackwheel.scale.scenarios import largest_group
 
-READY_POLL_INTERVAL = 0.5  # s between two counts of the hollow planners that have a list
+READY_POLL_INTERVAL_S = 0.5  # s between two counts of the hollow planners that have a list
 MAX_CONCURRENT_REAL_STARTS = 4  # real planners that start together: each takes a core for a moment
 PLANNER_SEED_FACTOR = 1_000_003  # of the run's seed: a prime above the number of planners, so that no two seeds meet
-MAX_LOG_LINE = 200  # characters of a process's last log line that an error shows
+MAX_LOG_LINE_CHARACTERS = 200  # characters of a process's last log line that an error shows
 
 Answered = TypeVar("Answered", bound=Message)
 
@@ -50,21 +57,25 @@
         self.folder = folder
         self.progress = progress
         self.children = Children(folder, bounds.MAX_PROCESSES)
-        self.fleet = draw_fleet(shape_of(arguments))
-        self.real_numbers = choose_real(len(self.fleet.planners), arguments.real_planners, largest_group(self.fleet))
+        self.fleet = draw_fleet(fleet_shape(arguments))
+        self.real_numbers = choose_real_planners(
+            len(self.fleet.planners), arguments.real_planners, largest_group(self.fleet)
+        )
         self.hollow_numbers = frozenset(range(len(self.fleet.planners))) - self.real_numbers
         self.known_servers = {server.name for server in self.fleet.servers}
         self.peer_port_reservation = reserve_port(socket.SOCK_DGRAM)
         self.peer_port = int(self.peer_port_reservation.getsockname()[1])
-        self.network = Network() if arguments.relays else None
-        self.plan = self.design(self.network) if self.network is not None else None
+        self.network = LoopbackNetwork() if arguments.relays else None
+        self.plan = self.design_cells(self.network) if self.network is not None else None
         self.layout = relay_layout(self.fleet, self.plan) if self.plan else full_list_layout(self.fleet, "")
         self.registry: Child
         self.registry_address = ""
-        self.hollow: dict[int, Child] = {}  # the process of each hollow planner, by the planner's number
-        self.real: dict[int, RealPlanner] = {}  # by the planner's number
+        self.hollow_process_by_number: dict[
+            int, Child
+        ] = {}  # the process of each hollow planner, by the planner's number
+        self.real_planner_by_number: dict[int, RealPlanner] = {}  # by the planner's number
 
-    def design(self, network: Network) -> Plan:
+    def design_cells(self, network: LoopbackNetwork) -> Plan:
         """The plan of cells for this run's fleet and relays."""
         return design_plan(self.fleet, [network.host(number) for number in range(self.arguments.relays)])
 
@@ -97,35 +108,35 @@
         else:
             self.progress(f"{len(self.plan.relays)} relays, {len(self.plan.cells)} cells")
             await start_relays(self.children, self.folder, self.plan, self.registry_address)
-            self.check_children()
+            self.check_processes()
 
     async def start_planners(self) -> float:
         """Start all planners, hollow and real; seconds until every one of them has a list."""
         began = time.monotonic()
-        await asyncio.gather(self.start_hollow(), self.start_real())
-        while (planners_with_list := await self.count_planners_with_list()) < len(self.hollow):
-            self.progress(f"{planners_with_list} of {len(self.hollow)} hollow planners hold a list")
-            self.check_children()
-            await asyncio.sleep(READY_POLL_INTERVAL)
+        await asyncio.gather(self.start_hollow_planners(), self.start_real_planners())
+        while (planners_with_list := await self.count_planners_with_list()) < len(self.hollow_process_by_number):
+            self.progress(f"{planners_with_list} of {len(self.hollow_process_by_number)} hollow planners hold a list")
+            self.check_processes()
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         return time.monotonic() - began
 
-    async def start_hollow(self) -> None:
+    async def start_hollow_planners(self) -> None:
         """Start all hollow planners in as few processes as their number allows."""
         hollow = [placed for placed in self.layout.placed if placed.number not in self.real_numbers]
-        groups = deal(hollow, bounds.hollow_processes(len(hollow)))
+        groups = assign_to_processes(hollow, bounds.hollow_processes(len(hollow)))
         self.progress(f"{len(hollow)} hollow planners in {len(groups)} processes")
-        await asyncio.gather(*(self.start_group(index, group) for index, group in enumerate(groups)))
+        await asyncio.gather(*(self.start_hollow_process(index, group) for index, group in enumerate(groups)))
 
-    async def start_group(self, index: int, numbers: list[int]) -> None:
+    async def start_hollow_process(self, index: int, numbers: list[int]) -> None:
         """Start one process of hollow planners and have them follow the list."""
         child = await self.children.start_module(Role.HOLLOW_PLANNER, f"hollow-{index}", "stackwheel.scale.hollow")
         await child.receive_answer(Ready)
-        self.hollow.update(dict.fromkeys(numbers, child))
+        self.hollow_process_by_number.update(dict.fromkeys(numbers, child))
         by_cell = self.layout.planners_by_cell()
         planners = [self.hollow_planner(self.layout.placed[number], by_cell) for number in numbers]
         await child.request(Follow(sorted(self.fleet.regions), planners), Ready)
 
-    def hollow_planner(self, placed: Placed, by_cell: dict[str, list[int]]) -> HollowPlanner:
+    def hollow_planner(self, placed: PlacedPlanner, by_cell: dict[str, list[int]]) -> HollowPlanner:
         """The record that starts one hollow planner.
 
         The real planners of its cell are not among its peers: they neither send nor get datagrams.
@@ -141,7 +152,7 @@
             peers=peers,
         )
 
-    async def start_real(self) -> None:
+    async def start_real_planners(self) -> None:
         """Start the real planners, a few at a time."""
         limit = asyncio.Semaphore(MAX_CONCURRENT_REAL_STARTS)
         full_list_planners = range(self.arguments.full_list_planners)
@@ -156,54 +167,56 @@
             planner = RealPlanner(
                 self.layout.placed[number], f"{HOST}:{free_port()}", self.known_servers, self.arguments.seed + number
             )
-            await self.start_prepared(number, planner)
+            await self.prepare_and_start(number, planner)
 
     async def start_full_list_planner(self, index: int, limit: asyncio.Semaphore) -> None:
         """Start one more real planner, which follows the registry itself as all do without relays."""
         async with limit:
             number = len(self.fleet.planners) + index
             drawn = replace(self.fleet.planners[index % len(self.fleet.planners)], name=f"planner-whole-{index}")
-            placed = Placed(number, drawn, FULL_LIST_CELL, self.registry_address)
-            await self.start_prepared(
+            placed = PlacedPlanner(number, drawn, FULL_LIST_CELL, self.registry_address)
+            await self.prepare_and_start(
                 number,
                 RealPlanner(placed, f"{HOST}:{free_port()}", self.known_servers, number, Role.FULL_LIST_PLANNER),
             )
 
-    async def start_prepared(self, number: int, planner: RealPlanner) -> None:
+    async def prepare_and_start(self, number: int, planner: RealPlanner) -> None:
         """Write a real planner's configuration, then start it and wait until it is ready."""
-        self.real[number] = planner
+        self.real_planner_by_number[number] = planner
         await planner.prepare(self.folder, HOST, sorted(self.fleet.regions))
         await planner.start(self.children, self.folder)
 
     def hollow_processes(self) -> list[Child]:
         """The processes of hollow planners, each once."""
-        return self.children.of(Role.HOLLOW_PLANNER)
+        return self.children.with_role(Role.HOLLOW_PLANNER)
 
     async def count_planners_with_list(self) -> int:
         """How many hollow planners have a list."""
-        answers = await self.request_hollow(CountPlannersWithList(), PlannersWithList)
+        answers = await self.request_hollow_processes(CountPlannersWithList(), PlannersWithList)
         return sum(answer.planners for answer in answers)
 
-    async def request_hollow(self, message: Message, kind: type[Answered]) -> list[Answered]:
+    async def request_hollow_processes(self, message: Message, kind: type[Answered]) -> list[Answered]:
         """Send the same request to all hollow processes, and wait for their answers."""
         return await asyncio.gather(*(child.request(message, kind) for child in self.hollow_processes()))
 
-    def real_bytes(self, role: Role) -> ByteCounts:
+    def real_planner_bytes(self, role: Role) -> ByteCounts:
         """Bytes between discovery and the real planners of a role so far, all of them together."""
-        planners = [planner for planner in self.real.values() if planner.role is role]
+        planners = [planner for planner in self.real_planner_by_number.values() if planner.role is role]
         return ByteCounts(
             received=sum(planner.bytes_in() for planner in planners),
             sent=sum(planner.bytes_out() for planner in planners),
         )
 
-    def check_children(self) -> None:
+    def check_processes(self) -> None:
         """Raise ControlError if a process has ended that the run has not ended itself."""
-        for child in self.children.ended():
-            raise ControlError(f"{child.name} ended with {child.process.returncode}: {last_line(self.folder, child)}")
+        for child in self.children.unexpectedly_ended():
+            raise ControlError(
+                f"{child.name} ended with {child.process.returncode}: {last_log_line(self.folder, child)}"
+            )
 
     async def end_all(self) -> None:
         """End every process, and release the addresses and the port."""
-        for planner in self.real.values():
+        for planner in self.real_planner_by_number.values():
             planner.close()
         await self.children.end_all()
         self.peer_port_reservation.close()
@@ -211,14 +224,14 @@
             self.network.close()
 
 
-def shape_of(arguments: Arguments) -> Shape:
+def fleet_shape(arguments: Arguments) -> FleetShape:
     """What the fleet is drawn from; real planners are among the drawn ones."""
-    return Shape(arguments.servers, arguments.zones, arguments.planners + arguments.real_planners, arguments.seed)
+    return FleetShape(arguments.servers, arguments.zones, arguments.planners + arguments.real_planners, arguments.seed)
 
 
-def last_line(folder: Path, child: Child) -> str:
+def last_log_line(folder: Path, child: Child) -> str:
     """The last line of a process's log, which usually says why it has ended."""
     with contextlib.suppress(OSError):
         lines = (folder / f"{child.name}.log").read_text(errors="replace").strip().splitlines()
-        return lines[-1][:MAX_LOG_LINE] if lines else "it logged nothing"
+        return lines[-1][:MAX_LOG_LINE_CHARACTERS] if lines else "it logged nothing"
     return "no log"
--- a/stackwheel/scale/propagation.py
+++ b/stackwheel/scale/propagation.py
@@ -11,8 +11,8 @@
 from stackwheel.scale.control import EntryRecord, MadeChange, RestartRecord
 from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
-MAX_MICROSECONDS = 600_000_000  # ten minutes: longer than a run takes to settle
-DIGITS = 3  # significant figures of a recorded value
+MAX_RECORDED_US = 600_000_000  # ten minutes: longer than a run takes to settle
+SIGNIFICANT_DIGITS = 3  # significant figures of a recorded value
 
 
 class RecordKey(NamedTuple):
@@ -28,7 +28,7 @@
 class PropagationTimes:
     """Times from changes to their being in force at planners, and the number of those never seen in force."""
 
-    histogram: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_MICROSECONDS, DIGITS))
+    histogram: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS))
     missing: int = 0
 
     def add(self, seconds: float) -> None:
@@ -46,7 +46,7 @@
         return int(self.histogram.get_total_count())
 
 
-def key_of(planner: int, change: MadeChange) -> RecordKey:
+def record_key(planner: int, change: MadeChange) -> RecordKey:
     """The key of a change at a planner."""
     return RecordKey(
         planner, change.name, int(AVAILABILITY_BY_LIFECYCLE[change.lifecycle]), float(change.started_at_ms)
@@ -71,17 +71,17 @@
         restarts: of hollow planners.
     """
     times = PropagationTimes()
-    first_at = first_times(records)
+    first_at = first_in_force_times(records)
     restarts_of = restarts_by_planner(restarts)
     for name, history in changes_by_server(changes).items():
         for planner in planners_of.get(name, ()):
-            measure_one(times, planner, history, first_at, restarts_of.get(planner, []))
+            measure_server_at_planner(times, planner, history, first_at, restarts_of.get(planner, []))
     for restart in (restart for of_planner in restarts_of.values() for restart in of_planner):
         times.add(restart.ready_at - restart.ended)
     return times
 
 
-def measure_one(
+def measure_server_at_planner(
     times: PropagationTimes,
     planner: int,
     history: Sequence[MadeChange],
@@ -94,7 +94,7 @@
     """
     recorded_at: list[float] = []  # of this change and of later ones
     for change in reversed(history):
-        at = first_at.get(key_of(planner, change))
+        at = first_at.get(record_key(planner, change))
         if at is not None:
             recorded_at.append(at)
         if any(restart.ended <= change.made_at <= restart.ready_at for restart in restarts):
@@ -107,7 +107,7 @@
             times.missing += 1
 
 
-def first_times(records: Iterable[EntryRecord]) -> dict[RecordKey, float]:
+def first_in_force_times(records: Iterable[EntryRecord]) -> dict[RecordKey, float]:
     """When each entry first came into force at each planner, in s on the monotonic clock."""
     first_at: dict[RecordKey, float] = {}
     for record in records:
--- a/stackwheel/scale/propagation_records.py
+++ b/stackwheel/scale/propagation_records.py
@@ -9,7 +9,7 @@
 from stackwheel.interface import EndpointEntry, ServerId
 from stackwheel.scale.control import EntryRecord, Records, RestartRecord
 
-MAX_RECORDS = 4_000_000  # of a process: 12 bytes each, 48 MB; 1,000 planners with 4,000 changes each
+MAX_RECORDS_PER_PROCESS = 4_000_000  # of a process: 12 bytes each, 48 MB; 1,000 planners with 4,000 changes each
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,32 +29,32 @@
     """Records, from `begin` on, when each changed entry came into force at each planner."""
 
     def __init__(self) -> None:
-        self.recording = False
+        self.is_recording = False
         self.count = 0
-        self.dropped = 0  # records over `MAX_RECORDS`
+        self.dropped = 0  # records over `MAX_RECORDS_PER_PROCESS`
         self.times: dict[EndpointEntry, EntryTimes] = {}
         self.restarts: list[RestartRecord] = []
 
     def begin(self) -> None:
         """Record from now on; entries of the planners' start are not due to changes."""
-        self.recording = True
+        self.is_recording = True
 
     def add(self, planner: int, changed: Iterable[EndpointEntry], now: float) -> None:
         """Record that entries came into force at a planner. `now`: s on the monotonic clock."""
-        if not self.recording:
+        if not self.is_recording:
             return
         for entry in changed:
-            if self.count >= MAX_RECORDS:
+            if self.count >= MAX_RECORDS_PER_PROCESS:
                 self.dropped += 1
                 continue
             self.count += 1
             self.times.setdefault(entry, EntryTimes()).add(planner, now)
 
-    def restarted(self, planner: int, ended: float, ready_at: float) -> None:
+    def add_restart(self, planner: int, ended: float, ready_at: float) -> None:
         """Record that a planner has a list again after a restart."""
         self.restarts.append(RestartRecord(planner, ended, ready_at))
 
-    def message(self, name_of: Callable[[ServerId], str | None]) -> Records:
+    def to_message(self, name_of: Callable[[ServerId], str | None]) -> Records:
         """All records, with the servers' names; `name_of`: the name of a server by its id."""
         entries = [
             EntryRecord(
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -16,10 +16,12 @@
 
 LINE_END = b"\r\n"
 MAX_LINE_BYTES = 1 << 20  # the protocol's limit of one message
-RECONNECT_SECONDS = (0.2, 1.0)  # drawn uniformly, as all proxies of a planner that ends connect again at once
-APPLY_MEDIAN_MS = 5.0  # of the log-normal time that a proxy takes to apply an update; the example proxy takes 2.5 ms
-APPLY_SIGMA = 0.8  # of its logarithm: one in a hundred takes over 32 ms
-POLL_INTERVAL = 0.02  # s between two checks of a condition
+RECONNECT_DELAY_RANGE_S = (0.2, 1.0)  # drawn uniformly, as all proxies of a planner that ends connect again at once
+MEDIAN_APPLY_TIME_MS = (
+    5.0  # of the log-normal time that a proxy takes to apply an update; the example proxy takes 2.5 ms
+)
+APPLY_TIME_LOG_SIGMA = 0.8  # of its logarithm: one in a hundred takes over 32 ms
+POLL_INTERVAL_S = 0.02  # s between two checks of a condition
 REPORT_INTERVAL_MS = 1000.0  # between two reports, as `family_info.cycle` of the example configuration
 
 
@@ -66,7 +68,7 @@
                 self.state.resets += isinstance(error, InvalidUpdateError)
             finally:
                 self.close()
-            await asyncio.sleep(self.random.uniform(*RECONNECT_SECONDS))
+            await asyncio.sleep(self.random.uniform(*RECONNECT_DELAY_RANGE_S))
 
     async def stream(self) -> None:
         """One connection, from SUBSCRIBE until it breaks."""
@@ -98,7 +100,7 @@
         self.state.updates += 1
         nonces = update.nonces()
         if nonces:
-            delay_ms = self.random.lognormvariate(math.log(APPLY_MEDIAN_MS), APPLY_SIGMA)
+            delay_ms = self.random.lognormvariate(math.log(MEDIAN_APPLY_TIME_MS), APPLY_TIME_LOG_SIGMA)
             self.state.pending_nonces += nonces
             asyncio.get_running_loop().call_later(
                 delay_ms / 1000.0, self.acknowledge, nonces[-1], delay_ms, self.writer
@@ -161,7 +163,7 @@
             try:
                 await self.stream()
             except OSError:
-                await asyncio.sleep(self.random.uniform(*RECONNECT_SECONDS))
+                await asyncio.sleep(self.random.uniform(*RECONNECT_DELAY_RANGE_S))
 
     async def stream(self) -> None:
         """One connection: reports of all servers once a report interval, until it breaks."""
@@ -194,7 +196,7 @@
         self.traffic.count_received(len(data), len(lines))
 
 
-async def wait_until(is_true: Callable[[], bool], timeout: float, poll_interval: float = POLL_INTERVAL) -> bool:
+async def wait_until(is_true: Callable[[], bool], timeout: float, poll_interval: float = POLL_INTERVAL_S) -> bool:
     """Wait for a condition; whether it became true within `timeout` seconds."""
     end = time.monotonic() + timeout
     while not is_true():
--- a/stackwheel/scale/real.py
+++ b/stackwheel/scale/real.py
@@ -17,7 +17,7 @@
 from stackwheel.scale.accounting import Traffic
 from stackwheel.scale.children import Child, Children, Role
 from stackwheel.scale.entries import IN_SERVICE, MACHINE_TYPE, Entry
-from stackwheel.scale.layout import Placed
+from stackwheel.scale.layout import PlacedPlanner
 from stackwheel.scale.meter import Meter
 from stackwheel.scale.ping import answers_ping
 from stackwheel.scale.planner_settings import PlannerSettings, RequestClassSettings
@@ -25,41 +25,43 @@
 from stackwheel.service.config import CONFIG_VARIABLE
 
 ROUTES = ("read", "write")
-PROXIES = 8  # that a planner's settings allow; one of them joins
-PROXY_RATE = 15.0  # requests a second that the observing proxy reports
-LIMITS = {"cores": 0.028, "memory_mb": 128, "sockets": 1024}  # the operators' budget of a planner for control
+MAX_PROXIES = 8  # that a planner's settings allow; one of them joins
+PROXY_REQUESTS_PER_SECOND = 15.0  # requests a second that the observing proxy reports
+RESOURCE_LIMITS = {"cores": 0.028, "memory_mb": 128, "sockets": 1024}  # the operators' budget of a planner for control
 MAX_SERVERS_IN_FULL_TABLE = 150  # of a cell whose table has all servers; over some 200 it is thinned, see docs/fleet.md
-READY_TIMEOUT = 30.0  # s from a planner's start to its first PONG: its list may have 48,000 servers
-PING_INTERVAL = 0.05  # s
+READY_TIMEOUT_S = 30.0  # s from a planner's start to its first PONG: its list may have 48,000 servers
+PING_INTERVAL_S = 0.05  # s
 
 
 @dataclass(frozen=True, slots=True)
 class RealDifference:
     """The servers at which a real planner's tables are wrong."""
 
-    unlisted: tuple[str, ...] = ()  # lines for servers that are not ready in its cell
-    unused: tuple[str, ...] = ()  # ready servers without a line, of a cell small enough for all of them
+    not_ready: tuple[str, ...] = ()  # lines for servers that are not ready in its cell
+    without_line: tuple[str, ...] = ()  # ready servers without a line, of a cell small enough for all of them
 
     def count(self) -> int:
         """Wrong or missing lines."""
-        return len(self.unlisted) + len(self.unused)
+        return len(self.not_ready) + len(self.without_line)
 
     def example(self) -> str:
         """One of them in words; "" if there is none."""
-        if self.unlisted:
-            return f"{self.unlisted[0]} has a line, but is not ready"
-        return f"{self.unused[0]} is ready, but has no line" if self.unused else ""
+        if self.not_ready:
+            return f"{self.not_ready[0]} has a line, but is not ready"
+        return f"{self.without_line[0]} is ready, but has no line" if self.without_line else ""
 
 
 def compare_tables(lines: Collection[str], entries: Sequence[Entry]) -> RealDifference:
     """Compare the servers in a planner's tables with the entries of its cell."""
     ready = {entry.instance_id for entry in entries if entry.lifecycle == IN_SERVICE}
-    small = len(ready) <= MAX_SERVERS_IN_FULL_TABLE or not lines
-    unused = tuple(sorted(ready - set(lines))) if small else ()
-    return RealDifference(tuple(sorted(set(lines) - ready)), unused)
+    is_small = len(ready) <= MAX_SERVERS_IN_FULL_TABLE or not lines
+    without_line = tuple(sorted(ready - set(lines))) if is_small else ()
+    return RealDifference(tuple(sorted(set(lines) - ready)), without_line)
 
 
-def configuration(placed: Placed, listen: str, discovery: str, zones: Sequence[str], seed: int) -> dict[str, object]:
+def configuration(
+    placed: PlacedPlanner, listen: str, discovery: str, zones: Sequence[str], seed: int
+) -> dict[str, object]:
     """The content of a planner's configuration file: the settings of `examples/config.json` with this fleet's zones.
 
     Args:
@@ -73,7 +75,7 @@
         zones=zones,
         kinds=[MACHINE_TYPE],
         classes=[RequestClassSettings(name) for name in ROUTES],
-        proxies=PROXIES,
+        proxies=MAX_PROXIES,
         zone=list(zones).index(placed.planner.zone),
         list_on_request=False,
         load_source="off",
@@ -85,7 +87,7 @@
         "listen": listen,
         "discovery": discovery,
         "seed": f"{seed:016x}",
-        "limits": LIMITS,
+        "limits": RESOURCE_LIMITS,
         "known": {"generation": 0, "reset": True, "instances": []},
         "settings": settings.document(),
     }
@@ -95,7 +97,7 @@
 class RealPlanner:
     """One real planner, the meters between it and discovery, and the proxy that observes its tables."""
 
-    placed: Placed
+    placed: PlacedPlanner
     listen: str
     known_servers: set[str]  # all servers of the fleet: the proxy resets the stream at a line for any other
     seed: int
@@ -120,15 +122,15 @@
         """Start the program, wait until it answers a PING, and have the proxy join; TimeoutError if it doesn't."""
         environment = {CONFIG_VARIABLE: str(self.config_path(folder)), "STACKWHEEL_OPERATORS": ""}
         self.child = await children.start_program(self.role, self.placed.planner.name, (), environment)
-        async with asyncio.timeout(READY_TIMEOUT):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not await answers_ping(self.listen):
-                await asyncio.sleep(PING_INTERVAL)
+                await asyncio.sleep(PING_INTERVAL_S)
         self.start_observer()
 
     def start_observer(self) -> None:
         """Start the proxy if it isn't running yet; it connects again after any break."""
         if self.observer_task is None:
-            settings = ProxySettings(self.listen, ROUTES, self.known_servers, PROXY_RATE)
+            settings = ProxySettings(self.listen, ROUTES, self.known_servers, PROXY_REQUESTS_PER_SECOND)
             self.proxy = HollowProxy(0, self.placed.planner.zone, settings, Traffic(), Random(self.seed))
             self.observer_task = asyncio.create_task(self.proxy.run())
 
--- a/stackwheel/scale/registry_list.py
+++ b/stackwheel/scale/registry_list.py
@@ -13,7 +13,7 @@
 
 # Changes that are kept for watches that resume: two for each server of a large fleet. A watch that is further behind
 # gets the full list.
-MAX_CHANGES_KEPT = 100_000
+MAX_STORED_CHANGES = 100_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,9 +40,9 @@
         self.generation = 1
         self.encoder = msgspec.json.Encoder()
         self.entries: dict[str, Entry] = {}
-        self.encoded: dict[str, bytes] = {}
-        self.changes: deque[EncodedChange] = deque(maxlen=MAX_CHANGES_KEPT)
-        self.made: list[MadeChange] = []  # all changes of a run, whose number its schedule bounds
+        self.encoded_by_name: dict[str, bytes] = {}
+        self.changes: deque[EncodedChange] = deque(maxlen=MAX_STORED_CHANGES)
+        self.made_changes: list[MadeChange] = []  # all changes of a run, whose number its schedule bounds
         self.encoded_full_list: EncodedList | None = None
         for entry in entries:
             self.put(entry)
@@ -52,10 +52,10 @@
         encoded = self.encoder.encode(entry)
         if entry.lifecycle == TERMINATED:
             self.entries.pop(entry.instance_id, None)
-            self.encoded.pop(entry.instance_id, None)
+            self.encoded_by_name.pop(entry.instance_id, None)
         else:
             self.entries[entry.instance_id] = entry
-            self.encoded[entry.instance_id] = encoded
+            self.encoded_by_name[entry.instance_id] = encoded
         return encoded
 
     def apply(self, entries: Iterable[Entry], now: float) -> bytes:
@@ -66,28 +66,30 @@
             encoded = self.put(entry)
             encoded_entries.append(encoded)
             self.changes.append(EncodedChange(self.generation, entry.instance_id, encoded))
-            self.made.append(MadeChange(entry.instance_id, entry.lifecycle, entry.started_at_ms, self.generation, now))
-        return self.document(False, encoded_entries)
+            self.made_changes.append(
+                MadeChange(entry.instance_id, entry.lifecycle, entry.started_at_ms, self.generation, now)
+            )
+        return self.encode_line(False, encoded_entries)
 
-    def since(self, generation: int | None) -> bytes:
+    def encode_since(self, generation: int | None) -> bytes:
         """A line with the last change of each server after a generation; the full list if those are not all kept."""
-        if generation is None or not self.has_changes_since(generation):
-            return self.full_list()
+        if generation is None or not self.stores_changes_since(generation):
+            return self.encode_full_list()
         changed = {change.name: change.encoded for change in self.changes if change.generation > generation}
-        return self.document(False, changed.values())
+        return self.encode_line(False, changed.values())
 
-    def has_changes_since(self, generation: int) -> bool:
+    def stores_changes_since(self, generation: int) -> bool:
         """Whether all changes after a generation are still kept."""
         oldest = self.changes[0].generation if self.changes else self.generation + 1
-        return 0 < generation <= self.generation and (len(self.changes) < MAX_CHANGES_KEPT or oldest <= generation)
+        return 0 < generation <= self.generation and (len(self.changes) < MAX_STORED_CHANGES or oldest <= generation)
 
-    def full_list(self) -> bytes:
+    def encode_full_list(self) -> bytes:
         """The full list as a line, encoded once for each generation."""
         if self.encoded_full_list is None or self.encoded_full_list.generation != self.generation:
-            self.encoded_full_list = EncodedList(self.generation, self.document(True, self.encoded.values()))
+            self.encoded_full_list = EncodedList(self.generation, self.encode_line(True, self.encoded_by_name.values()))
         return self.encoded_full_list.line
 
-    def document(self, reset: bool, encoded: Iterable[bytes]) -> bytes:
+    def encode_line(self, reset: bool, encoded: Iterable[bytes]) -> bytes:
         """One line of the published format, made of encoded entries."""
         head = self.encoder.encode({"generation": self.generation, "reset": reset})
         return head[:-1] + b',"instances":[' + b",".join(encoded) + b"]}\n"
--- a/stackwheel/scale/relays.py
+++ b/stackwheel/scale/relays.py
@@ -17,29 +17,29 @@
 from stackwheel.scale.bounds import ScaleError
 from stackwheel.scale.children import Child, Children, Role
 from stackwheel.scale.fleet import DrawnPlanner, DrawnServer, Fleet
-from stackwheel.scale.layout import Layout, Placed
+from stackwheel.scale.layout import Layout, PlacedPlanner
 from stackwheel.wire.discovery_protocol import INSTANCES_PATH
 from stackwheel.wire.http import CallError, get
 
-PLAN_FILE = "cells.json"
+PLAN_FILE_NAME = "cells.json"
 LOCK_PORT = 20_000  # below the first cell's port; a run binds it at the first address of its network
-NETWORKS = 250  # 127.0.1.0 and the following: the number of runs at the same time
-POLL_INTERVAL = 0.1  # s between two calls to a relay that has no list yet
+MAX_NETWORKS = 250  # 127.0.1.0 and the following: the number of runs at the same time
+POLL_INTERVAL_S = 0.1  # s between two calls to a relay that has no list yet
 CALL_TIMEOUT_MS = 2_000.0
 
 
-class Network:
+class LoopbackNetwork:
     """Loopback addresses for the relays of a run; no other run uses them until it is closed."""
 
     def __init__(self) -> None:
-        for number in range(1, NETWORKS + 1):
+        for number in range(1, MAX_NETWORKS + 1):
             try:
-                self.lock = socket.create_server((f"127.0.{number}.1", LOCK_PORT))
+                self.lock_socket = socket.create_server((f"127.0.{number}.1", LOCK_PORT))
             except OSError:
                 continue
             self.number = number
             return
-        raise ScaleError(f"port {LOCK_PORT} is taken at all of 127.0.1.1 to 127.0.{NETWORKS}.1")
+        raise ScaleError(f"port {LOCK_PORT} is taken at all of 127.0.1.1 to 127.0.{MAX_NETWORKS}.1")
 
     def host(self, relay: int) -> str:
         """The address of a relay, counted from 0."""
@@ -47,7 +47,7 @@
 
     def close(self) -> None:
         """Release the addresses."""
-        self.lock.close()
+        self.lock_socket.close()
 
 
 def design_plan(fleet: Fleet, hosts: Sequence[str]) -> Plan:
@@ -59,12 +59,12 @@
     """
     relays = [Relay(f"relay-{number}", host) for number, host in enumerate(hosts)]
     try:
-        return design(demand_of(fleet), Limits(), fleet.regions, relays)
+        return design(cell_demands(fleet), Limits(), fleet.regions, relays)
     except CellPlanError as error:
         raise ScaleError(f"no plan of cells holds this fleet: {error}") from error
 
 
-def demand_of(fleet: Fleet) -> list[Demand]:
+def cell_demands(fleet: Fleet) -> list[Demand]:
     """The servers and planners of each service in each region."""
     names: defaultdict[ServiceRegion, list[str]] = defaultdict(list)
     for server in fleet.servers:
@@ -93,7 +93,9 @@
     index = CellIndex(plan)
     cells = cells_of_planners(fleet, index)
     placed = tuple(
-        Placed(number, planner, cells[planner.name].name, discovery_addresses(plan, cells[planner.name], planner.name))
+        PlacedPlanner(
+            number, planner, cells[planner.name].name, discovery_addresses(plan, cells[planner.name], planner.name)
+        )
         for number, planner in enumerate(fleet.planners)
     )
 
@@ -119,7 +121,7 @@
 
 async def start_relays(children: Children, folder: Path, plan: Plan, registry: str) -> list[Child]:
     """Start all relays of a plan, and wait until each of them has the list."""
-    save_plan(plan, folder / PLAN_FILE)
+    save_plan(plan, folder / PLAN_FILE_NAME)
     return list(await asyncio.gather(*(start_relay(children, folder, plan, relay, registry) for relay in plan.relays)))
 
 
@@ -135,7 +137,8 @@
     """
     operators = folder / f"{relay.name}.cue"
     operators.write_text(
-        f'relay: {{on: true, name: "{relay.name}", upstream: "{registry}", plan: "{PLAN_FILE}"}}\n', encoding="utf-8"
+        f'relay: {{on: true, name: "{relay.name}", upstream: "{registry}", plan: "{PLAN_FILE_NAME}"}}\n',
+        encoding="utf-8",
     )
     child = await children.start_program(Role.RELAY, relay.name, ("relay", "--operators", str(operators)), {})
     served = next((cell for cell in plan.cells if relay in relays_for_cell(cell.name, plan.relays)), None)
@@ -143,7 +146,7 @@
         try:
             await get(f"{relay.host}:{served.port}", INSTANCES_PATH, CALL_TIMEOUT_MS, CALL_TIMEOUT_MS)
         except CallError:
-            await asyncio.sleep(POLL_INTERVAL)
+            await asyncio.sleep(POLL_INTERVAL_S)
         else:
             break
     return child
--- a/stackwheel/scale/scenarios.py
+++ b/stackwheel/scale/scenarios.py
@@ -12,17 +12,17 @@
 
 EVENTS_PER_DAY = 13_000 + 120  # the operators' figure: restarted or replaced, and failed, on an ordinary day
 EVENTS_FLEET_SIZE = 48_000  # servers that `EVENTS_PER_DAY` was counted over
-SPEED_UP = 60  # an hour of an ordinary day within a minute
+SPEEDUP_FACTOR = 60  # an hour of an ordinary day within a minute
 MIN_EVENTS_PER_SECOND = 1.0  # so that a small fleet has changes, too
-DAY_SECONDS = 86_400.0
-DRAIN_DURATION = 1.0  # s from terminating to terminated: an ordinary drain at this speed-up
-RESTART_DURATION = 1.0  # s from terminated to in service again
-ZONE_LOST_AT = 0.2  # of the duration
-ZONE_LOST_WITHIN = 1.0  # s: the operators' figure, 565 servers of a zone within a second
-ZONE_BACK_AT = 0.6  # of the duration
-RESTART_AT = 0.3  # of the duration
-EPOCH_MS = 1_767_225_600_000  # the beginning of 2026 in Unix ms
-BATCH_WINDOW = 0.05  # s: changes so close together are one generation
+SECONDS_PER_DAY = 86_400.0
+DRAIN_DURATION_S = 1.0  # s from terminating to terminated: an ordinary drain at this speed-up
+RESTART_DURATION_S = 1.0  # s from terminated to in service again
+ZONE_LOSS_TIME_SHARE = 0.2  # of the duration
+ZONE_LOSS_SPREAD_S = 1.0  # s: the operators' figure, 565 servers of a zone within a second
+ZONE_RETURN_TIME_SHARE = 0.6  # of the duration
+RESTART_TIME_SHARE = 0.3  # of the duration
+RUN_EPOCH_MS = 1_767_225_600_000  # the beginning of 2026 in Unix ms
+BATCH_WINDOW_S = 0.05  # s: changes so close together are one generation
 
 
 class Scenario(Enum):
@@ -67,10 +67,10 @@
     restarts: tuple[PlannerRestart, ...] = ()
 
     def batches(self) -> Iterator[ChangeBatch]:
-        """All changes in their order, those within `BATCH_WINDOW` of the first of a batch together."""
+        """All changes in their order, those within `BATCH_WINDOW_S` of the first of a batch together."""
         changes: list[ServerChange] = []
         for change in self.changes:
-            if changes and change.at > changes[0].at + BATCH_WINDOW:
+            if changes and change.at > changes[0].at + BATCH_WINDOW_S:
                 yield ChangeBatch(changes[-1].at, changes)
                 changes = []
             changes.append(change)
@@ -79,8 +79,8 @@
 
 
 def default_event_rate(servers: int) -> float:
-    """Servers a second that leave and return: those of an ordinary day, `SPEED_UP` times as fast."""
-    return max(MIN_EVENTS_PER_SECOND, EVENTS_PER_DAY * servers / EVENTS_FLEET_SIZE / DAY_SECONDS * SPEED_UP)
+    """Servers a second that leave and return: those of an ordinary day, `SPEEDUP_FACTOR` times as fast."""
+    return max(MIN_EVENTS_PER_SECOND, EVENTS_PER_DAY * servers / EVENTS_FLEET_SIZE / SECONDS_PER_DAY * SPEEDUP_FACTOR)
 
 
 def draw_schedule(fleet: Fleet, scenario: Scenario, duration: float, event_rate: float, seed: int) -> Schedule:
@@ -95,29 +95,29 @@
     """
     random = Random(f"schedule {seed}")
     if scenario is Scenario.ZONE_LOSS:
-        return Schedule(in_order(zone_loss(fleet, duration, random)))
-    changes = in_order(churn(fleet, duration, event_rate, random))
+        return Schedule(sorted_changes(zone_loss(fleet, duration, random)))
+    changes = sorted_changes(churn(fleet, duration, event_rate, random))
     if scenario is Scenario.RESTART:
-        return Schedule(changes, (PlannerRestart(RESTART_AT * duration, largest_group(fleet)),))
+        return Schedule(changes, (PlannerRestart(RESTART_TIME_SHARE * duration, largest_group(fleet)),))
     return Schedule(changes)
 
 
 def churn(fleet: Fleet, duration: float, event_rate: float, random: Random) -> Iterator[ServerChange]:
     """Servers drain, leave and return, one after another; no server twice at a time, all back by the end."""
-    last_start = duration - DRAIN_DURATION - RESTART_DURATION
-    free_at: dict[str, float] = {}
+    last_start = duration - DRAIN_DURATION_S - RESTART_DURATION_S
+    available_at: dict[str, float] = {}
     starts: dict[str, int] = {}
     at = random.expovariate(event_rate)
     while at < last_start:
         server = random.choice(fleet.servers)
-        if free_at.get(server.name, 0.0) <= at:
+        if available_at.get(server.name, 0.0) <= at:
             started = starts.get(server.name, 0)
-            returned_at = at + DRAIN_DURATION + RESTART_DURATION
-            starts[server.name] = start_of(returned_at)
+            returned_at = at + DRAIN_DURATION_S + RESTART_DURATION_S
+            starts[server.name] = process_start_ms(returned_at)
             yield ServerChange(at, server, TERMINATING, started)
-            yield ServerChange(at + DRAIN_DURATION, server, TERMINATED, started)
+            yield ServerChange(at + DRAIN_DURATION_S, server, TERMINATED, started)
             yield ServerChange(returned_at, server, IN_SERVICE, starts[server.name])
-            free_at[server.name] = at + DRAIN_DURATION + RESTART_DURATION + BATCH_WINDOW * 2
+            available_at[server.name] = at + DRAIN_DURATION_S + RESTART_DURATION_S + BATCH_WINDOW_S * 2
         at += random.expovariate(event_rate)
 
 
@@ -129,19 +129,19 @@
     lost = max(sizes, key=lambda zone: (sizes[zone], zone))
     for server in fleet.servers:
         if server.zone == lost:
-            removed_at = ZONE_LOST_AT * duration + random.random() * ZONE_LOST_WITHIN
-            returned_at = ZONE_BACK_AT * duration + random.random() * ZONE_LOST_WITHIN
-            returned_at = max(returned_at, removed_at + 2 * BATCH_WINDOW)
+            removed_at = ZONE_LOSS_TIME_SHARE * duration + random.random() * ZONE_LOSS_SPREAD_S
+            returned_at = ZONE_RETURN_TIME_SHARE * duration + random.random() * ZONE_LOSS_SPREAD_S
+            returned_at = max(returned_at, removed_at + 2 * BATCH_WINDOW_S)
             yield ServerChange(removed_at, server, TERMINATED)
-            yield ServerChange(returned_at, server, IN_SERVICE, start_of(returned_at))
+            yield ServerChange(returned_at, server, IN_SERVICE, process_start_ms(returned_at))
 
 
-def start_of(at: float) -> int:
+def process_start_ms(at: float) -> int:
     """The start, in Unix ms, of a process that comes `at` seconds after the run began; no clock is read."""
-    return EPOCH_MS + round(1000.0 * at)
+    return RUN_EPOCH_MS + round(1000.0 * at)
 
 
-def in_order(changes: Iterator[ServerChange]) -> tuple[ServerChange, ...]:
+def sorted_changes(changes: Iterator[ServerChange]) -> tuple[ServerChange, ...]:
     """Changes by their time; those of the same time by the server's name."""
     return tuple(sorted(changes, key=lambda change: (change.at, change.server.name)))
 
--- a/tests/scale/test_children.py
+++ b/tests/scale/test_children.py
@@ -12,11 +12,11 @@
 from stackwheel.scale.children import Child, Children, Role
 from stackwheel.scale.control import (
     Answer,
+    ControlConnection,
     ControlError,
     CountPlannersWithList,
     FullList,
     GetTraffic,
-    Lines,
     Load,
     PlannersWithList,
     Ready,
@@ -39,8 +39,8 @@
 
 def child_of(reader: asyncio.StreamReader, writer: RecordingWriter) -> Child:
     no_process: Any = None
-    lines: Lines[Answer] = Lines(reader, writer, Answer)  # type: ignore[arg-type]
-    return Child(Role.REGISTRY, "registry", no_process, lines)
+    connection: ControlConnection[Answer] = ControlConnection(reader, writer, Answer)  # type: ignore[arg-type]
+    return Child(Role.REGISTRY, "registry", no_process, connection)
 
 
 def encoded(message: object) -> bytes:
@@ -94,7 +94,7 @@
             await children.end_all()
         assert registry.process.returncode == 0
         assert not children.running
-        assert not children.ended()
+        assert not children.unexpectedly_ended()
         with pytest.raises(ControlError):
             await registry.request(GetTraffic(), FullList)
 
--- a/tests/scale/test_fake_environment.py
+++ b/tests/scale/test_fake_environment.py
@@ -24,7 +24,7 @@
 
 
 def sent_list(discovery: FakeDiscovery, known: int | None) -> EndpointList:
-    endpoint_list = parse_endpoint_list(discovery.list.since(known))
+    endpoint_list = parse_endpoint_list(discovery.list.encode_since(known))
     assert isinstance(endpoint_list, EndpointList)
     return endpoint_list
 
--- a/tests/scale/test_fleet_draw.py
+++ b/tests/scale/test_fleet_draw.py
@@ -8,17 +8,17 @@
 import pytest
 
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING
-from stackwheel.scale.fleet import Shape, default_zones, draw_fleet, systematic_sample
-from stackwheel.scale.scenarios import ZONE_LOST_WITHIN, Scenario, Schedule, default_event_rate, draw_schedule
+from stackwheel.scale.fleet import FleetShape, default_zones, draw_fleet, systematic_sample
+from stackwheel.scale.scenarios import ZONE_LOSS_SPREAD_S, Scenario, Schedule, default_event_rate, draw_schedule
 from stackwheel.state.server_ids import server_id
 
-SMALL = Shape(servers=1_000, zones=5, planners=300, seed=3)
-OPERATORS_SIZE = Shape(servers=48_000, zones=85, planners=15_000, seed=1)
+SMALL = FleetShape(servers=1_000, zones=5, planners=300, seed=3)
+OPERATORS_SIZE = FleetShape(servers=48_000, zones=85, planners=15_000, seed=1)
 
 
 def test_the_fleet_depends_on_the_seed_alone() -> None:
     assert draw_fleet(SMALL) == draw_fleet(SMALL)
-    assert draw_fleet(SMALL) != draw_fleet(Shape(1_000, 5, 300, 4))
+    assert draw_fleet(SMALL) != draw_fleet(FleetShape(1_000, 5, 300, 4))
 
 
 def test_the_operators_size_has_their_services_zones_and_regions() -> None:
@@ -50,13 +50,13 @@
 
 @pytest.mark.parametrize("servers", [1, 2, 22, 23, 57])
 def test_small_fleets_add_up(servers: int) -> None:
-    fleet = draw_fleet(Shape(servers, 1, 3, 0))
+    fleet = draw_fleet(FleetShape(servers, 1, 3, 0))
     assert len(fleet.servers) == servers
     assert len(fleet.planners) == 3
 
 
 def test_a_fleet_may_have_no_planners() -> None:
-    assert draw_fleet(Shape(5, 1, 0, 0)).planners == ()
+    assert draw_fleet(FleetShape(5, 1, 0, 0)).planners == ()
     assert systematic_sample([], 0, Random(0)) == []
 
 
@@ -87,7 +87,7 @@
     removals = [change for change in schedule.changes if change.lifecycle == TERMINATED]
     assert len(removals) == 565
     assert len({change.server.zone for change in removals}) == 1
-    assert removals[-1].at - removals[0].at <= ZONE_LOST_WITHIN
+    assert removals[-1].at - removals[0].at <= ZONE_LOSS_SPREAD_S
     assert all(steps[-1][0] == IN_SERVICE and steps[-1][1] > 0 for steps in lifecycles(schedule).values())
 
 
--- a/tests/scale/test_hollow_endpoints.py
+++ b/tests/scale/test_hollow_endpoints.py
@@ -14,7 +14,7 @@
     ListedEntry,
     SharedEntries,
     compare,
-    digest_of,
+    entries_digest,
 )
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds
@@ -79,7 +79,7 @@
     cache = HollowEndpointCache(shared)
     cache.apply_list(EndpointList(1, True, (instance(1), instance(2))), 0.0)
     cache.apply_list(EndpointList(2, False, (instance(1, Availability.REMOVED),)), 0.0)
-    shared.sweep([cache])
+    shared.remove_unused([cache])
     assert list(shared.entries) == list(cache.entries.values())
     assert list(shared.addresses) == ["10.0.0.2:1"]
 
@@ -96,16 +96,16 @@
 def test_cached_entries_are_compared_with_the_list_field_by_field() -> None:
     cache = HollowEndpointCache(SharedEntries(ZONES, KINDS))
     cache.apply_list(EndpointList(1, True, (instance(1), instance(2))), 0.0)
-    assert compare(cache.listed(), expected(*entries(1, 2))) == Difference()
-    assert digest_of(cache.listed()) == digest_of(expected(*entries(1, 2)))
+    assert compare(cache.listed_entries(), expected(*entries(1, 2))) == Difference()
+    assert entries_digest(cache.listed_entries()) == entries_digest(expected(*entries(1, 2)))
     for field, value in (("lifecycle", "terminating"), ("started_at_ms", 5), ("cell", 1), ("weight", 2.0)):
         wrong = expected(*entries(1), *entries(2, **{field: value}))
-        assert compare(cache.listed(), wrong).different == ("svc-0000-00000002",)
-        assert digest_of(cache.listed()) != digest_of(wrong)
+        assert compare(cache.listed_entries(), wrong).different == ("svc-0000-00000002",)
+        assert entries_digest(cache.listed_entries()) != entries_digest(wrong)
     other_address = expected(*entries(1), Entry("svc-0000-00000002", "10.0.0.9:1", "zone-00"))
-    assert compare(cache.listed(), other_address).different == ("svc-0000-00000002",)
+    assert compare(cache.listed_entries(), other_address).different == ("svc-0000-00000002",)
     other_zone = expected(*entries(1), Entry("svc-0000-00000002", "10.0.0.2:1", "zone-01"))
-    assert compare(cache.listed(), other_zone).different == ("svc-0000-00000002",)
+    assert compare(cache.listed_entries(), other_zone).different == ("svc-0000-00000002",)
 
 
 def test_missing_and_left_over_entries_are_named() -> None:
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -85,18 +85,18 @@
         assert await read_line(call) == b"\n"
         call.close()
 
-    monkeypatch.setattr(registry_module, "HEARTBEAT_INTERVAL", 0.05)
+    monkeypatch.setattr(registry_module, "HEARTBEAT_INTERVAL_S", 0.05)
     with_registry(work)
 
 
 def test_calls_over_the_limit_of_pending_bytes_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(registry: Registry, address: str) -> None:
-        registry.pending = 1  # one answer is still being written
+        registry.pending_bytes = 1  # one answer is still being written
         with pytest.raises(CallError) as rejected:
             await get(address, INSTANCES_PATH, TIMEOUT_MS, TIMEOUT_MS)
         assert rejected.value.status == 503
-        assert registry.rejected == 1
-        registry.pending = 0
+        assert registry.rejected_calls == 1
+        registry.pending_bytes = 0
         assert isinstance(await fetch_endpoint_list(address), EndpointList)
 
     monkeypatch.setattr(registry_module, "MAX_PENDING_BYTES", 10)
@@ -108,7 +108,7 @@
         call = await watch(address)
         await read_list(call)
         (writer,) = registry.watches
-        monkeypatch.setattr(registry_module, "MAX_UNSENT_BYTES", -1)
+        monkeypatch.setattr(registry_module, "MAX_UNSENT_BYTES_PER_WATCH", -1)
         registry.apply(Apply([entry(1)]))
         assert not registry.watches
         assert writer.transport.is_closing()
--- a/tests/scale/test_registry_list.py
+++ b/tests/scale/test_registry_list.py
@@ -22,7 +22,7 @@
 
 
 def test_the_full_list_has_the_published_fields_and_can_be_read() -> None:
-    line = RegistryList([entry(1)]).since(None)
+    line = RegistryList([entry(1)]).encode_since(None)
     assert line.endswith(b"\n")
     assert json.loads(line) == {
         "generation": 1,
@@ -50,16 +50,16 @@
     assert json.loads(delta)["generation"] == 2
     assert json.loads(delta)["reset"] is False
     registry_list.apply([entry(1, TERMINATED), entry(3)], 6.0)
-    since = json.loads(registry_list.since(1))
+    since = json.loads(registry_list.encode_since(1))
     assert [(item["instanceId"][-1], item["lifecycle"]) for item in since["instances"]] == [
         ("1", TERMINATED),
         ("3", "in_service"),
     ]
-    assert names(registry_list.since(2)) == ["1", "3"]
-    assert names(registry_list.since(3)) == []
-    assert names(registry_list.since(None)) == ["2", "3"]
-    assert json.loads(registry_list.since(None))["generation"] == 3
-    assert [(change.name[-1], change.made_at, change.generation) for change in registry_list.made] == [
+    assert names(registry_list.encode_since(2)) == ["1", "3"]
+    assert names(registry_list.encode_since(3)) == []
+    assert names(registry_list.encode_since(None)) == ["2", "3"]
+    assert json.loads(registry_list.encode_since(None))["generation"] == 3
+    assert [(change.name[-1], change.made_at, change.generation) for change in registry_list.made_changes] == [
         ("1", 5.0, 2),
         ("1", 6.0, 3),
         ("3", 6.0, 3),
@@ -68,17 +68,17 @@
 
 def test_an_unknown_generation_gets_the_full_list() -> None:
     registry_list = RegistryList([entry(1)])
-    assert json.loads(registry_list.since(0))["reset"]
-    assert json.loads(registry_list.since(99))["reset"]
+    assert json.loads(registry_list.encode_since(0))["reset"]
+    assert json.loads(registry_list.encode_since(99))["reset"]
 
 
 def test_a_generation_before_the_stored_changes_gets_the_full_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(registry_list_module, "MAX_CHANGES_KEPT", 3)
+    monkeypatch.setattr(registry_list_module, "MAX_STORED_CHANGES", 3)
     registry_list = RegistryList([entry(1), entry(2)])
     registry_list.changes = deque(maxlen=3)
     for started in range(1, 6):
         registry_list.apply([entry(1, started=started)], 0.0)  # generations 2 to 6; 4 to 6 are stored
-    assert json.loads(registry_list.since(2))["reset"]
-    assert json.loads(registry_list.since(3))["reset"]
-    assert not json.loads(registry_list.since(4))["reset"]
-    assert names(registry_list.since(4)) == ["1"]
+    assert json.loads(registry_list.encode_since(2))["reset"]
+    assert json.loads(registry_list.encode_since(3))["reset"]
+    assert not json.loads(registry_list.encode_since(4))["reset"]
+    assert names(registry_list.encode_since(4)) == ["1"]
--- a/tests/scale/test_relays.py
+++ b/tests/scale/test_relays.py
@@ -7,16 +7,16 @@
 import pytest
 
 from stackwheel.scale.entries import Entry
-from stackwheel.scale.fleet import Fleet, Shape, draw_fleet
-from stackwheel.scale.layout import Layout, choose_real, deal, full_list_layout, peer_address
-from stackwheel.scale.relays import Network, design_plan, relay_layout
+from stackwheel.scale.fleet import Fleet, FleetShape, draw_fleet
+from stackwheel.scale.layout import Layout, assign_to_processes, choose_real_planners, full_list_layout, peer_address
+from stackwheel.scale.relays import LoopbackNetwork, design_plan, relay_layout
 
 HOSTS = ["127.0.1.1", "127.0.1.2", "127.0.1.3"]
 
 
 @pytest.fixture(scope="module")
 def fleet() -> Fleet:
-    return draw_fleet(Shape(6_000, 11, 1_900, 5))
+    return draw_fleet(FleetShape(6_000, 11, 1_900, 5))
 
 
 @pytest.fixture(scope="module")
@@ -55,14 +55,14 @@
 
 
 def test_real_planners_are_evenly_spaced_and_one_is_restarted() -> None:
-    assert choose_real(100, 4, [25, 26]) == {0, 25, 50, 75}
-    assert choose_real(3, 3, [1]) == {0, 1, 2}
-    assert choose_real(100, 4, [7, 8]) == {7, 25, 50, 75}
-    assert choose_real(3, 0, [1]) == frozenset()
+    assert choose_real_planners(100, 4, [25, 26]) == {0, 25, 50, 75}
+    assert choose_real_planners(3, 3, [1]) == {0, 1, 2}
+    assert choose_real_planners(100, 4, [7, 8]) == {7, 25, 50, 75}
+    assert choose_real_planners(3, 0, [1]) == frozenset()
 
 
 def test_hollow_planners_are_assigned_evenly_and_cells_share_a_process(layout: Layout) -> None:
-    groups = deal(layout.placed, 3)
+    groups = assign_to_processes(layout.placed, 3)
     assert sorted(number for group in groups for number in group) == list(range(1_900))
     assert max(map(len, groups)) - min(map(len, groups)) <= 16
     processes: dict[str, set[int]] = {}  # of each cell
@@ -76,8 +76,8 @@
 
 
 def test_planners_of_the_full_list_are_assigned_evenly(fleet: Fleet) -> None:
-    assert max(map(len, deal(full_list_layout(fleet, "").placed, 2))) <= 960
-    assert deal([], 0) == []
+    assert max(map(len, assign_to_processes(full_list_layout(fleet, "").placed, 2))) <= 960
+    assert assign_to_processes([], 0) == []
 
 
 def test_datagram_addresses_are_unique() -> None:
@@ -85,8 +85,8 @@
 
 
 def test_two_runs_have_different_networks() -> None:
-    first = Network()
-    second = Network()
+    first = LoopbackNetwork()
+    second = LoopbackNetwork()
     try:
         assert first.host(0) != second.host(0)
     finally:
