--- a/stackwheel/scale/registry_list.py
+++ b/stackwheel/scale/registry_list.py
@@ -1,4 +1,4 @@
-"""The list of the discovery stand-ins: entries, generations and changes; no I/O, the time is a parameter."""
+"""Endpoint list of the discovery stand-ins: entries, generations and encoded deltas, without I/O or clock access."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from stackwheel.scale.control import MadeChange
 from stackwheel.scale.entries import TERMINATED, Entry
 
-# Changes that are kept for watches that resume: two for each server of a large fleet. A watch that is further behind
-# gets the full list.
+# Enough for two changes of every server of a large fleet. A watch that resumes from before the oldest stored change
+# receives the full list.
 MAX_STORED_CHANGES = 100_000
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedChange:
-    """One changed entry, as it is sent."""
+    """One changed entry in its encoded form."""
 
     generation: int
     name: str
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedList:
-    """The full list of a generation, as it is sent."""
+    """The full list of one generation in its encoded form."""
 
     generation: int
     line: bytes
 
 
 class RegistryList:
-    """The entries that are listed, and their changes. Every entry is encoded only once."""
+    """The listed entries and their changes; each version of an entry is encoded only once."""
 
     def __init__(self, entries: Iterable[Entry]) -> None:
         self.generation = 1
@@ -42,13 +42,13 @@
         self.entries: dict[str, Entry] = {}
         self.encoded_by_name: dict[str, bytes] = {}
         self.changes: deque[EncodedChange] = deque(maxlen=MAX_STORED_CHANGES)
-        self.made_changes: list[MadeChange] = []  # all changes of a run, whose number its schedule bounds
+        self.made_changes: list[MadeChange] = []  # Unlimited here; the schedule of a run limits the number of changes.
         self.encoded_full_list: EncodedList | None = None
         for entry in entries:
             self.put(entry)
 
     def put(self, entry: Entry) -> bytes:
-        """Add or replace an entry, or remove one that has terminated; the encoded entry."""
+        """Add or replace an entry, or remove one that has terminated, and return the encoded entry."""
         encoded = self.encoder.encode(entry)
         if entry.lifecycle == TERMINATED:
             self.entries.pop(entry.instance_id, None)
@@ -59,7 +59,7 @@
         return encoded
 
     def apply(self, entries: Iterable[Entry], now: float) -> bytes:
-        """Change entries as one generation; the line for the watches. `now`: s on the monotonic clock."""
+        """Apply changed entries as one generation and return the encoded delta. `now` is the monotonic time in s."""
         self.generation += 1
         encoded_entries = []
         for entry in entries:
@@ -72,24 +72,24 @@
         return self.encode_line(False, encoded_entries)
 
     def encode_since(self, generation: int | None) -> bytes:
-        """A line with the last change of each server after a generation; the full list if those are not all kept."""
+        """Encode each server's last change after a generation, or the full list if a change is no longer stored."""
         if generation is None or not self.stores_changes_since(generation):
             return self.encode_full_list()
         changed = {change.name: change.encoded for change in self.changes if change.generation > generation}
         return self.encode_line(False, changed.values())
 
     def stores_changes_since(self, generation: int) -> bool:
-        """Whether all changes after a generation are still kept."""
+        """Return whether all changes after a generation are still stored."""
         oldest = self.changes[0].generation if self.changes else self.generation + 1
         return 0 < generation <= self.generation and (len(self.changes) < MAX_STORED_CHANGES or oldest <= generation)
 
     def encode_full_list(self) -> bytes:
-        """The full list as a line, encoded once for each generation."""
+        """Return the full list as one line, which is encoded once per generation."""
         if self.encoded_full_list is None or self.encoded_full_list.generation != self.generation:
             self.encoded_full_list = EncodedList(self.generation, self.encode_line(True, self.encoded_by_name.values()))
         return self.encoded_full_list.line
 
     def encode_line(self, reset: bool, encoded: Iterable[bytes]) -> bytes:
-        """One line of the published format, made of encoded entries."""
+        """Combine encoded entries into one line of the discovery protocol."""
         head = self.encoder.encode({"generation": self.generation, "reset": reset})
         return head[:-1] + b',"instances":[' + b",".join(encoded) + b"]}\n"
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry stand-in over real sockets, called by the planner's own client."""
+"""Tests of the registry stand-in over real sockets with the planner's own client."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         return True
 
 
-def test_fetch_and_watches_get_the_same_list_and_watches_get_deltas() -> None:
+def test_fetches_and_watches_receive_the_same_list_and_watches_receive_deltas() -> None:
     async def work(registry: Registry, address: str) -> None:
         full_list = await fetch_endpoint_list(address)
         calls = [await watch(address) for _ in range(3)]
@@ -91,7 +91,7 @@
 
 def test_calls_over_the_limit_of_pending_bytes_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(registry: Registry, address: str) -> None:
-        registry.pending_bytes = 1  # one answer is still being written
+        registry.pending_bytes = 1  # Another response is still being written.
         with pytest.raises(CallError) as rejected:
             await get(address, INSTANCES_PATH, TIMEOUT_MS, TIMEOUT_MS)
         assert rejected.value.status == 503
@@ -103,7 +103,7 @@
     with_registry(work)
 
 
-def test_a_watch_that_leaves_too_much_unread_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watch_with_too_much_unsent_data_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(registry: Registry, address: str) -> None:
         call = await watch(address)
         await read_list(call)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("target", ["/", "/registry", "/registry/instances/x"])
-def test_other_paths_are_not_found(target: str) -> None:
+def test_a_request_for_another_path_is_answered_with_404(target: str) -> None:
     async def work(_registry: Registry, address: str) -> None:
         with pytest.raises(CallError) as rejected:
             await get(address, target, TIMEOUT_MS, TIMEOUT_MS)
@@ -128,7 +128,7 @@
     with_registry(work)
 
 
-def test_a_malformed_request_ends_only_its_connection() -> None:
+def test_a_malformed_request_closes_only_its_own_connection() -> None:
     async def work(_registry: Registry, address: str) -> None:
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
--- a/tests/scale/test_registry_list.py
+++ b/tests/scale/test_registry_list.py
@@ -1,4 +1,4 @@
-"""The list of the registry stand-in: generations, deltas and full lists, as in the protocol's page."""
+"""Tests of the endpoint list of the registry stand-in: generations, deltas and full lists."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return [item["instanceId"][-1] for item in json.loads(line)["instances"]]
 
 
-def test_the_full_list_has_the_published_fields_and_can_be_read() -> None:
+def test_the_full_list_has_the_documented_fields_and_is_parsed_by_the_client() -> None:
     line = RegistryList([entry(1)]).encode_since(None)
     assert line.endswith(b"\n")
     assert json.loads(line) == {
@@ -44,7 +44,7 @@
     assert len(getattr(endpoint_list, "instances", ())) == 1
 
 
-def test_a_delta_since_a_generation_has_the_last_change_of_each_server() -> None:
+def test_a_delta_since_a_generation_contains_the_last_change_of_each_server() -> None:
     registry_list = RegistryList([entry(1), entry(2)])
     delta = registry_list.apply([entry(1, TERMINATING)], 5.0)
     assert json.loads(delta)["generation"] == 2
@@ -66,18 +66,18 @@
     ]
 
 
-def test_an_unknown_generation_gets_the_full_list() -> None:
+def test_a_resume_from_an_unknown_generation_returns_the_full_list() -> None:
     registry_list = RegistryList([entry(1)])
     assert json.loads(registry_list.encode_since(0))["reset"]
     assert json.loads(registry_list.encode_since(99))["reset"]
 
 
-def test_a_generation_before_the_stored_changes_gets_the_full_list(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_resume_from_before_the_stored_changes_returns_the_full_list(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(registry_list_module, "MAX_STORED_CHANGES", 3)
     registry_list = RegistryList([entry(1), entry(2)])
     registry_list.changes = deque(maxlen=3)
     for started in range(1, 6):
-        registry_list.apply([entry(1, started=started)], 0.0)  # generations 2 to 6; 4 to 6 are stored
+        registry_list.apply([entry(1, started=started)], 0.0)  # Creates generations 2 to 6, of which 4 to 6 are stored.
     assert json.loads(registry_list.encode_since(2))["reset"]
     assert json.loads(registry_list.encode_since(3))["reset"]
     assert not json.loads(registry_list.encode_since(4))["reset"]
