--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -1,7 +1,7 @@
-"""A process of hollow planners: each follows the list and caches it as a planner does, but decides nothing.
+"""A process of hollow planners, which follow and cache the endpoint list like real planners but compute no tables.
 
-They use the planner's own client (`wire.discovery_client`), its endpoint cache and the format of its datagrams.
-`python -m stackwheel.scale.hollow` is started by a run and takes its requests over standard input and output.
+Hollow planners use the real planner's discovery client (`wire.discovery_client`), endpoint cache and datagram format.
+A run starts `python -m stackwheel.scale.hollow` and sends it requests over standard input and output.
 """
 
 from __future__ import annotations
@@ -46,16 +46,14 @@
 from stackwheel.wire.discovery_client import DiscoveryClient, DiscoveryOptions, WatchEnd
 from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
-LIST_POLL_DEADLINE_MS = 10_000.0  # `obligations.ask_within` of the example configuration; it bounds the backoff
-START_INTERVAL_S = 0.002  # s between the starts of two planners of a process, so that they don't all call at once
-MIN_CLEANUP_ENTRIES = 10_000  # shared entries below which no sweep is worth its time
-STALE_SNAPSHOT_CHECK_INTERVAL_S = (
-    0.5  # s between two checks for stale snapshots, see `EndpointCache.confirmed_snapshot`
-)
+LIST_POLL_DEADLINE_MS = 10_000.0  # As `obligations.ask_within` of the example configuration; limits the backoff.
+START_INTERVAL_S = 0.002  # Spreads the first calls of the planners of a process over time.
+MIN_CLEANUP_ENTRIES = 10_000
+STALE_SNAPSHOT_CHECK_INTERVAL_S = 0.5
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
-    """The default event loop, which counts the bytes of all connections that it opens."""
+    """Selector event loop that counts the bytes of all connections that it opens."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -63,10 +61,10 @@
         self.bytes_out = 0
 
     async def create_connection(self, protocol_factory: Any, *args: Any, **options: Any) -> Any:
-        """Connect as the default event loop does, and count what is received and written."""
+        """Open a connection whose received and written bytes are counted."""
 
         def counting_protocol() -> Any:
-            """The protocol, which counts what it receives."""
+            """Create the protocol and count the bytes that it receives."""
             return self.count_received_bytes(protocol_factory())
 
         transport, protocol = await super().create_connection(counting_protocol, *args, **options)
@@ -74,11 +72,11 @@
         return transport, protocol
 
     def count_received_bytes(self, protocol: Any) -> Any:
-        """Have a protocol count the bytes that it receives."""
+        """Replace `data_received` of a protocol by a method that counts the bytes."""
         data_received = protocol.data_received
 
         def counting_data_received(data: bytes) -> None:
-            """Count the bytes, then pass them on."""
+            """Count the bytes and pass them to the protocol."""
             self.bytes_in += len(data)
             data_received(data)
 
@@ -86,11 +84,11 @@
         return protocol
 
     def count_written_bytes(self, transport: Any) -> None:
-        """Have a transport count the bytes that are written to it."""
+        """Replace `write` of a transport by a method that counts the bytes."""
         write = transport.write
 
         def counting_write(data: bytes) -> None:
-            """Count the bytes, then write them."""
+            """Count the bytes and pass them to the transport."""
             self.bytes_out += len(data)
             write(data)
 
@@ -98,32 +96,35 @@
 
 
 class CountingDiscoveryClient(DiscoveryClient):
-    """The planner's own client, which counts watches that ended: in a run each of them is a failure."""
+    """The planner's discovery client, extended to count ended watches as failures.
+
+    In normal operation neither the registry nor a relay ends a watch.
+    """
 
     failures = 0
 
     async def watch_replica(self, address: str, replica: str) -> WatchEnd:
-        """Watch one replica until the watch ends."""
+        """Watch one replica until the watch ends, and count the end as a failure."""
         end = await super().watch_replica(address, replica)
         self.failures += 1
         return end
 
 
 class Follower:
-    """One hollow planner: its client and its endpoint cache, over all its incarnations."""
+    """One hollow planner across its incarnations: its discovery client and its endpoint cache."""
 
     def __init__(self, planner: HollowPlanner, shared: SharedEntries, records: PropagationRecords) -> None:
         self.planner = planner
         self.shared = shared
         self.records = records
-        self.earlier_failures = 0  # of earlier incarnations
+        self.earlier_failures = 0
         self.incarnation = 0
-        self.ended_at = 0.0  # s on the monotonic clock: when the last incarnation ended
+        self.ended_at = 0.0  # Monotonic time in s at which the previous incarnation ended.
         self.task: asyncio.Task[None] | None = None
         self.begin()
 
     def begin(self) -> None:
-        """Start a new incarnation with an empty cache, as a new process does."""
+        """Start a new incarnation with an empty cache, like a new process."""
         self.incarnation += 1
         self.endpoints = HollowEndpointCache(self.shared)
         self.has_list = False
@@ -137,25 +138,25 @@
         self.task = asyncio.create_task(self.discovery.run())
 
     def end(self) -> None:
-        """End as a process does that is killed: the connections are reset."""
+        """Stop the client and reset its connections, like a killed process."""
         if self.task is not None:
             self.task.cancel()
         self.discovery.post = lambda _item: None
         self.discovery.cancel_watches()
 
     def restart(self) -> None:
-        """End, and start a new incarnation at once."""
+        """End the current incarnation and start a new one immediately."""
         self.ended_at = time.monotonic()
         self.earlier_failures = self.failures()
         self.end()
         self.begin()
 
     def failures(self) -> int:
-        """Watches that ended, over all incarnations; not those that this planner ended itself."""
+        """Return the number of watches that ended in all incarnations, except those ended by the planner itself."""
         return self.earlier_failures + self.discovery.failures
 
     def on_endpoint_list(self, item: EndpointList | EndpointListFailed) -> None:
-        """Apply a list from discovery, and record when each changed entry came into force."""
+        """Apply a list from discovery and record the time at which each changed entry came into force."""
         if isinstance(item, EndpointListFailed):
             return
         changed = self.endpoints.apply_list(item, 1000.0 * time.monotonic())
@@ -166,18 +167,18 @@
         self.has_list = True
 
     def accept_stale_snapshot(self, now: float) -> None:
-        """Apply a stale snapshot once nothing newer can follow it. `now`: s on the monotonic clock."""
+        """Apply a stale snapshot once the cache has confirmed it. `now` is the monotonic time in s."""
         if (endpoint_list := self.endpoints.confirmed_snapshot(1000.0 * now)) is not None:
             self.records.add(self.planner.number, self.endpoints.apply_list(endpoint_list, 1000.0 * now), now)
 
     def drop_entry(self) -> None:
-        """Drop the entry that was added last."""
+        """Remove the most recently added entry from the cache."""
         if self.endpoints.entries:
             self.endpoints.entries.popitem()
 
 
 class HollowProcess:
-    """All hollow planners of a process, and the answers to the run's requests."""
+    """All hollow planners of one process, and the handlers of the run's requests."""
 
     def __init__(self, loop: CountingLoop) -> None:
         self.loop = loop
@@ -188,7 +189,7 @@
         self.cleanup_threshold = MIN_CLEANUP_ENTRIES
 
     async def follow(self, message: Follow) -> None:
-        """Start the planners, spread over a short time."""
+        """Start the planners one after another, `START_INTERVAL_S` apart, then their datagrams."""
         self.shared = SharedEntries(tuple(message.zones), (MACHINE_TYPE,))
         for planner in message.planners:
             self.followers[planner.number] = Follower(planner, self.shared, self.records)
@@ -196,11 +197,11 @@
         await self.peers.start(message.planners, self.endpoints_of)
 
     def endpoints_of(self, planner: int) -> HollowEndpointCache:
-        """The endpoint cache of one planner of the process."""
+        """Return the endpoint cache of one planner of the process."""
         return self.followers[planner].endpoints
 
     async def accept_stale_snapshots(self) -> None:
-        """Periodically accept stale snapshots that nothing newer has followed, and drop unused shared entries."""
+        """Periodically apply confirmed stale snapshots and remove shared entries that are no longer used."""
         while True:
             await asyncio.sleep(STALE_SNAPSHOT_CHECK_INTERVAL_S)
             for follower in self.followers.values():
@@ -211,7 +212,7 @@
                 self.cleanup_threshold = max(MIN_CLEANUP_ENTRIES, 2 * len(self.shared.entries))
 
     def traffic(self) -> Traffic:
-        """Bytes, datagrams and failures so far, of all planners of the process."""
+        """Return the bytes, datagrams and failures so far of all planners of the process together."""
         return Traffic(
             bytes_in=self.loop.bytes_in + self.peers.bytes_in,
             bytes_out=self.loop.bytes_out + self.peers.bytes_out,
@@ -224,11 +225,11 @@
         )
 
     def planners_with_list(self) -> PlannersWithList:
-        """How many planners of the process have a list."""
+        """Return the number of planners of the process that have received a list."""
         return PlannersWithList(sum(follower.has_list for follower in self.followers.values()))
 
     async def compare(self, message: Compare) -> Compared:
-        """Compare each planner's entries with those listed for its cell."""
+        """Compare the entries of each planner with those listed for its cell."""
         listed = {cell: self.expected_entries(entries) for cell, entries in message.cells.items()}
         compared = 0
         right = 0
@@ -240,25 +241,30 @@
             difference = compare(actual, expected)
             compared += len(expected)
             if difference.count() or not follower.has_list:
-                wrong.append(WrongPlanner(number, max(1, difference.count()), difference.example() or "holds no list"))
+                wrong.append(
+                    WrongPlanner(number, max(1, difference.count()), difference.example() or "no list received")
+                )
             else:
                 right += 1
             digests[follower.planner.cell].add(entries_digest(actual))
-            await asyncio.sleep(0)  # so that watches are read meanwhile
+            await asyncio.sleep(0)  # Lets the event loop read the watches between two planners.
         return Compared(compared, right, wrong, {cell: sorted(of_cell) for cell, of_cell in digests.items()})
 
     def expected_entries(self, entries: list[Entry]) -> dict[str, ListedEntry]:
-        """The entries that a planner should have, by name, converted without the planner's own reader."""
+        """Return the entries that a planner should have, by server name.
+
+        They are converted without the planner's own parser, so that an error of the parser is found.
+        """
         zones = {zone: index for index, zone in enumerate(self.shared.zones)}
         return {entry.instance_id: listed_entry(entry, zones, self.shared) for entry in entries}
 
     def restart(self, planners: list[int]) -> None:
-        """Restart these planners, all at once."""
+        """Restart several planners at the same time."""
         for planner in planners:
             self.followers[planner].restart()
 
     async def handle(self, message: Request) -> Message | None:
-        """Carry out a request of the run; the answer, if the request has one."""
+        """Handle a request of the run and return its answer, or None for a request without an answer."""
         match message:
             case Follow():
                 await self.follow(message)
@@ -269,7 +275,7 @@
                 return self.handle_immediately(message)
 
     def handle_immediately(self, message: Request) -> Message | None:
-        """Carry out a request that needs no waiting; the answer, if the request has one."""
+        """Handle a request that needs no I/O and return its answer, or None for a request without an answer."""
         match message:
             case CountPlannersWithList():
                 return self.planners_with_list()
@@ -284,12 +290,12 @@
             case DropEntry(planner):
                 self.followers[planner].drop_entry()
             case other:
-                raise TypeError(f"hollow planners can't do {other}")
+                raise TypeError(f"unexpected request to a process of hollow planners: {other}")
         return None
 
 
 def listed_entry(entry: Entry, zones: dict[str, int], shared: SharedEntries) -> ListedEntry:
-    """A listed entry as a planner stores it. `zones`: the index of each zone."""
+    """Convert an entry of the published list to the form that a planner stores. `zones`: index of each zone by name."""
     endpoint = EndpointEntry(
         server=server_id(entry.instance_id),
         zone=zones[entry.zone],
@@ -303,8 +309,8 @@
 
 
 async def main(loop: CountingLoop) -> None:
-    """Carry out the run's requests until it sends `Stop` or closes the control connection."""
-    logger.remove()  # the counters say all that the logs of a thousand planners would
+    """Handle the run's requests until it sends `Stop` or closes the control connection."""
+    logger.remove()  # The logs of all planners of a process would be too long; the counters replace them.
     connection = await connect_standard_streams()
     process = HollowProcess(loop)
     stale_snapshot_task = asyncio.create_task(process.accept_stale_snapshots())
@@ -321,7 +327,7 @@
 
 
 def run(work: Callable[[CountingLoop], Any]) -> None:
-    """Run a coroutine function on a `CountingLoop`."""
+    """Run a coroutine function on a new `CountingLoop`."""
     loop = CountingLoop()
     asyncio.set_event_loop(loop)
     try:
--- a/stackwheel/scale/hollow_endpoints.py
+++ b/stackwheel/scale/hollow_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint cache of a hollow planner: the planner's own, with entries shared within the process."""
+"""Endpoint cache of a hollow planner: the planner's own cache with entries shared within the process."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class SharedEntries:
-    """What all hollow planners of a process share: zones, kinds, ids and equal entries.
+    """Data shared by all hollow planners of a process: zones, machine kinds, server ids, and interned entries.
 
-    It grows with each change of an entry; `sweep` drops the entries that are no longer used.
+    Each change of an entry adds an object; `remove_unused` removes those that no cache refers to any more.
     """
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
@@ -28,29 +28,32 @@
         self.addresses: dict[str, str] = {}
 
     def intern_entry(self, entry: EndpointEntry) -> EndpointEntry:
-        """The one object for all entries equal to this one."""
+        """Return the shared object that represents all entries equal to this one."""
         return self.entries.setdefault(entry, entry)
 
     def intern_address(self, address: str) -> str:
-        """The one object for all addresses equal to this one."""
+        """Return the shared object that represents all addresses equal to this one."""
         return self.addresses.setdefault(address, address)
 
     def remove_unused(self, caches: Iterable[HollowEndpointCache]) -> None:
-        """Drop entries and addresses that are in none of the process's caches."""
+        """Remove the entries and addresses that none of the caches contains. `caches`: all caches of the process."""
         used = list(caches)
         self.entries = {entry: entry for cache in used for entry in cache.entries.values()}
         self.addresses = {address: address for cache in used for address in cache.addresses.values()}
 
 
 class HollowEndpointCache(EndpointCache):
-    """A planner's endpoint cache whose entries are shared; ids are never dropped, as other planners use them."""
+    """A planner's endpoint cache with shared entries and server ids.
+
+    Server ids are never removed, because other planners of the process may use them.
+    """
 
     def __init__(self, shared: SharedEntries) -> None:
         super().__init__(shared.zones, shared.kinds, shared.ids)
         self.shared = shared
 
     def entry(self, instance: Instance) -> EndpointEntry | None:
-        """The entry of an instance, one object for all planners of the process; None if it is unreadable."""
+        """Return the entry of an instance as an object shared by the process's planners; None if it is unreadable."""
         entry = super().entry(instance)
         if entry is None:
             return None
@@ -58,18 +61,18 @@
         return self.shared.intern_entry(entry)
 
     def forget(self, server: ServerId) -> None:
-        """Drop a removed server from this cache; its id may still be used by another planner."""
+        """Remove a removed server from this cache but keep its id, which another planner may use."""
         self.removed.pop(server, None)
 
     def apply_list(self, endpoint_list: EndpointList, now: float) -> list[EndpointEntry]:
-        """Apply a list.
+        """Apply a list to the cache.
 
         Args:
             endpoint_list: a full list or a delta.
-            now: ms on the monotonic clock.
+            now: monotonic time, ms.
 
         Returns:
-            The entries that it changed; a server that a full list leaves out is among them as removed.
+            The changed entries. A server that is absent from a full list is included as removed.
         """
         before = self.entries_that_may_change(endpoint_list)
         update = self.apply(endpoint_list, now)
@@ -81,14 +84,14 @@
         return changed + [removed_entry(entry) for server, entry in before.items() if server not in self.entries]
 
     def entries_that_may_change(self, endpoint_list: EndpointList) -> dict[ServerId, EndpointEntry]:
-        """A copy of the entries that a list may change: the cache changes them in place."""
+        """Copy the entries that a list may change, because the cache is changed in place."""
         if endpoint_list.complete:
             return dict(self.entries)
         named = [server_id(instance.name) for instance in endpoint_list.instances]
         return {server: self.entries[server] for server in named if server in self.entries}
 
     def listed_entries(self) -> dict[str, ListedEntry]:
-        """All entries, by the servers' names."""
+        """Return all entries by server name."""
         return {
             self.server_ids.names[server]: ListedEntry(entry, self.addresses.get(server, ""))
             for server, entry in self.entries.items()
@@ -96,13 +99,13 @@
 
 
 def removed_entry(entry: EndpointEntry) -> EndpointEntry:
-    """The entry of the same process once it is removed."""
+    """Return the entry with the availability set to removed."""
     return replace(entry, availability=Availability.REMOVED)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEntry:
-    """Every field of an entry: what the policy gets, and the address."""
+    """An entry as the policy receives it, together with the server's address."""
 
     entry: EndpointEntry
     address: str
@@ -110,26 +113,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """The names of the servers at which two sets of entries differ."""
+    """Names of the servers whose entries differ from the expected ones.
+
+    Attributes:
+        missing: servers that are expected but not cached.
+        extra: servers that are cached but not expected.
+        different: servers whose entries differ in at least one field.
+    """
 
     missing: tuple[str, ...] = ()
     extra: tuple[str, ...] = ()
     different: tuple[str, ...] = ()
 
     def count(self) -> int:
-        """Wrong or missing entries."""
+        """Return the number of differing servers."""
         return len(self.missing) + len(self.extra) + len(self.different)
 
     def example(self) -> str:
-        """One of them in words; "" if there is none."""
-        for kind, names in (("missing", self.missing), ("left over", self.extra), ("different", self.different)):
+        """Describe one of the differences; "" if there is none."""
+        for kind, names in (("missing", self.missing), ("not listed", self.extra), ("different", self.different)):
             if names:
                 return f"{names[0]} is {kind}"
         return ""
 
 
 def compare(actual: Mapping[str, ListedEntry], expected: Mapping[str, ListedEntry]) -> Difference:
-    """Compare every field of every entry."""
+    """Compare all fields of the actual entries with the expected ones."""
     return Difference(
         missing=tuple(name for name in expected if name not in actual),
         extra=tuple(name for name in actual if name not in expected),
@@ -138,7 +147,7 @@
 
 
 def entries_digest(entries: Mapping[str, ListedEntry]) -> str:
-    """A digest of all entries in the order of their names; it is reported, but does not replace the comparison."""
+    """Return a digest of all entries in the order of their names, for the report."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for name in sorted(entries):
         digest.update(repr((name, entries[name])).encode())
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -1,4 +1,4 @@
-"""Hollow proxies and collectors: real streams to a planner and a forwarder's tables, but no requests."""
+"""Hollow proxies and collectors, which exchange real messages with a planner but forward no requests."""
 
 from __future__ import annotations
 
@@ -15,39 +15,53 @@
 from stackwheel.wire.http import split_address
 
 LINE_END = b"\r\n"
-MAX_LINE_BYTES = 1 << 20  # the protocol's limit of one message
-RECONNECT_DELAY_RANGE_S = (0.2, 1.0)  # drawn uniformly, as all proxies of a planner that ends connect again at once
-MEDIAN_APPLY_TIME_MS = (
-    5.0  # of the log-normal time that a proxy takes to apply an update; the example proxy takes 2.5 ms
-)
-APPLY_TIME_LOG_SIGMA = 0.8  # of its logarithm: one in a hundred takes over 32 ms
-POLL_INTERVAL_S = 0.02  # s between two checks of a condition
-REPORT_INTERVAL_MS = 1000.0  # between two reports, as `family_info.cycle` of the example configuration
+MAX_LINE_BYTES = 1 << 20  # The protocol's limit for one message.
+RECONNECT_DELAY_RANGE_S = (0.2, 1.0)  # Random, so that the proxies of a restarted planner do not reconnect together.
+# The time that a proxy takes to apply an update is log-normal; about 1 % of updates take over 32 ms.
+MEDIAN_APPLY_TIME_MS = 5.0
+APPLY_TIME_LOG_SIGMA = 0.8
+POLL_INTERVAL_S = 0.02
+REPORT_INTERVAL_MS = 1000.0  # As `family_info.cycle` of the example configuration.
 
 
 @dataclass(frozen=True, slots=True)
 class ProxySettings:
-    """What all hollow proxies of one planner share."""
+    """Settings shared by all hollow proxies of one planner.
 
-    address: str  # the planner's
+    Attributes:
+        address: address of the planner.
+        routes: names of the routes.
+        known_servers: all servers that the registry has ever listed.
+        requests_per_second: simulated rate of one proxy, for all routes together.
+        report_interval_ms: interval of demand reports, ms.
+    """
+
+    address: str
     routes: tuple[str, ...]
-    known_servers: Collection[str]  # all servers that the registry has ever listed
-    requests_per_second: float = 15.0  # of one proxy, all routes together
+    known_servers: Collection[str]
+    requests_per_second: float = 15.0
     report_interval_ms: float = REPORT_INTERVAL_MS
 
 
 @dataclass(slots=True)
 class ProxyState:
-    """What one proxy has counted so far, and what it has to acknowledge."""
+    """Counters of one proxy, and its pending acknowledgements.
+
+    Attributes:
+        joins: streams on which the proxy has joined the planner.
+        updates: applied updates.
+        resets: streams that the proxy reset because of an invalid update.
+        pending_nonces: nonces of updates that are applied but not yet acknowledged.
+    """
 
     joins: int = 0
     updates: int = 0
-    resets: int = 0  # streams that it reset for an invalid update
-    pending_nonces: list[int] = field(default_factory=list)  # applied, but not acknowledged yet
+    resets: int = 0
+    pending_nonces: list[int] = field(default_factory=list)
 
 
 class HollowProxy:
-    """One proxy: joins, applies updates, acknowledges them after a drawn time, reports its demand periodically."""
+    """Proxy that joins a planner, applies its updates, acknowledges them after a random time and reports demand."""
 
     def __init__(self, number: int, zone: str, settings: ProxySettings, traffic: Traffic, random: Random) -> None:
         self.number = number
@@ -60,7 +74,7 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
-        """Keep one stream open until cancelled, connecting again after any break."""
+        """Keep a stream to the planner open until cancelled, reconnecting whenever it breaks."""
         while True:
             try:
                 await self.stream()
@@ -71,7 +85,7 @@
             await asyncio.sleep(self.random.uniform(*RECONNECT_DELAY_RANGE_S))
 
     async def stream(self) -> None:
-        """One connection, from SUBSCRIBE until it breaks."""
+        """Open one stream, send SUBSCRIBE, and apply updates until the stream breaks."""
         host, port = split_address(self.settings.address)
         reader, self.writer = await asyncio.open_connection(host, port, limit=MAX_LINE_BYTES)
         is_new = int(not any(class_table.lines for class_table in self.forwarder.class_tables.values()))
@@ -85,7 +99,7 @@
             reports.cancel()
 
     async def read_updates(self, reader: asyncio.StreamReader) -> None:
-        """Apply every update of a stream until it breaks."""
+        """Read and apply the updates of a stream until it breaks."""
         updates = ConfigUpdateReader()
         while True:
             line = await reader.readuntil(LINE_END)
@@ -95,7 +109,7 @@
                 self.apply(update)
 
     def apply(self, update: ConfigUpdate) -> None:
-        """Apply one update, and acknowledge it after a drawn delay."""
+        """Apply one update and schedule its acknowledgement after a random delay."""
         self.forwarder.apply(update)
         self.state.updates += 1
         nonces = update.nonces()
@@ -107,14 +121,14 @@
             )
 
     def acknowledge(self, nonce: int, elapsed_ms: float, stream: asyncio.StreamWriter | None) -> None:
-        """Acknowledge a nonce, and by the protocol all before it, if the stream that brought it is still open."""
+        """Acknowledge a nonce, and thereby all earlier ones, if the stream that carried it is still open."""
         if stream is None or stream is not self.writer:
             return
         self.state.pending_nonces = [pending for pending in self.state.pending_nonces if pending > nonce]
         self.send_line(f"ACK id={self.number} seq={nonce} ms={elapsed_ms:.1f}")
 
     async def report(self) -> None:
-        """Send the demand of each route once a report interval, the first time at a drawn moment within it."""
+        """Send the demand of each route once per report interval, starting at a random time within the first one."""
         interval_ms = self.settings.report_interval_ms
         interval = interval_ms / 1000.0
         await asyncio.sleep(self.random.random() * interval)
@@ -128,7 +142,7 @@
             await asyncio.sleep(max(0.0, next_report_at - asyncio.get_running_loop().time()))
 
     def send_line(self, line: str) -> None:
-        """Write one line if there is a stream, and count it."""
+        """Write one line and count it, if a stream is open."""
         if self.writer is None or self.writer.is_closing():
             return
         data = line.encode() + LINE_END
@@ -136,19 +150,19 @@
         self.traffic.count_received(len(data))
 
     def close(self) -> None:
-        """Reset the connection; its nonces will not be acknowledged any more."""
+        """Reset the stream and discard its pending nonces."""
         if self.writer is not None:
             self.writer.transport.abort()
             self.writer = None
         self.state.pending_nonces.clear()
 
     def has_tables(self) -> bool:
-        """Whether it has a server for every route."""
+        """Return whether the proxy has at least one server for every route."""
         return not any(self.forwarder.has_no_servers(route) for route in self.settings.routes)
 
 
 class HollowCollector:
-    """The collector of one zone: once a report interval, a load report for each of its servers."""
+    """Collector of one zone, which sends a load report for each of its servers once per report interval."""
 
     def __init__(self, zone: str, address: str, servers: Sequence[str], traffic: Traffic, random: Random) -> None:
         self.zone = zone
@@ -158,7 +172,7 @@
         self.random = random
 
     async def run(self) -> None:
-        """Report until cancelled, connecting again after any break."""
+        """Send load reports until cancelled, reconnecting whenever the stream breaks."""
         while True:
             try:
                 await self.stream()
@@ -166,7 +180,7 @@
                 await asyncio.sleep(self.random.uniform(*RECONNECT_DELAY_RANGE_S))
 
     async def stream(self) -> None:
-        """One connection: reports of all servers once a report interval, until it breaks."""
+        """Open one stream and send the reports of all servers once per report interval until the stream breaks."""
         host, port = split_address(self.address)
         _, writer = await asyncio.open_connection(host, port)
         try:
@@ -181,7 +195,7 @@
             writer.transport.abort()
 
     def load_line(self, server: str) -> str:
-        """The load report of one server, with drawn figures."""
+        """Format the load report of one server with random values."""
         count = self.random.randint(10, 30)
         mean = self.random.lognormvariate(math.log(40.0), 0.3)
         return (
@@ -190,14 +204,14 @@
         )
 
     def write(self, writer: asyncio.StreamWriter, lines: Sequence[str]) -> None:
-        """Write several lines at once, and count them."""
+        """Write several lines together and count them."""
         data = b"".join(line.encode() + LINE_END for line in lines)
         writer.write(data)
         self.traffic.count_received(len(data), len(lines))
 
 
 async def wait_until(is_true: Callable[[], bool], timeout: float, poll_interval: float = POLL_INTERVAL_S) -> bool:
-    """Wait for a condition; whether it became true within `timeout` seconds."""
+    """Wait for a condition and return whether it became true within `timeout` seconds. `poll_interval`: s."""
     end = time.monotonic() + timeout
     while not is_true():
         if time.monotonic() > end:
--- a/stackwheel/scale/relays.py
+++ b/stackwheel/scale/relays.py
@@ -1,4 +1,4 @@
-"""Real relays of a run: the plan for the drawn fleet, the relays' configuration files, and their processes."""
+"""Real relays of a run: the cell plan for the generated fleet, the relays' configuration files and their processes."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
 from stackwheel.wire.http import CallError, get
 
 PLAN_FILE_NAME = "cells.json"
-LOCK_PORT = 20_000  # below the first cell's port; a run binds it at the first address of its network
-MAX_NETWORKS = 250  # 127.0.1.0 and the following: the number of runs at the same time
-POLL_INTERVAL_S = 0.1  # s between two calls to a relay that has no list yet
+# A run reserves its network by binding this port at the network's first address. It is below the ports of cells.
+LOCK_PORT = 20_000
+MAX_NETWORKS = 250  # Networks from 127.0.1.0 on; each concurrent run uses one.
+POLL_INTERVAL_S = 0.1
 CALL_TIMEOUT_MS = 2_000.0
 
 
 class LoopbackNetwork:
-    """Loopback addresses for the relays of a run; no other run uses them until it is closed."""
+    """Loopback addresses for the relays of a run, reserved for this run until `close`."""
 
     def __init__(self) -> None:
         for number in range(1, MAX_NETWORKS + 1):
@@ -39,10 +40,13 @@
                 continue
             self.number = number
             return
-        raise ScaleError(f"port {LOCK_PORT} is taken at all of 127.0.1.1 to 127.0.{MAX_NETWORKS}.1")
+        raise ScaleError(
+            f"no loopback network is free for the relays: port {LOCK_PORT} is in use at all addresses "
+            f"from 127.0.1.1 to 127.0.{MAX_NETWORKS}.1"
+        )
 
     def host(self, relay: int) -> str:
-        """The address of a relay, counted from 0."""
+        """Return the address of a relay. `relay`: index of the relay, from 0."""
         return f"127.0.{self.number}.{relay + 1}"
 
     def close(self) -> None:
@@ -51,21 +55,24 @@
 
 
 def design_plan(fleet: Fleet, hosts: Sequence[str]) -> Plan:
-    """The plan of cells for a fleet, as `stackwheel cells` makes it; ScaleError if there is none.
+    """Design the cell plan for a fleet in the same way as `stackwheel cells`.
 
     Args:
-        fleet: for which it is made.
-        hosts: the address of each relay.
+        fleet: servers and planners to divide into cells.
+        hosts: address of each relay.
+
+    Raises:
+        ScaleError: no plan is possible for this fleet.
     """
     relays = [Relay(f"relay-{number}", host) for number, host in enumerate(hosts)]
     try:
         return design(cell_demands(fleet), Limits(), fleet.regions, relays)
     except CellPlanError as error:
-        raise ScaleError(f"no plan of cells holds this fleet: {error}") from error
+        raise ScaleError(f"cannot design a cell plan for this fleet: {error}") from error
 
 
 def cell_demands(fleet: Fleet) -> list[Demand]:
-    """The servers and planners of each service in each region."""
+    """Return the demand on cells: the servers and planners of each service in each region."""
     names: defaultdict[ServiceRegion, list[str]] = defaultdict(list)
     for server in fleet.servers:
         names[service_region(fleet, server)].append(server.name)
@@ -84,12 +91,12 @@
 
 
 def service_region(fleet: Fleet, member: DrawnServer | DrawnPlanner) -> ServiceRegion:
-    """The service and region of a server or planner."""
+    """Return the service and region of a server or planner."""
     return ServiceRegion(member.service, fleet.regions[member.zone])
 
 
 def relay_layout(fleet: Fleet, plan: Plan) -> Layout:
-    """The layout of a run with relays: every planner follows the two relays of its cell."""
+    """Return the layout of a run with relays, in which every planner follows the two relays of its cell."""
     index = CellIndex(plan)
     cells = cells_of_planners(fleet, index)
     placed = tuple(
@@ -100,7 +107,7 @@
     )
 
     def cell_of_server(name: str, zone: str) -> str | None:
-        """The name of a server's cell, if it has one."""
+        """Return the name of a server's cell, or None for a server without a cell."""
         cell = index.cell_of(name, zone)
         return cell.name if cell is not None else None
 
@@ -108,7 +115,10 @@
 
 
 def cells_of_planners(fleet: Fleet, index: CellIndex) -> dict[str, Cell]:
-    """Each planner's cell: one of its service, or of its service in its region if the plan separates regions."""
+    """Return the cell of each planner, by planner name.
+
+    It is a cell of the planner's service, restricted to the planner's region if the plan separates the regions.
+    """
     groups: defaultdict[tuple[str, str | None], list[str]] = defaultdict(list)
     for planner in fleet.planners:
         service, region = service_region(fleet, planner)
@@ -120,20 +130,20 @@
 
 
 async def start_relays(children: Children, folder: Path, plan: Plan, registry: str) -> list[Child]:
-    """Start all relays of a plan, and wait until each of them has the list."""
+    """Start all relays of a plan and wait until each of them serves the endpoint list."""
     save_plan(plan, folder / PLAN_FILE_NAME)
     return list(await asyncio.gather(*(start_relay(children, folder, plan, relay, registry) for relay in plan.relays)))
 
 
 async def start_relay(children: Children, folder: Path, plan: Plan, relay: Relay, registry: str) -> Child:
-    """Start one relay as an operator does, with `stackwheel relay --operators FILE`, and wait until it has the list.
+    """Start one relay with `stackwheel relay --operators FILE` and wait until it serves the endpoint list.
 
     Args:
-        children: the processes of the run.
-        folder: of the plan file and the relay's configuration file.
-        plan: of the cells.
-        relay: that is started.
-        registry: the address of the registry.
+        children: processes of the run.
+        folder: folder for the plan file and the relay's configuration file.
+        plan: cell plan.
+        relay: relay to start.
+        registry: address of the registry.
     """
     operators = folder / f"{relay.name}.cue"
     operators.write_text(
--- a/tests/scale/test_fake_environment.py
+++ b/tests/scale/test_fake_environment.py
@@ -16,7 +16,7 @@
 from stackwheel.scale.fake_environment import FakeDiscovery, FakePeerPlanners, known_generation
 from stackwheel.wire.discovery_protocol import parse_endpoint_list
 
-TEST_TIMEOUT = 60.0  # s
+TEST_TIMEOUT_S = 60.0
 
 
 def fake_discovery(count: int = 4) -> FakeDiscovery:
@@ -95,7 +95,7 @@
         await peers.run(("127.0.0.1", 9))
         peers.close()
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
     assert traffic == Traffic()
 
 
@@ -108,5 +108,5 @@
         await asyncio.wait_for(peers.run(("127.0.0.1", 9)), 10)
         peers.close()
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
     assert traffic == Traffic()
--- a/tests/scale/test_hollow_endpoints.py
+++ b/tests/scale/test_hollow_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint caches of hollow planners: the same entries as a planner's cache for any lists; and the comparison."""
+"""Tests of the endpoint cache of hollow planners and of the comparison of its entries with the list."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return EndpointList(generation, random.random() < 0.3, instances, unreadable, random.random() < 0.1)
 
 
-def test_entries_equal_those_of_a_planners_cache_for_lists_in_any_order() -> None:
+def test_entries_equal_those_of_the_planners_cache_for_random_lists_in_any_order() -> None:
     for seed in range(300):
         random = Random(seed)
         shared = SharedEntries(ZONES, KINDS)
@@ -59,7 +59,7 @@
         assert all(first.entries[server] is second.entries[server] for server in first.entries)
 
 
-def test_changed_entries_include_those_that_a_full_list_leaves_out() -> None:
+def test_changed_entries_include_servers_that_are_absent_from_a_full_list() -> None:
     cache = HollowEndpointCache(SharedEntries(ZONES, KINDS))
     name = cache.server_ids.name
     assert [name(e.server) for e in cache.apply_list(EndpointList(1, True, (instance(1), instance(2))), 0.0)] == [
@@ -74,7 +74,7 @@
     assert name(removed.server) == "svc-0000-00000002"
 
 
-def test_a_sweep_drops_only_what_no_cache_has() -> None:
+def test_remove_unused_removes_only_entries_and_addresses_that_no_cache_contains() -> None:
     shared = SharedEntries(ZONES, KINDS)
     cache = HollowEndpointCache(shared)
     cache.apply_list(EndpointList(1, True, (instance(1), instance(2))), 0.0)
@@ -108,7 +108,7 @@
     assert compare(cache.listed_entries(), other_zone).different == ("svc-0000-00000002",)
 
 
-def test_missing_and_left_over_entries_are_named() -> None:
+def test_the_difference_names_missing_and_unexpected_entries() -> None:
     difference = compare(expected(*entries(1, 2)), expected(*entries(2, 3)))
     assert difference == Difference(("svc-0000-00000003",), ("svc-0000-00000001",), ())
     assert difference.count() == 2
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -1,4 +1,4 @@
-"""Hollow proxies and collectors against a scripted planner: their messages, tables and counters."""
+"""Tests of the messages, tables and counters of hollow proxies and collectors with a scripted planner."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from stackwheel.wire.line_codec import decode
 from stackwheel.wire.messages import AckMessage, CollectorMessage, DemandMessage, JoinMessage, LoadMessage
 
-TEST_TIMEOUT = 60.0  # s
-STEP_TIMEOUT = 20.0  # s of one step of a test
+TEST_TIMEOUT_S = 60.0
+STEP_TIMEOUT_S = 20.0
 
 NAMES = ConfiguredNames(classes=("read", "write"), zones=("east",), columns=("outstanding",))
 SERVERS = ("s-0", "s-1")
 
 
 class ScriptedPlanner:
-    """Accepts streams one after another, and counts the bytes received and sent."""
+    """Accepts streams one after another and counts the bytes received and sent."""
 
     def __init__(self) -> None:
         self.streams: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
@@ -32,15 +32,15 @@
         self.streams.put_nowait((reader, writer))
 
     async def stream(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.wait_for(self.streams.get(), STEP_TIMEOUT)
+        return await asyncio.wait_for(self.streams.get(), STEP_TIMEOUT_S)
 
     async def receive(self, reader: asyncio.StreamReader) -> object:
-        data = await asyncio.wait_for(reader.readuntil(b"\r\n"), STEP_TIMEOUT)
+        data = await asyncio.wait_for(reader.readuntil(b"\r\n"), STEP_TIMEOUT_S)
         self.bytes_received += len(data)
         return decode(data.removesuffix(b"\r\n"), NAMES)
 
     async def receive_next(self, reader: asyncio.StreamReader, kind: type) -> object:
-        """The next message of a kind; those before it have to be demand reports or acknowledgements."""
+        """Return the next message of a kind and require that earlier ones are demand reports or acknowledgements."""
         while not isinstance(message := await self.receive(reader), kind):
             assert isinstance(message, DemandMessage | AckMessage), message
         return message
@@ -90,7 +90,7 @@
             assert traffic.bytes_in >= planner.bytes_received > 0
             assert proxy.state.updates == 1
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
 
 
 def test_an_invalid_update_resets_the_stream_and_the_proxy_rejoins_with_its_table() -> None:
@@ -105,10 +105,10 @@
             assert proxy.state.joins == 2
             assert proxy.forwarder.class_tables["read"].lines == {"s-0": 1.0}
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
 
 
-def test_a_nonce_of_an_earlier_stream_is_not_acknowledged_on_the_next() -> None:
+def test_a_nonce_of_an_earlier_stream_is_not_acknowledged_on_the_next_stream() -> None:
     async def work() -> None:
         async with joined(report_interval_ms=60_000.0) as (proxy, planner, traffic):
             _, writer = await planner.stream()
@@ -122,10 +122,10 @@
             proxy.acknowledge(6, 1.0, proxy.writer)
             assert await planner.receive(reader) == AckMessage(3, 6, 1.0)
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
 
 
-def test_a_collector_names_its_zone_and_reports_each_server_periodically() -> None:
+def test_a_collector_sends_its_zone_and_a_load_report_for_each_server() -> None:
     async def work() -> None:
         planner = ScriptedPlanner()
         traffic = Traffic()
@@ -144,4 +144,4 @@
             task.cancel()
             server.close()
 
-    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT))
+    asyncio.run(asyncio.wait_for(work(), TEST_TIMEOUT_S))
