--- a/stackwheel/scale/children.py
+++ b/stackwheel/scale/children.py
@@ -1,4 +1,4 @@
-"""The processes of a run: starts them with their control connections, and ends them, whatever happens."""
+"""Child processes of a run: starts them with their control connections, and ensures that they end with the run."""
 
 from __future__ import annotations
 
@@ -15,76 +15,100 @@
 
 from stackwheel.scale.control import MAX_MESSAGE_BYTES, Answer, ControlConnection, ControlError, Message, Stop
 
-END_TIMEOUT_S = 3.0  # s from the request to end until SIGKILL
+END_TIMEOUT_S = 3.0
 
 Answered = TypeVar("Answered", bound=Message)
 
 
 class Role(StrEnum):
-    """The roles that the report has figures of; the values are field names there."""
+    """Roles of processes; the values are names of fields of the report."""
 
     REGISTRY = "registry"
     RELAY = "relay"
     REAL_PLANNER = "real_planner"
-    FULL_LIST_PLANNER = "whole_list_planner"  # a real planner that follows the registry itself, beside relays
+    FULL_LIST_PLANNER = "whole_list_planner"  # A real planner that follows the registry directly in a run with relays.
     HOLLOW_PLANNER = "hollow_planner"
 
 
 @dataclass(slots=True)
 class Child:
-    """One process of a run."""
+    """One process of a run.
+
+    Attributes:
+        role: role for which its resource usage is reported.
+        name: name of the process and of its log file.
+        process: the process itself.
+        connection: control connection; None for the real program, which has none.
+        request_lock: ensures that only one request is pending at a time.
+        is_ending: whether the run has requested the end of the process.
+    """
 
     role: Role
     name: str
     process: asyncio.subprocess.Process
-    connection: ControlConnection[Answer] | None = None  # its control connection; real programs have none
-    request_lock: asyncio.Lock = field(default_factory=asyncio.Lock)  # one request at a time
-    is_ending: bool = False  # the run itself has ended it
+    connection: ControlConnection[Answer] | None = None
+    request_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
+    is_ending: bool = False
 
     @property
     def pid(self) -> int:
-        """The process's id."""
+        """Process id."""
         return self.process.pid
 
     async def notify_process(self, message: Message) -> None:
-        """Send a message that has no answer."""
+        """Send a message that is not answered."""
         assert self.connection is not None
         async with self.request_lock:
             await self.connection.send(message)
 
     async def request(self, message: Message, kind: type[Answered]) -> Answered:
-        """Send a message and receive its answer; ControlError if the process has ended or answers otherwise.
+        """Send a message and return its answer, which has to be of type `kind`.
+
+        The answer is also read if the caller is cancelled; otherwise it would be taken for that of the next request.
 
-        If the caller is cancelled, the answer is read all the same: it must not be taken for that of the next request.
+        Raises:
+            ControlError: the process has ended, or the answer is of another type.
         """
         return await asyncio.shield(self.send_and_receive(message, kind))
 
     async def send_and_receive(self, message: Message, kind: type[Answered]) -> Answered:
-        """Wait for earlier requests to be answered, then send this one and receive its answer."""
+        """Wait until earlier requests are answered, then send this one and return its answer."""
         assert self.connection is not None
         async with self.request_lock:
             await self.connection.send(message)
             return await self.receive_answer(kind)
 
     async def receive_answer(self, kind: type[Answered]) -> Answered:
-        """The next answer; ControlError if it is of another kind, or the process has ended."""
+        """Return the next answer, which has to be of type `kind`.
+
+        Raises:
+            ControlError: the process has ended, or the answer is of another type.
+        """
         assert self.connection is not None
         answer = await self.connection.receive()
         if not isinstance(answer, kind):
-            raise ControlError(f"{self.name} said {type(answer).__name__}, not {kind.__name__}; see its log")
+            raise ControlError(
+                f"process {self.name} answered {type(answer).__name__}, expected {kind.__name__}; see its log file"
+            )
         return answer
 
 
 class Children:
-    """Owns all processes of a run."""
+    """Owns all child processes of a run and limits their number.
+
+    Attributes:
+        log_folder: folder that contains a log file for each process.
+        max_processes: maximum number of processes that run at the same time.
+        running: processes that were started and that the run has not ended.
+    """
 
     def __init__(self, log_folder: Path, max_processes: int) -> None:
-        self.log_folder = log_folder  # the folder that has a log file for each process
-        self.max_processes = max_processes  # at a time
+        self.log_folder = log_folder
+        self.max_processes = max_processes
         self.running: list[Child] = []
 
     async def start_module(self, role: Role, name: str, module: str) -> Child:
-        """Start a module of this package as a process with a control connection."""
+        """Start a Python module as a process with a control connection."""
         child = await self.spawn(role, name, (sys.executable, "-m", module), {}, asyncio.subprocess.PIPE)
         assert child.process.stdout is not None
         assert child.process.stdin is not None
@@ -94,27 +118,27 @@
     async def start_program(
         self, role: Role, name: str, arguments: Sequence[str], environment: Mapping[str, str]
     ) -> Child:
-        """Start the real program, unchanged: `python -m stackwheel` with these arguments."""
+        """Start the real program, `python -m stackwheel`, with these arguments and without a control connection."""
         command = (sys.executable, "-m", "stackwheel", *arguments)
         return await self.spawn(role, name, command, environment, asyncio.subprocess.DEVNULL)
 
     async def spawn(
         self, role: Role, name: str, command: Sequence[str], environment: Mapping[str, str], standard_streams: int
     ) -> Child:
-        """Start a command under the launcher, so that the kernel ends it with this process.
+        """Start a command under `stackwheel.scale.launch`, so that the kernel ends it together with this process.
 
         Args:
-            role: whose figures it counts for.
-            name: of the process, and of its log file, which gets its standard error.
-            command: the program and its arguments.
-            environment: variables beside those of this process.
+            role: role for which its resource usage is reported.
+            name: name of the process and of its log file, to which its standard error is written.
+            command: program and arguments.
+            environment: variables in addition to those of this process.
             standard_streams: `asyncio.subprocess.PIPE` or `DEVNULL`, for standard input and output.
 
         Raises:
-            ControlError: as many processes are running as allowed.
+            ControlError: the maximum number of processes is already running.
         """
         if len(self.running) >= self.max_processes:
-            raise ControlError(f"over {self.max_processes} processes")
+            raise ControlError(f"cannot start process {name}: the maximum of {self.max_processes} processes is running")
         with (self.log_folder / f"{name}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -134,15 +158,15 @@
         return child
 
     def with_role(self, role: Role) -> list[Child]:
-        """The running processes of a role."""
+        """Return the running processes of a role."""
         return [child for child in self.running if child.role is role]
 
     def unexpectedly_ended(self) -> list[Child]:
-        """Processes that have ended, but not by the run."""
+        """Return the processes that have ended although the run has not requested it."""
         return [child for child in self.running if child.process.returncode is not None and not child.is_ending]
 
     async def end(self, child: Child) -> None:
-        """End one process: request it, and kill the process if it takes too long."""
+        """Request the end of one process, and kill it if it has not ended after `END_TIMEOUT_S`."""
         child.is_ending = True
         if child.process.returncode is None:
             if child.connection is not None:
@@ -159,7 +183,7 @@
             self.running.remove(child)
 
     async def kill(self, child: Child) -> None:
-        """End one process without warning, as a crash does."""
+        """Kill one process with SIGKILL to simulate a crash."""
         child.is_ending = True
         send_signal(child, signal.SIGKILL)
         await child.process.wait()
@@ -171,6 +195,6 @@
 
 
 def send_signal(child: Child, signal_number: int) -> None:
-    """Send a signal to a process that may have ended."""
+    """Send a signal to a process; do nothing if it has ended."""
     with contextlib.suppress(ProcessLookupError):
         os.kill(child.pid, signal_number)
--- a/stackwheel/scale/control.py
+++ b/stackwheel/scale/control.py
@@ -1,4 +1,4 @@
-"""The messages between a run and its processes: one JSON object a line, over standard input and output."""
+"""Control messages between a run and its processes: one JSON object per line over standard input and output."""
 
 from __future__ import annotations
 
@@ -12,69 +12,92 @@
 from stackwheel.errors import StackwheelError
 from stackwheel.scale.entries import Entry
 
-MAX_MESSAGE_BYTES = 512 << 20  # of one message: a list of 48,000 entries has 8 MB, propagation records 10 times that
+MAX_MESSAGE_BYTES = 512 << 20  # A list of 48,000 entries takes about 8 MB, propagation records about ten times as much.
 
 
 class ControlError(StackwheelError):
-    """A process of the run has ended, sent an unreadable message, or can't be started."""
+    """A process of the run ended, sent an invalid message, or cannot be started."""
 
 
 class Message(msgspec.Struct, frozen=True, tag=True):
-    """Any message on a control connection; its tag is the name of the class."""
+    """Base class of the messages on a control connection; the tag on the wire is the class name."""
 
 
 class Ready(Message, frozen=True):
-    """A process is ready; `address` is where it serves, if it does."""
+    """Sent when a process is ready.
+
+    Attributes:
+        address: HOST:PORT at which the process serves; "" if it does not serve.
+    """
 
     address: str = ""
 
 
 class Traffic(Message, frozen=True):
-    """Payload bytes and messages so far, of all connections of a process together."""
+    """Payload counters of a process since its start, summed over all connections.
+
+    Attributes:
+        bytes_in: received bytes, including datagrams.
+        bytes_out: sent bytes, including datagrams.
+        peer_bytes_in: received bytes in datagrams of peers.
+        peer_bytes_out: sent bytes in datagrams to peers.
+        datagrams_in: received datagrams.
+        datagrams_out: sent datagrams.
+        datagrams_computed: datagrams that real planners would send, whether or not they were sent.
+        failures: failed calls and watches.
+    """
 
     bytes_in: int = 0
     bytes_out: int = 0
-    peer_bytes_in: int = 0  # of these, in datagrams
+    peer_bytes_in: int = 0
     peer_bytes_out: int = 0
     datagrams_in: int = 0
     datagrams_out: int = 0
-    datagrams_computed: int = 0  # that the planners would send by their formula, whether they were sent or not
-    failures: int = 0  # calls and watches that failed
+    datagrams_computed: int = 0
+    failures: int = 0
 
 
 class GetTraffic(Message, frozen=True):
-    """To any process: the traffic so far; answered with `Traffic`."""
+    """Request to any process for its traffic counters; answered with `Traffic`."""
 
 
 class Load(Message, frozen=True):
-    """To the registry: list these entries and begin to serve at `host`; answered with `Ready`."""
+    """Request to the registry to start serving a list at `host`; answered with `Ready`."""
 
     host: str
     entries: list[Entry]
 
 
 class Apply(Message, frozen=True):
-    """To the registry: change these entries as one generation."""
+    """Request to the registry to apply changed entries as one generation; not answered."""
 
     entries: list[Entry]
 
 
 class GetFullList(Message, frozen=True):
-    """To the registry: its list and its changes; answered with `FullList`."""
+    """Request to the registry for its list and its changes; answered with `FullList`."""
 
 
 class MadeChange(msgspec.Struct, frozen=True):
-    """One change made at the registry."""
+    """One change made at the registry.
+
+    Attributes:
+        name: name of the server.
+        lifecycle: new lifecycle of the server.
+        started_at_ms: start of the server's process, Unix ms.
+        generation: generation of the list that contains the change.
+        made_at: time of the change on the monotonic clock, which all processes of the machine share, s.
+    """
 
-    name: str  # of the server
+    name: str
     lifecycle: str
-    started_at_ms: int  # Unix ms
+    started_at_ms: int
     generation: int
-    made_at: float  # s on the monotonic clock, which all processes of a machine share
+    made_at: float
 
 
 class FullList(Message, frozen=True):
-    """All entries of the registry, and the changes made so far in their order."""
+    """All entries of the registry and the changes made so far, in order."""
 
     generation: int
     entries: list[Entry]
@@ -82,105 +105,152 @@
 
 
 class HollowPlanner(msgspec.Struct, frozen=True):
-    """One hollow planner of a process: what it follows, and its peers."""
+    """Settings of one hollow planner.
+
+    Attributes:
+        number: index of the planner in the fleet.
+        cell: name of the planner's cell; "" if it follows the full list.
+        discovery: address of discovery, or the addresses of several replicas separated by commas.
+        seed: seed of the planner's random numbers.
+        listen: address for datagrams to this planner.
+        peers: addresses for datagrams to the other hollow planners of the cell.
+    """
 
     number: int
-    cell: str  # "" for the full list
-    discovery: str  # one address, or those of several replicas separated by commas
+    cell: str
+    discovery: str
     seed: int
-    listen: str = ""  # its own datagram address
-    peers: tuple[str, ...] = ()  # datagram addresses of the other hollow planners of its cell
+    listen: str = ""
+    peers: tuple[str, ...] = ()
 
 
 class Follow(Message, frozen=True):
-    """To a hollow process: follow the list with these planners; answered with `Ready` once all have begun."""
+    """Request to a hollow process to start these planners; answered with `Ready` once all of them have started."""
 
     zones: list[str]
     planners: list[HollowPlanner]
 
 
 class CountPlannersWithList(Message, frozen=True):
-    """To a hollow process: how many of its planners have a list; answered with `PlannersWithList`."""
+    """Request to a hollow process for the number of its planners with a list; answered with `PlannersWithList`."""
 
 
 class PlannersWithList(Message, frozen=True):
-    """How many planners of a process have received a list."""
+    """Number of planners of a process that have received a list."""
 
     planners: int
 
 
 class Record(Message, frozen=True):
-    """To a hollow process: from now on, record when each entry comes into force at each planner."""
+    """Request to a hollow process to start recording when each entry comes into force at each planner; not answered."""
 
 
 class Restart(Message, frozen=True):
-    """To a hollow process: restart these planners, with new connections and without a list."""
+    """Request to a hollow process to restart planners with new connections and empty caches; not answered."""
 
     planners: list[int]
 
 
 class DropEntry(Message, frozen=True):
-    """To a hollow process: drop one entry of this planner, to prove that the comparison notices it."""
+    """Request to a hollow process to drop one entry of a planner, which the comparison must detect; not answered."""
 
     planner: int
 
 
 class Compare(Message, frozen=True):
-    """To a hollow process: compare each planner's entries with those listed for its cell; answered with `Compared`."""
+    """Request to a hollow process to compare its planners' entries with the list; answered with `Compared`.
+
+    Attributes:
+        generation: generation of the list.
+        cells: listed entries of each cell.
+    """
 
     generation: int
     cells: dict[str, list[Entry]]
 
 
 class WrongPlanner(msgspec.Struct, frozen=True):
-    """A planner that does not have the entries that it should have."""
+    """A planner whose entries differ from the list.
+
+    Attributes:
+        planner: number of the planner.
+        wrong: number of wrong or missing entries.
+        example: description of one of these entries.
+    """
 
     planner: int
-    wrong: int  # entries, missing ones included
-    example: str  # one of them in words
+    wrong: int
+    example: str
 
 
 class Compared(Message, frozen=True):
-    """The result of a comparison at one process."""
+    """Result of a comparison in one process.
+
+    Attributes:
+        entries: number of compared entries.
+        right: number of planners without a difference.
+        wrong: planners with a difference.
+        digests: distinct digests of the planners' entries, by cell.
+    """
 
-    entries: int  # that were compared
-    right: int  # planners
+    entries: int
+    right: int
     wrong: list[WrongPlanner]
-    digests: dict[str, list[str]]  # of each cell, the different digests of its planners' entries
+    digests: dict[str, list[str]]
 
 
 class GetRecords(Message, frozen=True):
-    """To a hollow process: all that was recorded; answered with `Records`."""
+    """Request to a hollow process for everything it has recorded; answered with `Records`."""
 
 
 class EntryRecord(msgspec.Struct, frozen=True, array_like=True):
-    """At which planners an entry came into force, and when."""
+    """The planners at which an entry came into force, with the times.
 
-    name: str  # of the server
+    Attributes:
+        name: name of the server.
+        availability: value of `Availability`.
+        started: start of the server's process, Unix ms.
+        planners: numbers of the planners.
+        times: monotonic time for each element of `planners`, s.
+    """
+
+    name: str
     availability: int
-    started: float  # Unix ms
-    planners: list[int]  # numbers
-    times: list[float]  # s on the monotonic clock, one for each of `planners`
+    started: float
+    planners: list[int]
+    times: list[float]
 
 
 class RestartRecord(msgspec.Struct, frozen=True, array_like=True):
-    """When a planner ended in order to restart, and when it had a list again."""
+    """One restart of a planner.
+
+    Attributes:
+        planner: number of the planner.
+        ended: monotonic time at which the earlier incarnation ended, s.
+        ready_at: monotonic time at which the new incarnation received its first list, s.
+    """
 
     planner: int
-    ended: float  # s on the monotonic clock
-    ready_at: float  # s on the monotonic clock
+    ended: float
+    ready_at: float
 
 
 class Records(Message, frozen=True):
-    """All that a hollow process has recorded."""
+    """Everything that a hollow process has recorded.
+
+    Attributes:
+        entries: records of entries that came into force.
+        restarts: restarts of planners.
+        dropped: number of records above the limit, which were not stored.
+    """
 
     entries: list[EntryRecord]
     restarts: list[RestartRecord]
-    dropped: int = 0  # records over the bound, which were not stored
+    dropped: int = 0
 
 
 class Stop(Message, frozen=True):
-    """To any process: end; the end of its standard input has the same effect."""
+    """Request to any process to end; closing its standard input has the same effect."""
 
 
 Request = (
@@ -203,7 +273,7 @@
 
 
 class ControlConnection(Generic[Received]):
-    """One end of a control connection; `Received` is the union of the messages that come in."""
+    """One end of a control connection; `Received` is the union of the message types that it receives."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, kind: object) -> None:
         self.reader = reader
@@ -212,29 +282,37 @@
         self.encoder = msgspec.json.Encoder()
 
     async def receive(self) -> Received | None:
-        """The next message, or None at the end of the connection; ControlError if it can't be read."""
+        """Return the next message, or None at the end of the connection.
+
+        Raises:
+            ControlError: the connection failed, or the message is invalid.
+        """
         try:
             line = await self.reader.readline()
         except (ValueError, ConnectionError) as error:
-            raise ControlError(f"control connection: {error}") from error
+            raise ControlError(f"receiving from the control connection failed: {error}") from error
         if not line.endswith(b"\n"):
             return None
         try:
             return self.decoder.decode(line)
         except msgspec.DecodeError as error:
-            raise ControlError(f"control message: {error}") from error
+            raise ControlError(f"invalid message on the control connection: {error}") from error
 
     async def send(self, message: Message) -> None:
-        """Write one message; ControlError if the other end is closed."""
+        """Write one message.
+
+        Raises:
+            ControlError: the other end is closed.
+        """
         try:
             self.writer.write(self.encoder.encode(message) + b"\n")
             await self.writer.drain()
         except ConnectionError as error:
-            raise ControlError(f"control connection: {error}") from error
+            raise ControlError(f"sending on the control connection failed: {error}") from error
 
 
 async def connect_standard_streams() -> ControlConnection[Request]:
-    """A child process's end of its control connection, on standard input and output."""
+    """Open the child process's end of the control connection on standard input and output."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_MESSAGE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin.buffer)
--- a/stackwheel/scale/processes.py
+++ b/stackwheel/scale/processes.py
@@ -1,4 +1,4 @@
-"""The processes of one run: starts the registry, the relays and all planners, sends them requests, and ends them."""
+"""Starts the processes of one run (registry, relays and planners), sends them requests and ends them."""
 
 from __future__ import annotations
 
@@ -41,16 +41,18 @@
 from stackwheel.scale.sampling import ByteCounts
 from stackwheel.scale.scenarios import largest_group
 
-READY_POLL_INTERVAL_S = 0.5  # s between two counts of the hollow planners that have a list
-MAX_CONCURRENT_REAL_STARTS = 4  # real planners that start together: each takes a core for a moment
-PLANNER_SEED_FACTOR = 1_000_003  # of the run's seed: a prime above the number of planners, so that no two seeds meet
-MAX_LOG_LINE_CHARACTERS = 200  # characters of a process's last log line that an error shows
+READY_POLL_INTERVAL_S = 0.5
+MAX_CONCURRENT_REAL_STARTS = 4  # Each start of a real planner occupies a core.
+PLANNER_SEED_FACTOR = (
+    1_000_003  # A prime above the number of planners, so that the planners of all runs differ in seed.
+)
+MAX_LOG_LINE_CHARACTERS = 200
 
 Answered = TypeVar("Answered", bound=Message)
 
 
 class RunProcesses:
-    """Owns every process of a run, and what they are started from: the fleet, the layout and the addresses."""
+    """Owns all processes of a run together with the fleet, the layout and the addresses that they use."""
 
     def __init__(self, arguments: Arguments, folder: Path, progress: Progress) -> None:
         self.arguments = arguments
@@ -70,17 +72,19 @@
         self.layout = relay_layout(self.fleet, self.plan) if self.plan else full_list_layout(self.fleet, "")
         self.registry: Child
         self.registry_address = ""
-        self.hollow_process_by_number: dict[
-            int, Child
-        ] = {}  # the process of each hollow planner, by the planner's number
-        self.real_planner_by_number: dict[int, RealPlanner] = {}  # by the planner's number
+        self.hollow_process_by_number: dict[int, Child] = {}
+        self.real_planner_by_number: dict[int, RealPlanner] = {}
 
     def design_cells(self, network: LoopbackNetwork) -> Plan:
-        """The plan of cells for this run's fleet and relays."""
+        """Design the cell plan for this run's fleet and relays."""
         return design_plan(self.fleet, [network.host(number) for number in range(self.arguments.relays)])
 
     def estimate(self) -> ResourceEstimate:
-        """What this run is expected to take; ScaleError where the machine can't provide that."""
+        """Return the resources that this run is expected to need.
+
+        Raises:
+            ScaleError: the machine cannot provide them.
+        """
         entry_counts = self.layout.entries_per_planner(self.fleet)
         arguments = self.arguments
         real_entries = sum(entry_counts[number] for number in self.real_numbers)
@@ -97,8 +101,8 @@
         )
 
     async def start_registry(self) -> None:
-        """Start the registry stand-in, and the relays behind it if the run has any."""
-        self.progress(f"registry with {self.arguments.servers} servers")
+        """Start the registry stand-in, and the relays that follow it if the run has any."""
+        self.progress(f"starting the registry with {self.arguments.servers} servers")
         self.registry = await self.children.start_module(Role.REGISTRY, "registry", "stackwheel.scale.registry")
         entries = [Entry(server.name, server.address, server.zone) for server in self.fleet.servers]
         ready = await self.registry.request(Load(HOST, entries), Ready)
@@ -106,29 +110,31 @@
         if self.plan is None:
             self.layout = full_list_layout(self.fleet, self.registry_address)
         else:
-            self.progress(f"{len(self.plan.relays)} relays, {len(self.plan.cells)} cells")
+            self.progress(f"starting {len(self.plan.relays)} relays for {len(self.plan.cells)} cells")
             await start_relays(self.children, self.folder, self.plan, self.registry_address)
             self.check_processes()
 
     async def start_planners(self) -> float:
-        """Start all planners, hollow and real; seconds until every one of them has a list."""
+        """Start all planners and return the time in s until real ones are ready and hollow ones have a list."""
         began = time.monotonic()
         await asyncio.gather(self.start_hollow_planners(), self.start_real_planners())
         while (planners_with_list := await self.count_planners_with_list()) < len(self.hollow_process_by_number):
-            self.progress(f"{planners_with_list} of {len(self.hollow_process_by_number)} hollow planners hold a list")
+            self.progress(
+                f"{planners_with_list} of {len(self.hollow_process_by_number)} hollow planners have received a list"
+            )
             self.check_processes()
             await asyncio.sleep(READY_POLL_INTERVAL_S)
         return time.monotonic() - began
 
     async def start_hollow_planners(self) -> None:
-        """Start all hollow planners in as few processes as their number allows."""
+        """Start all hollow planners in as few processes as the limit of planners per process permits."""
         hollow = [placed for placed in self.layout.placed if placed.number not in self.real_numbers]
         groups = assign_to_processes(hollow, bounds.hollow_processes(len(hollow)))
-        self.progress(f"{len(hollow)} hollow planners in {len(groups)} processes")
+        self.progress(f"starting {len(hollow)} hollow planners in {len(groups)} processes")
         await asyncio.gather(*(self.start_hollow_process(index, group) for index, group in enumerate(groups)))
 
     async def start_hollow_process(self, index: int, numbers: list[int]) -> None:
-        """Start one process of hollow planners and have them follow the list."""
+        """Start one process of hollow planners and request that they follow the list."""
         child = await self.children.start_module(Role.HOLLOW_PLANNER, f"hollow-{index}", "stackwheel.scale.hollow")
         await child.receive_answer(Ready)
         self.hollow_process_by_number.update(dict.fromkeys(numbers, child))
@@ -137,9 +143,9 @@
         await child.request(Follow(sorted(self.fleet.regions), planners), Ready)
 
     def hollow_planner(self, placed: PlacedPlanner, by_cell: dict[str, list[int]]) -> HollowPlanner:
-        """The record that starts one hollow planner.
+        """Return the record from which a process starts one hollow planner.
 
-        The real planners of its cell are not among its peers: they neither send nor get datagrams.
+        Its peers are the other hollow planners of its cell. Real planners exchange no datagrams in a run.
         """
         others = [n for n in by_cell[placed.cell] if n != placed.number and n not in self.real_numbers]
         peers = tuple(peer_address(number, self.peer_port) for number in others) if placed.cell else ()
@@ -153,7 +159,7 @@
         )
 
     async def start_real_planners(self) -> None:
-        """Start the real planners, a few at a time."""
+        """Start the real planners, at most `MAX_CONCURRENT_REAL_STARTS` at a time."""
         limit = asyncio.Semaphore(MAX_CONCURRENT_REAL_STARTS)
         full_list_planners = range(self.arguments.full_list_planners)
         await asyncio.gather(
@@ -162,7 +168,7 @@
         )
 
     async def start_cell_planner(self, number: int, limit: asyncio.Semaphore) -> None:
-        """Start one real planner of the fleet, which follows the list of its cell."""
+        """Start one real planner of the fleet, which follows the endpoint list of its cell."""
         async with limit:
             planner = RealPlanner(
                 self.layout.placed[number], f"{HOST}:{free_port()}", self.known_servers, self.arguments.seed + number
@@ -170,7 +176,7 @@
             await self.prepare_and_start(number, planner)
 
     async def start_full_list_planner(self, index: int, limit: asyncio.Semaphore) -> None:
-        """Start one more real planner, which follows the registry itself as all do without relays."""
+        """Start one additional real planner, which follows the registry directly instead of a relay."""
         async with limit:
             number = len(self.fleet.planners) + index
             drawn = replace(self.fleet.planners[index % len(self.fleet.planners)], name=f"planner-whole-{index}")
@@ -181,26 +187,26 @@
             )
 
     async def prepare_and_start(self, number: int, planner: RealPlanner) -> None:
-        """Write a real planner's configuration, then start it and wait until it is ready."""
+        """Write a real planner's configuration, start the planner and wait until it is ready."""
         self.real_planner_by_number[number] = planner
         await planner.prepare(self.folder, HOST, sorted(self.fleet.regions))
         await planner.start(self.children, self.folder)
 
     def hollow_processes(self) -> list[Child]:
-        """The processes of hollow planners, each once."""
+        """Return all processes of hollow planners."""
         return self.children.with_role(Role.HOLLOW_PLANNER)
 
     async def count_planners_with_list(self) -> int:
-        """How many hollow planners have a list."""
+        """Return the number of hollow planners that have received a list."""
         answers = await self.request_hollow_processes(CountPlannersWithList(), PlannersWithList)
         return sum(answer.planners for answer in answers)
 
     async def request_hollow_processes(self, message: Message, kind: type[Answered]) -> list[Answered]:
-        """Send the same request to all hollow processes, and wait for their answers."""
+        """Send the same request to all processes of hollow planners and return their answers."""
         return await asyncio.gather(*(child.request(message, kind) for child in self.hollow_processes()))
 
     def real_planner_bytes(self, role: Role) -> ByteCounts:
-        """Bytes between discovery and the real planners of a role so far, all of them together."""
+        """Return the bytes so far between discovery and the real planners of a role, summed over the planners."""
         planners = [planner for planner in self.real_planner_by_number.values() if planner.role is role]
         return ByteCounts(
             received=sum(planner.bytes_in() for planner in planners),
@@ -208,14 +214,19 @@
         )
 
     def check_processes(self) -> None:
-        """Raise ControlError if a process has ended that the run has not ended itself."""
+        """Check that no process has ended unexpectedly.
+
+        Raises:
+            ControlError: a process has ended that the run has not ended itself.
+        """
         for child in self.children.unexpectedly_ended():
             raise ControlError(
-                f"{child.name} ended with {child.process.returncode}: {last_log_line(self.folder, child)}"
+                f"process {child.name} ended unexpectedly with exit code {child.process.returncode}, last log line: "
+                f"{last_log_line(self.folder, child)}"
             )
 
     async def end_all(self) -> None:
-        """End every process, and release the addresses and the port."""
+        """End all processes and release the reserved addresses and the reserved port."""
         for planner in self.real_planner_by_number.values():
             planner.close()
         await self.children.end_all()
@@ -225,13 +236,13 @@
 
 
 def fleet_shape(arguments: Arguments) -> FleetShape:
-    """What the fleet is drawn from; real planners are among the drawn ones."""
+    """Return the size and seed from which the fleet is generated; its planners include the real ones."""
     return FleetShape(arguments.servers, arguments.zones, arguments.planners + arguments.real_planners, arguments.seed)
 
 
 def last_log_line(folder: Path, child: Child) -> str:
-    """The last line of a process's log, which usually says why it has ended."""
+    """Return the last line of a process's log, which usually states why the process ended."""
     with contextlib.suppress(OSError):
         lines = (folder / f"{child.name}.log").read_text(errors="replace").strip().splitlines()
-        return lines[-1][:MAX_LOG_LINE_CHARACTERS] if lines else "it logged nothing"
-    return "no log"
+        return lines[-1][:MAX_LOG_LINE_CHARACTERS] if lines else "(the log is empty)"
+    return "(no log file)"
--- a/stackwheel/scale/run.py
+++ b/stackwheel/scale/run.py
@@ -1,4 +1,4 @@
-"""One run: starts its processes, plays the scenario, compares all planners with the registry, and reports."""
+"""One run: starts its processes, executes the scenario, compares all planners with the registry, and reports."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 from stackwheel.scale.scenarios import PlannerRestart, Scenario, Schedule, ServerChange, draw_schedule
 from stackwheel.scale.summary import RunMeasurements, make_report
 
-START_TIMEOUT_S = 180.0  # s until all planners have a list; 15,000 on a busy machine take a good part of it
-SETTLE_TIMEOUT_S = 7.0  # s: by the protocol a change counts as delivered after 6 s
-SETTLE_POLL_INTERVAL_S = 0.5  # s between two comparisons
-SAMPLE_INTERVAL_S = 1.0  # s between two readings of processes and traffic
-REPORT_TIMEOUT_S = 120.0  # s for the records, and for the comparison, of 15,000 planners
-FAULT_TIME_SHARE = 0.4  # of the duration
+START_TIMEOUT_S = 180.0
+SETTLE_TIMEOUT_S = 7.0  # Above the 6 s within which the protocol delivers a change.
+SETTLE_POLL_INTERVAL_S = 0.5
+SAMPLE_INTERVAL_S = 1.0
+REPORT_TIMEOUT_S = 120.0  # For collecting the records, and again for the comparison, of all planners.
+FAULT_TIME_SHARE = 0.4  # Share of the run's duration after which the fault is injected.
 
 
 class Run:
-    """One run from its arguments to its report."""
+    """One run of a load experiment."""
 
     def __init__(self, arguments: Arguments, folder: Path, progress: Progress) -> None:
         self.arguments = arguments
@@ -52,7 +52,7 @@
         self.measurements: RunMeasurements
 
     async def run(self) -> Report:
-        """From the first process to the report; every process has ended when it returns or fails."""
+        """Execute the run and return its report; all processes have ended when it returns or raises."""
         processes = self.processes
         try:
             self.measurements = RunMeasurements(
@@ -68,20 +68,20 @@
             await processes.end_all()
 
     async def run_stages(self) -> Report:
-        """Start, play the scenario, settle and report, one after another."""
+        """Start the processes, execute the scenario, wait until planners are up to date, and make the report."""
         async with asyncio.timeout(START_TIMEOUT_S):
             await self.processes.start_registry()
             self.measurements.layout = self.processes.layout
             self.measurements.startup_s = await self.processes.start_planners()
-        await self.play_scenario()
+        await self.execute_scenario()
         settling_since = time.monotonic()
         await self.drop_requested_entry()
         comparison = await self.settle()
         self.measurements.settling_s = time.monotonic() - settling_since
         return await self.report(comparison)
 
-    async def play_scenario(self) -> None:
-        """The measured part of the run: changes, restarts, the fault and the readings, each at its time."""
+    async def execute_scenario(self) -> None:
+        """Execute the measured part of the run: scheduled changes, restarts, the fault, and samples."""
         for child in self.processes.hollow_processes():
             await child.notify_process(Record())
         await self.sample()
@@ -101,26 +101,26 @@
         self.measurements.measured_duration_s = time.monotonic() - began
 
     async def wait_until_end(self, began: float, duration: float) -> None:
-        """Wait until the run has lasted that long; a process that ends meanwhile ends the run."""
+        """Wait until `duration` seconds after `began`; raise an error if a process ends unexpectedly before."""
         while (remaining := began + duration - time.monotonic()) > 0:
             await asyncio.sleep(min(remaining, SAMPLE_INTERVAL_S))
             self.processes.check_processes()
             self.progress(f"{min(duration, time.monotonic() - began):.0f} of {duration:.0f} s")
 
     async def apply_changes(self, began: float) -> None:
-        """Apply the schedule's changes to the registry, each batch at its time."""
+        """Send the scheduled changes to the registry, each batch at its time."""
         for batch in self.schedule.batches():
             await sleep_until(began + batch.at)
             await self.processes.registry.notify_process(Apply([entry_after(change) for change in batch.changes]))
 
     async def restart_scheduled_planners(self, began: float) -> None:
-        """Restart planners as the schedule says, each group at its time."""
+        """Restart the scheduled groups of planners, each at its time."""
         for restart in self.schedule.restarts:
             await sleep_until(began + restart.at)
             await self.restart_planners(restart)
 
     async def restart_planners(self, restart: PlannerRestart) -> None:
-        """Restart a group of planners, hollow and real."""
+        """Restart the hollow and real planners of a group."""
         processes = self.processes
         hollow_numbers = [number for number in restart.planners if number in processes.hollow_process_by_number]
         for child in processes.hollow_processes():
@@ -137,21 +137,21 @@
         await asyncio.gather(*(planner.restart(processes.children, processes.folder) for planner in real_planners))
 
     async def inject_fault(self, began: float) -> None:
-        """Kill a relay if the arguments say so; the planners of its cells go on with their other relay."""
+        """Kill a relay if the arguments request it; the planners of its cells continue with their other relay."""
         if self.arguments.fault:
             await sleep_until(began + FAULT_TIME_SHARE * self.arguments.duration)
             victim = self.processes.children.with_role(Role.RELAY)[0]
-            self.progress(f"{victim.name} is killed")
+            self.progress(f"killing {victim.name}")
             await self.processes.children.kill(victim)
 
     async def sample_periodically(self) -> None:
-        """Take a reading every `SAMPLE_INTERVAL_S` seconds until cancelled."""
+        """Take a sample every `SAMPLE_INTERVAL_S` seconds until cancelled."""
         while True:
             await asyncio.sleep(SAMPLE_INTERVAL_S)
             await self.sample()
 
     async def sample(self) -> None:
-        """Read what each process takes, and the traffic counted so far."""
+        """Read the resource usage and the traffic counters of all processes."""
         self.measurements.sampler.read_processes(list(self.processes.children.running))
         registry = await self.processes.registry.request(GetTraffic(), Traffic)
         hollow = await self.processes.request_hollow_processes(GetTraffic(), Traffic)
@@ -166,13 +166,13 @@
         self.measurements.sampler.add_traffic(reading)
 
     async def drop_requested_entry(self) -> None:
-        """Drop an entry at one hollow planner if the arguments say so, so that the comparison has to fail."""
+        """Drop an entry at one hollow planner if the arguments request it, so that the comparison has to fail."""
         if self.arguments.plant:
             number = min(self.processes.hollow_process_by_number)
             await self.processes.hollow_process_by_number[number].notify_process(DropEntry(number))
 
     async def settle(self) -> ListComparison:
-        """Compare until every planner is right, or the last change must have been delivered."""
+        """Compare repeatedly until no entry is wrong or `SETTLE_TIMEOUT_S` has passed; return the last comparison."""
         began = time.monotonic()
         processes = self.processes
         async with asyncio.timeout(REPORT_TIMEOUT_S):
@@ -186,38 +186,42 @@
                 )
                 if comparison.wrong_entry_count == 0 or requested_at > began + SETTLE_TIMEOUT_S:
                     return comparison
-                self.progress(f"{comparison.wrong_entry_count} entries wrong, settling")
+                self.progress(f"{comparison.wrong_entry_count} entries differ from the list, comparing again")
                 await asyncio.sleep(SETTLE_POLL_INTERVAL_S)
 
     async def report(self, comparison: ListComparison) -> Report:
-        """Collect the records of the hollow planners, and make the report."""
-        self.progress("records")
+        """Collect the records of the hollow planners and make the report."""
+        self.progress("collecting the records of hollow planners")
         async with asyncio.timeout(REPORT_TIMEOUT_S):
             self.measurements.records = await self.processes.request_hollow_processes(GetRecords(), Records)
         return await asyncio.to_thread(make_report, self.measurements, comparison)
 
 
 async def sleep_until(at: float) -> None:
-    """Sleep until a time of the monotonic clock, in seconds; give way once where it has passed."""
+    """Sleep until a monotonic time in s; yield to the event loop once if it has already passed."""
     await asyncio.sleep(max(0.0, at - time.monotonic()))
 
 
 def first_error(errors: ExceptionGroup[ControlError]) -> ControlError:
-    """The first error of a group: the others follow from it."""
+    """Return the first error of a group; the other errors are its consequences."""
     first = errors.exceptions[0]
     return first_error(first) if isinstance(first, ExceptionGroup) else first
 
 
 def entry_after(change: ServerChange) -> Entry:
-    """A change as the registry lists it. A server that returns is a process that has just started."""
+    """Return the server's entry in the list after a change."""
     return Entry(change.server.name, change.server.address, change.server.zone, change.lifecycle, change.started_at_ms)
 
 
 async def run_scale(arguments: Arguments, progress: Progress = lambda _text: None) -> Report:
-    """Make a run.
+    """Execute one run in a temporary folder and return its report.
+
+    Args:
+        arguments: arguments of the run.
+        progress: called with a short description of each step.
 
     Raises:
-        ScaleError: the machine can't provide what the run needs.
+        ScaleError: the machine cannot provide the resources that the run needs.
         ControlError: a process of the run failed.
         TimeoutError: the run did not end in time.
     """
--- a/tests/scale/test_children.py
+++ b/tests/scale/test_children.py
@@ -1,4 +1,4 @@
-"""The control connections of a run's processes."""
+"""Tests of a run's child processes and their control connections."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RecordingWriter:
-    """A stream's writer that records what is written."""
+    """Stream writer that records the written lines."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
@@ -47,7 +47,7 @@
     return msgspec.json.encode(message) + b"\n"
 
 
-def test_the_answer_of_a_cancelled_request_is_not_taken_for_the_next_one() -> None:
+def test_the_answer_to_a_cancelled_request_is_not_returned_for_the_next_request() -> None:
     async def work() -> None:
         reader = asyncio.StreamReader()
         writer = RecordingWriter()
@@ -65,30 +65,30 @@
     asyncio.run(asyncio.wait_for(work(), 10))
 
 
-def test_an_unexpected_answer_or_end_is_an_error_with_the_name_of_the_process() -> None:
+def test_an_unexpected_answer_or_end_raises_an_error_that_names_the_process() -> None:
     async def work() -> None:
         reader = asyncio.StreamReader()
         child = child_of(reader, RecordingWriter())
         reader.feed_data(encoded(PlannersWithList(1)))
-        with pytest.raises(ControlError, match="registry said PlannersWithList, not Traffic"):
+        with pytest.raises(ControlError, match="registry answered PlannersWithList, expected Traffic"):
             await child.request(GetTraffic(), Traffic)
         reader.feed_data(b"{]\n")
-        with pytest.raises(ControlError, match="control message"):
+        with pytest.raises(ControlError, match="invalid message on the control connection"):
             await child.request(GetTraffic(), Traffic)
         reader.feed_eof()
-        with pytest.raises(ControlError, match="registry said NoneType"):
+        with pytest.raises(ControlError, match="registry answered NoneType"):
             await child.request(GetTraffic(), Traffic)
 
     asyncio.run(asyncio.wait_for(work(), 10))
 
 
-def test_more_processes_than_allowed_are_rejected_and_all_end(tmp_path: Path) -> None:
+def test_a_process_above_the_maximum_is_rejected_and_all_processes_end(tmp_path: Path) -> None:
     async def work() -> None:
         children = Children(tmp_path, 1)
         registry = await children.start_module(Role.REGISTRY, "registry", "stackwheel.scale.registry")
         try:
             assert (await registry.request(Load("127.0.0.1", []), Ready)).address
-            with pytest.raises(ControlError, match="over 1 processes"):
+            with pytest.raises(ControlError, match="the maximum of 1 processes is running"):
                 await children.start_module(Role.REGISTRY, "another", "stackwheel.scale.registry")
         finally:
             await children.end_all()
--- a/tests/scale/test_run.py
+++ b/tests/scale/test_run.py
@@ -1,4 +1,4 @@
-"""Small runs on the command line: correct ones pass, a dropped entry fails, no process remains."""
+"""Tests of small runs on the command line: their results, exit codes and the end of their processes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     )
 
 
-def test_a_small_run_ends_with_every_planner_right() -> None:
+def test_after_a_small_run_all_planners_agree_with_the_list() -> None:
     run = call("--scenario", "churn", *SMALL, "--real-planners", "1", "--json")
     (line,) = run.stdout.splitlines()
     report = json.loads(line)
@@ -54,7 +54,7 @@
     assert report["bounds"]["processes_seen"] == 4
 
 
-def test_a_restart_ends_right_and_prints_a_table() -> None:
+def test_after_a_restart_all_planners_agree_with_the_list_and_a_table_is_printed() -> None:
     run = call("--scenario", "restart", *SMALL, "--zones", "2", "--real-planners", "1")
     report = json.loads(run.stdout.splitlines()[-1])
     assert run.returncode == 0
@@ -68,7 +68,7 @@
 WITH_RELAYS = ("--relays", "2", "--real-planners", "1", "--whole-list-planners", "1", "--fault", "kill-relay")
 
 
-def test_planners_behind_relays_end_right_though_a_relay_is_killed() -> None:
+def test_planners_behind_relays_agree_with_the_list_after_a_relay_is_killed() -> None:
     run = call("--scenario", "churn", *SMALL, *WITH_RELAYS, "--json")
     report = json.loads(run.stdout.splitlines()[-1])
     assert run.returncode == 0, run.stderr
@@ -81,12 +81,12 @@
     assert report["relay"]["core"] > 0
     assert report["relay"]["bytes_out_per_s"] > 0
     assert report["whole_list_planner"]["bytes_in_per_s"] > report["real_planner"]["bytes_in_per_s"] > 0
-    assert report["failures"] > 0  # watches at the relay that was killed
+    assert report["failures"] > 0  # Watches at the killed relay.
     assert report["datagrams"]["computed_per_s"] > 0
     assert report["datagrams"]["sent_per_s"] > 0
 
 
-def test_a_dropped_entry_fails_the_run() -> None:
+def test_a_run_with_a_dropped_entry_ends_with_exit_code_one() -> None:
     run = call("--scenario", "zone-loss", *SMALL, "--zones", "2", "--plant", "drop-entry", "--json")
     report = json.loads(run.stdout.splitlines()[-1])
     assert run.returncode == 1
@@ -115,7 +115,7 @@
         ((), "--scenario"),
     ],
 )
-def test_bad_arguments_give_one_line_and_exit_code_two(arguments: tuple[str, ...], reason: str) -> None:
+def test_invalid_arguments_end_with_exit_code_two_and_an_error_message(arguments: tuple[str, ...], reason: str) -> None:
     run = call(*arguments)
     assert run.returncode == 2
     assert run.stdout == ""
@@ -124,7 +124,7 @@
 
 
 def children_of(parent: int) -> set[int]:
-    """The processes that a process has started."""
+    """Return the ids of the child processes of a process."""
     children = set()
     for path in Path("/proc").glob("[0-9]*/stat"):
         try:
@@ -137,7 +137,7 @@
 
 
 def is_running(process: int) -> bool:
-    """Whether a process exists and is not a zombie."""
+    """Return whether a process exists and is not a zombie."""
     try:
         return Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
@@ -145,7 +145,7 @@
 
 
 class StartedRun(NamedTuple):
-    """A run, its processes, and when all of them have to have ended (monotonic clock, s)."""
+    """A run, its child processes, and the monotonic time in s by which all of them have to have ended."""
 
     process: subprocess.Popen[str]
     children: set[int]
@@ -153,7 +153,7 @@
 
 
 def start(arguments: tuple[str, ...], processes: int) -> StartedRun:
-    """Start a run, and wait until it has so many processes."""
+    """Start a run and wait until it has `processes` child processes."""
     run = subprocess.Popen(
         [sys.executable, "-m", "stackwheel", "scale", "run", *arguments, "--json"],
         cwd=ROOT,
@@ -169,7 +169,7 @@
     return StartedRun(run, children, deadline)
 
 
-def test_a_process_that_is_killed_ends_the_run_with_one_line() -> None:
+def test_a_run_ends_with_exit_code_two_and_an_error_message_if_a_process_is_killed() -> None:
     run = start(("--scenario", "churn", "--servers", "200", "--planners", "5", "--duration", "60"), 2)
     os.kill(max(run.children), signal.SIGKILL)
     stdout, stderr = run.process.communicate(timeout=30)
@@ -181,13 +181,13 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_an_interrupted_run_leaves_no_process(number: signal.Signals) -> None:
+def test_an_interrupted_run_leaves_no_running_process(number: signal.Signals) -> None:
     size = ("--servers", "200", "--planners", "5", "--real-planners", "1")
     run = start(("--scenario", "churn", *size, "--duration", "60"), 3)
     os.kill(run.process.pid, number)
     stdout, stderr = run.process.communicate(timeout=30)
     while any(map(is_running, run.children)):
-        assert time.monotonic() < run.deadline, "a process is left"
+        assert time.monotonic() < run.deadline, "a process of the run has not ended"
         time.sleep(0.05)
     assert stdout == ""
     assert "Traceback" not in stderr
