--- a/stackwheel/scale/discovery_http.py
+++ b/stackwheel/scale/discovery_http.py
@@ -1,6 +1,6 @@
-"""What the stand-ins for discovery share of HTTP: the path of the list, the headers, and reading a request.
+"""HTTP functions shared by the stand-ins for discovery: the path of the list, headers, and reading a request.
 
-It is written from the protocol's page, apart from the planner's client, so that a fault of the client shows.
+They implement the documented protocol independently of the planner's client, so that errors of the client are found.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 async def read_request(
     http: h11.Connection, reader: asyncio.StreamReader, read_bytes: int, count: Callable[[int], None]
 ) -> h11.Request:
-    """Read the request that a connection begins with.
+    """Read the first request of a connection.
 
     Args:
-        http: the server's side of the connection.
-        reader: where the connection's bytes come from.
-        read_bytes: at most, at a time.
+        http: protocol state of the server's side of the connection.
+        reader: stream from which the request is read.
+        read_bytes: maximum number of bytes of each read.
         count: called with the number of bytes of each read.
 
     Raises:
-        ConnectionError: the connection ended before a request was complete.
-        h11.RemoteProtocolError: the bytes are not a request.
+        ConnectionError: the connection ended before the request was complete.
+        h11.RemoteProtocolError: the received bytes are not a valid request.
     """
     while True:
         event = http.next_event()
         if isinstance(event, h11.Request):
             return event
         if event is not h11.NEED_DATA:
-            raise ConnectionError("no request")
+            raise ConnectionError("connection ended before a request was complete")
         data = await reader.read(read_bytes)
         count(len(data))
         http.receive_data(data)
--- a/stackwheel/scale/fake_environment.py
+++ b/stackwheel/scale/fake_environment.py
@@ -1,4 +1,4 @@
-"""Stand-ins around one process under test: discovery, servers that answer health checks, peer planners."""
+"""Stand-ins for the environment of one process under test: discovery, servers and peer planners."""
 
 from __future__ import annotations
 
@@ -21,26 +21,27 @@
 from stackwheel.wire.datagrams import MAX_DATAGRAM_BYTES
 
 READ_BYTES = 64 * 1024
-PEER_REQUESTS_PER_SECOND = 1.0  # requests a second that a peer reports for each server: any figure costs the same
-PEER_PROXIES = 4  # proxies that a peer reports: any number costs the same
+# The cost of reading a peer's datagram does not depend on these values.
+PEER_REQUESTS_PER_SECOND = 1.0
+PEER_PROXIES = 4
 
 
 class FakeDiscovery:
-    """Discovery for one process under test: the full list, and watches.
+    """Discovery for one process under test, which serves the full list and watches.
 
-    Each change takes a server one step of a restart further (draining, removed, in service as a new process), one
-    server after another.
+    Servers restart one after another. Each change is the next step of a restart: draining, removed, and in service as
+    a new process.
     """
 
     def __init__(self, entries: Sequence[Entry], traffic: Traffic) -> None:
-        self.entries = list(entries)  # removed servers keep their index
+        self.entries = list(entries)  # Includes removed servers, so that indices do not change.
         self.traffic = traffic
         self.list = RegistryList(entries)
         self.watches: dict[asyncio.StreamWriter, h11.Connection] = {}
-        self.restarting_index = 0  # index of the server that is being restarted
+        self.restarting_index = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection: a fetch, or a watch until the connection ends."""
+        """Serve one connection: respond to a fetch, or serve a watch until the connection ends."""
         http = h11.Connection(h11.SERVER)
         with contextlib.suppress(OSError, h11.ProtocolError), contextlib.closing(writer):
             request = await read_request(http, reader, READ_BYTES, self.count_received_bytes)
@@ -54,13 +55,13 @@
                 await writer.drain()
 
     def count_received_bytes(self, size: int) -> None:
-        """Count bytes that the process under test has sent; its request counts as one message once it is complete."""
+        """Count bytes sent by the process under test; the complete request is counted as a message separately."""
         self.traffic.count_sent(size, 0)
 
     async def watch(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, known: int | None
     ) -> None:
-        """Serve a watch: first the changes after generation `known`, then every change, and heartbeats in between."""
+        """Serve a watch: send the changes after generation `known`, then every later change, and heartbeats."""
         self.write(http, writer, self.list.encode_since(known))
         self.watches[writer] = http
         last_generation = self.list.generation
@@ -76,24 +77,24 @@
             del self.watches[writer]
 
     def change(self, count: int = 1) -> None:
-        """Make `count` changes as one generation."""
+        """Apply the next `count` restart steps as one generation."""
         self.broadcast([self.next_step() for _ in range(count)])
 
     def remove_zone(self, zone: str) -> None:
-        """Remove all servers of a zone as one generation."""
+        """Remove all servers of a zone in one generation."""
         for index, entry in enumerate(self.entries):
             if entry.zone == zone:
                 self.entries[index] = msgspec.structs.replace(entry, lifecycle=TERMINATED)
         self.broadcast([entry for entry in self.entries if entry.zone == zone])
 
     def broadcast(self, changed: Sequence[Entry]) -> None:
-        """Apply changes as one generation and write them to every watch."""
+        """Apply changed entries as one generation and write the delta to every watch."""
         line = self.list.apply(changed, time.monotonic())
         for writer, http in list(self.watches.items()):
             self.write(http, writer, line)
 
     def next_step(self) -> Entry:
-        """The next change: the present server drains, is removed, or is in service as a new process."""
+        """Apply the next restart step to the restarting server and return its changed entry."""
         entry = self.entries[self.restarting_index]
         if entry.lifecycle == TERMINATED:
             changed = msgspec.structs.replace(entry, lifecycle=IN_SERVICE, started_at_ms=self.list.generation + 1)
@@ -116,19 +117,19 @@
 
 
 def known_generation(target: str) -> int | None:
-    """The generation that a watch's target names, if any."""
+    """Return the generation in the `since` parameter of a request target, or None if there is none."""
     query = dict(field.partition("=")[::2] for field in target.partition("?")[2].split("&"))
     return int(query["since"]) if query.get("since", "").isdecimal() else None
 
 
 class FakeServers:
-    """One address at which all servers answer health checks, with a load report."""
+    """Responds to the health checks of all servers at one address, with a load report."""
 
     def __init__(self, traffic: Traffic) -> None:
         self.traffic = traffic
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one health check."""
+        """Respond to one health check and close the connection."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError), contextlib.closing(writer):
             request = await reader.readuntil(b"\r\n\r\n")
             self.traffic.count_sent(len(request))
@@ -140,22 +141,22 @@
 
 
 class FakePeerSocket(asyncio.DatagramProtocol):
-    """A socket that counts the datagrams of the planner under test, and sends those of a peer."""
+    """Datagram socket of a peer: counts the datagrams from the planner under test and sends datagrams to it."""
 
     def __init__(self, traffic: Traffic) -> None:
         self.traffic = traffic
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
-        """Store the transport to send with."""
+        """Store the transport for sending."""
         self.transport = transport
 
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: ARG002 - asyncio calls it so
-        """Count a datagram that the planner under test has sent."""
+    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: ARG002 - signature of asyncio
+        """Count a datagram sent by the planner under test."""
         self.traffic.count_sent(len(data))
 
     def address(self) -> str:
-        """The address, HOST:PORT, at which it receives."""
+        """Return the address of the socket as HOST:PORT."""
         assert self.transport is not None
         host, port = self.transport.get_extra_info("sockname")[:2]
         return f"{host}:{port}"
@@ -169,17 +170,17 @@
 
 
 class FakePeerPlanners:
-    """The other planners of a tier: each sends its load once a report interval, within the policy's limit."""
+    """Peers of the planner under test: each sends its load once per report interval within the policy's limit."""
 
     def __init__(self, servers: Sequence[str], max_datagrams: int, traffic: Traffic) -> None:
         self.payloads = gossip.encode(PEER_PROXIES, {server_id(name): PEER_REQUESTS_PER_SECOND for name in servers})
-        self.max_datagrams = max_datagrams  # that a planner reads in a report interval
+        self.max_datagrams = max_datagrams  # Maximum that a planner reads in a report interval.
         self.traffic = traffic
         self.broadcast_socket = FakePeerSocket(traffic)
-        self.sockets: list[FakePeerSocket] = []  # of each peer
+        self.sockets: list[FakePeerSocket] = []
 
     async def open(self, count: int) -> None:
-        """Open the sockets of `count` peers, and the one of their broadcast address."""
+        """Open the sockets of `count` peers and the socket of their broadcast address."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self.broadcast_socket, local_addr=(HOST, 0))
         for _ in range(count):
@@ -187,7 +188,7 @@
             self.sockets.append(peer)
 
     async def run(self, planner: tuple[str, int]) -> None:
-        """Send until cancelled; send nothing if that were more than `max_datagrams` in a report interval."""
+        """Send datagrams until cancelled; send none if `max_datagrams` per report interval would be exceeded."""
         if not 0 < len(self.sockets) * len(self.payloads) <= self.max_datagrams:
             return
         while True:
--- a/stackwheel/scale/fleet.py
+++ b/stackwheel/scale/fleet.py
@@ -1,4 +1,4 @@
-"""Draws a fleet from a seed: services of skewed sizes, zones in regions, servers, and planners of the services."""
+"""Generates a fleet from a seed: services of skewed sizes, zones in regions, servers and planners."""
 
 from __future__ import annotations
 
@@ -8,21 +8,20 @@
 from random import Random
 from typing import NamedTuple
 
-# The operators' fleet has 48,000 servers in 2,100 services and 85 zones of 36 regions.
+# Proportions of the operators' fleet: 48,000 servers in 2,100 services and 85 zones of 36 regions.
 SERVERS_PER_SERVICE = 48_000 / 2_100
 SERVERS_PER_ZONE = 48_000 / 85
 ZONES_PER_REGION = 85 / 36
 
-SERVICE_SIZE_LOG_SIGMA = (
-    1.6  # of the log-normal sizes: of 2,100 services the median has 7 servers, the largest 600 to 5,000
-)
+# Sizes of services are log-normal: of 2,100 services, the median has 7 servers and the largest 600 to 5,000.
+SERVICE_SIZE_LOG_SIGMA = 1.6
 MAX_ZONES = 1_000
 SERVER_PORT = 8081
 
 
 @dataclass(frozen=True, slots=True)
 class FleetShape:
-    """What a fleet is drawn from: its numbers and the seed."""
+    """Numbers of servers, zones and planners of a fleet, and the seed from which it is generated."""
 
     servers: int
     zones: int
@@ -32,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawnServer:
-    """One server: its name and address as listed, its service and its zone."""
+    """One generated server: its listed name and address, its service and its zone."""
 
     name: str
     service: str
@@ -42,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawnPlanner:
-    """One planner: its name, its service, and its zone, which is one of the service's zones."""
+    """One generated planner: its name, its service, and its zone, in which the service has servers."""
 
     name: str
     service: str
@@ -51,31 +50,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """All servers and planners, and the region of each zone."""
+    """All servers and planners, and the region of each zone.
+
+    Attributes:
+        servers: all servers.
+        regions: name of the region, by zone.
+        planners: all planners; the index of a planner is its number.
+    """
 
     servers: tuple[DrawnServer, ...]
-    regions: dict[str, str]  # by zone
-    planners: tuple[DrawnPlanner, ...]  # a planner's number is its index
+    regions: dict[str, str]
+    planners: tuple[DrawnPlanner, ...]
 
     def sizes(self) -> dict[str, int]:
-        """The number of servers of each service."""
+        """Return the number of servers of each service."""
         counts: dict[str, int] = {}
         for server in self.servers:
             counts[server.service] = counts.get(server.service, 0) + 1
         return counts
 
     def planners_of(self, service: str) -> tuple[int, ...]:
-        """The numbers of a service's planners."""
+        """Return the numbers of a service's planners."""
         return tuple(number for number, planner in enumerate(self.planners) if planner.service == service)
 
 
 def default_zones(servers: int) -> int:
-    """The number of zones for a number of servers, in the proportion of the operators' fleet; at least one."""
+    """Return the number of zones for a number of servers, at least one, in the proportion of the operators' fleet."""
     return max(1, round(servers / SERVERS_PER_ZONE))
 
 
 def draw_fleet(shape: FleetShape) -> Fleet:
-    """Draw a fleet; the same shape and seed always give the same one."""
+    """Generate a fleet; equal shapes give equal fleets."""
     random = Random(shape.seed)
     sizes = draw_sizes(shape.servers, random)
     zones = [f"zone-{number:02d}" for number in range(shape.zones)]
@@ -94,7 +99,10 @@
 
 
 def draw_sizes(servers: int, random: Random) -> dict[str, int]:
-    """The number of servers of each service: one each, and log-normal shares of the rest (largest remainder)."""
+    """Draw the number of servers of each service.
+
+    Each service has one server and a log-normal share of the others, rounded by the largest-remainder method.
+    """
     count = min(servers, max(1, round(servers / SERVERS_PER_SERVICE)))
     shares = sorted((random.lognormvariate(0.0, SERVICE_SIZE_LOG_SIGMA) for _ in range(count)), reverse=True)
     scale = (servers - count) / sum(shares)
@@ -107,14 +115,14 @@
 
 
 class InstanceName(NamedTuple):
-    """A server's service and its name, which is unique."""
+    """The service and the unique name of a server."""
 
     service: str
     name: str
 
 
 def instance_names(sizes: dict[str, int], random: Random) -> Iterator[InstanceName]:
-    """A name for each server, service by service; `sizes`: the number of servers of each service."""
+    """Draw a unique name for each server, service by service. `sizes`: number of servers of each service."""
     for service, size in sizes.items():
         used: set[int] = set()
         while len(used) < size:
@@ -125,19 +133,19 @@
 
 
 def balanced_indices(count: int, kinds: int, random: Random) -> list[int]:
-    """So many numbers below `kinds`, each as often as any other or once more, in a drawn order."""
+    """Return `count` indices below `kinds` in random order; their frequencies differ by at most one."""
     indices = [number % kinds for number in range(count)]
     random.shuffle(indices)
     return indices
 
 
 def server_address(number: int) -> str:
-    """A different address for each server; nothing listens there."""
+    """Return a unique address for a server; nothing listens at it."""
     return f"10.{(number >> 16) & 255}.{(number >> 8) & 255}.{number & 255}:{SERVER_PORT}"
 
 
 def draw_planners(servers: Sequence[DrawnServer], planners: int, random: Random) -> tuple[DrawnPlanner, ...]:
-    """Planners of the services in proportion to their servers, with one for each service if there are enough."""
+    """Assign planners to services in proportion to their servers, and at least one each if there are enough."""
     one_per_service = {server.service: server for server in servers}
     first = list(one_per_service.values()) if planners >= len(one_per_service) else []
     chosen = sorted(
@@ -149,6 +157,6 @@
 
 
 def systematic_sample(servers: Sequence[DrawnServer], count: int, random: Random) -> list[DrawnServer]:
-    """Evenly spaced servers from one random start: no service is off its share of the sample by more than one."""
+    """Choose evenly spaced servers from a random start, so that each service has its share within one server."""
     start = random.random()
     return [servers[int((index + start) * len(servers) / count)] for index in range(count)]
--- a/stackwheel/scale/layout.py
+++ b/stackwheel/scale/layout.py
@@ -1,4 +1,4 @@
-"""Which planner follows what: the cell and addresses of each planner, and the entries of each cell; no I/O."""
+"""Assignment of planners to cells and processes, and of list entries to cells, without I/O."""
 
 from __future__ import annotations
 
@@ -9,40 +9,53 @@
 from stackwheel.scale.entries import Entry
 from stackwheel.scale.fleet import DrawnPlanner, Fleet
 
-FULL_LIST_CELL = ""  # stands for the cell of a planner that follows the registry itself and has the full list
-PEER_NETWORK = "127.1"  # each hollow planner has its own address in this loopback network: 65,536 at most
+FULL_LIST_CELL = ""  # Cell of planners that follow the registry directly and receive the full list.
+PEER_NETWORK = "127.1"  # Loopback network with one address for each hollow planner, 65,536 at most.
 
-MAX_GROUP_PLANNERS = 16  # planners of a cell that share a process; a plan's cells have no more by default
+MAX_GROUP_PLANNERS = 16  # Planners of a cell that are assigned to a process together; the default maximum of a cell.
 
-CellOfServer = Callable[[str, str], str | None]  # the cell by a server's name and zone
+CellOfServer = Callable[[str, str], str | None]
+"""Returns the name of a server's cell, or None, from the server's name and zone."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacedPlanner:
-    """A planner in its cell."""
+    """A planner with its cell.
+
+    Attributes:
+        number: number of the planner.
+        planner: the generated planner.
+        cell: name of its cell, or `FULL_LIST_CELL`.
+        discovery: addresses from which it receives the list, separated by commas.
+    """
 
     number: int
     planner: DrawnPlanner
     cell: str
-    discovery: str  # addresses that it follows, separated by commas
+    discovery: str
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """All planners in their cells."""
+    """All planners with their cells.
+
+    Attributes:
+        placed: planners in the order of their numbers.
+        cell_of_server: function that returns the cell of a server.
+    """
 
-    placed: tuple[PlacedPlanner, ...]  # a planner's number is its index
+    placed: tuple[PlacedPlanner, ...]
     cell_of_server: CellOfServer
 
     def planners_by_cell(self) -> dict[str, list[int]]:
-        """The numbers of each cell's planners."""
+        """Return the numbers of each cell's planners."""
         planners: defaultdict[str, list[int]] = defaultdict(list)
         for placed in self.placed:
             planners[placed.cell].append(placed.number)
         return dict(planners)
 
     def planners_of_servers(self, fleet: Fleet) -> dict[str, list[int]]:
-        """The numbers of the planners that should have each server, by the server's name."""
+        """Return the numbers of the planners that should have an entry for each server, by server name."""
         by_cell = self.planners_by_cell()
         planners = {}
         for server in fleet.servers:
@@ -52,12 +65,12 @@
         return planners
 
     def entries_per_planner(self, fleet: Fleet) -> list[int]:
-        """How many entries each planner should have, by its number."""
+        """Return the number of entries that each planner should have, in the order of the planners' numbers."""
         sizes = Counter(self.cell_of_server(server.name, server.zone) for server in fleet.servers)
         return [sizes[placed.cell] for placed in self.placed]
 
     def entries_by_cell(self, entries: Iterable[Entry]) -> dict[str, list[Entry]]:
-        """The entries of a list that each cell with planners should have."""
+        """Return the entries of a list that belong to each cell with planners."""
         by_cell: dict[str, list[Entry]] = {placed.cell: [] for placed in self.placed}
         for entry in entries:
             cell = self.cell_of_server(entry.instance_id, entry.zone)
@@ -67,7 +80,7 @@
 
 
 def full_list_layout(fleet: Fleet, registry: str) -> Layout:
-    """The layout of a run without relays: every planner follows the registry at this address."""
+    """Return the layout of a run without relays, in which every planner follows the registry at this address."""
     placed = tuple(
         PlacedPlanner(number, planner, FULL_LIST_CELL, registry) for number, planner in enumerate(fleet.planners)
     )
@@ -75,12 +88,21 @@
 
 
 def peer_address(number: int, port: int) -> str:
-    """The datagram address of a hollow planner; all planners of a run share the port."""
+    """Return the datagram address of a hollow planner. `port`: the same for all planners of a run."""
     return f"{PEER_NETWORK}.{number >> 8}.{number & 255}:{port}"
 
 
 def choose_real_planners(planners: int, count: int, restarted: Sequence[int]) -> frozenset[int]:
-    """The numbers of the real planners: evenly spaced, and at least one of those that a restart concerns."""
+    """Choose the numbers of the real planners.
+
+    Args:
+        planners: number of planners.
+        count: number of real planners among them.
+        restarted: planners that the scenario may restart.
+
+    Returns:
+        Evenly spaced numbers, of which at least one is in `restarted` unless that is empty or `count` is 0.
+    """
     chosen = [index * planners // count for index in range(count)]
     if chosen and restarted and not set(chosen) & set(restarted):
         chosen[0] = restarted[0]
@@ -88,10 +110,10 @@
 
 
 def assign_to_processes(placed: Iterable[PlacedPlanner], processes: int) -> list[list[int]]:
-    """Assign hollow planners to processes, the same number to each but for a group.
+    """Assign hollow planners to processes; the numbers of planners differ by at most `MAX_GROUP_PLANNERS`.
 
-    Planners of a cell share a process, as they share entries. A service's cells are spread over the processes, so
-    that a change of one service does not load a single process.
+    Planners of a cell share a process, because they share entries. The cells of a service are distributed over the
+    processes, so that a change of one service does not load a single process.
     """
     cells: defaultdict[str, list[int]] = defaultdict(list)
     for planner in placed:
--- a/tests/scale/test_fake_environment.py
+++ b/tests/scale/test_fake_environment.py
@@ -1,4 +1,4 @@
-"""The stand-ins around one planner: the lists that they send, as the planner reads them, and their datagrams."""
+"""Tests of the stand-ins around one planner: the lists and the datagrams that they send."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return endpoint_list
 
 
-def test_the_full_list_is_read_by_a_planner_entry_by_entry() -> None:
+def test_a_planner_reads_every_entry_of_the_full_list() -> None:
     endpoint_list = sent_list(fake_discovery(), None)
     assert endpoint_list.complete
     assert endpoint_list.generation == 1
@@ -38,7 +38,7 @@
     ]  # fmt: skip
 
 
-def test_a_restart_drains_removes_and_returns_as_a_new_process() -> None:
+def test_successive_changes_drain_remove_and_restart_one_server_after_another() -> None:
     discovery = fake_discovery()
     steps = []
     for _ in range(4):
@@ -54,7 +54,7 @@
     ]
 
 
-def test_a_lost_zone_is_removed_in_one_generation_and_not_in_the_full_list() -> None:
+def test_a_zone_is_removed_in_one_generation_and_is_absent_from_the_full_list() -> None:
     discovery = fake_discovery()
     discovery.remove_zone("zone-00")
     delta = sent_list(discovery, 1)
@@ -67,16 +67,16 @@
 @pytest.mark.parametrize(
     ("target", "generation"), [("/x?follow=1&since=41", 41), ("/x?follow=1", None), ("/x", None), ("/x?since=a", None)]
 )
-def test_known_generation(target: str, generation: int | None) -> None:
+def test_the_known_generation_is_read_from_the_since_parameter(target: str, generation: int | None) -> None:
     assert known_generation(target) == generation
 
 
 @pytest.fixture
 def no_spinning() -> Iterator[None]:
-    """End a coroutine that never yields with an error, which no timeout of the event loop could do."""
+    """Fail a test whose coroutine never yields; a timeout of the event loop would not interrupt it."""
 
     def fail(_signal: int, _frame: FrameType | None) -> None:
-        raise AssertionError("it spins")
+        raise AssertionError("the coroutine did not finish within 5 s")
 
     former = signal.signal(signal.SIGALRM, fail)
     signal.setitimer(signal.ITIMER_REAL, 5.0)
@@ -99,11 +99,11 @@
     assert traffic == Traffic()
 
 
-def test_over_the_limit_of_datagrams_nothing_is_sent() -> None:
+def test_nothing_is_sent_if_the_datagrams_exceed_the_limit() -> None:
     traffic = Traffic()
 
     async def work() -> None:
-        peers = FakePeerPlanners([f"s-{n}" for n in range(62)], 3, traffic)  # two datagrams each, of two peers
+        peers = FakePeerPlanners([f"s-{n}" for n in range(62)], 3, traffic)  # Two peers with two datagrams each.
         await peers.open(2)
         await asyncio.wait_for(peers.run(("127.0.0.1", 9)), 10)
         peers.close()
--- a/tests/scale/test_fleet_draw.py
+++ b/tests/scale/test_fleet_draw.py
@@ -1,4 +1,4 @@
-"""The draws of a run: its fleet and its schedule."""
+"""Tests of the generated fleet and the generated schedule of a run."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 OPERATORS_SIZE = FleetShape(servers=48_000, zones=85, planners=15_000, seed=1)
 
 
-def test_the_fleet_depends_on_the_seed_alone() -> None:
+def test_equal_seeds_give_equal_fleets_and_different_seeds_different_ones() -> None:
     assert draw_fleet(SMALL) == draw_fleet(SMALL)
     assert draw_fleet(SMALL) != draw_fleet(FleetShape(1_000, 5, 300, 4))
 
 
-def test_the_operators_size_has_their_services_zones_and_regions() -> None:
+def test_a_fleet_of_the_operators_size_has_their_numbers_of_services_zones_and_regions() -> None:
     fleet = draw_fleet(OPERATORS_SIZE)
     sizes = fleet.sizes()
     assert len(fleet.servers) == sum(sizes.values()) == 48_000
@@ -33,10 +33,10 @@
     assert len(fleet.regions) == 85
     assert len(set(fleet.regions.values())) == 36
     assert default_zones(48_000) == 85
-    assert max(sizes.values()) > 20 * 48_000 / 2_100  # skewed
+    assert max(sizes.values()) > 20 * 48_000 / 2_100  # The sizes are skewed.
 
 
-def test_planners_are_in_proportion_to_servers_and_every_service_has_one() -> None:
+def test_planners_are_proportional_to_servers_and_every_service_has_at_least_one() -> None:
     fleet = draw_fleet(OPERATORS_SIZE)
     planners = Counter(planner.service for planner in fleet.planners)
     sizes = fleet.sizes()
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("servers", [1, 2, 22, 23, 57])
-def test_small_fleets_add_up(servers: int) -> None:
+def test_small_fleets_have_the_requested_numbers_of_servers_and_planners(servers: int) -> None:
     fleet = draw_fleet(FleetShape(servers, 1, 3, 0))
     assert len(fleet.servers) == servers
     assert len(fleet.planners) == 3
@@ -61,14 +61,14 @@
 
 
 def lifecycles(schedule: Schedule) -> dict[str, list[tuple[str, int]]]:
-    """Lifecycle and start of each change, by the server's name."""
+    """Return the lifecycle and start of each change, by server name."""
     by_server: dict[str, list[tuple[str, int]]] = {}
     for change in schedule.changes:
         by_server.setdefault(change.server.name, []).append((change.lifecycle, change.started_at_ms))
     return by_server
 
 
-def test_churn_drains_removes_and_returns_as_a_new_process() -> None:
+def test_in_churn_each_server_drains_is_removed_and_returns_as_a_new_process() -> None:
     schedule = draw_schedule(draw_fleet(SMALL), Scenario.CHURN, 30.0, 20.0, 7)
     assert len(schedule.changes) > 1_000
     assert [c.at for c in schedule.changes] == sorted(c.at for c in schedule.changes)
@@ -81,7 +81,7 @@
     assert schedule.changes[-1].at < 30.0
 
 
-def test_a_zone_is_lost_within_a_second_and_returns_completely() -> None:
+def test_a_zone_loss_removes_all_servers_of_a_zone_within_a_second_and_all_return() -> None:
     fleet = draw_fleet(OPERATORS_SIZE)
     schedule = draw_schedule(fleet, Scenario.ZONE_LOSS, 20.0, 1.0, 7)
     removals = [change for change in schedule.changes if change.lifecycle == TERMINATED]
@@ -91,7 +91,7 @@
     assert all(steps[-1][0] == IN_SERVICE and steps[-1][1] > 0 for steps in lifecycles(schedule).values())
 
 
-def test_a_restart_concerns_all_planners_of_the_service_with_the_largest_number() -> None:
+def test_a_restart_includes_all_planners_of_the_service_with_most_planners() -> None:
     fleet = draw_fleet(OPERATORS_SIZE)
     schedule = draw_schedule(fleet, Scenario.RESTART, 20.0, 1.0, 7)
     (restart,) = schedule.restarts
@@ -100,7 +100,7 @@
     assert len({fleet.planners[number].service for number in restart.planners}) == 1
 
 
-def test_batches_have_all_changes_in_order_within_the_window() -> None:
+def test_batches_contain_all_changes_in_order_and_none_exceeds_the_window() -> None:
     schedule = draw_schedule(draw_fleet(OPERATORS_SIZE), Scenario.ZONE_LOSS, 20.0, 1.0, 7)
     batches = list(schedule.batches())
     assert [change for batch in batches for change in batch.changes] == list(schedule.changes)
@@ -109,6 +109,6 @@
     assert len(batches) < 60
 
 
-def test_the_default_event_rate_is_that_of_an_ordinary_day_sixty_times_as_fast() -> None:
+def test_the_default_event_rate_is_sixty_times_the_daily_rate_with_a_minimum() -> None:
     assert default_event_rate(48_000) == pytest.approx(13_120 / 86_400 * 60)
     assert default_event_rate(10) == 1.0
--- a/tests/scale/test_relays.py
+++ b/tests/scale/test_relays.py
@@ -1,4 +1,4 @@
-"""Plans and layouts of a run with relays: every planner in one cell, every server at the planners of its cell."""
+"""Tests of cell plans and of the assignment of planners to cells and processes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return [Entry(server.name, server.address, server.zone) for server in fleet.servers]
 
 
-def test_every_cell_has_servers_of_one_service_within_the_limits(fleet: Fleet, layout: Layout) -> None:
+def test_every_cell_contains_servers_of_one_service_within_the_limits(fleet: Fleet, layout: Layout) -> None:
     by_cell = layout.entries_by_cell(entries(fleet))
     counts = Counter(placed.cell for placed in layout.placed)
     assert max(counts.values()) <= 16
@@ -39,7 +39,7 @@
         assert len(set(placed.discovery.split(","))) == 2
 
 
-def test_entries_by_cell_and_planners_of_servers_agree(fleet: Fleet, layout: Layout) -> None:
+def test_entries_by_cell_and_planners_of_servers_are_consistent(fleet: Fleet, layout: Layout) -> None:
     by_cell = layout.entries_by_cell(entries(fleet))
     per_planner = layout.entries_per_planner(fleet)
     planners = layout.planners_of_servers(fleet)
@@ -54,7 +54,7 @@
     assert all(len(planners) == 1_900 for planners in layout.planners_of_servers(fleet).values())
 
 
-def test_real_planners_are_evenly_spaced_and_one_is_restarted() -> None:
+def test_real_planners_are_evenly_spaced_and_include_one_that_is_restarted() -> None:
     assert choose_real_planners(100, 4, [25, 26]) == {0, 25, 50, 75}
     assert choose_real_planners(3, 3, [1]) == {0, 1, 2}
     assert choose_real_planners(100, 4, [7, 8]) == {7, 25, 50, 75}
@@ -65,17 +65,17 @@
     groups = assign_to_processes(layout.placed, 3)
     assert sorted(number for group in groups for number in group) == list(range(1_900))
     assert max(map(len, groups)) - min(map(len, groups)) <= 16
-    processes: dict[str, set[int]] = {}  # of each cell
+    processes_by_cell: dict[str, set[int]] = {}
     for process, group in enumerate(groups):
         for number in group:
-            processes.setdefault(layout.placed[number].cell, set()).add(process)
-    assert all(len(of_cell) == 1 for of_cell in processes.values())
+            processes_by_cell.setdefault(layout.placed[number].cell, set()).add(process)
+    assert all(len(of_cell) == 1 for of_cell in processes_by_cell.values())
     planners = Counter(placed.planner.service for placed in layout.placed)
     largest = max(planners, key=lambda service: planners[service])
-    assert len(set.union(*(processes[p.cell] for p in layout.placed if p.planner.service == largest))) == 3
+    assert len(set.union(*(processes_by_cell[p.cell] for p in layout.placed if p.planner.service == largest))) == 3
 
 
-def test_planners_of_the_full_list_are_assigned_evenly(fleet: Fleet) -> None:
+def test_planners_that_follow_the_full_list_are_assigned_evenly_to_processes(fleet: Fleet) -> None:
     assert max(map(len, assign_to_processes(full_list_layout(fleet, "").placed, 2))) <= 960
     assert assign_to_processes([], 0) == []
 
@@ -84,7 +84,7 @@
     assert len({peer_address(number, 7946) for number in range(65_536)}) == 65_536
 
 
-def test_two_runs_have_different_networks() -> None:
+def test_two_concurrent_runs_reserve_different_networks() -> None:
     first = LoopbackNetwork()
     second = LoopbackNetwork()
     try:
