--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -1,4 +1,4 @@
-"""The datagrams that hollow planners of a cell send each other, in a planner's format and number."""
+"""Datagrams between the hollow planners of a cell, in the format and number of those of real planners."""
 
 from __future__ import annotations
 
@@ -11,21 +11,31 @@
 from stackwheel.scale.hollow_endpoints import HollowEndpointCache
 from stackwheel.wire.http import split_address
 
-REPORT_INTERVAL_S = 1.0  # s: `family_info.cycle` of the example configuration
-MAX_DATAGRAMS_PER_INTERVAL = 128  # that a planner reads; if more were needed none are sent, see docs/fleet.md
-MAX_DATAGRAMS_SENT = 1_000  # a second from one process, some 0.03 of its core; those over it are computed, not sent
-PROXIES_PER_PLANNER = 66  # of a planner: 990,000 requests a second over 15,000 planners, at 1 a second of each proxy
-REQUESTS_PER_SECOND_PER_SERVER = 1.0  # requests a second to each server: the size of a datagram does not depend on it
+REPORT_INTERVAL_S = 1.0  # As `family_info.cycle` of the example configuration.
+MAX_DATAGRAMS_PER_INTERVAL = 128  # If a planner would have to read more, none are sent; see docs/fleet.md.
+MAX_DATAGRAMS_SENT = 1_000  # Per second and process. Datagrams above the limit are only counted.
+PROXIES_PER_PLANNER = 66  # 990,000 proxies with 1 request per second each, over 15,000 planners.
+REQUESTS_PER_SECOND_PER_SERVER = 1.0  # The size of a datagram does not depend on it.
 
 
 def datagrams_per_interval(planners: int, servers: int) -> int:
-    """The datagrams that one planner of a cell sends in a report interval; it reads as many."""
+    """Return the number of datagrams that each planner of a cell sends, and reads, in a report interval.
+
+    Args:
+        planners: number of planners of the cell.
+        servers: number of servers of the cell.
+    """
     needed = (planners - 1) * math.ceil(servers / gossip.MAX_LINES_PER_DATAGRAM)
     return needed if needed <= MAX_DATAGRAMS_PER_INTERVAL else 0
 
 
 def bytes_per_interval(planners: int, servers: int) -> int:
-    """The bytes of the datagrams that one planner of a cell reads in a report interval."""
+    """Return the bytes of the datagrams that each planner of a cell reads in a report interval.
+
+    Args:
+        planners: number of planners of the cell.
+        servers: number of servers of the cell.
+    """
     if not datagrams_per_interval(planners, servers):
         return 0
     payloads = math.ceil(servers / gossip.MAX_LINES_PER_DATAGRAM)
@@ -33,13 +43,13 @@
 
 
 class CountingDatagramReceiver(asyncio.DatagramProtocol):
-    """Counts the datagrams that a hollow planner receives."""
+    """Counts the valid datagrams that a hollow planner receives."""
 
     def __init__(self, traffic: PeerTraffic) -> None:
         self.traffic = traffic
 
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: ARG002 - asyncio calls it so
-        """Count a datagram of a peer if a planner can read it."""
+    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: ARG002 - signature of asyncio
+        """Count a datagram of a peer if it is well-formed."""
         try:
             gossip.decode(data)
         except gossip.MalformedGossipError:
@@ -49,26 +59,37 @@
 
 
 class PeerTraffic:
-    """The datagrams of all hollow planners of a process: sent up to a bound, beyond it only counted."""
+    """Sends the datagrams of all hollow planners of a process up to a limit, and counts those above it.
+
+    Attributes:
+        datagrams_in: received datagrams.
+        datagrams_out: sent datagrams.
+        datagrams_computed: datagrams that real planners would send, whether or not they were sent.
+        bytes_in: bytes of received datagrams.
+        bytes_out: bytes of sent datagrams.
+        reserved_datagrams: datagrams per interval of the planners that send, at most `MAX_DATAGRAMS_SENT`.
+        tasks: sending tasks, one for each planner with peers.
+        transports: sockets, one for each planner with peers.
+    """
 
     def __init__(self) -> None:
         self.datagrams_in = 0
         self.datagrams_out = 0
-        self.datagrams_computed = 0  # that the planners would send by their formula, sent or not
+        self.datagrams_computed = 0
         self.bytes_in = 0
         self.bytes_out = 0
-        self.reserved_datagrams = 0  # datagrams an interval of the planners that send
+        self.reserved_datagrams = 0
         self.tasks: list[asyncio.Task[None]] = []
         self.transports: list[asyncio.DatagramTransport] = []
 
     async def start(
         self, planners: Iterable[HollowPlanner], endpoints_of: Callable[[int], HollowEndpointCache]
     ) -> None:
-        """Open a socket for each planner that has peers, and begin to send.
+        """Open a socket for each planner that has peers, and start sending.
 
         Args:
-            planners: of the process.
-            endpoints_of: the endpoint cache of a planner by its number.
+            planners: planners of the process.
+            endpoints_of: returns the endpoint cache of a planner by its number.
         """
         loop = asyncio.get_running_loop()
         for planner in planners:
@@ -81,7 +102,7 @@
             self.tasks.append(asyncio.create_task(self.send_periodically(transport, planner, endpoints_of)))
 
     def close(self) -> None:
-        """Stop sending, and close all sockets."""
+        """Stop sending and close all sockets."""
         for task in self.tasks:
             task.cancel()
         for transport in self.transports:
@@ -93,11 +114,10 @@
         planner: HollowPlanner,
         endpoints_of: Callable[[int], HollowEndpointCache],
     ) -> None:
-        """Once a report interval, send one planner's load to its peers, or only count the datagrams."""
+        """Send one planner's load to its peers once per report interval, or only count the datagrams."""
         others = [split_address(peer) for peer in planner.peers]
-        await asyncio.sleep(
-            REPORT_INTERVAL_S * (planner.number % 100) / 100.0
-        )  # real planners' intervals are not in phase either
+        # Like those of real planners, the intervals of hollow planners do not start at the same time.
+        await asyncio.sleep(REPORT_INTERVAL_S * (planner.number % 100) / 100.0)
         may_send: bool | None = None
         while True:
             servers = list(endpoints_of(planner.number).entries)
@@ -114,14 +134,14 @@
             await asyncio.sleep(REPORT_INTERVAL_S)
 
     def reserve_datagrams(self, count: int) -> bool:
-        """Whether a planner may send `count` datagrams in each interval; the process's planners share the bound."""
+        """Reserve `count` datagrams per interval for a planner; return False if the process would exceed its limit."""
         if self.reserved_datagrams + count > MAX_DATAGRAMS_SENT:
             return False
         self.reserved_datagrams += count
         return True
 
     def send(self, transport: asyncio.DatagramTransport, payloads: list[bytes], others: list[tuple[str, int]]) -> None:
-        """Send every payload to every peer."""
+        """Send every payload to every peer and count the datagrams."""
         for payload in payloads:
             for other in others:
                 transport.sendto(payload, other)
--- a/stackwheel/scale/ping.py
+++ b/stackwheel/scale/ping.py
@@ -1,4 +1,4 @@
-"""Asks a planner whether it is ready: PING, answered by PONG."""
+"""Readiness check of a planner: sends PING and expects PONG."""
 
 from __future__ import annotations
 
@@ -8,7 +8,12 @@
 
 
 async def answers_ping(address: str, timeout: float | None = None) -> bool:
-    """Whether a planner answers at this address; `timeout`: s until its answer, None for no limit."""
+    """Return whether a planner responds to PING at this address.
+
+    Args:
+        address: HOST:PORT of the planner.
+        timeout: maximum time for the response, s; None for no limit.
+    """
     host, port = split_address(address)
     try:
         reader, writer = await asyncio.open_connection(host, port)
@@ -17,7 +22,7 @@
     try:
         writer.write(b"PING\r\n")
         return await asyncio.wait_for(reader.readline(), timeout) == b"PONG\r\n"
-    except OSError:  # TimeoutError, too
+    except OSError:  # Includes TimeoutError.
         return False
     finally:
         writer.transport.abort()
--- a/stackwheel/scale/ports.py
+++ b/stackwheel/scale/ports.py
@@ -1,4 +1,4 @@
-"""Free ports of the loopback address, for the processes of a run."""
+"""Free ports of the loopback address for the processes of a run."""
 
 from __future__ import annotations
 
@@ -8,13 +8,17 @@
 
 
 def reserve_port(kind: socket.SocketKind) -> socket.socket:
-    """A socket bound to a free port, which is reserved until the socket is closed; OSError if there is none."""
+    """Bind a socket to a free port, which stays reserved until the socket is closed.
+
+    Raises:
+        OSError: no port is free.
+    """
     reserved = socket.socket(socket.AF_INET, kind)
     reserved.bind((HOST, 0))
     return reserved
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """A port that is free at this moment."""
+    """Return a port that is currently free; another process may bind it at any time."""
     with reserve_port(kind) as reserved:
         return int(reserved.getsockname()[1])
--- a/stackwheel/scale/propagation.py
+++ b/stackwheel/scale/propagation.py
@@ -1,4 +1,4 @@
-"""How long it takes from a change at the registry until it is in force at each planner concerned, as a histogram."""
+"""Propagation times: from a change at the registry until it is in force at each planner that has the server."""
 
 from __future__ import annotations
 
@@ -11,43 +11,50 @@
 from stackwheel.scale.control import EntryRecord, MadeChange, RestartRecord
 from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
-MAX_RECORDED_US = 600_000_000  # ten minutes: longer than a run takes to settle
-SIGNIFICANT_DIGITS = 3  # significant figures of a recorded value
+MAX_RECORDED_US = 600_000_000  # Longer than the duration of any run.
+SIGNIFICANT_DIGITS = 3
 
 
 class RecordKey(NamedTuple):
-    """What identifies an entry at a planner."""
+    """Identifies a version of an entry at a planner.
 
-    planner: int  # number
-    name: str  # of the server
+    Attributes:
+        planner: number of the planner.
+        name: name of the server.
+        availability: value of `Availability`.
+        started: start of the server's process, Unix ms.
+    """
+
+    planner: int
+    name: str
     availability: int
-    started: float  # Unix ms
+    started: float
 
 
 @dataclass(slots=True)
 class PropagationTimes:
-    """Times from changes to their being in force at planners, and the number of those never seen in force."""
+    """Histogram of propagation times, in microseconds, and the number of changes that were never in force."""
 
     histogram: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS))
     missing: int = 0
 
     def add(self, seconds: float) -> None:
-        """Add the time of one change at one planner."""
+        """Add the propagation time of one change at one planner, in s."""
         self.histogram.record_value(max(1, round(1e6 * seconds)))
 
     def percentile(self, percent: float) -> float | None:
-        """A percentile in ms; None without any times."""
+        """Return a percentile in ms, or None if no times were added."""
         if not self.histogram.get_total_count():
             return None
         return float(self.histogram.get_value_at_percentile(percent)) / 1000.0
 
     def count(self) -> int:
-        """The number of times added."""
+        """Return the number of added times."""
         return int(self.histogram.get_total_count())
 
 
 def record_key(planner: int, change: MadeChange) -> RecordKey:
-    """The key of a change at a planner."""
+    """Return the key of the record that a planner makes of a change."""
     return RecordKey(
         planner, change.name, int(AVAILABILITY_BY_LIFECYCLE[change.lifecycle]), float(change.started_at_ms)
     )
@@ -59,16 +66,16 @@
     planners_of: Mapping[str, Sequence[int]],
     restarts: Iterable[RestartRecord] = (),
 ) -> PropagationTimes:
-    """Measure how long each change took at each planner, by the planners' records.
+    """Compute the propagation time of each change at each planner from the planners' records.
 
-    A change is in force at a planner from the first record of it, or of a later change of the same server. For a
-    planner that was restarting when a change was made, the restart counts in place of the change.
+    A change is in force at a planner from the first record of this change, or of a later change of the same server. If
+    a planner was restarting when a change was made, the time of the restart is added instead of that of the change.
 
     Args:
-        changes: made at the registry, in their order.
-        records: of hollow planners.
-        planners_of: the planners that should have a server, by its name.
-        restarts: of hollow planners.
+        changes: changes made at the registry, in order.
+        records: records of hollow planners.
+        planners_of: numbers of the planners that should have an entry for a server, by server name.
+        restarts: restarts of hollow planners.
     """
     times = PropagationTimes()
     first_at = first_in_force_times(records)
@@ -88,11 +95,11 @@
     first_at: Mapping[RecordKey, float],
     restarts: Sequence[RestartRecord],
 ) -> None:
-    """Add the times of one server's changes at one planner.
+    """Add the propagation times of one server's changes at one planner.
 
-    A planner that has a later change, or has restarted since, has the earlier changes, too.
+    A planner that has applied a later change, or has restarted since, has also applied the earlier changes.
     """
-    recorded_at: list[float] = []  # of this change and of later ones
+    recorded_at: list[float] = []  # Times of the present change and of later ones.
     for change in reversed(history):
         at = first_at.get(record_key(planner, change))
         if at is not None:
@@ -108,7 +115,7 @@
 
 
 def first_in_force_times(records: Iterable[EntryRecord]) -> dict[RecordKey, float]:
-    """When each entry first came into force at each planner, in s on the monotonic clock."""
+    """Return the monotonic time in s at which each entry first came into force at each planner."""
     first_at: dict[RecordKey, float] = {}
     for record in records:
         for planner, at in zip(record.planners, record.times, strict=True):
@@ -118,7 +125,7 @@
 
 
 def changes_by_server(changes: Iterable[MadeChange]) -> dict[str, list[MadeChange]]:
-    """The changes of each server in their order, by its name."""
+    """Group changes by server name, in their order."""
     by_server: dict[str, list[MadeChange]] = {}
     for change in changes:
         by_server.setdefault(change.name, []).append(change)
@@ -126,7 +133,7 @@
 
 
 def restarts_by_planner(restarts: Iterable[RestartRecord]) -> dict[int, list[RestartRecord]]:
-    """The restarts of each planner, by its number."""
+    """Group restarts by the number of the planner."""
     by_planner: dict[int, list[RestartRecord]] = {}
     for restart in restarts:
         by_planner.setdefault(restart.planner, []).append(restart)
--- a/stackwheel/scale/propagation_records.py
+++ b/stackwheel/scale/propagation_records.py
@@ -1,4 +1,4 @@
-"""Records of when entries came into force at the planners of a process, stored compactly: one array for each entry."""
+"""Compact records of the times at which entries came into force at the planners of a process."""
 
 from __future__ import annotations
 
@@ -9,38 +9,51 @@
 from stackwheel.interface import EndpointEntry, ServerId
 from stackwheel.scale.control import EntryRecord, Records, RestartRecord
 
-MAX_RECORDS_PER_PROCESS = 4_000_000  # of a process: 12 bytes each, 48 MB; 1,000 planners with 4,000 changes each
+MAX_RECORDS_PER_PROCESS = 4_000_000  # 48 MB with 12 bytes each; enough for 1,000 planners with 4,000 changes each.
 
 
 @dataclass(frozen=True, slots=True)
 class EntryTimes:
-    """At which planners an entry came into force, and when."""
+    """The planners at which an entry came into force, with the times.
 
-    planners: array[int] = field(default_factory=lambda: array("I"))  # numbers
-    times: array[float] = field(default_factory=lambda: array("d"))  # s on the monotonic clock, one for each planner
+    Attributes:
+        planners: numbers of the planners.
+        times: monotonic time for each element of `planners`, s.
+    """
+
+    planners: array[int] = field(default_factory=lambda: array("I"))
+    times: array[float] = field(default_factory=lambda: array("d"))
 
     def add(self, planner: int, at: float) -> None:
-        """Add one planner."""
+        """Add the time in s at which the entry came into force at one planner."""
         self.planners.append(planner)
         self.times.append(at)
 
 
 class PropagationRecords:
-    """Records, from `begin` on, when each changed entry came into force at each planner."""
+    """Records, after `begin`, the time at which each changed entry came into force at each planner.
+
+    Attributes:
+        is_recording: whether `begin` was called.
+        count: number of stored records.
+        dropped: number of records above `MAX_RECORDS_PER_PROCESS`, which were not stored.
+        times: planners and times for each entry.
+        restarts: restarts of planners.
+    """
 
     def __init__(self) -> None:
         self.is_recording = False
         self.count = 0
-        self.dropped = 0  # records over `MAX_RECORDS_PER_PROCESS`
+        self.dropped = 0
         self.times: dict[EndpointEntry, EntryTimes] = {}
         self.restarts: list[RestartRecord] = []
 
     def begin(self) -> None:
-        """Record from now on; entries of the planners' start are not due to changes."""
+        """Start recording; the entries of the planners' first lists, which are not changes, come before."""
         self.is_recording = True
 
     def add(self, planner: int, changed: Iterable[EndpointEntry], now: float) -> None:
-        """Record that entries came into force at a planner. `now`: s on the monotonic clock."""
+        """Record that entries came into force at a planner. `now` is the monotonic time in s."""
         if not self.is_recording:
             return
         for entry in changed:
@@ -51,11 +64,11 @@
             self.times.setdefault(entry, EntryTimes()).add(planner, now)
 
     def add_restart(self, planner: int, ended: float, ready_at: float) -> None:
-        """Record that a planner has a list again after a restart."""
+        """Record the restart of a planner. `ended` and `ready_at` are monotonic times in s."""
         self.restarts.append(RestartRecord(planner, ended, ready_at))
 
     def to_message(self, name_of: Callable[[ServerId], str | None]) -> Records:
-        """All records, with the servers' names; `name_of`: the name of a server by its id."""
+        """Return all records as a message. `name_of`: returns the name of a server by its id."""
         entries = [
             EntryRecord(
                 name=name_of(entry.server) or "",
--- a/stackwheel/scale/real.py
+++ b/stackwheel/scale/real.py
@@ -1,8 +1,8 @@
-"""Real planners of a run: the program unchanged, with a generated configuration and a hollow proxy that observes it.
+"""Real planners of a run: the real program with a generated configuration, and a hollow proxy that receives its tables.
 
-The endpoint cache of such a planner can't be read from outside. So its weight tables, as the proxy has them after the
-run, are compared with the list: every line has to be for a ready server of its cell, and in a small cell every ready
-server has to have a line.
+The endpoint cache of a real planner is not accessible. Instead, the weight tables that the proxy has received by the
+end of the run are compared with the list: every line must belong to a ready server of the planner's cell, and in a
+small cell every ready server must have a line.
 """
 
 from __future__ import annotations
@@ -25,27 +25,32 @@
 from stackwheel.service.config import CONFIG_VARIABLE
 
 ROUTES = ("read", "write")
-MAX_PROXIES = 8  # that a planner's settings allow; one of them joins
-PROXY_REQUESTS_PER_SECOND = 15.0  # requests a second that the observing proxy reports
-RESOURCE_LIMITS = {"cores": 0.028, "memory_mb": 128, "sockets": 1024}  # the operators' budget of a planner for control
-MAX_SERVERS_IN_FULL_TABLE = 150  # of a cell whose table has all servers; over some 200 it is thinned, see docs/fleet.md
-READY_TIMEOUT_S = 30.0  # s from a planner's start to its first PONG: its list may have 48,000 servers
-PING_INTERVAL_S = 0.05  # s
+MAX_PROXIES = 8  # Number in the planner's settings; only one proxy joins.
+PROXY_REQUESTS_PER_SECOND = 15.0
+RESOURCE_LIMITS = {"cores": 0.028, "memory_mb": 128, "sockets": 1024}  # The operators' budget for one planner.
+MAX_SERVERS_IN_FULL_TABLE = 150  # Tables of larger cells may omit ready servers; see docs/fleet.md.
+READY_TIMEOUT_S = 30.0
+PING_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class RealDifference:
-    """The servers at which a real planner's tables are wrong."""
+    """Names of the servers for which a real planner's tables are wrong.
 
-    not_ready: tuple[str, ...] = ()  # lines for servers that are not ready in its cell
-    without_line: tuple[str, ...] = ()  # ready servers without a line, of a cell small enough for all of them
+    Attributes:
+        not_ready: servers that have a line but are not ready servers of the planner's cell.
+        without_line: ready servers without a line, in a cell whose tables should contain all servers.
+    """
+
+    not_ready: tuple[str, ...] = ()
+    without_line: tuple[str, ...] = ()
 
     def count(self) -> int:
-        """Wrong or missing lines."""
+        """Return the number of wrong and missing lines."""
         return len(self.not_ready) + len(self.without_line)
 
     def example(self) -> str:
-        """One of them in words; "" if there is none."""
+        """Describe one of the wrong or missing lines; "" if there is none."""
         if self.not_ready:
             return f"{self.not_ready[0]} has a line, but is not ready"
         return f"{self.without_line[0]} is ready, but has no line" if self.without_line else ""
@@ -62,14 +67,14 @@
 def configuration(
     placed: PlacedPlanner, listen: str, discovery: str, zones: Sequence[str], seed: int
 ) -> dict[str, object]:
-    """The content of a planner's configuration file: the settings of `examples/config.json` with this fleet's zones.
+    """Return the content of a planner's configuration file, based on `examples/config.json`.
 
     Args:
         placed: the planner.
-        listen: the address at which proxies join it.
+        listen: address at which proxies join the planner.
         discovery: addresses of its discovery service, separated by commas.
         zones: all zones of the fleet.
-        seed: of the planner.
+        seed: seed of the planner.
     """
     settings = PlannerSettings(
         zones=zones,
@@ -95,31 +100,47 @@
 
 @dataclass(slots=True)
 class RealPlanner:
-    """One real planner, the meters between it and discovery, and the proxy that observes its tables."""
+    """One real planner, the meters between it and discovery, and the proxy that receives its tables.
+
+    Attributes:
+        placed: the planner and its cell.
+        listen: address at which proxies join the planner.
+        known_servers: all servers of the fleet; the proxy resets the stream at a line for any other server.
+        seed: seed of the planner and its proxy.
+        role: role for which its resource usage is reported.
+        meters: byte counters, one for each address of discovery.
+        child: process of the planner.
+        observer_task: task that runs the proxy.
+        proxy: proxy that receives the planner's tables.
+    """
 
     placed: PlacedPlanner
     listen: str
-    known_servers: set[str]  # all servers of the fleet: the proxy resets the stream at a line for any other
+    known_servers: set[str]
     seed: int
     role: Role = Role.REAL_PLANNER
-    meters: list[Meter] = field(default_factory=list)  # one for each address of discovery
+    meters: list[Meter] = field(default_factory=list)
     child: Child | None = None
     observer_task: asyncio.Task[None] | None = None
     proxy: HollowProxy | None = None
 
     async def prepare(self, folder: Path, host: str, zones: Sequence[str]) -> None:
-        """Start its meters and write its configuration file."""
+        """Start the meters and write the planner's configuration file."""
         self.meters = [Meter(address) for address in self.placed.discovery.split(",")]
         addresses = [await meter.start(host) for meter in self.meters]
         document = configuration(self.placed, self.listen, ",".join(addresses), zones, self.seed)
         self.config_path(folder).write_text(json.dumps(document))
 
     def config_path(self, folder: Path) -> Path:
-        """The path of the planner's configuration file."""
+        """Return the path of the planner's configuration file."""
         return folder / f"{self.placed.planner.name}.json"
 
     async def start(self, children: Children, folder: Path) -> None:
-        """Start the program, wait until it answers a PING, and have the proxy join; TimeoutError if it doesn't."""
+        """Start the program, wait until it responds to PING, and start the proxy.
+
+        Raises:
+            TimeoutError: the program did not respond within `READY_TIMEOUT_S`.
+        """
         environment = {CONFIG_VARIABLE: str(self.config_path(folder)), "STACKWHEEL_OPERATORS": ""}
         self.child = await children.start_program(self.role, self.placed.planner.name, (), environment)
         async with asyncio.timeout(READY_TIMEOUT_S):
@@ -128,34 +149,34 @@
         self.start_observer()
 
     def start_observer(self) -> None:
-        """Start the proxy if it isn't running yet; it connects again after any break."""
+        """Start the proxy if it is not running; the proxy reconnects whenever its stream breaks."""
         if self.observer_task is None:
             settings = ProxySettings(self.listen, ROUTES, self.known_servers, PROXY_REQUESTS_PER_SECOND)
             self.proxy = HollowProxy(0, self.placed.planner.zone, settings, Traffic(), Random(self.seed))
             self.observer_task = asyncio.create_task(self.proxy.run())
 
     async def restart(self, children: Children, folder: Path) -> None:
-        """End the program with SIGTERM, and start it again."""
+        """End the program with SIGTERM and start it again."""
         if self.child is not None:
             await children.end(self.child)
         await self.start(children, folder)
 
     def lines(self) -> set[str]:
-        """The names of all servers that have a line in the proxy's tables."""
+        """Return the names of all servers that have a line in the proxy's tables."""
         if self.proxy is None:
             return set()
         return {name for class_table in self.proxy.forwarder.class_tables.values() for name in class_table.lines}
 
     def bytes_in(self) -> int:
-        """Bytes received from discovery so far."""
+        """Return the number of bytes received from discovery so far."""
         return sum(meter.bytes_in for meter in self.meters)
 
     def bytes_out(self) -> int:
-        """Bytes sent to discovery so far."""
+        """Return the number of bytes sent to discovery so far."""
         return sum(meter.bytes_out for meter in self.meters)
 
     def close(self) -> None:
-        """End the proxy and the meters; the program itself is ended with the run's processes."""
+        """Stop the proxy and the meters; the program itself ends with the other processes of the run."""
         if self.observer_task is not None:
             self.observer_task.cancel()
         for meter in self.meters:
--- a/stackwheel/scale/scenarios.py
+++ b/stackwheel/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens in a run, drawn from a seed: changes of the list and restarts of planners, each with its time."""
+"""Schedule of a run, generated from a seed: changes of the list and restarts of planners with their times."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 from stackwheel.scale.entries import IN_SERVICE, TERMINATED, TERMINATING
 from stackwheel.scale.fleet import DrawnServer, Fleet
 
-EVENTS_PER_DAY = 13_000 + 120  # the operators' figure: restarted or replaced, and failed, on an ordinary day
-EVENTS_FLEET_SIZE = 48_000  # servers that `EVENTS_PER_DAY` was counted over
-SPEEDUP_FACTOR = 60  # an hour of an ordinary day within a minute
-MIN_EVENTS_PER_SECOND = 1.0  # so that a small fleet has changes, too
+# The operators' fleet on an ordinary day: servers restarted or replaced, and servers failed.
+EVENTS_PER_DAY = 13_000 + 120
+EVENTS_FLEET_SIZE = 48_000  # Servers of the fleet to which `EVENTS_PER_DAY` applies.
+SPEEDUP_FACTOR = 60  # A minute of a run has the events of an hour.
+MIN_EVENTS_PER_SECOND = 1.0
 SECONDS_PER_DAY = 86_400.0
-DRAIN_DURATION_S = 1.0  # s from terminating to terminated: an ordinary drain at this speed-up
-RESTART_DURATION_S = 1.0  # s from terminated to in service again
-ZONE_LOSS_TIME_SHARE = 0.2  # of the duration
-ZONE_LOSS_SPREAD_S = 1.0  # s: the operators' figure, 565 servers of a zone within a second
-ZONE_RETURN_TIME_SHARE = 0.6  # of the duration
-RESTART_TIME_SHARE = 0.3  # of the duration
-RUN_EPOCH_MS = 1_767_225_600_000  # the beginning of 2026 in Unix ms
-BATCH_WINDOW_S = 0.05  # s: changes so close together are one generation
+DRAIN_DURATION_S = 1.0
+RESTART_DURATION_S = 1.0
+# Times of events are shares of the run's duration.
+ZONE_LOSS_TIME_SHARE = 0.2
+ZONE_LOSS_SPREAD_S = 1.0  # Period within which all servers of a zone leave or return.
+ZONE_RETURN_TIME_SHARE = 0.6
+RESTART_TIME_SHARE = 0.3
+RUN_EPOCH_MS = 1_767_225_600_000  # 2026-01-01 00:00 UTC.
+BATCH_WINDOW_S = 0.05  # Changes within this period are applied as one generation.
 
 
 class Scenario(Enum):
-    """The kinds of run."""
+    """Kinds of run."""
 
     CHURN = "churn"
     ZONE_LOSS = "zone-loss"
@@ -35,39 +37,56 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerChange:
-    """A server's new lifecycle. A server that returns is a new process."""
+    """A change of a server's lifecycle.
 
-    at: float  # s after the run began
+    Attributes:
+        at: time since the start of the run, s.
+        server: the server.
+        lifecycle: its new lifecycle.
+        started_at_ms: start of the server's process, Unix ms; a returning server is a new process with a later start.
+    """
+
+    at: float
     server: DrawnServer
     lifecycle: str
-    started_at_ms: int = 0  # Unix ms; grows with each process of a server
+    started_at_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerRestart:
-    """A group of planners that all restart at once."""
+    """A simultaneous restart of a group of planners.
 
-    at: float  # s after the run began
-    planners: tuple[int, ...]  # their numbers
+    Attributes:
+        at: time since the start of the run, s.
+        planners: numbers of the planners.
+    """
+
+    at: float
+    planners: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeBatch:
-    """Changes that are applied as one generation."""
+    """Changes that are applied as one generation.
+
+    Attributes:
+        at: time of the last change since the start of the run, s.
+        changes: the changes in order.
+    """
 
-    at: float  # s after the run began: the time of the last change
+    at: float
     changes: list[ServerChange]
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A run's changes in the order of their time, and its restarts."""
+    """Changes of a run in the order of their times, and its restarts of planners."""
 
     changes: tuple[ServerChange, ...]
     restarts: tuple[PlannerRestart, ...] = ()
 
     def batches(self) -> Iterator[ChangeBatch]:
-        """All changes in their order, those within `BATCH_WINDOW_S` of the first of a batch together."""
+        """Yield all changes in order; a batch contains the changes within `BATCH_WINDOW_S` of its first one."""
         changes: list[ServerChange] = []
         for change in self.changes:
             if changes and change.at > changes[0].at + BATCH_WINDOW_S:
@@ -79,19 +98,19 @@
 
 
 def default_event_rate(servers: int) -> float:
-    """Servers a second that leave and return: those of an ordinary day, `SPEEDUP_FACTOR` times as fast."""
+    """Return the number of servers per second that leave and return: `SPEEDUP_FACTOR` times that of an ordinary day."""
     return max(MIN_EVENTS_PER_SECOND, EVENTS_PER_DAY * servers / EVENTS_FLEET_SIZE / SECONDS_PER_DAY * SPEEDUP_FACTOR)
 
 
 def draw_schedule(fleet: Fleet, scenario: Scenario, duration: float, event_rate: float, seed: int) -> Schedule:
-    """The schedule of a run.
+    """Generate the schedule of a run; equal arguments give equal schedules.
 
     Args:
-        fleet: whose servers change.
-        scenario: the kind of run.
-        duration: of the run, in s.
-        event_rate: servers a second that drain, leave and return; a zone loss has none of them.
-        seed: the same seed gives the same schedule.
+        fleet: fleet whose servers change.
+        scenario: kind of run.
+        duration: duration of the run, s.
+        event_rate: servers per second that drain, leave and return; not used for a zone loss.
+        seed: seed of the schedule.
     """
     random = Random(f"schedule {seed}")
     if scenario is Scenario.ZONE_LOSS:
@@ -103,7 +122,10 @@
 
 
 def churn(fleet: Fleet, duration: float, event_rate: float, random: Random) -> Iterator[ServerChange]:
-    """Servers drain, leave and return, one after another; no server twice at a time, all back by the end."""
+    """Yield changes by which random servers drain, leave and return.
+
+    The restarts of one server do not overlap, and all servers have returned before the end of the run.
+    """
     last_start = duration - DRAIN_DURATION_S - RESTART_DURATION_S
     available_at: dict[str, float] = {}
     starts: dict[str, int] = {}
@@ -122,7 +144,7 @@
 
 
 def zone_loss(fleet: Fleet, duration: float, random: Random) -> Iterator[ServerChange]:
-    """All servers of the largest zone leave within a second, and return later within a second."""
+    """Yield changes by which all servers of the largest zone leave within `ZONE_LOSS_SPREAD_S`, and later return."""
     sizes: dict[str, int] = {}
     for server in fleet.servers:
         sizes[server.zone] = sizes.get(server.zone, 0) + 1
@@ -137,17 +159,20 @@
 
 
 def process_start_ms(at: float) -> int:
-    """The start, in Unix ms, of a process that comes `at` seconds after the run began; no clock is read."""
+    """Return the start, in Unix ms, of a process that starts `at` seconds after the start of the run.
+
+    It is computed from `RUN_EPOCH_MS`, so that it is reproducible.
+    """
     return RUN_EPOCH_MS + round(1000.0 * at)
 
 
 def sorted_changes(changes: Iterator[ServerChange]) -> tuple[ServerChange, ...]:
-    """Changes by their time; those of the same time by the server's name."""
+    """Sort changes by time, and those at the same time by server name."""
     return tuple(sorted(changes, key=lambda change: (change.at, change.server.name)))
 
 
 def largest_group(fleet: Fleet) -> tuple[int, ...]:
-    """The numbers of the planners of the service that has the largest number of planners."""
+    """Return the numbers of the planners of the service with the most planners."""
     counts: dict[str, int] = {}
     for planner in fleet.planners:
         counts[planner.service] = counts.get(planner.service, 0) + 1
--- a/tests/scale/test_peers.py
+++ b/tests/scale/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams of hollow planners: as many as docs/fleet.md says, none over the limit."""
+"""Tests of the number, size and delivery of datagrams between hollow planners; see docs/fleet.md."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
     ("planners", "servers", "datagrams"),
     [(1, 500, 0), (7, 23, 6), (7, 31, 6), (7, 32, 12), (2, 31 * 128, 128), (2, 31 * 128 + 1, 0), (16, 512, 0)],
 )
-def test_the_number_follows_the_formula_of_planners(planners: int, servers: int, datagrams: int) -> None:
+def test_the_number_of_datagrams_equals_that_of_real_planners(planners: int, servers: int, datagrams: int) -> None:
     assert datagrams_per_interval(planners, servers) == datagrams
 
 
 @pytest.mark.parametrize(("planners", "servers"), [(7, 23), (2, 31), (2, 32), (16, 70), (1, 9), (16, 512)])
-def test_bytes_are_those_of_a_planners_datagrams(planners: int, servers: int) -> None:
+def test_the_bytes_equal_those_of_the_encoded_datagrams(planners: int, servers: int) -> None:
     payloads = encode(5, {server_id(str(number)): 1.0 for number in range(servers)})
     sent = datagrams_per_interval(planners, servers) > 0
     assert bytes_per_interval(planners, servers) == (planners - 1) * sum(map(len, payloads)) * sent
 
 
-def test_the_limit_is_that_of_the_policy() -> None:
+def test_the_limit_of_datagrams_equals_that_of_the_policy() -> None:
     assert MAX_DATAGRAMS_PER_INTERVAL == peer_planners.MAX_DATAGRAMS_PER_INTERVAL
 
 
-def test_datagrams_are_sent_to_and_read_by_peers() -> None:
+def test_hollow_planners_send_datagrams_to_their_peers_and_read_them() -> None:
     async def work() -> None:
         traffic = PeerTraffic()
         cache = HollowEndpointCache(SharedEntries(("zone",), ("m1",)))
--- a/tests/scale/test_propagation.py
+++ b/tests/scale/test_propagation.py
@@ -1,4 +1,4 @@
-"""Propagation times from the changes at the registry and the records of planners."""
+"""Tests of the propagation times computed from changes at the registry and records of planners."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return EntryRecord(NAME, state, started, [planner for planner, _ in at], [time for _, time in at])
 
 
-def test_each_planner_counts_once_for_each_change() -> None:
+def test_each_change_has_one_time_per_planner() -> None:
     times = measure([made("terminating", 10.0)], [recorded(DRAINING, 0.0, (0, 10.1), (1, 10.5))], {NAME: [0, 1]})
     assert times.count() == 2
     assert times.missing == 0
@@ -28,20 +28,20 @@
     assert times.percentile(100) == pytest.approx(500, rel=0.01)
 
 
-def test_a_planner_without_a_record_is_missing() -> None:
+def test_a_change_without_a_record_at_a_planner_is_counted_as_missing() -> None:
     times = measure([made("terminating", 10.0)], [recorded(DRAINING, 0.0, (0, 10.1))], {NAME: [0, 1]})
     assert times.count() == 1
     assert times.missing == 1
 
 
-def test_planners_that_are_not_concerned_do_not_count() -> None:
+def test_records_of_planners_without_the_server_are_ignored() -> None:
     times = measure([made("terminating", 10.0)], [recorded(DRAINING, 0.0, (0, 10.1), (7, 30.0))], {NAME: [0]})
     assert times.count() == 1
     assert times.percentile(100) == pytest.approx(100, rel=0.01)
     assert measure([made("terminating", 10.0)], [], {}).count() == 0
 
 
-def test_a_later_change_in_force_includes_the_earlier_ones() -> None:
+def test_a_later_change_in_force_implies_that_earlier_ones_are_in_force() -> None:
     changes = [made("terminating", 10.0), made("terminated", 10.2), made("in_service", 10.4, 99)]
     times = measure(changes, [recorded(READY, 99.0, (0, 10.5))], {NAME: [0]})
     assert times.count() == 3
@@ -49,14 +49,14 @@
     assert times.percentile(100) == pytest.approx(500, rel=0.01)
 
 
-def test_an_earlier_change_in_force_does_not_include_a_later_one() -> None:
+def test_an_earlier_change_in_force_does_not_imply_that_a_later_one_is_in_force() -> None:
     changes = [made("terminating", 10.0), made("terminated", 10.2)]
     times = measure(changes, [recorded(DRAINING, 0.0, (0, 10.1))], {NAME: [0]})
     assert times.count() == 1
     assert times.missing == 1
 
 
-def test_a_restart_counts_until_the_planner_has_a_list_again() -> None:
+def test_a_change_during_a_restart_is_replaced_by_the_time_of_the_restart() -> None:
     restart = RestartRecord(0, 10.0, 12.0)
     times = measure([made("terminated", 9.9), made("in_service", 11.0, 99)], [], {NAME: [0]}, [restart])
     assert times.missing == 0
@@ -64,7 +64,7 @@
     assert times.percentile(100) == pytest.approx(2_100, rel=0.01)
 
 
-def test_without_changes_there_are_no_figures() -> None:
+def test_without_changes_percentiles_are_none() -> None:
     times = measure([], [], {})
     assert times.percentile(50) is None
     assert times.percentile(100) is None
