--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -46,8 +46,9 @@
 from stackwheel.wire.discovery_client import DiscoveryClient, DiscoveryOptions, WatchEnd
 from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
-LIST_POLL_DEADLINE_MS = 10_000.0  # As `obligations.ask_within` of the example configuration; limits the backoff.
-START_INTERVAL_S = 0.002  # Spreads the first calls of the planners of a process over time.
+# Limits the backoff of the discovery client; equal to `obligations.ask_within` of the example configuration.
+LIST_POLL_DEADLINE_MS = 10_000.0
+START_INTERVAL_S = 0.002  # Delay between the starts of two planners, so that their first calls are not simultaneous.
 MIN_CLEANUP_ENTRIES = 10_000
 STALE_SNAPSHOT_CHECK_INTERVAL_S = 0.5
 
@@ -166,7 +167,7 @@
             self.records.add_restart(self.planner.number, self.ended_at, now)
         self.has_list = True
 
-    def accept_stale_snapshot(self, now: float) -> None:
+    def apply_confirmed_snapshot(self, now: float) -> None:
         """Apply a stale snapshot once the cache has confirmed it. `now` is the monotonic time in s."""
         if (endpoint_list := self.endpoints.confirmed_snapshot(1000.0 * now)) is not None:
             self.records.add(self.planner.number, self.endpoints.apply_list(endpoint_list, 1000.0 * now), now)
@@ -200,13 +201,13 @@
         """Return the endpoint cache of one planner of the process."""
         return self.followers[planner].endpoints
 
-    async def accept_stale_snapshots(self) -> None:
+    async def maintain_caches(self) -> None:
         """Periodically apply confirmed stale snapshots and remove shared entries that are no longer used."""
         while True:
             await asyncio.sleep(STALE_SNAPSHOT_CHECK_INTERVAL_S)
             for follower in self.followers.values():
                 if follower.endpoints.stale_snapshot is not None:
-                    follower.accept_stale_snapshot(time.monotonic())
+                    follower.apply_confirmed_snapshot(time.monotonic())
             if len(self.shared.entries) > self.cleanup_threshold:
                 self.shared.remove_unused(follower.endpoints for follower in self.followers.values())
                 self.cleanup_threshold = max(MIN_CLEANUP_ENTRIES, 2 * len(self.shared.entries))
@@ -247,8 +248,8 @@
             else:
                 right += 1
             digests[follower.planner.cell].add(entries_digest(actual))
-            await asyncio.sleep(0)  # Lets the event loop read the watches between two planners.
-        return Compared(compared, right, wrong, {cell: sorted(of_cell) for cell, of_cell in digests.items()})
+            await asyncio.sleep(0)  # The event loop reads the watches between the comparisons of two planners.
+        return Compared(compared, right, wrong, {cell: sorted(cell_digests) for cell, cell_digests in digests.items()})
 
     def expected_entries(self, entries: list[Entry]) -> dict[str, ListedEntry]:
         """Return the entries that a planner should have, by server name.
@@ -313,14 +314,14 @@
     logger.remove()  # The logs of all planners of a process would be too long; the counters replace them.
     connection = await connect_standard_streams()
     process = HollowProcess(loop)
-    stale_snapshot_task = asyncio.create_task(process.accept_stale_snapshots())
+    maintenance_task = asyncio.create_task(process.maintain_caches())
     await connection.send(Ready())
     gc.freeze()
     while (message := await connection.receive()) is not None and not isinstance(message, Stop):
         answer = await process.handle(message)
         if answer is not None:
             await connection.send(answer)
-    stale_snapshot_task.cancel()
+    maintenance_task.cancel()
     process.peers.close()
     for follower in process.followers.values():
         follower.end()
--- a/stackwheel/scale/hollow_endpoints.py
+++ b/stackwheel/scale/hollow_endpoints.py
@@ -37,9 +37,9 @@
 
     def remove_unused(self, caches: Iterable[HollowEndpointCache]) -> None:
         """Remove the entries and addresses that none of the caches contains. `caches`: all caches of the process."""
-        used = list(caches)
-        self.entries = {entry: entry for cache in used for entry in cache.entries.values()}
-        self.addresses = {address: address for cache in used for address in cache.addresses.values()}
+        all_caches = list(caches)
+        self.entries = {entry: entry for cache in all_caches for entry in cache.entries.values()}
+        self.addresses = {address: address for cache in all_caches for address in cache.addresses.values()}
 
 
 class HollowEndpointCache(EndpointCache):
@@ -87,8 +87,8 @@
         """Copy the entries that a list may change, because the cache is changed in place."""
         if endpoint_list.complete:
             return dict(self.entries)
-        named = [server_id(instance.name) for instance in endpoint_list.instances]
-        return {server: self.entries[server] for server in named if server in self.entries}
+        listed_servers = [server_id(instance.name) for instance in endpoint_list.instances]
+        return {server: self.entries[server] for server in listed_servers if server in self.entries}
 
     def listed_entries(self) -> dict[str, ListedEntry]:
         """Return all entries by server name."""
--- a/stackwheel/scale/layout.py
+++ b/stackwheel/scale/layout.py
@@ -12,7 +12,7 @@
 FULL_LIST_CELL = ""  # Cell of planners that follow the registry directly and receive the full list.
 PEER_NETWORK = "127.1"  # Loopback network with one address for each hollow planner, 65,536 at most.
 
-MAX_GROUP_PLANNERS = 16  # Planners of a cell that are assigned to a process together; the default maximum of a cell.
+MAX_GROUP_PLANNERS = 16  # Larger cells are divided between processes; the default cell plan has none.
 
 CellOfServer = Callable[[str, str], str | None]
 """Returns the name of a server's cell, or None, from the server's name and zone."""
--- a/stackwheel/scale/peers.py
+++ b/stackwheel/scale/peers.py
@@ -11,10 +11,12 @@
 from stackwheel.scale.hollow_endpoints import HollowEndpointCache
 from stackwheel.wire.http import split_address
 
-REPORT_INTERVAL_S = 1.0  # As `family_info.cycle` of the example configuration.
-MAX_DATAGRAMS_PER_INTERVAL = 128  # If a planner would have to read more, none are sent; see docs/fleet.md.
-MAX_DATAGRAMS_SENT = 1_000  # Per second and process. Datagrams above the limit are only counted.
-PROXIES_PER_PLANNER = 66  # 990,000 proxies with 1 request per second each, over 15,000 planners.
+REPORT_INTERVAL_S = 1.0  # Equal to `family_info.cycle` of the example configuration.
+# No datagrams are sent in a cell whose planners would have to read more of them; see docs/fleet.md.
+MAX_DATAGRAMS_PER_INTERVAL = 128
+# Limit per second for one process. Datagrams above it are counted but not sent.
+MAX_DATAGRAMS_SENT = 1_000
+PROXIES_PER_PLANNER = 66  # 990,000 proxies divided by 15,000 planners.
 REQUESTS_PER_SECOND_PER_SERVER = 1.0  # The size of a datagram does not depend on it.
 
 
--- a/stackwheel/scale/processes.py
+++ b/stackwheel/scale/processes.py
@@ -43,9 +43,8 @@
 
 READY_POLL_INTERVAL_S = 0.5
 MAX_CONCURRENT_REAL_STARTS = 4  # Each start of a real planner occupies a core.
-PLANNER_SEED_FACTOR = (
-    1_000_003  # A prime above the number of planners, so that the planners of all runs differ in seed.
-)
+# A prime above the number of planners, so that the planners of runs with different seeds have different seeds.
+PLANNER_SEED_FACTOR = 1_000_003
 MAX_LOG_LINE_CHARACTERS = 200
 
 Answered = TypeVar("Answered", bound=Message)
--- a/stackwheel/scale/propagation.py
+++ b/stackwheel/scale/propagation.py
@@ -11,7 +11,7 @@
 from stackwheel.scale.control import EntryRecord, MadeChange, RestartRecord
 from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
-MAX_RECORDED_US = 600_000_000  # Longer than the duration of any run.
+MAX_RECORDED_US = 600_000_000  # Ten minutes, which is longer than a run takes to settle.
 SIGNIFICANT_DIGITS = 3
 
 
@@ -33,7 +33,12 @@
 
 @dataclass(slots=True)
 class PropagationTimes:
-    """Histogram of propagation times, in microseconds, and the number of changes that were never in force."""
+    """Propagation times of changes at planners.
+
+    Attributes:
+        histogram: times of the changes that came into force, microseconds.
+        missing: number of changes at planners that never came into force.
+    """
 
     histogram: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS))
     missing: int = 0
@@ -78,12 +83,12 @@
         restarts: restarts of hollow planners.
     """
     times = PropagationTimes()
-    first_at = first_in_force_times(records)
+    first_in_force_at = first_in_force_times(records)
     restarts_of = restarts_by_planner(restarts)
     for name, history in changes_by_server(changes).items():
         for planner in planners_of.get(name, ()):
-            measure_server_at_planner(times, planner, history, first_at, restarts_of.get(planner, []))
-    for restart in (restart for of_planner in restarts_of.values() for restart in of_planner):
+            measure_server_at_planner(times, planner, history, first_in_force_at, restarts_of.get(planner, []))
+    for restart in (restart for planner_restarts in restarts_of.values() for restart in planner_restarts):
         times.add(restart.ready_at - restart.ended)
     return times
 
@@ -92,7 +97,7 @@
     times: PropagationTimes,
     planner: int,
     history: Sequence[MadeChange],
-    first_at: Mapping[RecordKey, float],
+    first_in_force_at: Mapping[RecordKey, float],
     restarts: Sequence[RestartRecord],
 ) -> None:
     """Add the propagation times of one server's changes at one planner.
@@ -101,7 +106,7 @@
     """
     recorded_at: list[float] = []  # Times of the present change and of later ones.
     for change in reversed(history):
-        at = first_at.get(record_key(planner, change))
+        at = first_in_force_at.get(record_key(planner, change))
         if at is not None:
             recorded_at.append(at)
         if any(restart.ended <= change.made_at <= restart.ready_at for restart in restarts):
@@ -116,12 +121,12 @@
 
 def first_in_force_times(records: Iterable[EntryRecord]) -> dict[RecordKey, float]:
     """Return the monotonic time in s at which each entry first came into force at each planner."""
-    first_at: dict[RecordKey, float] = {}
+    first_in_force_at: dict[RecordKey, float] = {}
     for record in records:
         for planner, at in zip(record.planners, record.times, strict=True):
             key = RecordKey(planner, record.name, record.availability, record.started)
-            first_at[key] = min(at, first_at.get(key, at))
-    return first_at
+            first_in_force_at[key] = min(at, first_in_force_at.get(key, at))
+    return first_in_force_at
 
 
 def changes_by_server(changes: Iterable[MadeChange]) -> dict[str, list[MadeChange]]:
--- a/stackwheel/scale/proxies.py
+++ b/stackwheel/scale/proxies.py
@@ -16,12 +16,13 @@
 
 LINE_END = b"\r\n"
 MAX_LINE_BYTES = 1 << 20  # The protocol's limit for one message.
-RECONNECT_DELAY_RANGE_S = (0.2, 1.0)  # Random, so that the proxies of a restarted planner do not reconnect together.
+# The delay is random, so that the proxies of a restarted planner do not reconnect at the same time.
+RECONNECT_DELAY_RANGE_S = (0.2, 1.0)
 # The time that a proxy takes to apply an update is log-normal; about 1 % of updates take over 32 ms.
 MEDIAN_APPLY_TIME_MS = 5.0
 APPLY_TIME_LOG_SIGMA = 0.8
 POLL_INTERVAL_S = 0.02
-REPORT_INTERVAL_MS = 1000.0  # As `family_info.cycle` of the example configuration.
+REPORT_INTERVAL_MS = 1000.0  # Equal to `family_info.cycle` of the example configuration.
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,14 +78,14 @@
         """Keep a stream to the planner open until cancelled, reconnecting whenever it breaks."""
         while True:
             try:
-                await self.stream()
+                await self.run_stream()
             except (OSError, InvalidUpdateError, asyncio.LimitOverrunError, asyncio.IncompleteReadError) as error:
                 self.state.resets += isinstance(error, InvalidUpdateError)
             finally:
                 self.close()
             await asyncio.sleep(self.random.uniform(*RECONNECT_DELAY_RANGE_S))
 
-    async def stream(self) -> None:
+    async def run_stream(self) -> None:
         """Open one stream, send SUBSCRIBE, and apply updates until the stream breaks."""
         host, port = split_address(self.settings.address)
         reader, self.writer = await asyncio.open_connection(host, port, limit=MAX_LINE_BYTES)
@@ -92,7 +93,7 @@
         rate = self.settings.requests_per_second
         self.send_line(f"SUBSCRIBE id={self.number} site={self.zone} rps={rate:g} new={is_new}")
         self.state.joins += 1
-        reports = asyncio.create_task(self.report())
+        reports = asyncio.create_task(self.report_periodically())
         try:
             await self.read_updates(reader)
         finally:
@@ -127,7 +128,7 @@
         self.state.pending_nonces = [pending for pending in self.state.pending_nonces if pending > nonce]
         self.send_line(f"ACK id={self.number} seq={nonce} ms={elapsed_ms:.1f}")
 
-    async def report(self) -> None:
+    async def report_periodically(self) -> None:
         """Send the demand of each route once per report interval, starting at a random time within the first one."""
         interval_ms = self.settings.report_interval_ms
         interval = interval_ms / 1000.0
@@ -175,11 +176,11 @@
         """Send load reports until cancelled, reconnecting whenever the stream breaks."""
         while True:
             try:
-                await self.stream()
+                await self.run_stream()
             except OSError:
                 await asyncio.sleep(self.random.uniform(*RECONNECT_DELAY_RANGE_S))
 
-    async def stream(self) -> None:
+    async def run_stream(self) -> None:
         """Open one stream and send the reports of all servers once per report interval until the stream breaks."""
         host, port = split_address(self.address)
         _, writer = await asyncio.open_connection(host, port)
--- a/stackwheel/scale/real.py
+++ b/stackwheel/scale/real.py
@@ -25,7 +25,7 @@
 from stackwheel.service.config import CONFIG_VARIABLE
 
 ROUTES = ("read", "write")
-MAX_PROXIES = 8  # Number in the planner's settings; only one proxy joins.
+MAX_PROXIES = 8  # Limit in the planner's settings; only one proxy joins.
 PROXY_REQUESTS_PER_SECOND = 15.0
 RESOURCE_LIMITS = {"cores": 0.028, "memory_mb": 128, "sockets": 1024}  # The operators' budget for one planner.
 MAX_SERVERS_IN_FULL_TABLE = 150  # Tables of larger cells may omit ready servers; see docs/fleet.md.
--- a/stackwheel/scale/registry_list.py
+++ b/stackwheel/scale/registry_list.py
@@ -42,7 +42,7 @@
         self.entries: dict[str, Entry] = {}
         self.encoded_by_name: dict[str, bytes] = {}
         self.changes: deque[EncodedChange] = deque(maxlen=MAX_STORED_CHANGES)
-        self.made_changes: list[MadeChange] = []  # Unlimited here; the schedule of a run limits the number of changes.
+        self.made_changes: list[MadeChange] = []  # Its length is limited by the schedule of the run.
         self.encoded_full_list: EncodedList | None = None
         for entry in entries:
             self.put(entry)
--- a/stackwheel/scale/run.py
+++ b/stackwheel/scale/run.py
@@ -28,10 +28,10 @@
 from stackwheel.scale.summary import RunMeasurements, make_report
 
 START_TIMEOUT_S = 180.0
-SETTLE_TIMEOUT_S = 7.0  # Above the 6 s within which the protocol delivers a change.
+SETTLE_TIMEOUT_S = 7.0  # The protocol requires that a change is delivered within 6 s.
 SETTLE_POLL_INTERVAL_S = 0.5
 SAMPLE_INTERVAL_S = 1.0
-REPORT_TIMEOUT_S = 120.0  # For collecting the records, and again for the comparison, of all planners.
+REPORT_TIMEOUT_S = 120.0  # Applies to the collection of the records and, separately, to the comparison.
 FAULT_TIME_SHARE = 0.4  # Share of the run's duration after which the fault is injected.
 
 
@@ -140,9 +140,9 @@
         """Kill a relay if the arguments request it; the planners of its cells continue with their other relay."""
         if self.arguments.fault:
             await sleep_until(began + FAULT_TIME_SHARE * self.arguments.duration)
-            victim = self.processes.children.with_role(Role.RELAY)[0]
-            self.progress(f"killing {victim.name}")
-            await self.processes.children.kill(victim)
+            relay = self.processes.children.with_role(Role.RELAY)[0]
+            self.progress(f"killing {relay.name}")
+            await self.processes.children.kill(relay)
 
     async def sample_periodically(self) -> None:
         """Take a sample every `SAMPLE_INTERVAL_S` seconds until cancelled."""
--- a/stackwheel/scale/scenarios.py
+++ b/stackwheel/scale/scenarios.py
@@ -148,9 +148,9 @@
     sizes: dict[str, int] = {}
     for server in fleet.servers:
         sizes[server.zone] = sizes.get(server.zone, 0) + 1
-    lost = max(sizes, key=lambda zone: (sizes[zone], zone))
+    lost_zone = max(sizes, key=lambda zone: (sizes[zone], zone))
     for server in fleet.servers:
-        if server.zone == lost:
+        if server.zone == lost_zone:
             removed_at = ZONE_LOSS_TIME_SHARE * duration + random.random() * ZONE_LOSS_SPREAD_S
             returned_at = ZONE_RETURN_TIME_SHARE * duration + random.random() * ZONE_LOSS_SPREAD_S
             returned_at = max(returned_at, removed_at + 2 * BATCH_WINDOW_S)
--- a/tests/scale/test_hollow_endpoints.py
+++ b/tests/scale/test_hollow_endpoints.py
@@ -27,7 +27,7 @@
     return Instance(f"svc-0000-{number:08x}", f"10.0.0.{number}:1", ZONES[zone], "m1", 0, state, 1.0, started)
 
 
-def drawn_list(random: Random, generation: int) -> EndpointList:
+def random_list(random: Random, generation: int) -> EndpointList:
     states = (Availability.READY, Availability.DRAINING, Availability.REMOVED)
     instances = tuple(
         instance(random.randrange(8), random.choice(states), float(random.randrange(4)), random.randrange(2))
@@ -44,7 +44,7 @@
         hollow_caches = [HollowEndpointCache(shared), HollowEndpointCache(shared)]
         planner_cache = EndpointCache(ZONES, KINDS, ServerIds())
         for step in range(12):
-            endpoint_list = drawn_list(random, random.randrange(10))
+            endpoint_list = random_list(random, random.randrange(10))
             now = 1000.0 * step
             planner_cache.apply(endpoint_list, now)
             for cache in hollow_caches:
--- a/tests/scale/test_proxies.py
+++ b/tests/scale/test_proxies.py
@@ -52,7 +52,7 @@
 
 
 @contextlib.asynccontextmanager
-async def joined(report_interval_ms: float = 50.0) -> AsyncIterator[tuple[HollowProxy, ScriptedPlanner, Traffic]]:
+async def joined_proxy(report_interval_ms: float = 50.0) -> AsyncIterator[tuple[HollowProxy, ScriptedPlanner, Traffic]]:
     planner = ScriptedPlanner()
     traffic = Traffic()
     server = await asyncio.start_server(planner.accept, "127.0.0.1", 0)
@@ -70,7 +70,7 @@
 
 def test_a_proxy_joins_reports_each_route_and_acknowledges_applied_updates() -> None:
     async def work() -> None:
-        async with joined() as (proxy, planner, traffic):
+        async with joined_proxy() as (proxy, planner, traffic):
             reader, writer = await planner.stream()
             assert await planner.receive(reader) == JoinMessage(3, 0, 40.0, True)
             first, second = [await planner.receive(reader) for _ in range(2)]
@@ -95,7 +95,7 @@
 
 def test_an_invalid_update_resets_the_stream_and_the_proxy_rejoins_with_its_table() -> None:
     async def work() -> None:
-        async with joined() as (proxy, planner, _):
+        async with joined_proxy() as (proxy, planner, _):
             _, writer = await planner.stream()
             planner.send(writer, "CONFIG full=1 endpoints=s-0:1")
             planner.send(writer, "CONFIG endpoints=never-listed:1")
@@ -110,7 +110,7 @@
 
 def test_a_nonce_of_an_earlier_stream_is_not_acknowledged_on_the_next_stream() -> None:
     async def work() -> None:
-        async with joined(report_interval_ms=60_000.0) as (proxy, planner, traffic):
+        async with joined_proxy(report_interval_ms=60_000.0) as (proxy, planner, traffic):
             _, writer = await planner.stream()
             earlier_stream = proxy.writer
             writer.transport.abort()
--- a/tests/scale/test_relays.py
+++ b/tests/scale/test_relays.py
@@ -69,7 +69,7 @@
     for process, group in enumerate(groups):
         for number in group:
             processes_by_cell.setdefault(layout.placed[number].cell, set()).add(process)
-    assert all(len(of_cell) == 1 for of_cell in processes_by_cell.values())
+    assert all(len(process_indices) == 1 for process_indices in processes_by_cell.values())
     planners = Counter(placed.planner.service for placed in layout.placed)
     largest = max(planners, key=lambda service: planners[service])
     assert len(set.union(*(processes_by_cell[p.cell] for p in layout.placed if p.planner.service == largest))) == 3
--- a/tests/scale/test_run.py
+++ b/tests/scale/test_run.py
@@ -180,15 +180,15 @@
     assert not any(map(is_running, run.children))
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_an_interrupted_run_leaves_no_running_process(number: signal.Signals) -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
+def test_an_interrupted_run_leaves_no_running_process(signal_number: signal.Signals) -> None:
     size = ("--servers", "200", "--planners", "5", "--real-planners", "1")
     run = start(("--scenario", "churn", *size, "--duration", "60"), 3)
-    os.kill(run.process.pid, number)
+    os.kill(run.process.pid, signal_number)
     stdout, stderr = run.process.communicate(timeout=30)
     while any(map(is_running, run.children)):
         assert time.monotonic() < run.deadline, "a process of the run has not ended"
         time.sleep(0.05)
     assert stdout == ""
     assert "Traceback" not in stderr
-    assert run.process.returncode == (-number if number is signal.SIGKILL else 130)
+    assert run.process.returncode == (-signal_number if signal_number is signal.SIGKILL else 130)
