--- a/stackwheel/scale/processes.py
+++ b/stackwheel/scale/processes.py
@@ -78,7 +78,7 @@
         """Design the cell plan for this run's fleet and relays."""
         return design_plan(self.fleet, [network.host(number) for number in range(self.arguments.relays)])
 
-    def estimate(self) -> ResourceEstimate:
+    def estimate_resources(self) -> ResourceEstimate:
         """Return the resources that this run is expected to need.
 
         Raises:
--- a/stackwheel/scale/run.py
+++ b/stackwheel/scale/run.py
@@ -60,7 +60,7 @@
                 fleet=processes.fleet,
                 layout=processes.layout,
                 hollow_planners=processes.hollow_numbers,
-                expected_resources=processes.estimate(),
+                expected_resources=processes.estimate_resources(),
             )
             async with asyncio.timeout(START_TIMEOUT_S + self.arguments.duration + 2 * REPORT_TIMEOUT_S):
                 return await self.run_stages()
@@ -76,7 +76,7 @@
         await self.execute_scenario()
         settling_since = time.monotonic()
         await self.drop_requested_entry()
-        comparison = await self.settle()
+        comparison = await self.compare_until_correct()
         self.measurements.settling_s = time.monotonic() - settling_since
         return await self.report(comparison)
 
@@ -171,7 +171,7 @@
             number = min(self.processes.hollow_process_by_number)
             await self.processes.hollow_process_by_number[number].notify_process(DropEntry(number))
 
-    async def settle(self) -> ListComparison:
+    async def compare_until_correct(self) -> ListComparison:
         """Compare repeatedly until no entry is wrong or `SETTLE_TIMEOUT_S` has passed; return the last comparison."""
         began = time.monotonic()
         processes = self.processes
