--- a/tests/scale/test_hollow_endpoints.py
+++ b/tests/scale/test_hollow_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint caches of hollow planners: the same entries as a planner's cache for any lists; and the comparison."""
+"""Tests of the endpoint cache of hollow planners and of the comparison of its entries with the list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     ListedEntry,
     SharedEntries,
     compare,
-    digest_of,
+    entries_digest,
 )
 from stackwheel.state.endpoint_cache import EndpointCache
 from stackwheel.state.server_ids import ServerIds
@@ -27,7 +27,7 @@
     return Instance(f"svc-0000-{number:08x}", f"10.0.0.{number}:1", ZONES[zone], "m1", 0, state, 1.0, started)
 
 
-def drawn_list(random: Random, generation: int) -> EndpointList:
+def random_list(random: Random, generation: int) -> EndpointList:
     states = (Availability.READY, Availability.DRAINING, Availability.REMOVED)
     instances = tuple(
         instance(random.randrange(8), random.choice(states), float(random.randrange(4)), random.randrange(2))
@@ -37,14 +37,14 @@
     return EndpointList(generation, random.random() < 0.3, instances, unreadable, random.random() < 0.1)
 
 
-def test_entries_equal_those_of_a_planners_cache_for_lists_in_any_order() -> None:
+def test_entries_equal_those_of_the_planners_cache_for_random_lists_in_any_order() -> None:
     for seed in range(300):
         random = Random(seed)
         shared = SharedEntries(ZONES, KINDS)
         hollow_caches = [HollowEndpointCache(shared), HollowEndpointCache(shared)]
         planner_cache = EndpointCache(ZONES, KINDS, ServerIds())
         for step in range(12):
-            endpoint_list = drawn_list(random, random.randrange(10))
+            endpoint_list = random_list(random, random.randrange(10))
             now = 1000.0 * step
             planner_cache.apply(endpoint_list, now)
             for cache in hollow_caches:
@@ -59,7 +59,7 @@
         assert all(first.entries[server] is second.entries[server] for server in first.entries)
 
 
-def test_changed_entries_include_those_that_a_full_list_leaves_out() -> None:
+def test_changed_entries_include_servers_that_are_absent_from_a_full_list() -> None:
     cache = HollowEndpointCache(SharedEntries(ZONES, KINDS))
     name = cache.server_ids.name
     assert [name(e.server) for e in cache.apply_list(EndpointList(1, True, (instance(1), instance(2))), 0.0)] == [
@@ -74,12 +74,12 @@
     assert name(removed.server) == "svc-0000-00000002"
 
 
-def test_a_sweep_drops_only_what_no_cache_has() -> None:
+def test_remove_unused_removes_only_entries_and_addresses_that_no_cache_contains() -> None:
     shared = SharedEntries(ZONES, KINDS)
     cache = HollowEndpointCache(shared)
     cache.apply_list(EndpointList(1, True, (instance(1), instance(2))), 0.0)
     cache.apply_list(EndpointList(2, False, (instance(1, Availability.REMOVED),)), 0.0)
-    shared.sweep([cache])
+    shared.remove_unused([cache])
     assert list(shared.entries) == list(cache.entries.values())
     assert list(shared.addresses) == ["10.0.0.2:1"]
 
@@ -96,19 +96,19 @@
 def test_cached_entries_are_compared_with_the_list_field_by_field() -> None:
     cache = HollowEndpointCache(SharedEntries(ZONES, KINDS))
     cache.apply_list(EndpointList(1, True, (instance(1), instance(2))), 0.0)
-    assert compare(cache.listed(), expected(*entries(1, 2))) == Difference()
-    assert digest_of(cache.listed()) == digest_of(expected(*entries(1, 2)))
+    assert compare(cache.listed_entries(), expected(*entries(1, 2))) == Difference()
+    assert entries_digest(cache.listed_entries()) == entries_digest(expected(*entries(1, 2)))
     for field, value in (("lifecycle", "terminating"), ("started_at_ms", 5), ("cell", 1), ("weight", 2.0)):
         wrong = expected(*entries(1), *entries(2, **{field: value}))
-        assert compare(cache.listed(), wrong).different == ("svc-0000-00000002",)
-        assert digest_of(cache.listed()) != digest_of(wrong)
+        assert compare(cache.listed_entries(), wrong).different == ("svc-0000-00000002",)
+        assert entries_digest(cache.listed_entries()) != entries_digest(wrong)
     other_address = expected(*entries(1), Entry("svc-0000-00000002", "10.0.0.9:1", "zone-00"))
-    assert compare(cache.listed(), other_address).different == ("svc-0000-00000002",)
+    assert compare(cache.listed_entries(), other_address).different == ("svc-0000-00000002",)
     other_zone = expected(*entries(1), Entry("svc-0000-00000002", "10.0.0.2:1", "zone-01"))
-    assert compare(cache.listed(), other_zone).different == ("svc-0000-00000002",)
+    assert compare(cache.listed_entries(), other_zone).different == ("svc-0000-00000002",)
 
 
-def test_missing_and_left_over_entries_are_named() -> None:
+def test_the_difference_names_missing_and_unexpected_entries() -> None:
     difference = compare(expected(*entries(1, 2)), expected(*entries(2, 3)))
     assert difference == Difference(("svc-0000-00000003",), ("svc-0000-00000001",), ())
     assert difference.count() == 2
