--- a/stackwheel/trials/defects/policy.py
+++ b/stackwheel/trials/defects/policy.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.interface import Availability, Retry
 from stackwheel.policy import load_shedding, table_groups, tables
 from stackwheel.policy.channel import ChannelBudget
@@ -31,7 +31,7 @@
     """Each endpoint entry is believed to be ready."""
     original = EndpointTracker.apply_entry
 
-    def apply_entry(self: EndpointTracker, entry: face.EndpointEntry) -> bool:
+    def apply_entry(self: EndpointTracker, entry: interface.EndpointEntry) -> bool:
         """In place of `EndpointTracker.apply_entry`."""
         return original(self, replace(entry, availability=Availability.READY))
 
@@ -42,7 +42,7 @@
     """An endpoint update is extended by the servers that it lacks or removes."""
     original = EndpointTracker.apply
 
-    def apply(self: EndpointTracker, update: face.EndpointUpdate) -> bool:
+    def apply(self: EndpointTracker, update: interface.EndpointUpdate) -> bool:
         """In place of `EndpointTracker.apply`."""
         listed = tuple(entry for entry in update.entries if entry.availability is not Availability.REMOVED)
         listed_servers = {entry.server for entry in listed}
@@ -102,7 +102,7 @@
         self.actions[:] = [
             action
             for action in self.actions
-            if not (isinstance(action, face.AssignTable) and action.classes and action.classes[0] > 0)
+            if not (isinstance(action, interface.AssignTable) and action.classes and action.classes[0] > 0)
         ]
 
     return [Patch(JoinScheduler, "assign_tables", assign_tables)]
@@ -113,7 +113,11 @@
     original = UpdateScheduler.write_table
 
     def write_table(
-        self: UpdateScheduler, table: Table, users: list[int], weights: Rates, levels: dict[int, face.AdmissionLevel]
+        self: UpdateScheduler,
+        table: Table,
+        users: list[int],
+        weights: Rates,
+        levels: dict[int, interface.AdmissionLevel],
     ) -> None:
         """In place of `UpdateScheduler.write_table`."""
         slot = self.slot.number
--- a/stackwheel/trials/defects/state.py
+++ b/stackwheel/trials/defects/state.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.endpoints import EndpointList
 from stackwheel.rules.violations import Rule
 from stackwheel.state.endpoint_cache import EndpointCache
@@ -20,11 +20,11 @@
 def superseded_stream_ends_new_one() -> Sequence[Patch]:
     """The end of any stream of a proxy counts as the end of its present one."""
 
-    def leave(self: ProxyStreams, proxy: int, _line: Any) -> Iterable[face.Event]:
+    def leave(self: ProxyStreams, proxy: int, _line: Any) -> Iterable[interface.Event]:
         """In place of `ProxyStreams.leave`."""
         self.timed_out.pop(proxy, None)
         if self.by_proxy.pop(proxy, None) is not None:
-            yield face.ProxyLeft(proxy)
+            yield interface.ProxyLeft(proxy)
 
     return [Patch(ProxyStreams, "leave", leave)]
 
@@ -32,7 +32,7 @@
 def superseded_stream_takes_over() -> Sequence[Patch]:
     """The older stream of a proxy takes it over again with its late lines."""
 
-    def message_received(self: ProxyStreams, proxy: int, line: Any) -> Iterable[face.Event] | None:
+    def message_received(self: ProxyStreams, proxy: int, line: Any) -> Iterable[interface.Event] | None:
         """In place of `ProxyStreams.message_received`."""
         stream = self.by_proxy.get(proxy)
         if stream is not None and not find_stream(self.by_proxy, proxy, line):
@@ -46,7 +46,7 @@
     """What a complete endpoint list lacks stays listed."""
     original = EndpointCache.apply
 
-    def apply(self: EndpointCache, endpoint_list: EndpointList, now: float = 0.0) -> face.EndpointUpdate:
+    def apply(self: EndpointCache, endpoint_list: EndpointList, now: float = 0.0) -> interface.EndpointUpdate:
         """In place of `EndpointCache.apply`."""
         return original(self, replace(endpoint_list, complete=False), now)
 
--- a/stackwheel/wire/connection.py
+++ b/stackwheel/wire/connection.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.settings import ConfiguredNames
 from stackwheel.state.messages import PlannerMessage, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
@@ -59,7 +59,7 @@
     on_identified: Callable[[Connection, bool], None]
     limiter: Callable[[int], RateLimiter]
     buffer_budget: BufferBudget
-    is_listed: Callable[[face.ServerId], bool]
+    is_listed: Callable[[interface.ServerId], bool]
 
 
 class Connection:
@@ -247,7 +247,7 @@
             case DemandMessage() if message.proxy == self.proxy:
                 self.context.post(StreamMessage(message.proxy, demand_report(message), self))
             case AckMessage(proxy, nonce, elapsed) if proxy == self.proxy:
-                self.context.post(StreamMessage(proxy, face.Acknowledged(proxy, nonce, elapsed), self))
+                self.context.post(StreamMessage(proxy, interface.Acknowledged(proxy, nonce, elapsed), self))
             case DemandMessage() | AckMessage():
                 raise wrong_proxy_error(message)
             case JoinMessage() if message.proxy == self.proxy:
@@ -271,7 +271,7 @@
         if not self.context.is_listed(server):
             quoted_name = message.server_name[:MAX_QUOTED_CHARACTERS]
             raise MalformedMessageError(f"{message.KIND} target", f"not in the endpoint list: {quoted_name!r}")
-        report = face.LoadReport(
+        report = interface.LoadReport(
             message.zone,
             server,
             message.attempts,
@@ -367,9 +367,11 @@
         await self.writer.drain()
 
 
-def demand_report(message: DemandMessage) -> face.DemandReport:
+def demand_report(message: DemandMessage) -> interface.DemandReport:
     """Convert a received demand report to the policy's event."""
-    return face.DemandReport(message.proxy, message.request_class, message.requests, message.unanswered, message.window)
+    return interface.DemandReport(
+        message.proxy, message.request_class, message.requests, message.unanswered, message.window
+    )
 
 
 def unexpected_message_error(message: Message) -> MalformedMessageError:
--- a/stackwheel/wire/datagrams.py
+++ b/stackwheel/wire/datagrams.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.wire.http import split_address
 
 MAX_DATAGRAM_BYTES = 256
@@ -31,7 +31,7 @@
         peers: Sequence[str],
         group_address: str,
         planner_index: int,
-        post: Callable[[face.GossipReceived], None],
+        post: Callable[[interface.GossipReceived], None],
     ) -> None:
         """Create the protocol of the planner with index `planner_index`; `post` receives the datagrams of its peers."""
         self.planner_index = planner_index
@@ -57,7 +57,7 @@
         elif sender is None:
             self._log_dropped(data, address, "sender is not a configured peer")
         elif sender != self.planner_index:
-            self.post(face.GossipReceived(sender, data))
+            self.post(interface.GossipReceived(sender, data))
 
     def error_received(self, error: Exception) -> None:
         """Log a datagram that could not be delivered, for example because a peer is down; it is not sent again."""
--- a/stackwheel/wire/health_checks.py
+++ b/stackwheel/wire/health_checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.interface import HealthCheckOutcome, ServerId
 from stackwheel.settings import ConfiguredNames
 from stackwheel.state.clock import Clock
@@ -21,7 +21,9 @@
     return Call(address, LOAD_REPORT_PATH if names.health_check_returns_load else LIVENESS_PATH)
 
 
-async def check_health(server: ServerId, call: Call, names: ConfiguredNames, clock: Clock) -> face.HealthCheckResult:
+async def check_health(
+    server: ServerId, call: Call, names: ConfiguredNames, clock: Clock
+) -> interface.HealthCheckResult:
     """Make the call of a health check, and return its outcome, its duration in ms and the reported load columns."""
     started_at = clock.now()
     try:
@@ -29,13 +31,13 @@
             call, timing.HEALTH_CHECK_TIMEOUT_MS, timing.HEALTH_CHECK_TIMEOUT_MS, timing.MAX_HEALTH_CHECK_RESPONSE_BYTES
         )
     except CallError as error:
-        return face.HealthCheckResult(server, outcome_of(error), clock.now() - started_at)
+        return interface.HealthCheckResult(server, outcome_of(error), clock.now() - started_at)
     elapsed = clock.now() - started_at
     try:
         load = parse_load(body.decode().strip(), "=") if names.health_check_returns_load else ()
     except (UnicodeDecodeError, FieldError):
-        return face.HealthCheckResult(server, HealthCheckOutcome.ERROR, elapsed)
-    return face.HealthCheckResult(server, HealthCheckOutcome.OK, elapsed, order_columns(load, names.columns))
+        return interface.HealthCheckResult(server, HealthCheckOutcome.ERROR, elapsed)
+    return interface.HealthCheckResult(server, HealthCheckOutcome.OK, elapsed, order_columns(load, names.columns))
 
 
 def outcome_of(error: CallError) -> HealthCheckOutcome:
--- a/tests/docs/test_service_page.py
+++ b/tests/docs/test_service_page.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from stackwheel import interface as face
+from stackwheel import interface
 
 ROOT = Path(__file__).parents[2]
 TEXT = (ROOT / "docs" / "service.md").read_text()
 FILES = sorted(set(re.findall(r"`([a-z_]+(?:/[a-z_]+)*\.py)`", TEXT)))
 RACES = TEXT[TEXT.index("## Races") : TEXT.index("## Protocol and policy")]
 RACE_LINES = [line for line in RACES.splitlines() if "`tests/" in line]
-TYPES = [kind.__name__ for kind in (*get_args(face.Event), *get_args(face.Action))]
+TYPES = [kind.__name__ for kind in (*get_args(interface.Event), *get_args(interface.Action))]
 COUNTS = {"four": 4}
 
 
--- a/tests/service/test_configured_names.py
+++ b/tests/service/test_configured_names.py
@@ -11,7 +11,7 @@
 import pytest
 from fake_services import ROOT
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.service.config import read_config
@@ -98,7 +98,7 @@
 
     def fetch_endpoints(self) -> None: ...
 
-    def start_health_check(self, server: face.ServerId, target: HealthCheckTarget) -> None: ...
+    def start_health_check(self, server: interface.ServerId, target: HealthCheckTarget) -> None: ...
 
     def send_gossip(self, payload: bytes, peer: int | None) -> None: ...
 
@@ -142,7 +142,7 @@
             for n in range(SERVERS):
                 slow = 4.0 if cycle > 6 else 1.0 + 0.01 * n
                 planner.post(
-                    face.LoadReport(
+                    interface.LoadReport(
                         loaded.names.zones.index(names.get(zone, zone)),
                         server_id(f"s-{n}"),
                         20,
@@ -158,7 +158,7 @@
                 line = f"RATE id={proxy} lane={names.get(name, name)} count={requests} fail=0 over=1000.0"
                 message = decode(line.encode(), loaded.names)
                 assert isinstance(message, DemandMessage)
-                planner.post(face.DemandReport(proxy, message.request_class, message.requests, 0, 1000.0))
+                planner.post(interface.DemandReport(proxy, message.request_class, message.requests, 0, 1000.0))
         planner.process_batch()
     return ports.updates
 
--- a/tests/state/test_endpoint_cache.py
+++ b/tests/state/test_endpoint_cache.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.endpoints import MAX_LIST_AGE_MS, EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.state.endpoint_cache import EndpointCache
@@ -32,13 +32,13 @@
 
     def __init__(self, *lists: EndpointList) -> None:
         self.cache = EndpointCache(("east", "west"), ("small",), ServerIds())
-        self.known: dict[face.ServerId, face.EndpointEntry] = {}
+        self.known: dict[interface.ServerId, interface.EndpointEntry] = {}
         self.apply(complete_list(40, instance("a"), instance("b"), instance("c")), *lists)
 
     def apply(self, *lists: EndpointList, now: float = 0.0) -> None:
         for endpoint_list in lists:
             update = self.cache.apply(endpoint_list, now)
-            if update.kind is face.UpdateKind.FULL:
+            if update.kind is interface.UpdateKind.FULL:
                 self.known = {}
             self.known.update({entry.server: entry for entry in update.entries})
 
@@ -196,7 +196,7 @@
     assert list(cache.restarted) == [server_id("a")]
 
 
-class LookupOnly(dict[face.ServerId, object]):
+class LookupOnly(dict[interface.ServerId, object]):
     """A dict that supports lookups and changes, but not iteration."""
 
     def __iter__(self) -> NoReturn:
@@ -231,4 +231,4 @@
             ),
         )
     )
-    assert event.entries == (face.EndpointEntry(server_id("s-2"), 0, 1, 3, Availability.DRAINING, 2.0, 1234.5),)
+    assert event.entries == (interface.EndpointEntry(server_id("s-2"), 0, 1, 3, Availability.DRAINING, 2.0, 1234.5),)
--- a/tests/state/test_policy_restart.py
+++ b/tests/state/test_policy_restart.py
@@ -12,7 +12,7 @@
     proxy_stream,
 )
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.state.messages import (
     EndpointListFailed,
     HealthCheckCompleted,
@@ -30,10 +30,10 @@
         harness.process(proxy_stream(1, connection))
         harness.policies[0].replies = [
             [
-                face.SetTimer(60_000.0, 5),
-                face.SetWeight(0, server_id("s-0"), 1.0),
-                face.AssignTable(1, 0, ()),
-                face.AttachNonce(9, False),
+                interface.SetTimer(60_000.0, 5),
+                interface.SetWeight(0, server_id("s-0"), 1.0),
+                interface.AssignTable(1, 0, ()),
+                interface.AttachNonce(9, False),
             ],
             KeyError("table"),
         ]
@@ -44,17 +44,17 @@
         (start,) = harness.policies[1].batches
         assert start == [
             harness.actor.endpoints.cached_update(),
-            face.ProxyJoined(1, 0, 20.0, False),
-            face.ProxyJoined(2, 0, 20.0, False),
+            interface.ProxyJoined(1, 0, 20.0, False),
+            interface.ProxyJoined(2, 0, 20.0, False),
         ]
         assert not harness.actor.timers
         assert harness.actor.updates.tables == {}
-        assert harness.process(StreamMessage(1, face.Acknowledged(1, 9, 1.0), connection)) == []
-        current = face.Acknowledged(1, 9, 1.0)
+        assert harness.process(StreamMessage(1, interface.Acknowledged(1, 9, 1.0), connection)) == []
+        current = interface.Acknowledged(1, 9, 1.0)
         harness.send_nonce(9)
-        assert harness.process(StreamMessage(1, face.Acknowledged(1, NONCES_PER_INCARNATION + 9, 1.0), connection)) == [
-            current
-        ]
+        assert harness.process(
+            StreamMessage(1, interface.Acknowledged(1, NONCES_PER_INCARNATION + 9, 1.0), connection)
+        ) == [current]
 
     asyncio.run(run())
 
@@ -82,24 +82,27 @@
     async def run() -> None:
         harness = ActorHarness()
         server = server_id("s-0")
-        harness.policies[0].replies = [[face.StartHealthCheck(server), face.SetTimer(0.0, 7)], ValueError("failed")]
+        harness.policies[0].replies = [
+            [interface.StartHealthCheck(server), interface.SetTimer(0.0, 7)],
+            ValueError("failed"),
+        ]
         harness.process()
         ((_, _, target),) = [call for call in harness.ports.calls if call[0] == "health check"]
         while not harness.actor.mailbox:  # until the timer has elapsed
             await asyncio.sleep(0)
         elapsed_timer = harness.actor.mailbox.pop()
-        harness.process(face.DemandReport(0, 0, 1, 0, 1000.0))  # the policy fails
+        harness.process(interface.DemandReport(0, 0, 1, 0, 1000.0))  # the policy fails
         harness.actor.post(elapsed_timer)
         harness.actor.post(EndpointListFailed())
         while len(harness.policies) < 2:
             await asyncio.sleep(0)
         harness.actor.post(elapsed_timer)
-        harness.actor.post(HealthCheckCompleted(target, face.HealthCheckResult(server, 1, 5.0)))
+        harness.actor.post(HealthCheckCompleted(target, interface.HealthCheckResult(server, 1, 5.0)))
         assert harness.process() == []
-        harness.policies[1].replies = [[face.StartHealthCheck(server)]]
+        harness.policies[1].replies = [[interface.StartHealthCheck(server)]]
         harness.process()
         target = [call for call in harness.ports.calls if call[0] == "health check"][-1][2]
-        result = face.HealthCheckResult(server, 1, 5.0)
+        result = interface.HealthCheckResult(server, 1, 5.0)
         assert harness.process(HealthCheckCompleted(target, result)) == [result]
 
     asyncio.run(run())
--- a/tests/state/test_state_bounds.py
+++ b/tests/state/test_state_bounds.py
@@ -16,7 +16,7 @@
 )
 from policy_harness import SETTINGS
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.endpoints import MIN_REMOVED_SERVER_LIMIT, EndpointList, Instance
 from stackwheel.interface import Availability
 from stackwheel.policy import gossip
@@ -51,12 +51,12 @@
         clock.time += 400.0
         actor.post(StreamMessage(1, None, connection))
         for reported_number in range(number - 4, number + 1):
-            actor.post(face.LoadReport(0, server_id(f"s-{reported_number}"), 20, 0, 60.0, 1000.0))
-        actor.post(face.GossipReceived(1, gossip.encode(1, {server_id(f"s-{number}"): 0.9})[0]))
-        actor.post(face.DemandReport(1, 0, 40, 0, 1000.0))
+            actor.post(interface.LoadReport(0, server_id(f"s-{reported_number}"), 20, 0, 60.0, 1000.0))
+        actor.post(interface.GossipReceived(1, gossip.encode(1, {server_id(f"s-{number}"): 0.9})[0]))
+        actor.post(interface.DemandReport(1, 0, 40, 0, 1000.0))
         actor.process_batch()
         for _, _, update in [call for call in ports.calls if call[0] == "update" and call[2].nonce is not None]:
-            actor.post(StreamMessage(1, face.Acknowledged(1, update.nonce, 5.0), connection))
+            actor.post(StreamMessage(1, interface.Acknowledged(1, update.nonce, 5.0), connection))
         ports.calls.clear()
 
     post_entry(number, Availability.READY)
@@ -117,13 +117,13 @@
 def test_a_removed_server_is_remembered_while_a_table_references_it() -> None:
     harness = ActorHarness()
     server = server_id("s-0")
-    harness.policies[0].replies = [[face.SetWeight(0, server, 1.0), face.AssignTable(1, 0, ())]]
+    harness.policies[0].replies = [[interface.SetWeight(0, server, 1.0), interface.AssignTable(1, 0, ())]]
     harness.process(proxy_stream(1, FakeConnection()))
     for number in range(2, 200):
         harness.process(endpoint_list(f"s-{number}", generation=number))
     assert harness.actor.endpoints.server_ids.name(server) == "s-0"
     assert harness.actor.endpoints.server_ids.name(server_id("s-2")) is None
-    harness.policies[0].replies = [[face.SetWeight(0, server, 0.0)]]
+    harness.policies[0].replies = [[interface.SetWeight(0, server, 0.0)]]
     harness.process()
     assert harness.actor.endpoints.server_ids.name(server) is None
     harness.process(endpoint_list("s-0", generation=300))  # a forgotten server may be listed again
--- a/tests/state/test_table_updates.py
+++ b/tests/state/test_table_updates.py
@@ -10,7 +10,7 @@
 from planner_harness import FakeConnection
 from proxy_model import ProxyTables
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.interface import Action, Availability, Retry, ServerId
 from stackwheel.settings import ConfiguredNames
@@ -68,13 +68,13 @@
     harness = UpdatesHarness()
     harness.join(0)
     harness.join(1)
-    harness.apply(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, (0,)))
+    harness.apply(interface.SetWeight(7, ONE, 1.0), interface.AssignTable(0, 7, (0,)))
     sent = harness.apply(
-        face.SetWeight(7, ONE, 2.0),
-        face.SetWeight(7, TWO, 3.0),
-        face.SetWeight(7, ONE, 0.0),
-        face.SetAdmission(7, (0,), 0.5, Retry.NEVER),
-        face.AttachNonce(4, False),
+        interface.SetWeight(7, ONE, 2.0),
+        interface.SetWeight(7, TWO, 3.0),
+        interface.SetWeight(7, ONE, 0.0),
+        interface.SetAdmission(7, (0,), 0.5, Retry.NEVER),
+        interface.AttachNonce(4, False),
     )
     assert list(sent) == [0]  # the other proxy does not use the table
     assert sent[0].parts == (UpdatePart((0,), False, ((ONE, 0.0), (TWO, 3.0)), (0.5, Retry.NEVER)),)
@@ -86,13 +86,13 @@
     """Guards against a cost that differs from the one the policy assumes for a complete table."""
     harness = UpdatesHarness()
     harness.join(0)
-    level = face.SetAdmission(7, (0,), 1.0, Retry.ONCE_IF_NOT_EXECUTED)
+    level = interface.SetAdmission(7, (0,), 1.0, Retry.ONCE_IF_NOT_EXECUTED)
     sent = harness.apply(
-        face.SetWeight(7, ONE, 1.0),
-        face.SetWeight(7, TWO, 1.0),
+        interface.SetWeight(7, ONE, 1.0),
+        interface.SetWeight(7, TWO, 1.0),
         level,
-        face.AssignTable(0, 7, (0,)),
-        face.AttachNonce(1, False),
+        interface.AssignTable(0, 7, (0,)),
+        interface.AttachNonce(1, False),
     )
     assert sent[0].cost() == (2 + 2) + 1
 
@@ -100,7 +100,7 @@
 def test_a_table_can_be_assigned_for_all_classes() -> None:
     harness = UpdatesHarness()
     harness.join(0)
-    harness.apply(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, ()))
+    harness.apply(interface.SetWeight(7, ONE, 1.0), interface.AssignTable(0, 7, ()))
     assert harness.proxies[0].lines == {"read": {"s-0": 1.0}, "write": {"s-0": 1.0}}
 
 
@@ -108,9 +108,11 @@
     harness = UpdatesHarness()
     harness.join(0)
     harness.apply(
-        face.SetWeight(7, ONE, 1.0), face.SetAdmission(7, (0,), 0.4, Retry.NEVER), face.AssignTable(0, 7, (0,))
+        interface.SetWeight(7, ONE, 1.0),
+        interface.SetAdmission(7, (0,), 0.4, Retry.NEVER),
+        interface.AssignTable(0, 7, (0,)),
     )
-    harness.apply(face.AssignTable(0, 7, (0,)))
+    harness.apply(interface.AssignTable(0, 7, (0,)))
     assert harness.proxies[0].levels == {"read": (0.4, 0)}
 
 
@@ -118,12 +120,14 @@
     harness = UpdatesHarness()
     harness.join(0)
     harness.apply(
-        face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, (0,)), face.SetAdmission(ALL_TABLES, (), 0.5, Retry.TWICE)
+        interface.SetWeight(7, ONE, 1.0),
+        interface.AssignTable(0, 7, (0,)),
+        interface.SetAdmission(ALL_TABLES, (), 0.5, Retry.TWICE),
     )
     assert harness.proxies[0].levels == {"read": (0.5, 3), "write": (0.5, 3)}  # "write" uses its standing table
-    harness.apply(face.SetAdmission(7, (0,), 0.8, Retry.NEVER))
+    harness.apply(interface.SetAdmission(7, (0,), 0.8, Retry.NEVER))
     assert harness.proxies[0].levels["read"] == (0.5, 0)
-    harness.apply(face.SetAdmission(ALL_TABLES, (0,), 0.9, Retry.TWICE))
+    harness.apply(interface.SetAdmission(ALL_TABLES, (0,), 0.9, Retry.TWICE))
     assert harness.proxies[0].levels["read"] == (0.8, 0)
 
 
@@ -131,9 +135,11 @@
     harness = UpdatesHarness()
     harness.join(0)
     harness.apply(
-        face.SetWeight(7, ONE, 1.0), face.SetAdmission(7, (0,), 0.4, Retry.NEVER), face.AssignTable(0, 7, (0,))
+        interface.SetWeight(7, ONE, 1.0),
+        interface.SetAdmission(7, (0,), 0.4, Retry.NEVER),
+        interface.AssignTable(0, 7, (0,)),
     )
-    harness.apply(face.ClearTable(7), face.SetWeight(7, TWO, 2.0))
+    harness.apply(interface.ClearTable(7), interface.SetWeight(7, TWO, 2.0))
     assert harness.proxies[0].lines["read"] == {"s-1": 2.0}
     assert harness.proxies[0].levels == {}
 
@@ -143,22 +149,25 @@
     for proxy in range(3):
         harness.join(proxy)
     harness.apply(
-        face.SetWeight(7, ONE, 1.0), face.SetWeight(8, TWO, 1.0), face.AssignTable(0, 7, ()), face.AssignTable(1, 8, ())
+        interface.SetWeight(7, ONE, 1.0),
+        interface.SetWeight(8, TWO, 1.0),
+        interface.AssignTable(0, 7, ()),
+        interface.AssignTable(1, 8, ()),
     )
-    sent = harness.apply(face.SetEjection(ONE, True))
+    sent = harness.apply(interface.SetEjection(ONE, True))
     assert list(sent) == [0, 2]  # the server is in a table of proxy 0; proxy 2 may have tables of another planner
-    assert harness.apply(face.SetEjection(ONE, True)) == {}  # both proxies have been notified
+    assert harness.apply(interface.SetEjection(ONE, True)) == {}  # both proxies have been notified
     harness.join(3)
-    assert list(harness.apply(face.SetEjection(ONE, True))) == [3]  # the others have been notified
-    assert list(harness.apply(face.SetEjection(ONE, False))) == [0, 2, 3]
+    assert list(harness.apply(interface.SetEjection(ONE, True))) == [3]  # the others have been notified
+    assert list(harness.apply(interface.SetEjection(ONE, False))) == [0, 2, 3]
     assert all(not proxy.ejected for proxy in harness.proxies.values())
 
 
 def test_the_ejection_of_a_server_is_sent_with_a_new_table_that_contains_it() -> None:
     harness = UpdatesHarness()
-    harness.apply(face.SetEjection(ONE, True))
+    harness.apply(interface.SetEjection(ONE, True))
     harness.join(0)
-    sent = harness.apply(face.SetWeight(7, ONE, 1.0), face.AssignTable(0, 7, ()))
+    sent = harness.apply(interface.SetWeight(7, ONE, 1.0), interface.AssignTable(0, 7, ()))
     assert sent[0].eject == (ONE,)
     assert harness.proxies[0].available_lines("read") == {}
 
@@ -167,7 +176,9 @@
     """Guards against sending lines whose cost the policy does not include."""
     harness = UpdatesHarness("s-0", "s-1")
     harness.join(0, newly_started=False)
-    sent = harness.apply(face.SetWeight(7, ONE, 1.0), face.SetWeight(7, TWO, 1.0), face.AssignTable(0, 7, ()))
+    sent = harness.apply(
+        interface.SetWeight(7, ONE, 1.0), interface.SetWeight(7, TWO, 1.0), interface.AssignTable(0, 7, ())
+    )
     assert (sent[0].eject, sent[0].restore) == ((), ())
     assert sent[0].cost() == 3
 
@@ -175,10 +186,10 @@
 def test_nonces_of_an_earlier_incarnation_are_distinguished() -> None:
     harness = UpdatesHarness()
     harness.join(0)
-    assert harness.apply(face.AttachNonce(5, True))[0].nonce == 5
+    assert harness.apply(interface.AttachNonce(5, True))[0].nonce == 5
     assert harness.updates.policy_nonce(5) == 5
     harness.updates.restart()
-    assert harness.apply(face.AttachNonce(5, True))[0].nonce == NONCES_PER_INCARNATION + 5
+    assert harness.apply(interface.AttachNonce(5, True))[0].nonce == NONCES_PER_INCARNATION + 5
     assert harness.updates.policy_nonce(5) is None
     assert harness.updates.policy_nonce(NONCES_PER_INCARNATION + 5) == 5
 
@@ -188,19 +199,19 @@
 class_lists = st.lists(st.integers(0, 1), unique=True, max_size=2).map(tuple)
 weights = st.sampled_from([0.0, 1e-12, 0.25, 3.0])
 actions = st.one_of(
-    st.builds(face.SetWeight, table_numbers, servers, weights),
-    st.builds(face.SetWeight, table_numbers, servers, weights),
-    st.builds(face.AssignTable, st.integers(0, 3), table_numbers, class_lists),
-    st.builds(face.ClearTable, table_numbers),
-    st.builds(face.SetEjection, servers, st.booleans()),
+    st.builds(interface.SetWeight, table_numbers, servers, weights),
+    st.builds(interface.SetWeight, table_numbers, servers, weights),
+    st.builds(interface.AssignTable, st.integers(0, 3), table_numbers, class_lists),
+    st.builds(interface.ClearTable, table_numbers),
+    st.builds(interface.SetEjection, servers, st.booleans()),
     st.builds(
-        face.SetAdmission,
+        interface.SetAdmission,
         table_numbers | st.just(ALL_TABLES),
         class_lists,
         st.sampled_from([0.0, 0.5, 1.0]),
         st.sampled_from(Retry),
     ),
-    st.builds(face.AttachNonce, st.integers(1, NONCES_PER_INCARNATION - 1), st.booleans()),
+    st.builds(interface.AttachNonce, st.integers(1, NONCES_PER_INCARNATION - 1), st.booleans()),
 )
 
 
@@ -236,14 +247,16 @@
     """Guards against sending a line once per class."""
     harness = UpdatesHarness()
     harness.join(0)
-    levels = [face.SetAdmission(7, (request_class,), 0.5 + request_class / 4, Retry.NEVER) for request_class in (0, 1)]
-    sent = harness.apply(face.SetWeight(7, ONE, 1.0), *levels, face.AssignTable(0, 7, (0, 1)))
+    levels = [
+        interface.SetAdmission(7, (request_class,), 0.5 + request_class / 4, Retry.NEVER) for request_class in (0, 1)
+    ]
+    sent = harness.apply(interface.SetWeight(7, ONE, 1.0), *levels, interface.AssignTable(0, 7, (0, 1)))
     assert sent[0].parts == (
         UpdatePart((0, 1), True, ((ONE, 1.0),), None),
         UpdatePart((0,), False, (), (0.5, Retry.NEVER)),
         UpdatePart((1,), False, (), (0.75, Retry.NEVER)),
     )
-    sent = harness.apply(face.SetWeight(7, TWO, 1.0), face.SetAdmission(7, (1,), 0.5, Retry.NEVER))
+    sent = harness.apply(interface.SetWeight(7, TWO, 1.0), interface.SetAdmission(7, (1,), 0.5, Retry.NEVER))
     assert sent[0].cost() == 2
     assert harness.proxies[0].lines == {name: {"s-0": 1.0, "s-1": 1.0} for name in CLASSES}
     assert harness.proxies[0].levels["write"][0] == 0.5
--- a/tests/transport_harness.py
+++ b/tests/transport_harness.py
@@ -7,7 +7,7 @@
 
 from fake_services import config
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.endpoints import EndpointList, Instance
 from stackwheel.service.config import read_config
 from stackwheel.state.clock import Clock
@@ -33,7 +33,7 @@
         document = config("127.0.0.1:1", limits=limits)
         document["settings"]["family_info"]["agents"] = proxies
         loaded = read_config(document)
-        server = Instance("s-0", server_address, "east", "small", 0, face.Availability.READY, 1.0, 0.0)
+        server = Instance("s-0", server_address, "east", "small", 0, interface.Availability.READY, 1.0, 0.0)
         endpoints = EndpointCache(loaded.names.zones, loaded.names.kinds, ServerIds())
         endpoints.apply(EndpointList(1, True, (server,)))
         self.transport = SocketTransport(loaded.addresses, loaded.settings, loaded.names, endpoints, Clock())
--- a/tests/wire/test_connection_races.py
+++ b/tests/wire/test_connection_races.py
@@ -15,7 +15,7 @@
 import pytest
 from transport_harness import TransportHarness, read_until_closed, run_async, wait_until
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.state.messages import StreamEnded
 from stackwheel.state.streams import ProxyStream
 from stackwheel.state.table_updates import ProxyUpdate, UpdatePart
@@ -219,7 +219,7 @@
         harness = TransportHarness()
         await harness.open()
         joined_client, connection = await join(harness)
-        servers = [face.ServerId(bytes([n // 256, n % 256, 1, 1, 1, 1])) for n in range(3000)]
+        servers = [interface.ServerId(bytes([n // 256, n % 256, 1, 1, 1, 1])) for n in range(3000)]
         for server in servers:
             harness.transport.endpoints.server_ids.names[server] = f"server-with-a-long-name-{server.hex()}"
         parts = tuple(UpdatePart((index,), True, tuple((server, 1.0) for server in servers)) for index in (0, 1))
--- a/tests/wire/test_transport.py
+++ b/tests/wire/test_transport.py
@@ -9,7 +9,7 @@
 from fake_services import toy_server
 from transport_harness import TransportHarness, read_until_closed, run_async, wait_until
 
-from stackwheel import interface as face
+from stackwheel import interface
 from stackwheel.state.messages import HealthCheckCompleted, HealthCheckTarget, StreamEnded, StreamMessage
 from stackwheel.state.server_ids import server_id
 from stackwheel.state.streams import ProxyStream
@@ -61,7 +61,7 @@
         await wait_until(lambda: len(harness.posted) == 2)
         first.sendall(report)
         await wait_until(lambda: len(harness.posted) == 3)
-        assert set(harness.posted) == {face.LoadReport(0, server_id("s-0"), 2, 0, 5.0, 1000.0)}
+        assert set(harness.posted) == {interface.LoadReport(0, server_id("s-0"), 2, 0, 5.0, 1000.0)}
         assert not harness.table.unidentified
         assert len(harness.table.collectors[0]) == 2
         third = harness.connect(b"SOURCE site=east\r\n" + report)
@@ -151,7 +151,7 @@
             None,
             None,
             None,
-            face.DemandReport(1, 0, 3, 0, 1000.0),
+            interface.DemandReport(1, 0, 3, 0, 1000.0),
         ]
         collector = harness.connect(
             b"SOURCE site=west\r\nLOAD site=east target=s-9 count=2 fail=0 mean=5 over=1000\r\n"
@@ -160,7 +160,7 @@
             b"LOAD site=east target=s-0 count=2 fail=0 mean=5 over=1000\r\n"
         )
         await wait_until(lambda: len(harness.posted) == 8)
-        assert harness.posted[7] == face.LoadReport(0, server_id("s-0"), 2, 0, 5.0, 1000.0)
+        assert harness.posted[7] == interface.LoadReport(0, server_id("s-0"), 2, 0, 5.0, 1000.0)
         assert len(harness.table.connections) == 2
         proxy.close()
         collector.close()
@@ -308,7 +308,7 @@
         await wait_until(lambda: harness.table.health_checks_in_flight == 0)  # after its connection is closed
         assert (known.result.outcome, known.result.load) == (1, (0.0,))
         assert unknown == HealthCheckCompleted(
-            without_address, face.HealthCheckResult(server_id("never listed"), 4, 0.0)
+            without_address, interface.HealthCheckResult(server_id("never listed"), 4, 0.0)
         )
 
     run_async(scenario())
