--- a/stackwheel/policy/table_groups.py
+++ b/stackwheel/policy/table_groups.py
@@ -86,7 +86,7 @@
         if size == COMPLETE_TABLE_SIZE:
             for group in groups:
                 for table in group.tables:
-                    table.step_towards(self.complete_shares(table, ready, now), ready)
+                    table.move_shares_towards(self.complete_shares(table, ready, now), ready)
             return
         for tables in zip(*(group.tables for group in groups), strict=True):
             self.update_short_tables(size, tables, ready, now)
@@ -120,7 +120,7 @@
             missing_count = MIN_HEALTHY_LINES - sum(server not in ready.uncapped for server in table.members)
             table.members += self.random.sample(others, min(len(others), max(0, missing_count)))
             target = table_shares({server: target_shares[server] for server in table.members}, self.pool, now)
-            table.step_towards(target, ready)
+            table.move_shares_towards(target, ready)
 
     def create(self, zone: int, size: int, count: int, now: float) -> list[TableGroup]:
         """Create groups of a zone; the servers of the zone are distributed among short tables.
--- a/stackwheel/policy/tables.py
+++ b/stackwheel/policy/tables.py
@@ -55,7 +55,7 @@
         total_share = sum(self.shares[server] for server in common)
         return total_weight / (total_share or math.inf) or 1.0
 
-    def step_towards(self, target: Rates, ready: ReadyServers) -> None:
+    def move_shares_towards(self, target: Rates, ready: ReadyServers) -> None:
         """Move the shares a limited step towards their targets.
 
         The step limit applies neither to servers that are warming up or ejected nor to tables that were not sent yet.
--- a/tests/policy/test_tables.py
+++ b/tests/policy/test_tables.py
@@ -53,7 +53,7 @@
     table = Table(
         9, 0, (0,), shares={server_id(0): 0.5, server_id(1): 0.5}, sent={server_id(0): 0.5, server_id(1): 0.5}
     )
-    table.step_towards(
+    table.move_shares_towards(
         {server_id(0): 0.3, server_id(2): 0.9, server_id(3): 0.9}, harness.planner.pool.ready_servers(harness.now)
     )
     assert min(table.shares.values()) >= 0.0
