--- a/stackwheel/config_language/load.py
+++ b/stackwheel/config_language/load.py
@@ -20,7 +20,7 @@
 SCHEMA_NAME = "schema"  # name of the schema in messages
 
 
-class NamedText(NamedTuple):
+class SourceText(NamedTuple):
     """The text of a file, with the name of the file for messages."""
 
     name: str
@@ -54,7 +54,7 @@
     Raises:
         OperatorsFileError: a file cannot be read or is invalid, or the files contradict each other.
     """
-    return combine([NamedText(str(path), read_text(path)) for path in paths])
+    return combine([SourceText(str(path), read_text(path)) for path in paths])
 
 
 def read_text(path: Path) -> str:
@@ -69,7 +69,7 @@
         raise OperatorsFileError(str(path), None, "", f"not UTF-8 at byte {error.start}") from error
 
 
-def combine(texts: Iterable[NamedText]) -> OperatorsConfig:
+def combine(texts: Iterable[SourceText]) -> OperatorsConfig:
     """Unify texts with the schema.
 
     Raises:
--- a/tests/config_language/test_config_language.py
+++ b/tests/config_language/test_config_language.py
@@ -11,7 +11,7 @@
 
 from stackwheel.config_language.conjuncts import Source
 from stackwheel.config_language.errors import OperatorsFileError, OperatorsSyntaxError, UnificationError
-from stackwheel.config_language.load import NamedText, combine, load
+from stackwheel.config_language.load import SourceText, combine, load
 from stackwheel.config_language.parser import parse
 from stackwheel.config_language.tree import plain_values
 from stackwheel.config_language.unify import unify
@@ -28,7 +28,7 @@
 def load_error(text: str) -> OperatorsFileError:
     """Return the error that a text causes if it is loaded as the operators' file op.cue."""
     with pytest.raises(OperatorsFileError) as caught:
-        combine([NamedText("op.cue", text)])
+        combine([SourceText("op.cue", text)])
     assert "\n" not in str(caught.value)
     return caught.value
 
@@ -41,7 +41,7 @@
 
 def test_a_value_from_a_file_has_the_file_and_line_as_origin() -> None:
     text = "files: {\n  on: true // yes\n  pace: cap: 12\n  pace: {least: 200, span: 5K}\n}\n"
-    operators_config = combine([NamedText("op.cue", text)])
+    operators_config = combine([SourceText("op.cue", text)])
     files = operators_config.records.files
     assert files.enabled
     assert files.pace.max_files == 12
@@ -58,18 +58,18 @@
 def test_json_is_valid_input() -> None:
     document = {"files": {"on": True, "out": "/x", "silent": {"after": "refuse", "keep": 1.5e3}}}
     for text in (json.dumps(document), json.dumps(document, indent=4)):
-        files = combine([NamedText("op.json", text)]).records.files
+        files = combine([SourceText("op.json", text)]).records.files
         assert files.output_folder == "/x"
         assert files.silent_planner.fallback == "refuse"
         assert files.silent_planner.expired_retention_ms == 1500
 
 
 def test_several_files_are_unified_and_contradictions_are_rejected() -> None:
-    first = NamedText("a.cue", "files: on: true")
-    second = NamedText("b.cue", "files: {on: true, life: >=40000 & 50000}")
+    first = SourceText("a.cue", "files: on: true")
+    second = SourceText("b.cue", "files: {on: true, life: >=40000 & 50000}")
     assert combine([first, second]).records.files.lifetime_ms == 50000
     with pytest.raises(OperatorsFileError, match=r"b\.cue:1: files\.on: false found, but a\.cue:1 sets true"):
-        combine([first, NamedText("b.cue", "files: on: false")])
+        combine([first, SourceText("b.cue", "files: on: false")])
 
 
 @pytest.mark.parametrize(
