--- a/stackwheel/simulator/encoder.py
+++ b/stackwheel/simulator/encoder.py
@@ -21,7 +21,7 @@
     WatchEndpoints,
 )
 from stackwheel.simulator.framing import encode_record
-from stackwheel.simulator.wire import ALL_PEERS, MAX_TEXT_BYTES, ActionCode
+from stackwheel.simulator.wire import ALL_PEERS_INDEX, MAX_TEXT_BYTES, ActionCode
 
 ProxyAction: TypeAlias = SetWeight | AssignTable | SetAdmission | ClearTable | SetEjection | AttachNonce
 PlannerAction: TypeAlias = SetTimer | StartHealthCheck | WatchEndpoints | FetchEndpoints | SendGossip | Log
@@ -68,7 +68,7 @@
         case FetchEndpoints():
             return _pack(ActionCode.FETCH_ENDPOINTS, ">H", instance)
         case SendGossip(payload, peer):
-            receiver = ALL_PEERS if peer is None else peer
+            receiver = ALL_PEERS_INDEX if peer is None else peer
             layout = f">HHH{len(payload)}s"
             return _pack(ActionCode.SEND_GOSSIP, layout, instance, receiver, len(payload), payload)
         case Log(text):
--- a/stackwheel/simulator/wire.py
+++ b/stackwheel/simulator/wire.py
@@ -82,7 +82,7 @@
 MAX_HEALTH_CHECK_OUTCOME = 7
 """Maximum outcome of a health check; greater values are reserved."""
 
-ALL_PEERS = 0xFFFF
+ALL_PEERS_INDEX = 0xFFFF
 """Receiver of a gossip datagram that is sent to all peer planners."""
 
 MAX_TEXT_BYTES = 2000
