--- a/stackwheel/trials/disks.py
+++ b/stackwheel/trials/disks.py
@@ -28,7 +28,7 @@
         missing: Whether operations fail because the folders are missing.
         delay: Duration of an operation, in s.
         on_renamed: Called with the path and the data of a file that has received its final name.
-        on_written_in_place: Called with the path of a file that is opened for writing under its final name.
+        on_direct_write: Called with the path of a file that is opened for writing under its final name.
     """
 
     def __init__(self, owner: str) -> None:
@@ -40,7 +40,7 @@
         self.missing = False
         self.delay = DEFAULT_DELAY_S
         self.on_renamed: Callable[[str, bytes], None] = do_nothing
-        self.on_written_in_place: Callable[[str], None] = do_nothing
+        self.on_direct_write: Callable[[str], None] = do_nothing
 
     def check_folders_exist(self) -> None:
         """Raise `FileNotFoundError` if the folders are missing."""
@@ -51,7 +51,7 @@
         """Open a file for writing; return its handle."""
         self.check_folders_exist()
         if not path.endswith(TEMPORARY_SUFFIX):
-            self.on_written_in_place(path)
+            self.on_direct_write(path)
             self.files[path] = b""
         self.handle_count += 1
         self.open_files[self.handle_count] = OpenFile(path)
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -116,14 +116,14 @@
         for planner in planners:
             self.disks[planner.machine.name].on_renamed = partial(self.file_published, planner)
         for disk in self.disks.values():
-            disk.on_written_in_place = partial(self.written_in_place, disk.owner)
+            disk.on_direct_write = partial(self.report_direct_write, disk.owner)
         context.schedule_after(RESERVATION_INTERVAL_S, self.make_reservations)
 
     def report(self, detail: str, proxy: int | None = None) -> None:
         """Report a violation of the rule that only complete and genuine files are used."""
         self.context.checker.report_violation(self.context.now_ms(), Rule.GENUINE, detail, None, proxy)
 
-    def written_in_place(self, owner: str, path: str) -> None:
+    def report_direct_write(self, owner: str, path: str) -> None:
         """Report a file that was written under its final name."""
         self.report(f"{owner} wrote {path} under its final name, expected a temporary name")
 
