--- a/tests/cli/test_cells_command.py
+++ b/tests/cli/test_cells_command.py
@@ -124,7 +124,7 @@
     [
         (b"", "invalid endpoint list: Expecting value"),
         (generated_fleet.encode_endpoint_list(generated_fleet.servers(1, 20, 2))[:-30], "invalid endpoint list: "),
-        (b"[]", "invalid endpoint list: no list of instances"),
+        (b"[]", "invalid endpoint list: expected an object, found list"),
         (b"\xff", "invalid endpoint list: "),
         (b'{"instances":[]}', "invalid endpoint list: generation: missing"),
         (generated_fleet.encode_endpoint_list([]), "the list contains no server"),
