--- a/stackwheel/rules/checker.py
+++ b/stackwheel/rules/checker.py
@@ -207,10 +207,10 @@
             self.record_event(now, "left", f"proxy-{proxy}", f"planner-{state.planner}")
         state.planner = None
 
-    def lines_changed(self, proxy: int, request_class: int, has_lines: bool, now: float) -> None:
+    def record_class_availability(self, proxy: int, request_class: int, has_server: bool, now: float) -> None:
         """Record whether a proxy has an available server for a class."""
         state = self.proxies[proxy]
-        if has_lines:
+        if has_server:
             state.unserved_since.pop(request_class, None)
         elif request_class not in state.unserved_since:
             state.unserved_since[request_class] = now
@@ -281,7 +281,7 @@
             detail = f"attempt sent {(now - since) / 1000.0:.2f} s after the server was reported draining or removed"
             self.report_violation(now, Rule.DRAINS, detail, state.planner, proxy, server)
 
-    def request_executed(
+    def record_execution(
         self, request: int, request_class: int, scope: int, proxy: int, server: str, now: float
     ) -> None:
         """Record an execution of a request that took effect, and check whether the request had taken effect before.
@@ -332,7 +332,7 @@
             detail = f"load of {multiple:.1f} times the current capacity, overloaded for {(now - since) / 1000.0:.1f} s"
             self.report_violation(now, Rule.COLD, detail, server=server)
 
-    def server_warmed_up(self, server: str) -> None:
+    def record_warmup_end(self, server: str) -> None:
         """Record that a server has reached its full capacity, has stopped or has failed.
 
         In each case the limit on the load of warming servers no longer applies to it.
@@ -341,7 +341,7 @@
 
     # The channel
 
-    def lines_queued(self, planner: int, lines: float, now: float) -> None:
+    def check_queued_lines(self, planner: int, lines: float, now: float) -> None:
         """Check the number of a planner's lines that are queued in the channel against the queue limit."""
         self.check_count += 1
         limit = self.limits.queue_limit
--- a/stackwheel/trials/channel.py
+++ b/stackwheel/trials/channel.py
@@ -124,7 +124,7 @@
         channel = self.channels[stream.planner]
         arrival = channel.enqueue(now, proxy.number, cost, shape.channel_rate, transit)
         if now >= self.burst_until.get(stream.planner, 0.0):
-            context.checker.lines_queued(stream.planner, channel.queued_lines, context.now_ms())
+            context.checker.check_queued_lines(stream.planner, channel.queued_lines, context.now_ms())
         context.count("messages")
         context.count("lines", update.cost())
         context.loop.schedule_at(arrival, proxy.process, proxy.apply, stream, update, now)
--- a/stackwheel/trials/proxies.py
+++ b/stackwheel/trials/proxies.py
@@ -325,7 +325,9 @@
         """Report to the checker which request classes have servers."""
         now = self.context.now_ms()
         for class_index, name in enumerate(self.class_names):
-            self.context.checker.lines_changed(self.number, class_index, not self.state.has_no_servers(name), now)
+            self.context.checker.record_class_availability(
+                self.number, class_index, not self.state.has_no_servers(name), now
+            )
 
     # Reports.
 
--- a/stackwheel/trials/requests.py
+++ b/stackwheel/trials/requests.py
@@ -211,4 +211,4 @@
             previous = checker.executions.get(request.number, [])
             if any(other_scope == scope and executed_at_ms - other_at < ttl for other_scope, other_at in previous):
                 return
-        checker.request_executed(request.number, request.class_index, scope, proxy.number, server.name, executed_at_ms)
+        checker.record_execution(request.number, request.class_index, scope, proxy.number, server.name, executed_at_ms)
--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -32,7 +32,7 @@
         for name, server in list(self.fleet.warming_up.items()):
             if now >= server.warm_at() or not server.alive or server.overloaded:
                 del self.fleet.warming_up[name]
-                checker.server_warmed_up(name)
+                checker.record_warmup_end(name)
                 continue
             load = sum(self.load_of_proxy(proxy, server, now) for proxy in self.proxies)
             checker.warming_server_load(name, load, server.capacity(now), now * 1000.0)
--- a/tests/rules/test_checker.py
+++ b/tests/rules/test_checker.py
@@ -44,7 +44,7 @@
 def test_a_proxy_without_a_server_violates_the_rule_when_the_limit_expires() -> None:
     checker = make_checker()
     checker.endpoint_notified(0, 0.0, "s", READY)
-    checker.lines_changed(0, 0, False, 2000.0)
+    checker.record_class_availability(0, 0, False, 2000.0)
     checker.check_deadlines(6999.0)
     assert not checker.violations
     checker.check_deadlines(7000.0)
@@ -61,10 +61,10 @@
     checker.endpoint_notified(
         0, 0.0, "s", ListedEndpoint(Availability.READY, 0, 0, 1e9 if change == "no warm server" else 0.0)
     )
-    checker.lines_changed(0, 0, False, 2000.0)
+    checker.record_class_availability(0, 0, False, 2000.0)
     checker.check_deadlines(4000.0)
     if change == "server regained":
-        checker.lines_changed(0, 0, True, 4000.0)
+        checker.record_class_availability(0, 0, True, 4000.0)
     elif change == "proxy left":
         checker.proxy_left(0, 4000.0)
     elif change == "planner stopped":
@@ -80,7 +80,7 @@
 def test_the_limit_on_unserved_time_starts_when_a_server_is_warm() -> None:
     checker = make_checker()
     checker.endpoint_notified(0, 0.0, "s", ListedEndpoint(Availability.READY, 0, 0, 6000.0))
-    checker.lines_changed(0, 0, False, 2000.0)
+    checker.record_class_availability(0, 0, False, 2000.0)
     checker.check_deadlines(6000.0)
     checker.check_deadlines(10_999.0)
     assert not checker.violations
@@ -91,7 +91,7 @@
 def test_a_zone_local_class_is_serviceable_only_with_a_server_in_the_same_zone() -> None:
     checker = make_checker(classes=(ZONE_LOCAL,))
     checker.endpoint_notified(0, 0.0, "s", ListedEndpoint(Availability.READY, 1, 0, 0.0))
-    checker.lines_changed(0, 0, False, 1000.0)
+    checker.record_class_availability(0, 0, False, 1000.0)
     checker.check_deadlines(60_000.0)
     assert not checker.violations
     checker.endpoint_notified(0, 60_000.0, "t", READY)
@@ -180,13 +180,13 @@
 def test_a_second_execution_violates_the_rule_unless_the_class_is_idempotent() -> None:
     checker = make_checker()
     for _ in range(2):
-        checker.request_executed(7, 0, 0, 0, "s", 10.0)
+        checker.record_execution(7, 0, 0, 0, "s", 10.0)
     assert not checker.violations
-    checker.request_executed(8, 1, 0, 0, "s", 10.0)
+    checker.record_execution(8, 1, 0, 0, "s", 10.0)
     checker.forget_request(8)
-    checker.request_executed(8, 1, 0, 0, "s", 20.0)
+    checker.record_execution(8, 1, 0, 0, "s", 20.0)
     assert not checker.violations
-    checker.request_executed(8, 1, 0, 0, "t", 30.0)
+    checker.record_execution(8, 1, 0, 0, "t", 30.0)
     assert broken_rules(checker) == [Rule.ONCE]
 
 
@@ -205,7 +205,7 @@
 
 def test_exceeding_the_queue_limit_or_the_message_cap_violates_a_rule() -> None:
     checker = make_checker()
-    checker.lines_queued(0, 100.0, 0.0)
+    checker.check_queued_lines(0, 100.0, 0.0)
     for at in (0.0, 1.0, 2.0):
         checker.message_written(0, 0, at)
     checker.message_written(0, 1, 2.0)
@@ -213,7 +213,7 @@
     assert not checker.violations
     checker.message_written(0, 0, 10_000.5)
     checker.message_written(0, 0, 10_000.6)
-    checker.lines_queued(0, 100.1, 10_001.0)
+    checker.check_queued_lines(0, 100.1, 10_001.0)
     assert broken_rules(checker) == [Rule.CAP, Rule.QUEUE]
 
 
