--- a/stackwheel/policy/health_checks.py
+++ b/stackwheel/policy/health_checks.py
@@ -45,7 +45,7 @@
         ):
             return []
         views = self.pool.views
-        listed = {
+        sent_servers = {
             server
             for group in self.groups.all_groups()
             for table in group.tables
@@ -53,8 +53,8 @@
             if server in views
         }
         max_checks = MAX_CHECKS_PER_REQUEST * self.demand.total_rate(now) * self.report_interval / 1000.0
-        budget = int(min(len(listed), max_checks))
-        selected = sorted(listed, key=lambda server: (views[server].health_check_sent_at, server))[:budget]
+        budget = int(min(len(sent_servers), max_checks))
+        selected = sorted(sent_servers, key=lambda server: (views[server].health_check_sent_at, server))[:budget]
         for server in selected:
             views[server].health_check_sent_at = now
         return [StartHealthCheck(server) for server in selected]
--- a/stackwheel/relay/watch_cache.py
+++ b/stackwheel/relay/watch_cache.py
@@ -239,9 +239,9 @@
         self._replace_all(endpoint_list, possibly_unreadable + _not_removed(endpoint_list))
         return tuple(SendSnapshot(cell) for cell in self.views)
 
-    def _replace_all(self, endpoint_list: EndpointList, listed: Iterable[Instance]) -> None:
+    def _replace_all(self, endpoint_list: EndpointList, listed_instances: Iterable[Instance]) -> None:
         self.generation = endpoint_list.generation
-        self.instances = {instance.name: instance for instance in listed}
+        self.instances = {instance.name: instance for instance in listed_instances}
         self.unreadable = ()
         self.min_resumable_generation = 0
         self.last_gap = NO_GAP
@@ -298,10 +298,10 @@
 
     def _is_new(self, instance: Instance) -> bool:
         """Return whether an entry of an older generation is newer than the known state of its server."""
-        known = self._known_process(instance)
-        if entry_freshness(instance, known) is not EntryFreshness.NEW:
+        known_process = self._known_process(instance)
+        if entry_freshness(instance, known_process) is not EntryFreshness.NEW:
             return False
-        return known != KnownProcess(instance.availability, instance.started_at)
+        return known_process != KnownProcess(instance.availability, instance.started_at)
 
     def _revives_any(self, endpoint_list: EndpointList) -> bool:
         """Return whether a list contains a draining process as ready, or a removed one as listed."""
@@ -312,9 +312,9 @@
 
     def _known_process(self, instance: Instance) -> KnownProcess | None:
         """Return the latest known process of a server, which may have been removed."""
-        listed = self.instances.get(instance.name)
-        if listed is not None:
-            return KnownProcess(listed.availability, listed.started_at)
+        listed_instance = self.instances.get(instance.name)
+        if listed_instance is not None:
+            return KnownProcess(listed_instance.availability, listed_instance.started_at)
         cell = self._served_cell(instance)
         last_removal = None if cell is None else self.views[cell].removed.get(instance.name)
         return None if last_removal is None else KnownProcess(Availability.REMOVED, last_removal.instance.started_at)
--- a/stackwheel/trials/notifications.py
+++ b/stackwheel/trials/notifications.py
@@ -73,8 +73,8 @@
     def remove_unnamed(self, planner: int, named: set[str]) -> None:
         """Report the removal of servers that a planner knows and that are missing from a complete list."""
         checker = self.context.checker
-        known = checker.planners[planner].listed
-        for name, entry in [item for item in known.items() if item[0] not in named]:
+        known_servers = checker.planners[planner].listed
+        for name, entry in [item for item in known_servers.items() if item[0] not in named]:
             removed = replace(entry, availability=Availability.REMOVED)
             checker.endpoint_notified(planner, self.context.now_ms(), name, removed)
 
--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -64,8 +64,8 @@
         view = checker.planners.get(state.planner) if state.planner is not None else None
         if view is None or not proxy.machine.alive:
             return False
-        known = view.listed.get(server.name)
-        if known is None or known.warm_at != server.warm_at() * 1000.0:
+        endpoint = view.listed.get(server.name)
+        if endpoint is None or endpoint.warm_at != server.warm_at() * 1000.0:
             return False
         since = max(view.listed_since[server.name], state.joined_at, view.limits_from, state.limits_from)
         return now * 1000.0 >= since + UPDATE_ALLOWANCE_MS + self.channels.transit_allowance_ms()
--- a/stackwheel/wire/line_codec.py
+++ b/stackwheel/wire/line_codec.py
@@ -259,7 +259,7 @@
         ProtocolViolationError: no message of the protocol begins with `pending`.
     """
     kind, space, _ = bytes(pending[:MAX_KIND_BYTES]).removesuffix(b"\r").partition(b" ")
-    is_known = kind in ENCODED_KINDS if space else any(known.startswith(kind) for known in ENCODED_KINDS)
+    is_known = kind in ENCODED_KINDS if space else any(encoded_kind.startswith(kind) for encoded_kind in ENCODED_KINDS)
     if not is_known:
         raise ProtocolViolationError(
             "", f"unknown message kind: {quote(kind[:MAX_QUOTED_CHARACTERS].decode(errors='replace'))}"
