--- a/tests/docs/test_architecture_page.py
+++ b/tests/docs/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""Each file and each name that docs/architecture.md mentions is there."""
+"""Checks that the files, packages, classes and methods mentioned in docs/architecture.md exist."""
 
 import ast
 import re
@@ -9,20 +9,20 @@
 
 ROOT = Path(__file__).parents[2]
 PAGE = ROOT / "docs" / "architecture.md"
-QUOTED = re.compile(r"`([^`\n]+)`")
-FILE = re.compile(r"[a-z_]+(/[a-z_]+)*\.py")
-PACKAGE = re.compile(r"[a-z_]+/")
-NAME = re.compile(r"[A-Z][A-Za-z]+(\.[a-z_]+)?")
+QUOTED_TEXT = re.compile(r"`([^`\n]+)`")
+FILE_PATTERN = re.compile(r"[a-z_]+(/[a-z_]+)*\.py")
+PACKAGE_PATTERN = re.compile(r"[a-z_]+/")
+NAME_PATTERN = re.compile(r"[A-Z][A-Za-z]+(\.[a-z_]+)?")
 
 
-def quoted_words() -> Iterator[str]:
-    """All words in backquotes outside the diagram."""
+def quoted_texts() -> Iterator[str]:
+    """Yield the text between each pair of backquotes outside fenced code blocks."""
     text = re.sub(r"^```.*?^```", "", PAGE.read_text(), flags=re.MULTILINE | re.DOTALL)
-    return (match.group(1) for match in QUOTED.finditer(text))
+    return (match.group(1) for match in QUOTED_TEXT.finditer(text))
 
 
 def names_defined_in(path: Path) -> set[str]:
-    """Functions, classes, their methods and module-level names."""
+    """Return the names of the top-level functions and classes of a module, and of methods as `Class.method`."""
     names: set[str] = set()
     for node in ast.parse(path.read_text()).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
@@ -34,42 +34,49 @@
 
 
 def all_defined_names() -> set[str]:
+    """Return the names that are defined in any module of the package."""
     return set().union(*(names_defined_in(path) for path in (ROOT / "stackwheel").rglob("*.py")))
 
 
-def pairs_of_file_and_name() -> list[tuple[str, str]]:
-    """A file, and the name that follows it at once."""
+def files_with_names() -> list[tuple[str, str]]:
+    """Return each quoted file that is directly followed by a quoted name, with that name."""
     return re.findall(r"`((?:[a-z_]+/)*[a-z_]+\.py)` `([A-Za-z_.]+)`", PAGE.read_text())
 
 
-@pytest.mark.parametrize("word", sorted({word for word in quoted_words() if FILE.fullmatch(word)}))
-def test_each_file_exists(word: str) -> None:
-    assert (ROOT / "stackwheel" / word).is_file()
+@pytest.mark.parametrize(
+    "quoted_text", sorted({quoted_text for quoted_text in quoted_texts() if FILE_PATTERN.fullmatch(quoted_text)})
+)
+def test_each_mentioned_file_exists(quoted_text: str) -> None:
+    assert (ROOT / "stackwheel" / quoted_text).is_file()
 
 
-@pytest.mark.parametrize("word", sorted({word for word in quoted_words() if PACKAGE.fullmatch(word)}))
-def test_each_package_exists(word: str) -> None:
-    assert (ROOT / "stackwheel" / word / "__init__.py").is_file()
+@pytest.mark.parametrize(
+    "quoted_text", sorted({quoted_text for quoted_text in quoted_texts() if PACKAGE_PATTERN.fullmatch(quoted_text)})
+)
+def test_each_mentioned_package_exists(quoted_text: str) -> None:
+    assert (ROOT / "stackwheel" / quoted_text / "__init__.py").is_file()
 
 
-@pytest.mark.parametrize("word", sorted({word for word in quoted_words() if NAME.fullmatch(word)}))
-def test_each_class_and_method_is_defined(word: str) -> None:
-    assert word in all_defined_names()
+@pytest.mark.parametrize(
+    "quoted_text", sorted({quoted_text for quoted_text in quoted_texts() if NAME_PATTERN.fullmatch(quoted_text)})
+)
+def test_each_mentioned_class_and_method_is_defined(quoted_text: str) -> None:
+    assert quoted_text in all_defined_names()
 
 
-@pytest.mark.parametrize(("file", "name"), sorted(set(pairs_of_file_and_name())))
-def test_each_name_is_defined_in_the_file_beside_it(file: str, name: str) -> None:
+@pytest.mark.parametrize(("file", "name"), sorted(set(files_with_names())))
+def test_a_name_after_a_file_is_defined_in_that_file(file: str, name: str) -> None:
     assert name in names_defined_in(ROOT / "stackwheel" / file)
 
 
-def test_the_page_has_files_and_names_to_check() -> None:
-    """Parametrized tests over nothing would pass."""
-    words = list(quoted_words())
-    assert sum(1 for word in words if FILE.fullmatch(word)) > 30
-    assert sum(1 for word in words if NAME.fullmatch(word)) > 30
-    assert len(pairs_of_file_and_name()) > 30
+def test_the_page_mentions_enough_files_and_names_to_check() -> None:
+    """Parametrized tests without any cases would pass."""
+    texts = list(quoted_texts())
+    assert sum(1 for quoted_text in texts if FILE_PATTERN.fullmatch(quoted_text)) > 30
+    assert sum(1 for quoted_text in texts if NAME_PATTERN.fullmatch(quoted_text)) > 30
+    assert len(files_with_names()) > 30
 
 
 def test_the_page_mentions_all_packages_of_a_planner() -> None:
-    mentioned = set(quoted_words())
+    mentioned = set(quoted_texts())
     assert {"policy/", "state/", "wire/", "service/", "relay/", "cells/", "files/", "cli/"} <= mentioned
--- a/tests/docs/test_oncall_page.py
+++ b/tests/docs/test_oncall_page.py
@@ -1,4 +1,4 @@
-"""The table of log lines in docs/oncall.md and the code that logs: each line of the page is logged, and the other way round."""
+"""Checks that the table of log lines in docs/oncall.md agrees with the logging calls in the source code."""
 
 import ast
 import re
@@ -11,9 +11,9 @@
 ROOT = Path(__file__).parents[2]
 PAGE = ROOT / "docs" / "oncall.md"
 PACKAGE = ROOT / "stackwheel"
-NOT_IN_SERVICE = {"trials", "scale"}  # programs that nobody is on call for
+NON_PRODUCTION_PACKAGES = {"trials", "scale"}
 LEVELS = {"debug": "debug", "info": "info", "warning": "warning", "error": "error", "exception": "error"}
-FIELDS_IN_ORDER = [
+FIELD_ORDER = [
     "connection",
     "proxy",
     "planner",
@@ -33,12 +33,12 @@
     "duration_s",
     "reason",
 ]
-ROW = re.compile(r"^\| (debug|info|warning|error) \| `([^`]+)` \|", re.MULTILINE)
-FIELD = re.compile(r"(\w+)=")
+ROW_PATTERN = re.compile(r"^\| (debug|info|warning|error) \| `([^`]+)` \|", re.MULTILINE)
+FIELD_PATTERN = re.compile(r"(\w+)=")
 
 
 class LogLine(NamedTuple):
-    """A line as the code logs it or as the page shows it: level, event, and the names of its fields in order."""
+    """A kind of log line in the code or on the page: level, event, and the names of its fields in order."""
 
     level: str
     event: str
@@ -46,22 +46,23 @@
 
 
 def parse(level: str, text: str) -> LogLine:
+    """Parse a log text of the form `event: field={} field={}`."""
     event, _, rest = text.partition(": ")
-    return LogLine(level, event, tuple(FIELD.findall(rest)))
+    return LogLine(level, event, tuple(FIELD_PATTERN.findall(rest)))
 
 
 def is_logger(node: ast.expr) -> bool:
-    """Whether an expression is `logger`, or `logger.opt(...)`."""
+    """Return whether an expression is `logger` or a call of one of its methods, such as `logger.opt(...)`."""
     if isinstance(node, ast.Call):
         return isinstance(node.func, ast.Attribute) and is_logger(node.func.value)
     return isinstance(node, ast.Name) and node.id == "logger"
 
 
-def calls_that_log() -> Iterator[tuple[str, ast.Call]]:
-    """Each call of a logging method in the programs in service, with where it stands."""
+def logging_calls() -> Iterator[tuple[str, ast.Call]]:
+    """Yield each logging call of the packages for production, with its file and line number."""
     for path in sorted(PACKAGE.rglob("*.py")):
         relative = path.relative_to(PACKAGE)
-        if relative.parts[0] in NOT_IN_SERVICE:
+        if relative.parts[0] in NON_PRODUCTION_PACKAGES:
             continue
         for node in ast.walk(ast.parse(path.read_text())):
             if (
@@ -73,37 +74,39 @@
                 yield f"{relative}:{node.lineno}", node
 
 
-def text_of(call: ast.Call) -> str | None:
-    """The constant text that a call logs; None where it is not constant."""
-    first = call.args[0]
-    return first.value if isinstance(first, ast.Constant) and isinstance(first.value, str) else None
+def logged_text(call: ast.Call) -> str | None:
+    """Return the text that a call logs, or None if it is not a string constant."""
+    argument = call.args[0]
+    return argument.value if isinstance(argument, ast.Constant) and isinstance(argument.value, str) else None
 
 
-LOGGED = {
-    where: parse(LEVELS[call.func.attr], text_of(call) or "")
-    for where, call in calls_that_log()
+LINES_IN_CODE = {
+    location: parse(LEVELS[call.func.attr], logged_text(call) or "")
+    for location, call in logging_calls()
     if isinstance(call.func, ast.Attribute)
 }
-DOCUMENTED = [parse(level, text) for level, text in ROW.findall(PAGE.read_text())]
+LINES_ON_PAGE = [parse(level, text) for level, text in ROW_PATTERN.findall(PAGE.read_text())]
 
 
-@pytest.mark.parametrize("line", DOCUMENTED, ids=lambda line: line.event)
-def test_each_line_of_the_page_is_logged(line: LogLine) -> None:
-    assert line in LOGGED.values()
+@pytest.mark.parametrize("line", LINES_ON_PAGE, ids=lambda line: line.event)
+def test_each_log_line_on_the_page_is_in_the_code(line: LogLine) -> None:
+    assert line in LINES_IN_CODE.values()
 
 
-@pytest.mark.parametrize("where", [where for where, line in LOGGED.items() if line.level in ("warning", "error")])
-def test_each_warning_and_error_is_on_the_page(where: str) -> None:
-    assert LOGGED[where] in DOCUMENTED
+@pytest.mark.parametrize(
+    "location", [location for location, line in LINES_IN_CODE.items() if line.level in ("warning", "error")]
+)
+def test_each_warning_and_error_is_on_the_page(location: str) -> None:
+    assert LINES_IN_CODE[location] in LINES_ON_PAGE
 
 
-@pytest.mark.parametrize("where", [where for where, line in LOGGED.items() if line.level != "debug"])
-def test_fields_come_in_one_order(where: str) -> None:
-    fields = LOGGED[where].fields
-    assert set(fields) <= set(FIELDS_IN_ORDER)
-    assert list(fields) == sorted(fields, key=FIELDS_IN_ORDER.index)
+@pytest.mark.parametrize("location", [location for location, line in LINES_IN_CODE.items() if line.level != "debug"])
+def test_log_fields_are_known_and_in_the_common_order(location: str) -> None:
+    fields = LINES_IN_CODE[location].fields
+    assert set(fields) <= set(FIELD_ORDER)
+    assert list(fields) == sorted(fields, key=FIELD_ORDER.index)
 
 
-def test_the_page_and_the_code_have_lines_at_all() -> None:
-    assert len(DOCUMENTED) > 30
-    assert len(LOGGED) > 40
+def test_the_page_and_the_code_contain_enough_log_lines_to_compare() -> None:
+    assert len(LINES_ON_PAGE) > 30
+    assert len(LINES_IN_CODE) > 40
