--- a/stackwheel/simulator/wire.py
+++ b/stackwheel/simulator/wire.py
@@ -82,7 +82,7 @@
 MAX_HEALTH_CHECK_OUTCOME = 7
 """Highest number of a health check's outcome; greater numbers are reserved."""
 
-ALL_PEERS = 0xFFFF
+ALL_PEERS_INDEX = 0xFFFF
 """Value of a gossip datagram's receiver field that stands for all peer planners."""
 
 MAX_TEXT_BYTES = 2000
