--- a/stackwheel/cells/design.py
+++ b/stackwheel/cells/design.py
@@ -167,7 +167,7 @@
 
 
 def _choose_parts(demand: _GroupDemand, limits: Limits, previous_parts: int) -> int:
-    """Return the number of parts of a group: the previous number, raised or lowered to the bounds below.
+    """Return the number of parts of a group: the previous number, raised or lowered to the following bounds.
 
     The lower bound is the number of parts that the demand requires. The upper bound is the number that `SHRINK_FACTOR`
     times the demand requires, or fewer if a part would otherwise get too few planners or no server.
--- a/stackwheel/cells/movement.py
+++ b/stackwheel/cells/movement.py
@@ -23,8 +23,9 @@
         servers: number of servers with a cell in both plans.
         cells_added: number of cells that are only in the new plan.
         cells_removed: number of cells that are only in the previous plan.
-        replicas_moved: number of those replicas in the new plan whose relays did not serve the cell before.
-        replicas: number of replicas of the cells that are in both plans.
+        replicas_moved: number of replicas among those in `replicas` whose relays did not serve the cell in the previous
+            plan.
+        replicas: number of replicas in the new plan of the cells that are in both plans.
     """
 
     servers_moved: int
--- a/stackwheel/files/disk.py
+++ b/stackwheel/files/disk.py
@@ -1,4 +1,7 @@
-"""The file operations that table files need, their implementation by the operating system, and safe reading."""
+"""The file operations that table files need, their implementation by the operating system, and checked reads.
+
+A read rejects file names that lead out of the folder, symbolic links, special files and oversized files.
+"""
 
 from __future__ import annotations
 
--- a/stackwheel/files/file_proxy.py
+++ b/stackwheel/files/file_proxy.py
@@ -25,10 +25,13 @@
         return f"proxy {self.proxy} by files"
 
     def on_superseded(self) -> None:
-        """Do nothing; another transport serves the proxy now, and its status files are ignored meanwhile."""
+        """Do nothing when another connection becomes the proxy's stream; the planner actor then ignores this one."""
 
     def on_attached(self) -> None:
-        """Do nothing; readers poll their folders, so there is no transfer to resume."""
+        """Do nothing when this connection becomes the proxy's stream.
+
+        The proxy polls its folders for table files, so that no transfer has to be started or resumed.
+        """
 
 
 @dataclass(slots=True)
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -154,7 +154,7 @@
         self.wake_up.set()
 
     def log_result(self, target: str, failure: ReplaceError | None) -> None:
-        """Log the first of several equal failures of a target, and its recovery."""
+        """Log only the first of a run of identical failures of a target, and its recovery."""
         if failure is None:
             if self.failures.pop(target, None) is not None:
                 logger.info("table file write recovered: file={}", target)
--- a/stackwheel/policy/channel.py
+++ b/stackwheel/policy/channel.py
@@ -55,7 +55,7 @@
 """
 
 NONCE_COUNT = 1 << 16
-"""Number of different nonces, which are reused in turn; far more than there are unacknowledged updates."""
+"""Number of different nonces, which are reused in turn; far greater than the number of unacknowledged updates."""
 
 
 class SentUpdate(NamedTuple):
@@ -143,8 +143,9 @@
 
     def acknowledge(self, proxy: int, nonce: int) -> None:
         """Process an acknowledgement; all earlier updates have left the queue too, because the queue is in order."""
-        # The dict is in the order of sending. Reusing a nonce that is still in the dict would break this order, but
-        # requires NONCE_COUNT updates without any acknowledgement: each one removes all earlier updates.
+        # The dict is in the order of sending. Reusing a nonce that is still in the dict would break this order. That
+        # would require NONCE_COUNT updates without an acknowledgement, because each acknowledgement removes all updates
+        # sent before the acknowledged one.
         if nonce not in self.unacknowledged:
             return
         remaining = itertools.dropwhile(lambda item: item[0] != nonce, self.unacknowledged.items())
--- a/stackwheel/policy/updates.py
+++ b/stackwheel/policy/updates.py
@@ -341,7 +341,11 @@
 
 
 def new_line_urgency(unsent_share: float) -> Urgency:
-    """Return the urgency of a new line, depending on the total share of new lines in its table."""
+    """Return the urgency of sending a new line, which increases with the total share of new lines in its table.
+
+    Args:
+        unsent_share: sum of the shares of the servers whose lines have not been sent to the proxies of the table yet.
+    """
     if unsent_share > EMPTY_TABLE_UNSENT_SHARE:
         return Urgency.EJECTED_OR_EMPTY
     return Urgency.NEW_LINE if unsent_share > NEW_LINE_UNSENT_SHARE else Urgency.ROUTINE
--- a/stackwheel/relay/watch_cache.py
+++ b/stackwheel/relay/watch_cache.py
@@ -40,7 +40,10 @@
 """Maps the name and zone of a server to its cell in the cell plan; None if the plan has no cell for it."""
 
 MAX_UNREADABLE_NAMES = 64
-"""Maximum number of remembered names of unreadable entries; above it, any server may have an unreadable entry."""
+"""Maximum number of stored names of unreadable entries.
+
+Above it, the relay stores and sends a single unreadable entry without a name, which stands for that of any server.
+"""
 
 PLAN_PROPAGATION_MS = 60_000.0
 """Time within which all relays have read a new cell plan, see docs/relay.md."""
--- a/stackwheel/rules/views.py
+++ b/stackwheel/rules/views.py
@@ -64,7 +64,8 @@
             advisory, by server.
         latest_start: start time of the process in the latest notification, by server.
         listed_since: time of the first notification of the current process, by listed server.
-        serviceable_since: time since which a warm server has been listed without interruption, by zone and class.
+        serviceable_since: time since which a warm server that may serve the class in the zone has been listed without
+            interruption, by zone and class.
         message_times: times of the messages within the window of the message cap, by proxy.
     """
 
@@ -107,7 +108,10 @@
             self.unavailable_since.pop(server, None)
 
     def update_serviceable(self, classes: tuple[RequestClass, ...], zone_count: int, now: float) -> bool:
-        """Update the serviceable zones and classes, and return whether any have been added."""
+        """Update the pairs of zone and request class that are serviceable, and return whether any have been added.
+
+        A pair is serviceable while a warm server is listed that may serve the class to proxies of the zone.
+        """
         warm = [endpoint for endpoint in self.listed.values() if endpoint.is_warm(now)]
         serviceable: dict[ZoneClass, float] = {}
         for class_index, request_class in enumerate(classes):
--- a/stackwheel/scale/capacity_edge.py
+++ b/stackwheel/scale/capacity_edge.py
@@ -1,4 +1,4 @@
-"""Rows of the capacity model for planners, proxies, collectors and servers."""
+"""Rows of the table of roles in the capacity model, for planners, proxies, collectors and servers."""
 
 from __future__ import annotations
 
@@ -118,7 +118,10 @@
 
 
 def routes_row() -> Row:
-    """Return the row of the routes of a proxy, which no mechanism distributes yet."""
+    """Return the row for the weight tables of a proxy's routes in the table of roles.
+
+    A route corresponds to a request class. No mechanism distributes tables by route yet, so the row has no cost.
+    """
     routes = target.ROUTES / target.SERVICES
     lines = routes * target.SERVERS / target.SERVICES
     fleet_lines = target.ROUTES * target.SERVERS / target.SERVICES
@@ -133,7 +136,7 @@
 
 
 def tenants_row() -> Row:
-    """Return the row of the tenant state of a proxy, which no mechanism distributes yet."""
+    """Return the row for the tenant state of a proxy, without a cost because no mechanism distributes it yet."""
     tenants = target.TENANTS / target.SERVICES
     tenant_bytes = tenants * target.BYTES_PER_TENANT
     all_tenants_bytes = target.TENANTS * target.BYTES_PER_TENANT
@@ -148,7 +151,7 @@
 
 
 def choice_row(choice: Choice) -> Row:
-    """Return the row of the latency that the choice of a server adds to a request."""
+    """Return the row for the latency that the choice of a server adds to a request of a proxy."""
     attempt = "first try" if choice.attempted == 0 else f"try {choice.attempted + 1}"
     return Row(
         "proxy",
@@ -203,7 +206,7 @@
 
 
 def server_rows() -> Iterator[Row]:
-    """Return the row of the maximum rate of health checks of a server; timely load reports make them unnecessary."""
+    """Return the row for the maximum rate of health checks of a server; timely load reports make them unnecessary."""
     health_checks = target.HEALTH_CHECKS_PER_REQUEST * target.REQUESTS_PER_S / target.SERVERS
     cost = Cost(messages_in=health_checks, messages_out=health_checks)
     yield Row(
--- a/stackwheel/scale/control.py
+++ b/stackwheel/scale/control.py
@@ -170,7 +170,7 @@
 
 
 class WrongPlanner(msgspec.Struct, frozen=True):
-    """A planner whose entries differ from the list.
+    """A planner whose entries differ from the registry's endpoint list.
 
     Attributes:
         planner: number of the planner.
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -190,7 +190,7 @@
         self.cleanup_threshold = MIN_CLEANUP_ENTRIES
 
     async def follow(self, message: Follow) -> None:
-        """Start the planners one after another, `START_INTERVAL_S` apart, then their datagrams."""
+        """Start the planners one after another, `START_INTERVAL_S` apart, then start sending their datagrams."""
         self.shared = SharedEntries(tuple(message.zones), (MACHINE_TYPE,))
         for planner in message.planners:
             self.followers[planner.number] = Follower(planner, self.shared, self.records)
@@ -248,7 +248,7 @@
             else:
                 right += 1
             digests[follower.planner.cell].add(entries_digest(actual))
-            await asyncio.sleep(0)  # The event loop reads the watches between the comparisons of two planners.
+            await asyncio.sleep(0)  # Yield after each planner's comparison so that the event loop can read the watches.
         return Compared(compared, right, wrong, {cell: sorted(cell_digests) for cell, cell_digests in digests.items()})
 
     def expected_entries(self, entries: list[Entry]) -> dict[str, ListedEntry]:
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -107,7 +107,7 @@
         return self.variable if isinstance(self.base_point, Point) else f"relay-{self.variable}"
 
     def point(self, size: int) -> Point | RelayPoint:
-        """Return the point at a size of the swept variable."""
+        """Return the point for a value of the swept variable."""
         changed: dict[str, Any] = {self.swept_field(): size}
         return replace(self.base_point, **changed)
 
--- a/stackwheel/service/app.py
+++ b/stackwheel/service/app.py
@@ -46,7 +46,7 @@
 
 
 def no_transports(_context: PlannerContext) -> list[ProxyTransport]:
-    """Return no transports in addition to the sockets."""
+    """Default for a planner without extra transports: return an empty list."""
     return []
 
 
--- a/stackwheel/trials/discovery.py
+++ b/stackwheel/trials/discovery.py
@@ -281,7 +281,7 @@
             call.write_chunk(b"\r\n")
         self.loop.schedule_at(self.loop.now + HEARTBEAT_INTERVAL_S, self.machine, self.send_heartbeats)
 
-    # Calls.
+    # Responses to the requests of planners and relays.
 
     def enqueue_call(self, call: DiscoveryCall, target: str) -> None:
         """Schedule the response to a request after those to all earlier requests."""
--- a/stackwheel/trials/drawing.py
+++ b/stackwheel/trials/drawing.py
@@ -16,7 +16,7 @@
 class Drawing:
     """Random draws for the faults of one script.
 
-    Each method uses the generator in a fixed order, on which the scripts of all seeds depend.
+    Don't change the order of draws in a method: the scripts of all seeds depend on it.
     """
 
     def __init__(self, generator: random.Random, shape: Shape, span: float) -> None:
--- a/stackwheel/trials/endpoint_faults.py
+++ b/stackwheel/trials/endpoint_faults.py
@@ -93,7 +93,10 @@
 
 
 def reload(fault: faults.Reload, world: World) -> None:
-    """Move discovery, or with relays the cells' ports, and send SIGHUP to planners, whose limits are suspended."""
+    """Move discovery to another port, or with relays the cells to other ports, and send SIGHUP to running planners.
+
+    The rule checker applies no limits to these planners for `RELOAD_GRACE_MS` after the signal.
+    """
     if world.relays is not None:
         world.relays.change_ports()
     else:
--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -15,7 +15,7 @@
 
 
 class WarmupMonitor:
-    """Reports the load on servers in their slow start to the checker."""
+    """Passes the load of servers in their slow start to the rule checks."""
 
     def __init__(
         self, context: SimulationContext, fleet: ServerFleet, channels: UpdateChannels, proxies: Sequence[Proxy]
@@ -26,7 +26,7 @@
         self.proxies = proxies
 
     def check(self) -> None:
-        """Report the load on all servers that are warming up, and schedule the next check."""
+        """Pass the load of each warming server to the rule checks, and schedule the next check."""
         checker = self.context.checker
         now = self.context.loop.now
         for name, server in list(self.fleet.warming_up.items()):
