--- a/stackwheel/files/codec.py
+++ b/stackwheel/files/codec.py
@@ -32,7 +32,7 @@
 MIN_KEY_BYTES = 16
 MAX_KEYS = 2  # the old and the new key during a rotation
 KEY_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
-MAX_REASON_CHARACTERS = 200  # of a decoder's message
+MAX_REASON_CHARACTERS = 200  # maximum length of a decoder's message in an error
 
 
 @dataclass(frozen=True, slots=True)
--- a/stackwheel/files/errors.py
+++ b/stackwheel/files/errors.py
@@ -22,7 +22,7 @@
     ORDER = 9  # older than the applied update, or from an earlier incarnation
     AGE = 10  # expired, or created too far in the future
     BASE = 11  # delta on a complete update that the reader does not have
-    TARGET = 12  # for another zone or proxy
+    TARGET = 12  # update for another zone or proxy
 
 
 class FileRejectedError(StackwheelError):
--- a/stackwheel/files/follower.py
+++ b/stackwheel/files/follower.py
@@ -96,7 +96,7 @@
         return all_applied
 
     async def handle(self, outcome: ReadOutcome) -> None:
-        """Report the outcome of reading a file, and acknowledge an applied file in the status."""
+        """Pass the outcome of reading a file to `notify`, and acknowledge an applied file in the status file."""
         self.notify(outcome_document(outcome))
         if not isinstance(outcome, FileApplied):
             return
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -140,7 +140,7 @@
             task.add_done_callback(self.tasks.discard)
 
     async def write(self, attempt: WriteAttempt) -> None:
-        """Make an attempt to write a file, and report its result to the scheduler."""
+        """Make an attempt to write a file, pass its result to the scheduler, and log it."""
         folder, _, name = attempt.target.rpartition("/")
         failure: ReplaceError | None = None
         try:
--- a/stackwheel/files/push_scheduler.py
+++ b/stackwheel/files/push_scheduler.py
@@ -122,7 +122,7 @@
             self.active -= 1
 
     def earliest_write(self, name: str) -> float:
-        """Return the earliest time at which the limits and the backoff allow the next attempt at a target."""
+        """Return the earliest time at which the rate limits and the backoff allow the next attempt at a target."""
         target = self.targets[name]
         limits = self.limits
         allowed_at = 0.0
--- a/stackwheel/scale/comparison.py
+++ b/stackwheel/scale/comparison.py
@@ -18,7 +18,7 @@
     """The result of one comparison of all planners with the registry.
 
     Attributes:
-        full_list: the list of the registry.
+        full_list: the endpoint list of the registry.
         compared_entry_count: number of compared entries of all planners.
         correct_planner_count: number of planners without a wrong or missing entry.
         wrong_entry_count: number of wrong or missing entries of all planners.
--- a/stackwheel/scale/control.py
+++ b/stackwheel/scale/control.py
@@ -44,7 +44,7 @@
         datagrams_in: received datagrams.
         datagrams_out: sent datagrams.
         datagrams_computed: datagrams that real planners would send, whether or not they were sent.
-        failures: failed calls and watches.
+        failures: failed watches of hollow planners; at the registry, requests that were answered with 503.
     """
 
     bytes_in: int = 0
@@ -62,7 +62,7 @@
 
 
 class Load(Message, frozen=True):
-    """Request to the registry to start serving a list at `host`; answered with `Ready`."""
+    """Request to the registry to start serving an endpoint list at `host`; answered with `Ready`."""
 
     host: str
     entries: list[Entry]
@@ -75,7 +75,7 @@
 
 
 class GetFullList(Message, frozen=True):
-    """Request to the registry for its list and its changes; answered with `FullList`."""
+    """Request to the registry for its endpoint list and the changes made so far; answered with `FullList`."""
 
 
 class MadeChange(msgspec.Struct, frozen=True):
@@ -85,7 +85,7 @@
         name: name of the server.
         lifecycle: new lifecycle of the server.
         started_at_ms: start of the server's process, Unix ms.
-        generation: generation of the list that contains the change.
+        generation: generation of the endpoint list that contains the change.
         made_at: time of the change on the monotonic clock, which all processes of the machine share, s.
     """
 
@@ -109,7 +109,7 @@
 
     Attributes:
         number: index of the planner in the fleet.
-        cell: name of the planner's cell; "" if it follows the full list.
+        cell: name of the planner's cell; "" if it watches the full endpoint list.
         discovery: address of discovery, or the addresses of several replicas separated by commas.
         seed: seed of the planner's random numbers.
         listen: address for datagrams to this planner.
@@ -132,11 +132,11 @@
 
 
 class CountPlannersWithList(Message, frozen=True):
-    """Request to a hollow process for the number of its planners with a list; answered with `PlannersWithList`."""
+    """Request to a hollow process for the number of its planners that have a list; answered with `PlannersWithList`."""
 
 
 class PlannersWithList(Message, frozen=True):
-    """Number of planners of a process that have received a list."""
+    """Number of planners of a process that have received an endpoint list."""
 
     planners: int
 
@@ -158,11 +158,11 @@
 
 
 class Compare(Message, frozen=True):
-    """Request to a hollow process to compare its planners' entries with the list; answered with `Compared`.
+    """Request to a hollow process to compare its planners' entries with the registry's; answered with `Compared`.
 
     Attributes:
-        generation: generation of the list.
-        cells: listed entries of each cell.
+        generation: generation of the registry's endpoint list.
+        cells: entries of that list by cell.
     """
 
     generation: int
--- a/stackwheel/scale/hollow.py
+++ b/stackwheel/scale/hollow.py
@@ -46,7 +46,8 @@
 from stackwheel.wire.discovery_client import DiscoveryClient, DiscoveryOptions, WatchEnd
 from stackwheel.wire.discovery_protocol import AVAILABILITY_BY_LIFECYCLE
 
-# Limits the backoff of the discovery client; equal to `obligations.ask_within` of the example configuration.
+# The maximum backoff of the discovery client is a share of it. Equal to `obligations.ask_within` of the example
+# configuration.
 LIST_POLL_DEADLINE_MS = 10_000.0
 START_INTERVAL_S = 0.002  # Delay between the starts of two planners, so that their first calls are not simultaneous.
 MIN_CLEANUP_ENTRIES = 10_000
@@ -157,7 +158,7 @@
         return self.earlier_failures + self.discovery.failures
 
     def on_endpoint_list(self, item: EndpointList | EndpointListFailed) -> None:
-        """Apply a list from discovery and record the time at which each changed entry came into force."""
+        """Apply an endpoint list from discovery and record the time at which each changed entry came into force."""
         if isinstance(item, EndpointListFailed):
             return
         changed = self.endpoints.apply_list(item, 1000.0 * time.monotonic())
@@ -226,7 +227,7 @@
         )
 
     def planners_with_list(self) -> PlannersWithList:
-        """Return the number of planners of the process that have received a list."""
+        """Return the number of planners of the process that have received an endpoint list."""
         return PlannersWithList(sum(follower.has_list for follower in self.followers.values()))
 
     async def compare(self, message: Compare) -> Compared:
--- a/stackwheel/scale/hollow_endpoints.py
+++ b/stackwheel/scale/hollow_endpoints.py
@@ -65,7 +65,7 @@
         self.removed.pop(server, None)
 
     def apply_list(self, endpoint_list: EndpointList, now: float) -> list[EndpointEntry]:
-        """Apply a list to the cache.
+        """Apply an endpoint list to the cache.
 
         Args:
             endpoint_list: a full list or a delta.
@@ -84,7 +84,7 @@
         return changed + [removed_entry(entry) for server, entry in before.items() if server not in self.entries]
 
     def entries_that_may_change(self, endpoint_list: EndpointList) -> dict[ServerId, EndpointEntry]:
-        """Copy the entries that a list may change, because the cache is changed in place."""
+        """Copy the entries that an endpoint list may change, because the cache is changed in place."""
         if endpoint_list.complete:
             return dict(self.entries)
         listed_servers = [server_id(instance.name) for instance in endpoint_list.instances]
--- a/stackwheel/scale/layout.py
+++ b/stackwheel/scale/layout.py
@@ -26,7 +26,7 @@
         number: number of the planner.
         planner: the generated planner.
         cell: name of its cell, or `FULL_LIST_CELL`.
-        discovery: addresses from which it receives the list, separated by commas.
+        discovery: addresses from which it receives its endpoint list, separated by commas.
     """
 
     number: int
@@ -70,7 +70,7 @@
         return [sizes[placed.cell] for placed in self.placed]
 
     def entries_by_cell(self, entries: Iterable[Entry]) -> dict[str, list[Entry]]:
-        """Return the entries of a list that belong to each cell with planners."""
+        """Return the entries of an endpoint list that belong to each cell with planners."""
         by_cell: dict[str, list[Entry]] = {placed.cell: [] for placed in self.placed}
         for entry in entries:
             cell = self.cell_of_server(entry.instance_id, entry.zone)
--- a/stackwheel/scale/planner_bench.py
+++ b/stackwheel/scale/planner_bench.py
@@ -33,8 +33,8 @@
 from stackwheel.wire.http import split_address
 
 REQUEST_CLASSES = ("read", "write")
-ZONE_LOSS_DELAY_S = 1.5  # from the start of the measured span
-SPARE_SOCKETS = 256  # in addition to one for each proxy
+ZONE_LOSS_DELAY_S = 1.5  # Time from the start of the measured span.
+SPARE_SOCKETS = 256  # Sockets in addition to one for each proxy.
 MAX_SOCKETS = 15_000  # leaves file descriptors for other uses; the limit of a process is 20,000
 
 
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -18,13 +18,13 @@
     """The sizes at which one planner is measured.
 
     Attributes:
-        servers: in the endpoint list.
-        zones: over which servers and proxies are distributed.
-        proxies: connected to the planner.
-        planners: of the cell, including the measured one.
-        changes: of the endpoint list per second.
+        servers: number of servers in the endpoint list.
+        zones: number of zones over which servers and proxies are distributed.
+        proxies: number of proxies that are connected to the planner.
+        planners: number of planners of the cell, including the measured one.
+        changes: number of changes of the endpoint list per second.
         zone_lost: whether all servers of the first zone are removed during the span.
-        requests: per second; at most this many servers are included in the load reports of a report interval.
+        requests: number of requests per second; at most this many servers are in the load reports of a report interval.
     """
 
     servers: int = 128
@@ -51,9 +51,9 @@
     """The sizes at which one relay is measured.
 
     Attributes:
-        servers: in the full endpoint list, which the relay watches.
-        watchers: connected to the relay, distributed over the cells.
-        changes: of the endpoint list per second.
+        servers: number of servers in the full endpoint list, which the relay watches.
+        watchers: number of watches that are open at the relay, distributed over the cells.
+        changes: number of changes of the endpoint list per second.
     """
 
     servers: int = 2_000
@@ -84,9 +84,9 @@
 
     Attributes:
         variable: the name of the swept variable.
-        sizes: the sizes that the fits are made from.
-        held_out_size: the size that the fits predict before it is measured.
-        base_point: the values of the sizes that are not swept.
+        sizes: the values of the variable from which the fits are made.
+        held_out_size: the value of the variable for which the fits predict the usage before it is measured.
+        base_point: the point that provides the values of the other variables.
         jobs: the number of points that are measured concurrently; they share the machine.
     """
 
@@ -112,7 +112,7 @@
         return replace(self.base_point, **changed)
 
     def fixed(self) -> dict[str, float]:
-        """Return the sizes that are the same at all points of the sweep."""
+        """Return the values of the variables that are the same at all points of the sweep, by name."""
         swept = self.swept_field()
         return {name: float(value) for name, value in asdict(self.base_point).items() if name != swept}
 
--- a/stackwheel/scale/processes.py
+++ b/stackwheel/scale/processes.py
@@ -114,7 +114,7 @@
             self.check_processes()
 
     async def start_planners(self) -> float:
-        """Start all planners and return the time in s until real ones are ready and hollow ones have a list."""
+        """Start all planners and return the time in s until real ones are ready and hollow ones have their list."""
         began = time.monotonic()
         await asyncio.gather(self.start_hollow_planners(), self.start_real_planners())
         while (planners_with_list := await self.count_planners_with_list()) < len(self.hollow_process_by_number):
@@ -133,7 +133,7 @@
         await asyncio.gather(*(self.start_hollow_process(index, group) for index, group in enumerate(groups)))
 
     async def start_hollow_process(self, index: int, numbers: list[int]) -> None:
-        """Start one process of hollow planners and request that they follow the list."""
+        """Start one process of hollow planners and request that they watch the endpoint list."""
         child = await self.children.start_module(Role.HOLLOW_PLANNER, f"hollow-{index}", "stackwheel.scale.hollow")
         await child.receive_answer(Ready)
         self.hollow_process_by_number.update(dict.fromkeys(numbers, child))
@@ -196,7 +196,7 @@
         return self.children.with_role(Role.HOLLOW_PLANNER)
 
     async def count_planners_with_list(self) -> int:
-        """Return the number of hollow planners that have received a list."""
+        """Return the number of hollow planners that have received an endpoint list."""
         answers = await self.request_hollow_processes(CountPlannersWithList(), PlannersWithList)
         return sum(answer.planners for answer in answers)
 
--- a/stackwheel/scale/registry.py
+++ b/stackwheel/scale/registry.py
@@ -127,7 +127,10 @@
     async def answer(
         self, request: h11.Request, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Respond to one request with the list, a watch, 404 for any other path or method, or 503 if overloaded."""
+        """Respond to one request with the endpoint list or a watch.
+
+        The response is 404 for any other path or method, and 503 if the registry is overloaded.
+        """
         target = urlsplit(request.target.decode("ascii", "replace"))
         query = parse_qs(target.query)
         since = query.get("since", [""])[0]
@@ -181,7 +184,7 @@
         self.broadcast(self.endpoint_list.apply(change.entries, time.monotonic()))
 
     def traffic(self) -> Traffic:
-        """Return the bytes counted so far, with calls answered by 503 as failures."""
+        """Return the bytes counted so far, with the requests that were answered with 503 as failures."""
         return Traffic(self.bytes_in, self.bytes_out, failures=self.rejected_calls)
 
     def full_list(self) -> FullList:
@@ -191,7 +194,7 @@
 
 
 async def start_serving(connection: ControlConnection[Request]) -> Registry | None:
-    """Wait for the list from the run and start serving it; return None if the run ends first."""
+    """Wait for the endpoint list from the run and start serving it; return None if the run ends first."""
     message = await connection.receive()
     if not isinstance(message, Load):
         return None
--- a/stackwheel/scale/relay_bench.py
+++ b/stackwheel/scale/relay_bench.py
@@ -24,7 +24,7 @@
 UNUSED_RELAY_HOST = "127.78.0.1"  # a plan needs two relays for each cell; the second one is not started
 FIRST_CELL_PORT = 20_001
 LOOPBACK_HOST_NUMBERS = iter(range(1, 1 << 16))  # gives each measured relay its own loopback address
-WATCH_RETRY_DELAY_S = 0.3  # before a watcher reconnects, for example while the relay has no list yet
+WATCH_RETRY_DELAY_S = 0.3  # Time until a watcher reconnects, for example while the relay has no endpoint list yet.
 CHUNKED_LINE_END = b"\n\r\n"  # end of a line and of the HTTP chunk that carries it
 
 
--- a/stackwheel/scale/report.py
+++ b/stackwheel/scale/report.py
@@ -171,10 +171,10 @@
         bounds: limits, estimates and highest readings of resources.
         cells: sizes of the cells.
         datagrams: rates of gossip.
-        changes: number of changes that the registry made to its list.
+        changes: number of changes that the registry made to its endpoint list.
         generation: of the registry's list at the end.
         duration_s: measured duration of the scenario.
-        ready_s: time from the start of the first planner until all planners have a list.
+        ready_s: time from the start of the first planner until all planners have an endpoint list.
         settle_s: time from the end of the scenario until all planners are correct or the wait is abandoned.
         failures: failed requests and watches of hollow planners.
         rejected: requests that the registry rejected with status 503.
--- a/stackwheel/scale/run.py
+++ b/stackwheel/scale/run.py
@@ -209,7 +209,7 @@
 
 
 def entry_after(change: ServerChange) -> Entry:
-    """Return the server's entry in the list after a change."""
+    """Return the server's entry in the endpoint list after a change."""
     return Entry(change.server.name, change.server.address, change.server.zone, change.lifecycle, change.started_at_ms)
 
 
--- a/stackwheel/scale/scenarios.py
+++ b/stackwheel/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""Schedule of a run, generated from a seed: changes of the list and restarts of planners with their times."""
+"""Schedule of a run, generated from a seed: changes of the endpoint list and restarts of planners with their times."""
 
 from __future__ import annotations
 
--- a/stackwheel/scale/summary.py
+++ b/stackwheel/scale/summary.py
@@ -46,7 +46,7 @@
         traffic_readings: readings of all counters, about one per second.
         records: propagation records of each process of hollow planners.
         measured_duration_s: time from the first reading to the last.
-        startup_s: time from the start of the first planner until all planners have a list.
+        startup_s: time from the start of the first planner until all planners have an endpoint list.
         settling_s: time from the end of the scenario until all planners are correct or the wait is abandoned.
     """
 
--- a/stackwheel/scale/target_size.py
+++ b/stackwheel/scale/target_size.py
@@ -12,12 +12,12 @@
 SERVICES = 2_100
 REGIONS = 36
 ZONES = 85
-REQUESTS_PER_S = 990_000  # at the peak
+REQUESTS_PER_S = 990_000  # Peak rate of the entire fleet.
 ROUTES = 40_000
 TENANTS = 500_000
 CONFIGURATION_CHANGES_PER_DAY = 12_000
-CONFIGURATION_DEADLINE_S = 5.0  # until a configuration change has been applied everywhere
-MAX_ADDED_LATENCY_MS = 2.4  # that a proxy adds to a request, at the 99th percentile
+CONFIGURATION_DEADLINE_S = 5.0  # Maximum time until a configuration change is applied everywhere.
+MAX_ADDED_LATENCY_MS = 2.4  # 99th percentile of the latency that a proxy adds to a request.
 RESTARTS_PER_DAY = 13_000  # servers that drain, stop and start again
 FAILURES_PER_DAY = 120  # servers that stop without draining
 CONTROL_MACHINES = 17
@@ -30,7 +30,7 @@
 
 # Assumptions; docs/CAPACITY.md gives the reasons.
 PROXY_REQUESTS_PER_S = 15.0
-SERVICE_SIZE_SIGMA = 1.6  # of the log-normal distribution of service sizes, as in `scale.fleet`
+SERVICE_SIZE_SIGMA = 1.6  # Sigma of the log-normal distribution of service sizes, as in `scale.fleet`.
 MAX_CELL_SERVERS = 512  # default of the plan file
 MAX_CELL_PLANNERS = 16  # default of the plan file
 ENTRIES_PER_RESTART = 3  # list entries of a server that drains, is removed and returns
@@ -40,7 +40,7 @@
 HEALTH_CHECKS_PER_REQUEST = 0.06  # maximum for all planners together (docs/fleet.md)
 LINK_BYTES_PER_S = 1.25e9  # network link of a machine, 10 Gbit/s
 RELAY_CORE_BUDGET = 1.0  # a relay is one process with one thread
-HEARTBEAT_INTERVAL_S = 2.0  # between the heartbeat lines of a watch without changes
+HEARTBEAT_INTERVAL_S = 2.0  # Time between the heartbeat lines of a watch without changes.
 BYTES_PER_HEARTBEAT = 6  # an empty line as one HTTP chunk
 
 SECONDS_PER_DAY = 86_400.0
--- a/stackwheel/trials/collectors.py
+++ b/stackwheel/trials/collectors.py
@@ -16,8 +16,8 @@
 
 MAX_LINES_PER_REPORT = 300
 MAX_PENDING_LINES = 20 * MAX_LINES_PER_REPORT
-MIN_REDIAL_DELAY_S = 0.5  # a random part of up to 1 s is added
-LOAD_REPORT_DELAY_S = 0.3  # is added to the delay that applies to all reports
+MIN_REDIAL_DELAY_S = 0.5  # The actual delay is longer by a random time of up to 1 s.
+LOAD_REPORT_DELAY_S = 0.3  # Delay of load reports in addition to the delay of all reports.
 
 
 class Collector(LineProtocol):
--- a/stackwheel/trials/discovery.py
+++ b/stackwheel/trials/discovery.py
@@ -75,7 +75,7 @@
         return None
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Remove the connection from the open calls."""
+        """Remove the connection from the open connections of the service."""
         self.discovery.calls.pop(self, None)
         self.watching = False
 
@@ -107,20 +107,20 @@
         self.discovery.on_sent(self, update)
 
     def received(self, count: int) -> None:
-        """Count bytes that the caller has received and report the updates that it has received completely."""
+        """Count bytes that the caller has received, and call `on_received` for each completely received update."""
         self.bytes_received += count
         while self.pending_updates and self.pending_updates[0].end_offset <= self.bytes_received:
             self.discovery.on_received(self.planner, self.pending_updates.popleft())
 
 
 class Discovery:
-    """The discovery service, with the endpoint list and the open calls.
+    """The discovery service, with the endpoint list and the open connections of planners and relays.
 
     Attributes:
         records: By name: the listed servers.
-        generation: Current generation of the list.
+        generation: Current generation of the endpoint list.
         log: The changes of all generations since the service started its numbering.
-        busy_until: Time at which the service has answered all calls received so far, in s.
+        busy_until: Time at which the service has answered all requests received so far, in s.
         fault: Current fault: `refuse`, `503`, `silence`, `late`, or empty.
         fault_delay: Delay of changes during the fault `late`, in s.
         keeps_order: Whether a delayed change also delays all changes after it.
@@ -160,27 +160,27 @@
     # Address and availability of the service.
 
     def listen(self) -> None:
-        """Accept calls at the current address."""
+        """Accept connections at the current address."""
         if self.address not in self.network.listeners:
             self.network.listen(self.machine, self.address, lambda: DiscoveryCall(self))
 
     def stop_listening(self) -> None:
-        """Accept no more calls; open calls stay open."""
+        """Accept no more connections; open connections stay open."""
         self.network.listeners.pop(self.address, None)
 
     def end_calls(self) -> None:
-        """Close all open calls."""
+        """Close all open connections."""
         for call in list(self.calls):
             if call.transport is not None:
                 call.transport.abort()
 
     def move(self, address: Address, close_after: float) -> None:
-        """Move the service to another address; calls to the old address are closed after `close_after` s."""
+        """Move the service to another address; connections to the old address are closed after `close_after` s."""
         self.stop_listening()
         old_calls = list(self.calls)
 
         def end_old_calls() -> None:
-            """Close the calls that were open at the time of the move."""
+            """Close the connections that were open at the time of the move."""
             for call in old_calls:
                 if call in self.calls and call.transport is not None:
                     call.transport.abort()
@@ -204,7 +204,7 @@
     # The endpoint list and its changes.
 
     def change(self, records: Sequence[ServerRecord]) -> None:
-        """Apply changes to the list and send them on all watches, with a delay during the fault `late`."""
+        """Apply changes to the endpoint list and send them on all watches, with a delay during the fault `late`."""
         self.generation += 1
         for record in records:
             self.log.append(LoggedChange(self.generation, record, self.records.get(record.name)))
@@ -270,7 +270,7 @@
         return records
 
     def restart_generations(self, first: int = 1) -> None:
-        """Restart the numbering of generations and close all calls."""
+        """Restart the numbering of generations and close all connections."""
         self.generation = first
         self.log = []
         self.end_calls()
@@ -319,7 +319,10 @@
             call.send_update(tuple(self.records.values()), True, self.generation)
 
     def can_resume_from(self, since: int) -> bool:
-        """Return whether a watch can resume from a generation: the log contains all later changes within the limit."""
+        """Return whether a watch can resume from a generation.
+
+        The log must contain all later changes, of at most `MAX_GENERATIONS_BEHIND` generations.
+        """
         return (
             0 < since <= self.generation
             and self.generation - since <= MAX_GENERATIONS_BEHIND
--- a/stackwheel/trials/discovery_records.py
+++ b/stackwheel/trials/discovery_records.py
@@ -56,7 +56,7 @@
         end_offset: Offset in bytes of the end of the update in the response.
         records: The records that the update contains.
         complete: Whether the update is a complete list.
-        generation: Generation of the list.
+        generation: Generation of the endpoint list.
         written_at: Time of the write, in s.
     """
 
--- a/stackwheel/trials/fleet.py
+++ b/stackwheel/trials/fleet.py
@@ -96,7 +96,7 @@
         size = min(len(candidates), self.context.shape.standing_table_size)
         return generator.sample(candidates, size)
 
-    # Incarnations.
+    # Incarnations of servers.
 
     def start(self, server: Server) -> None:
         """Start a new incarnation of a server, which begins with a slow start."""
@@ -141,7 +141,7 @@
         self.current_servers[slot] = server
         self.start(server)
 
-    # Load columns.
+    # Load columns of servers.
 
     def in_flight(self, name: str) -> int | None:
         """Return the number of requests in flight at a server; None if servers do not report it."""
--- a/stackwheel/trials/load_faults.py
+++ b/stackwheel/trials/load_faults.py
@@ -42,8 +42,8 @@
 def disturb_disks(fault: faults.Disks, world: World) -> None:
     """Make disks full, missing or slow.
 
-    The limits of the planners and proxies concerned are suspended until `DISK_RECOVERY_MS` after the fault, because
-    files that can't be written or read do not take effect.
+    The rule checker applies no limits to the planners and proxies concerned until `DISK_RECOVERY_MS` after the fault,
+    because files that cannot be written or read do not take effect.
     """
     if world.files is None:
         return
--- a/stackwheel/trials/monitor.py
+++ b/stackwheel/trials/monitor.py
@@ -105,7 +105,10 @@
         )
 
     def compare_states(self, planner: PlannerHost, proxy: Proxy) -> None:
-        """Report differences between the assumed and the actual state of a proxy that has applied all updates."""
+        """Record a violation for each difference between the state that a planner assumes and a proxy's actual state.
+
+        The proxy must have applied all updates of the planner.
+        """
         self.context.count("agreements")
         assumed = planner.assumed_state(proxy.number)
         if assumed is None:
@@ -118,7 +121,7 @@
     # State and log of planners.
 
     def check_bounds(self) -> None:
-        """Report collections of planners that exceed their limits, and schedule the next check."""
+        """Record a violation for each collection of a planner that is too large, and schedule the next check."""
         checker = self.context.checker
         for planner in self.planners:
             if planner.running and not planner.machine.stalled and checker.planners.get(planner.number) is not None:
@@ -127,7 +130,7 @@
         self.context.schedule_after(BOUNDS_CHECK_INTERVAL_S, self.check_bounds)
 
     def error_logged(self, message: Any) -> None:
-        """Report a logged error as a violation."""
+        """Record a violation for a logged error."""
         record = message.record
         error = f": {record['exception'].value!r}" if record["exception"] else ""
         machine = self.context.loop.machine
--- a/stackwheel/trials/network.py
+++ b/stackwheel/trials/network.py
@@ -140,7 +140,7 @@
         for transport in [transport for transport in self.transports if transport.peer.machine is machine]:
             self.deliver(transport, ConnectionEnd(ConnectionResetError("reset by peer")))
 
-    # Cuts.
+    # Cuts of paths between machines.
 
     def is_cut(self, source: Machine, target: Machine) -> bool:
         """Return whether the path from one machine to another is cut."""
--- a/stackwheel/trials/planners.py
+++ b/stackwheel/trials/planners.py
@@ -154,7 +154,7 @@
         self.discovery = self.environment.discovery_addresses(self.number)
         self.context.loop.deliver_signal(self.machine, signal.SIGHUP)
 
-    # Inspection.
+    # Inspection of the service's state.
 
     def stream_of(self, proxy: int) -> ProxyStream | None:
         """Return the stream of a proxy to this planner; None without a stream."""
@@ -193,7 +193,7 @@
         return stream.connection.unsent_bytes if stream is not None and isinstance(stream.connection, Connection) else 0
 
     def bounded_sizes(self) -> Iterator[BoundedCount]:
-        """Iterate over the sizes of the planner's collections, with their limits; verdicts contain the names."""
+        """Iterate over the sizes of the planner's collections, with their maximum sizes and names for violations."""
         assert self.service is not None
         shape = self.context.shape
         transport = self.service.transport
--- a/stackwheel/trials/process_faults.py
+++ b/stackwheel/trials/process_faults.py
@@ -62,7 +62,10 @@
 
 
 def stall_planner(world: World, planner: PlannerHost, span: float) -> None:
-    """Stall a planner for `span` s; its limits are suspended if that exceeds `MAX_STALL_WITHIN_LIMITS_S`."""
+    """Stall a planner for `span` s.
+
+    The rule checker applies no limits to it meanwhile if `span` exceeds `MAX_STALL_WITHIN_LIMITS_S`.
+    """
     if span > MAX_STALL_WITHIN_LIMITS_S:
         world.checker.suspend_limits(planner.number, world.context.now_ms() + span * 1000.0)
     stall_machine(world, planner.machine, span)
@@ -71,7 +74,7 @@
 def stall_proxy(world: World, proxy: Proxy, span: float, stops_reading: bool) -> None:
     """Stall a proxy's process for `span` s, and with `stops_reading` its kernel's reads from sockets as well.
 
-    Its limits are suspended meanwhile.
+    The rule checker applies no limits to the proxy meanwhile.
     """
     world.loop.set_stalled(proxy.process, True)
     world.loop.set_stalled(proxy.machine, stops_reading)
--- a/stackwheel/trials/relay_checks.py
+++ b/stackwheel/trials/relay_checks.py
@@ -116,7 +116,7 @@
 
 
 class RelayChecks:
-    """Notifies the rule checker of changes that relays sent to planners, and reports invalid lists.
+    """Notifies the rule checker of changes that relays sent to planners, and records violations for invalid lists.
 
     Attributes:
         context: The simulation.
@@ -275,7 +275,7 @@
     # Lists that planners and relays cache
 
     def check_planner(self, planner: PlannerHost) -> None:
-        """Report servers whose entry in a running planner's list has deviated for longer than `MAX_DEVIATION_S`."""
+        """Record a violation for each server whose entry in a planner's list has deviated for `MAX_DEVIATION_S`."""
         key = planner.number, planner.incarnation
         now = self.context.loop.now
         if not planner.running or planner.machine.stalled or planner.number not in self.context.checker.planners:
@@ -311,7 +311,7 @@
         return deviations
 
     def compare_planners(self, cell_records: Mapping[str, ServerRecord]) -> None:
-        """Report all differences between each planner's list and the registry's records of its cell."""
+        """Record violations for all differences between each planner's list and the registry's records of its cell."""
         expected: dict[str, object] = {
             record.name: (
                 record.availability,
@@ -327,7 +327,7 @@
             self.compare(str(planner.machine), planner.number, self.endpoints_of(planner), expected)
 
     def compare_relay(self, relay: str, entries: Iterable[CachedEntry]) -> None:
-        """Report all differences between a relay's cached list and the registry's records."""
+        """Record violations for all differences between a relay's cached list and the registry's records."""
         cached: dict[str, object] = {entry.name: (entry.availability, entry.started_at) for entry in entries}
         expected: dict[str, object] = {
             record.name: (record.availability, record.started_at) for record in self.discovery.records.values()
@@ -337,7 +337,7 @@
     def compare(
         self, cache_owner: str, planner: int | None, cached: Mapping[str, object], expected: Mapping[str, object]
     ) -> None:
-        """Report each server whose cached fields differ from the registry's."""
+        """Record a violation for each server whose cached fields differ from the registry's."""
         differing = (name for name in {*cached, *expected} if cached.get(name) != expected.get(name))
         for name in sorted(differing):
             detail = f"{cache_owner} has cached {cached.get(name)}; expected {expected.get(name)} from the registry"
--- a/stackwheel/trials/relays.py
+++ b/stackwheel/trials/relays.py
@@ -151,7 +151,7 @@
         discovery.generation = FIRST_GENERATION
         discovery.records |= {record.name: record for record in self.other_records}
 
-    # The plan.
+    # The cell plan.
 
     def plan(self) -> Plan:
         """Return the current cell plan."""
@@ -184,7 +184,7 @@
         """Return the first generation of the registry after a restart of its numbering."""
         return max(1, self.discovery.generation // GENERATION_RESTART_DIVISOR)
 
-    # The other cell.
+    # Records and changes of the second cell.
 
     def other_record(self, number: int, started_at: float = 0.0) -> ServerRecord:
         """Return the record of a ready server of the other cell."""
@@ -210,7 +210,7 @@
         self.checks.add_to_history([now])
         self.context.schedule_after(self.random.uniform(*OTHER_CHANGE_INTERVAL_RANGE_S), self.change_other_cell)
 
-    # The run.
+    # Start, periodic checks and end of the trial.
 
     def begin(self) -> None:
         """Start the relays, the checks of paths and the changes of the other cell."""
@@ -286,7 +286,7 @@
                 self.checks.bytes_received(planner, end, data)
 
     def bytes_written(self, end: Transport, data: bytes) -> None:
-        """Report a relay that sends a response or a heartbeat after the registry has been silent for too long."""
+        """Record a violation if a relay sends a response or a heartbeat after the registry was silent for too long."""
         relay = self.hosts_by_name.get(end.machine.name)
         if relay is None or not (data.startswith(b"HTTP/1.1 200") or HEARTBEAT_CHUNK in data):
             return
--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -11,7 +11,7 @@
 from stackwheel.trials.servers import Server
 
 CHECK_INTERVAL_S = 0.25
-UPDATE_ALLOWANCE_MS = 300.0  # is added to the transit time of an update
+UPDATE_ALLOWANCE_MS = 300.0  # Time allowed in addition to the transit time of an update.
 
 
 class WarmupMonitor:
--- a/stackwheel/trials/world.py
+++ b/stackwheel/trials/world.py
@@ -230,7 +230,7 @@
         else:
             self.relays.records_changed(records)
 
-    # Operations on several parts.
+    # Operations that concern several components of the world.
 
     def count_cut_streams_as_left(self) -> None:
         """Count proxies across a new cut as left; proxies that receive nothing notice it after a delay."""
