--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -124,7 +124,7 @@
         self.context.checker.report_violation(self.context.now_ms(), Rule.GENUINE, detail, None, proxy)
 
     def written_in_place(self, owner: str, path: str) -> None:
-        """Record a violation for a file that was written under its final name."""
+        """Report a file that was written under its final name."""
         self.report(f"{owner} wrote {path} under its final name, expected a temporary name")
 
     def wall_clock_ms(self) -> float:
