--- a/stackwheel/trials/warmup_monitor.py
+++ b/stackwheel/trials/warmup_monitor.py
@@ -11,11 +11,11 @@
 from stackwheel.trials.servers import Server
 
 CHECK_INTERVAL_S = 0.25
-UPDATE_ALLOWANCE_MS = 300.0  # is added to the transit time of an update
+UPDATE_ALLOWANCE_MS = 300.0  # Time allowed in addition to the transit time of an update.
 
 
 class WarmupMonitor:
-    """Reports the load on servers in their slow start to the checker."""
+    """Passes the load of servers in their slow start to the rule checks."""
 
     def __init__(
         self, context: SimulationContext, fleet: ServerFleet, channels: UpdateChannels, proxies: Sequence[Proxy]
@@ -26,7 +26,7 @@
         self.proxies = proxies
 
     def check(self) -> None:
-        """Report the load on all servers that are warming up, and schedule the next check."""
+        """Pass the load of each warming server to the rule checks, and schedule the next check."""
         checker = self.context.checker
         now = self.context.loop.now
         for name, server in list(self.fleet.warming_up.items()):
