--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -14,7 +14,7 @@
 
 import h11
 
-HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines that a watch receives while there are no changes
+HEARTBEAT_INTERVAL_S = 2.0  # time between the empty lines that a watch receives while there are no changes
 MAX_READ_BYTES = 65536
 LIST_PATH = "/registry/instances"
 LIVENESS_PATH = "/health/live"
--- a/stackwheel/config_language/parser.py
+++ b/stackwheel/config_language/parser.py
@@ -24,9 +24,14 @@
 from stackwheel.config_language.syntax import Record
 from stackwheel.config_language.syntax_builder import SyntaxBuilder
 
-MAX_TEXT_SIZE = 1 << 20  # bytes of a file, or characters of a text
-MAX_NESTING_DEPTH = 64  # of braces and brackets; bounds the recursion of the parser
-MAX_QUOTED_CHARACTERS = 20  # of an unexpected token, in error messages
+MAX_TEXT_SIZE = 1 << 20
+"""Maximum size of a file in bytes, and of a text in characters."""
+
+MAX_NESTING_DEPTH = 64
+"""Maximum depth of nested braces and brackets, which are also counted in strings and comments."""
+
+MAX_QUOTED_CHARACTERS = 20
+"""Maximum number of characters of an unexpected token that an error message quotes."""
 
 GRAMMAR = r"""
 start: _sep? (member (_sep member)* _sep?)?
@@ -95,7 +100,7 @@
 
 
 def _check_depth(text: str, file: str) -> None:
-    """Reject a text whose nesting could exhaust the stack of the parser."""
+    """Reject a text whose braces and brackets are nested too deeply; chains such as `a: b: 1` are not counted."""
     depth = 0
     for offset, char in enumerate(text):
         depth += (char in "{[") - (char in "}]")
--- a/stackwheel/config_language/syntax_builder.py
+++ b/stackwheel/config_language/syntax_builder.py
@@ -24,7 +24,9 @@
     Value,
 )
 
-START_POSITION = Position(1, 1)  # of empty records and lists
+START_POSITION = Position(1, 1)
+"""Position assigned to empty records and lists; its line and column are also used for tokens without them."""
+
 CONSTANTS: dict[str, bool | None] = {"true": True, "false": False, "null": None}
 SUFFIX_FACTORS = {
     "Ki": 1 << 10,
--- a/stackwheel/files/precedence.py
+++ b/stackwheel/files/precedence.py
@@ -32,7 +32,7 @@
     NONE = "nothing"
     STREAM = "stream"
     FILE = "file"
-    EXPIRED = "kept"  # within the grace period
+    EXPIRED = "kept"  # expired tables that are used during the grace period
     EVEN = "even"
 
 
--- a/stackwheel/files/publisher.py
+++ b/stackwheel/files/publisher.py
@@ -26,7 +26,7 @@
 from stackwheel.state.streams import StreamConnection
 from stackwheel.state.table_updates import ProxyUpdate
 
-MAX_STATUS_FILES = 20_000  # per poll; each proxy has one
+MAX_STATUS_FILES = 20_000  # maximum number of status files read in one poll; each proxy has one
 POLL_INTERVAL_S = 0.25
 
 
--- a/stackwheel/scale/accounting.py
+++ b/stackwheel/scale/accounting.py
@@ -77,10 +77,10 @@
 
     LIST = "list"
     PEERS = "peers"
-    STREAMS = "streams"  # to proxies
+    STREAMS = "streams"  # streams from planners to proxies
     COLLECTORS = "collectors"
     HEALTH_CHECKS = "probes"
-    WATCHES = "watches"  # from planners to a relay
+    WATCHES = "watches"  # watches that planners open at a relay
 
 
 # Channels whose traffic counts against the budget for control traffic; all others carry data.
--- a/stackwheel/scale/bounds.py
+++ b/stackwheel/scale/bounds.py
@@ -9,7 +9,7 @@
 
 from stackwheel.errors import StackwheelError
 
-MAX_MEMORY_MB = 12 * 1024  # all processes of a run together
+MAX_MEMORY_MB = 12 * 1024  # limit of the estimated memory of all processes of a run together
 MAX_PROCESSES = 300
 MAX_HOLLOW_PLANNERS_PER_PROCESS = 1_000  # each uses two of the 20,000 file descriptors of a process
 
--- a/stackwheel/scale/capacity_edge.py
+++ b/stackwheel/scale/capacity_edge.py
@@ -25,11 +25,12 @@
 from stackwheel.scale.points import MEAN_CELL
 from stackwheel.scale.slopes import Choice
 
-CELL_STATES = {  # by the name of a single point
+CELL_STATES = {
     "mean cell": "23 servers, 7 planners, 5 proxies",
     "part of the largest service": "51 servers, 16 planners, 5 proxies",
     "largest cell": "512 servers, 16 planners, 44 proxies",
 }
+"""Descriptions of the size of a cell, by the name of the single point at which it is measured."""
 
 
 def planner_rows(model: Model) -> Iterator[Row]:
--- a/stackwheel/scale/points.py
+++ b/stackwheel/scale/points.py
@@ -121,7 +121,8 @@
         return SWEPT_FIELDS.get(self.variable, self.variable)
 
 
-SWEPT_FIELDS = {"list": "servers"}  # by variable, if the swept field has another name
+SWEPT_FIELDS = {"list": "servers"}
+"""Names of the swept fields of points, by variable; a variable without an entry has the name of its field."""
 
 SWEEP_PLANS = (
     SweepPlan("servers", sizes=(32, 64, 128, 256), held_out_size=512, base_point=Point(), jobs=3),
--- a/stackwheel/scale/report.py
+++ b/stackwheel/scale/report.py
@@ -176,7 +176,7 @@
         duration_s: measured duration of the scenario.
         ready_s: time from the start of the first planner until all planners have an endpoint list.
         settle_s: time from the end of the scenario until all planners are correct or the wait is abandoned.
-        failures: failed requests and watches of hollow planners.
+        failures: number of watches of hollow planners that failed or ended, except those that the planners cancelled.
         rejected: requests that the registry rejected with status 503.
         wrong: one line of text for each of the first planners with a wrong or missing entry.
         notes: explanations of the figures for the reader.
--- a/stackwheel/settings.py
+++ b/stackwheel/settings.py
@@ -39,7 +39,7 @@
 MAX_REQUEST_CLASSES: Final = 32
 
 MAX_QUOTED_CHARACTERS: Final = 40
-"""Length to which invalid values are truncated in error messages."""
+"""Maximum number of characters of an invalid value or line that an error message quotes."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/stackwheel/trials/file_exchange.py
+++ b/stackwheel/trials/file_exchange.py
@@ -39,7 +39,9 @@
 MAX_DUPLICATE_DELAY_S = 3.0
 MAX_STALE_PUSH_DELAY_S = 1.0
 MIN_DISRUPTIVE_DELAY_S = 0.5  # proxies count as left while pushes may be delayed for longer
-RECOVERY_AFTER_FAULT_S = 1.0  # begins when the last push that a fault has delayed has arrived
+RECOVERY_AFTER_FAULT_S = 1.0
+"""Time added to the maximum delay of a fault; when both have passed since its end, pushes count as healthy."""
+
 RESERVATION_INTERVAL_S = 2.0
 RESERVATION_LIFETIME_MS = 15_000.0
 MAX_RECENT_FILES = 40
@@ -120,11 +122,11 @@
         context.schedule_after(RESERVATION_INTERVAL_S, self.make_reservations)
 
     def report(self, detail: str, proxy: int | None = None) -> None:
-        """Report a violation of the rule that only complete and genuine files are used."""
+        """Report to the checker a violation of the rule that only complete and genuine files are used."""
         self.context.checker.report_violation(self.context.now_ms(), Rule.GENUINE, detail, None, proxy)
 
     def report_direct_write(self, owner: str, path: str) -> None:
-        """Report a file that was written under its final name."""
+        """Report to the checker that a file was written under its final name."""
         self.report(f"{owner} wrote {path} under its final name, expected a temporary name")
 
     def wall_clock_ms(self) -> float:
--- a/stackwheel/trials/notifications.py
+++ b/stackwheel/trials/notifications.py
@@ -52,7 +52,7 @@
             self.notified_generation[planner.number] = 0
 
     def update_received(self, planner: int | None, update: SentUpdate) -> None:
-        """Report an update that a planner has received.
+        """Report to the checker the changes of an update that a planner has received.
 
         A change of an older generation is reported only for servers whose known state it does not contradict.
         """
@@ -71,7 +71,7 @@
         self.notified_generation[planner] = max(update.generation, notified)
 
     def remove_unnamed(self, planner: int, named: set[str]) -> None:
-        """Report the removal of servers that a planner knows and that are missing from a complete list."""
+        """Report to the checker the removal of servers that a planner knows but a complete list does not contain."""
         checker = self.context.checker
         known_servers = checker.planners[planner].listed
         for name, entry in [item for item in known_servers.items() if item[0] not in named]:
@@ -83,7 +83,7 @@
         self.context.schedule_after(NOTIFICATION_DEADLINE_MS / 1000.0, self.count_as_received, call, update)
 
     def count_as_received(self, call: DiscoveryCall, update: SentUpdate) -> None:
-        """Report an update as received after its deadline if the planner could be reached since it was written."""
+        """Report an update to the checker as received if the planner could be reached since it was written."""
         if call.planner is None or update not in call.pending_updates or call.transport is None:
             return
         if self.can_be_reached(call.planner, update.written_at):
@@ -106,7 +106,7 @@
         self.context.schedule_after(delay, self.apply_poll_deadline, self.discovery.generation, self.context.loop.now)
 
     def apply_poll_deadline(self, generation: int, since: float) -> None:
-        """Report the current list as received by planners that could have polled since a generation was created."""
+        """Report the current list to the checker as received by planners that were reachable since a time in s."""
         for host in self.planners:
             notified = self.notified_generation.get(host.number, 0)
             is_behind = notified < generation <= self.discovery.generation
--- a/stackwheel/trials/requests.py
+++ b/stackwheel/trials/requests.py
@@ -17,7 +17,7 @@
 LATE_ANSWER_VALUE = 0.15  # relative to an answer within the latency objective
 DEADLINE_FACTOR_RANGE = (0.5, 1.0)  # relative to the deadline of the request class
 WORK_FACTOR_RANGE = (0.5, 1.5)  # relative to the mean work of the request class
-MIN_DEMAND_WEIGHT = 0.5  # a random part of up to 1 is added for each proxy
+MIN_DEMAND_WEIGHT = 0.5  # constant part of a demand weight; a random number from 0 to 1 is added for each proxy
 REQUEST_NUMBER_MASK = 0xFFFFFFFF  # the digest contains 32 bits of a request's number
 
 
